--- /dev/null
+++ b/dispatch/learned_golden_test.go
@@ -0,0 +1,42 @@
+package dispatch
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"testing"
+	"time"
+
+	"embershunt/choice"
+)
+
+// TestLearnedFileOfTheBuildBefore reads the learned file of a short scripted day, written by the build before any rename.
+func TestLearnedFileOfTheBuildBefore(t *testing.T) {
+	text, err := os.ReadFile("testdata/learned.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var stored Warm
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&stored); err != nil {
+		t.Fatal(err)
+	}
+	if again, err := json.Marshal(stored); err != nil || !bytes.Equal(again, text) {
+		t.Errorf("written as\n%s, %v\nbefore it was\n%s", again, err, text)
+	}
+	if stored.Format != WarmFormat || stored.Build != "(devel)" || !stored.At.Equal(time.Unix(1796233283, 519498897)) {
+		t.Errorf("format %d, build %q, at %v", stored.Format, stored.Build, stored.At)
+	}
+	learned := stored.Learned
+	if learned.Version != choice.LearnedVersion || len(learned.Classes) != 6 || len(learned.Engines) != 4 {
+		t.Fatalf("version %d, %d classes, %d nodes", learned.Version, len(learned.Classes), len(learned.Engines))
+	}
+	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.Heft != (choice.Running{V: 0.021161601402126105, N: 178}) ||
+		lookup.Stray != 0.1278793493089433 || lookup.Taken != 178 || lookup.Fit[0] != 156 {
+		t.Errorf("class lookup: %+v", lookup)
+	}
+	if learned.Fleet.Rate != 34.769253542181175 || learned.Fleet.Room != 1.5 || learned.Engines[1].Slow != -0.41304050641078605 {
+		t.Errorf("fleet %+v, second node %+v", learned.Fleet, learned.Engines[1])
+	}
+}
--- /dev/null
+++ b/front/flightsql/sealed_test.go
@@ -0,0 +1,77 @@
+package flightsql
+
+import (
+	"encoding/hex"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"embershunt/front"
+	"embershunt/internal/seal"
+)
+
+// storedTokens were sealed by the build before any rename, with the key of testSealer, and expire in the year 2100. Clients
+// hold such tokens over an upgrade.
+const storedTokens = "testdata/tokens.txt"
+
+func testSealer(t *testing.T) *seal.Sealer {
+	s, err := seal.New([]byte(strings.Repeat("k", 32)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+func storedStatement() sealed {
+	return sealed{user: "pobocka", text: "SELECT 1", serial: "12345678", params: [][]byte{[]byte("first"), []byte("second")}, tx: []byte("token")}
+}
+
+func storedPin() *front.Pinned {
+	return &front.Pinned{ID: "transaction", Node: "node-1", Handle: []byte("handle"), Tenant: "tenant",
+		Started: time.UnixMicro(1_700_000_000_000_001), Since: time.UnixMicro(1_700_000_000_000_002)}
+}
+
+// TestTokensOfTheBuildBefore reads each sealed form value by value, and holds that this build writes the same bytes.
+func TestTokensOfTheBuildBefore(t *testing.T) {
+	text, err := os.ReadFile(storedTokens)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sealer := testSealer(t)
+	expires := time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
+	payloads := map[seal.Purpose][]byte{
+		seal.Ticket:      storedStatement().encode(),
+		seal.Prepared:    storedStatement().encode(),
+		seal.Transaction: sealPin("pobocka", storedPin()),
+	}
+	lines := strings.Fields(string(text))
+	if len(lines) != len(payloads) {
+		t.Fatalf("%d tokens in %s, wanted %d", len(lines), storedTokens, len(payloads))
+	}
+	for i, purpose := range []seal.Purpose{seal.Ticket, seal.Prepared, seal.Transaction} {
+		token, err := hex.DecodeString(lines[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		payload, err := sealer.Open(purpose, time.Now(), token)
+		if err != nil {
+			t.Errorf("%s: %v", purpose, err)
+			continue
+		}
+		if again := sealer.Seal(purpose, expires, payloads[purpose]); string(again) != string(token) {
+			t.Errorf("%s is sealed as %x, before it was %x", purpose, again, token)
+		}
+		if purpose == seal.Transaction {
+			user, pin, err := openPin(payload)
+			if err != nil || user != "pobocka" || !reflect.DeepEqual(pin, storedPin()) {
+				t.Errorf("%s is read as %q, %+v, %v", purpose, user, pin, err)
+			}
+			continue
+		}
+		if s, err := decodeSealed(payload); err != nil || !reflect.DeepEqual(s, storedStatement()) {
+			t.Errorf("%s is read as %+v, %v", purpose, s, err)
+		}
+	}
+}
--- /dev/null
+++ b/trace/golden_test.go
@@ -0,0 +1,74 @@
+package trace
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"os"
+	"testing"
+
+	"embershunt/choice"
+	"embershunt/trace/tracev1"
+)
+
+// TestRecordingsOfTheBuildBefore replays recordings of a demonstration and of a short scripted day with failing, dying,
+// hanging and draining nodes, both written by the build before any rename: this build reads every key of their settings and
+// decides the same again.
+func TestRecordingsOfTheBuildBefore(t *testing.T) {
+	for file, want := range map[string]Report{
+		"testdata/demo.decisions":  {Begins: 1, Steps: 96, Events: 89, Actions: 79},
+		"testdata/small.decisions": {Begins: 1, Steps: 847, Events: 845, Actions: 667},
+	} {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		source, err := NewReader(bytes.NewReader(text))
+		if err != nil {
+			t.Fatal(err)
+		}
+		report, err := Replay(source, func(seed uint64, s choice.Settings) (Module, error) { return choice.New(seed, s) })
+		if err != nil {
+			t.Fatal(err)
+		}
+		if report.First != nil || report.Damage != nil || report.Dropped > 0 {
+			t.Errorf("%s: %d steps differ, first %+v, damage %v, dropped %d", file, report.Differ, report.First, report.Damage, report.Dropped)
+		}
+		if report.Begins != want.Begins || report.Steps != want.Steps || report.Events != want.Events || report.Actions != want.Actions {
+			t.Errorf("%s: %+v, wanted %+v", file, report, want)
+		}
+		checkSettingsOf(t, file, text)
+	}
+}
+
+// checkSettingsOf reads the settings of a recording strictly: no key is passed over, and the values are written as they were.
+func checkSettingsOf(t *testing.T, file string, text []byte) {
+	source, err := NewReader(bytes.NewReader(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for {
+		record, err := source.Next()
+		if errors.Is(err, io.EOF) {
+			return
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+		begin, ok := record.GetWhat().(*tracev1.Record_Begin)
+		if !ok {
+			continue
+		}
+		stored := begin.Begin.GetSettings()
+		var settings choice.Settings
+		decoder := json.NewDecoder(bytes.NewReader(stored))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&settings); err != nil {
+			t.Errorf("%s: settings: %v", file, err)
+		}
+		if again, err := json.Marshal(settings); err != nil || !bytes.Equal(again, stored) {
+			t.Errorf("%s: settings are written as\n%s, %v\nbefore it was\n%s", file, again, err, stored)
+		}
+	}
+}
