--- a/choice/api.go
+++ b/choice/api.go
@@ -8,76 +8,76 @@
 // Settings is what a gateway is told once, at its start. The zero value of a
 // limit means "not allowed" and that of a rule "does not apply".
 type Settings struct {
-	Zone    int      // zone of this gateway
-	Me      int      // number of this gateway among its peers
-	Peers   int      // gateways that share the fleet, this one included
-	Classes []Class  // request classes; a Request names one by index
-	Kinds   []Kind   // machine kinds; an Engine names one by index
-	Tenants []Tenant // empty where the site has none
-
-	OverShareWorth float64 // worth beyond a tenant's share, as part of the usual
-	CountByWork    bool    // worth counts by work instead of by request
-
-	MaxAttempts  int    // attempts for one request; 0: one
-	MaxHeld      int    // requests held open at once; 0: no limit
-	MaxComeBack  Micros // longest come-back time a client heeds; 0: they heed none
-	CanCancel    bool   // attempts may be cancelled
-	CanProbe     bool   // engines may be probed
-	CanTell      bool   // peers may be sent messages
-	SecondCopies bool   // a request may have two attempts out
-
-	ReportsByAnswer bool // load reports come with every outcome
-	ReportsByProbe  bool // load reports come with probe results
-	AskForList      bool // the engine list must be asked for
-
-	GrantsCount   bool    // memory grants are heeded
-	PriorityCount bool    // priorities are heeded
-	MaxGrantShare float64 // most of an engine's memory that one query gets; 0: all
-	Shortage      Shortage
-	ProgressEvery Micros // time between progress notes; 0: none come
-
-	ColdFrom     float64 // a new engine's least share of its capacity
-	ColdFor      Micros  // a new engine is warm after this
-	FallMultiple float64 // a cold engine falls when sent this many times its capacity ...
-	FallFor      Micros  // ... for this long
-	DrainGrace   Micros  // sends to a draining engine stop within this
-	AnswerSlack  Micros  // a final answer counts this long after the deadline
-	AskWithin    Micros  // the list must be asked for at least this often
-	TurnGap      Micros  // rest of a key after an attempt that may still run
-	BudgetFree   float64 // further attempts allowed however little the traffic
-	BudgetShare  float64 // further attempts allowed for each request taken
-	BudgetSpan   Micros  // span over which the budget counts; 0: no budget
+	Zone    int      `json:"Zone"`    // zone of this gateway
+	Me      int      `json:"Me"`      // number of this gateway among its peers
+	Peers   int      `json:"Peers"`   // gateways that share the fleet, this one included
+	Classes []Class  `json:"Classes"` // request classes; a Request names one by index
+	Kinds   []Kind   `json:"Kinds"`   // machine kinds; an Engine names one by index
+	Tenants []Tenant `json:"Tenants"` // empty where the site has none
+
+	OverShareWorth float64 `json:"OverShareWorth"` // worth beyond a tenant's share, as part of the usual
+	CountByWork    bool    `json:"CountByWork"`    // worth counts by work instead of by request
+
+	MaxAttempts  int    `json:"MaxAttempts"`  // attempts for one request; 0: one
+	MaxHeld      int    `json:"MaxHeld"`      // requests held open at once; 0: no limit
+	MaxComeBack  Micros `json:"MaxComeBack"`  // longest come-back time a client heeds; 0: they heed none
+	CanCancel    bool   `json:"CanCancel"`    // attempts may be cancelled
+	CanProbe     bool   `json:"CanProbe"`     // engines may be probed
+	CanTell      bool   `json:"CanTell"`      // peers may be sent messages
+	SecondCopies bool   `json:"SecondCopies"` // a request may have two attempts out
+
+	ReportsByAnswer bool `json:"ReportsByAnswer"` // load reports come with every outcome
+	ReportsByProbe  bool `json:"ReportsByProbe"`  // load reports come with probe results
+	AskForList      bool `json:"AskForList"`      // the engine list must be asked for
+
+	GrantsCount   bool     `json:"GrantsCount"`   // memory grants are heeded
+	PriorityCount bool     `json:"PriorityCount"` // priorities are heeded
+	MaxGrantShare float64  `json:"MaxGrantShare"` // most of an engine's memory that one query gets; 0: all
+	Shortage      Shortage `json:"Shortage"`
+	ProgressEvery Micros   `json:"ProgressEvery"` // time between progress notes; 0: none come
+
+	ColdFrom     float64 `json:"ColdFrom"`     // a new engine's least share of its capacity
+	ColdFor      Micros  `json:"ColdFor"`      // a new engine is warm after this
+	FallMultiple float64 `json:"FallMultiple"` // a cold engine falls when sent this many times its capacity ...
+	FallFor      Micros  `json:"FallFor"`      // ... for this long
+	DrainGrace   Micros  `json:"DrainGrace"`   // sends to a draining engine stop within this
+	AnswerSlack  Micros  `json:"AnswerSlack"`  // a final answer counts this long after the deadline
+	AskWithin    Micros  `json:"AskWithin"`    // the list must be asked for at least this often
+	TurnGap      Micros  `json:"TurnGap"`      // rest of a key after an attempt that may still run
+	BudgetFree   float64 `json:"BudgetFree"`   // further attempts allowed however little the traffic
+	BudgetShare  float64 `json:"BudgetShare"`  // further attempts allowed for each request taken
+	BudgetSpan   Micros  `json:"BudgetSpan"`   // span over which the budget counts; 0: no budget
 }
 
 // Class describes one class of requests.
 type Class struct {
-	Name       string
-	Worth      float64 // of one request answered in time
-	LateWorth  float64 // part of the worth paid after the aim
-	Aim        Micros  // an answer within this earns full worth
-	AimStretch float64 // the aim grows by this times work ÷ threads
-	Deadline   Micros  // the client's patience
-	Threads    int     // threads a query runs on; 0: one
-	Loads      bool    // holds its table group on its engine while it runs
-	Waits      bool    // stands still while a load holds its group
-	Effect     Effect
-	Group      Group  // engines that drop repeats of a Keyed request
-	Window     Micros // how long they remember it
-	InTurn     bool   // requests of one key run one at a time, in order
-	Zones      []int  // if set, the only zones allowed
-	Kinds      []int  // if set, the only machine kinds allowed
+	Name       string  `json:"Name"`
+	Worth      float64 `json:"Worth"`      // of one request answered in time
+	LateWorth  float64 `json:"LateWorth"`  // part of the worth paid after the aim
+	Aim        Micros  `json:"Aim"`        // an answer within this earns full worth
+	AimStretch float64 `json:"AimStretch"` // the aim grows by this times work ÷ threads
+	Deadline   Micros  `json:"Deadline"`   // the client's patience
+	Threads    int     `json:"Threads"`    // threads a query runs on; 0: one
+	Loads      bool    `json:"Loads"`      // holds its table group on its engine while it runs
+	Waits      bool    `json:"Waits"`      // stands still while a load holds its group
+	Effect     Effect  `json:"Effect"`
+	Group      Group   `json:"Group"`  // engines that drop repeats of a Keyed request
+	Window     Micros  `json:"Window"` // how long they remember it
+	InTurn     bool    `json:"InTurn"` // requests of one key run one at a time, in order
+	Zones      []int   `json:"Zones"`  // if set, the only zones allowed
+	Kinds      []int   `json:"Kinds"`  // if set, the only machine kinds allowed
 }
 
 // Kind describes one kind of machine.
 type Kind struct {
-	Cores    int
-	MemoryMB float64
+	Cores    int     `json:"Cores"`
+	MemoryMB float64 `json:"MemoryMB"`
 }
 
 // Tenant describes one tenant.
 type Tenant struct {
-	Name      string
-	Allowance float64 // requests a second inside its share, over all gateways
+	Name      string  `json:"Name"`
+	Allowance float64 `json:"Allowance"` // requests a second inside its share, over all gateways
 }
 
 // Effect tells what a repeat of a request does.
--- a/choice/learned.go
+++ b/choice/learned.go
@@ -10,37 +10,56 @@
 
 // Learned is what a gateway knows beside what is open: of its classes, of the fleet as a whole and of single engines.
 type Learned struct {
-	Version int
-	Classes []LearnedClass
-	Fleet   LearnedFleet
-	Engines []LearnedEngine // in the order of the list
+	Version int             `json:"Version"`
+	Classes []LearnedClass  `json:"Classes"`
+	Fleet   LearnedFleet    `json:"Fleet"`
+	Engines []LearnedEngine `json:"Engines"` // in the order of the list
 }
 
 // Running is a mean or rank with the count behind it.
-type Running struct{ V, N float64 }
+type Running struct {
+	V float64 `json:"V"`
+	N float64 `json:"N"`
+}
 
 // LearnedClass is what was learned of one class.
 type LearnedClass struct {
-	Name                             string
-	Mean, Heft, Asked, Ratio, Memory Running
-	Taken, Stray, StrayN, Margin     float64
-	Fit                              [5]float64
-	Price, Wait                      [levels]float64
+	Name   string          `json:"Name"`
+	Mean   Running         `json:"Mean"`
+	Heft   Running         `json:"Heft"`
+	Asked  Running         `json:"Asked"`
+	Ratio  Running         `json:"Ratio"`
+	Memory Running         `json:"Memory"`
+	Taken  float64         `json:"Taken"`
+	Stray  float64         `json:"Stray"`
+	StrayN float64         `json:"StrayN"`
+	Margin float64         `json:"Margin"`
+	Fit    [5]float64      `json:"Fit"`
+	Price  [levels]float64 `json:"Price"`
+	Wait   [levels]float64 `json:"Wait"`
 }
 
 // LearnedFleet is what was learned of all engines together and of own traffic.
 type LearnedFleet struct {
-	Stretch                     [2]float64
-	Threads, Rate, MeanRate, MB float64
-	Sent, Took, Cost, Crowd     Running
-	Room, Open                  float64
+	Stretch  [2]float64 `json:"Stretch"`
+	Threads  float64    `json:"Threads"`
+	Rate     float64    `json:"Rate"`
+	MeanRate float64    `json:"MeanRate"`
+	MB       float64    `json:"MB"`
+	Sent     Running    `json:"Sent"`
+	Took     Running    `json:"Took"`
+	Cost     Running    `json:"Cost"`
+	Crowd    Running    `json:"Crowd"`
+	Room     float64    `json:"Room"`
+	Open     float64    `json:"Open"`
 }
 
 // LearnedEngine is what was learned of one engine in its present life.
 type LearnedEngine struct {
-	ID           string
-	Started      Micros
-	Slow, Faults float64
+	ID      string  `json:"ID"`
+	Started Micros  `json:"Started"`
+	Slow    float64 `json:"Slow"`
+	Faults  float64 `json:"Faults"`
 }
 
 // Learned returns what the gateway knows now.
