--- a/fleet/attempt.go
+++ b/backend/attempt.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/internal/flightwire"
 	"embershunt/internal/lineproto"
 	"embershunt/internal/native"
+	"embershunt/policy"
 	"embershunt/session"
 )
 
@@ -35,7 +35,7 @@
 	cancel context.CancelCauseFunc
 	open   chan struct{} // closed when the answer may flow
 	timer  *time.Timer
-	load   *choice.Load
+	load   *policy.Load
 	notRun bool // the node proved that nothing ran
 	unsent bool // nothing that could run has been written yet
 
@@ -52,7 +52,7 @@
 	try(ctx context.Context, n *node) (result any, err error)
 	// ended tells how an error that came neither from a time-out nor from a cancel is to be read, with care for what may
 	// have run.
-	ended(err error) (code choice.Code, rejected bool)
+	ended(err error) (code policy.Code, rejected bool)
 	// after cleans up what the attempt left on the node; its end has been told by then.
 	after()
 }
@@ -67,7 +67,7 @@
 	case *lineproto.Request:
 		return &linesAttempt{attempt: t, call: call, signal: make(chan struct{}, 1)}
 	}
-	panic(fmt.Sprintf("fleet: work of an unknown kind %T", t.a.Query.Work))
+	panic(fmt.Sprintf("backend: work of an unknown kind %T", t.a.Query.Work))
 }
 
 // Send implements dispatch.Fleet.
@@ -151,25 +151,25 @@
 
 // code tells how an attempt ended, with care for what may have run: only a connection that was never up, a request that
 // was never written and a node's explicit word prove that nothing ran.
-func (t *attempt) code(ctx context.Context, c carrier, err error) (code choice.Code, rejected bool) {
+func (t *attempt) code(ctx context.Context, c carrier, err error) (code policy.Code, rejected bool) {
 	cause := context.Cause(ctx)
 	switch {
 	case err == nil:
-		return choice.OK, false
+		return policy.OK, false
 	case t.notRun:
-		return choice.Full, false
+		return policy.Full, false
 	case errors.Is(err, session.ErrMissing): // the node's word, as it were: another one has nothing of it either
-		return choice.Failed, true
+		return policy.Failed, true
 	case errors.Is(err, errNotConnected), errors.Is(err, errUnknownNode), errors.Is(err, errOtherWork):
-		return choice.Refused, false
+		return policy.Refused, false
 	case errors.Is(err, errUnsent), errors.Is(err, errLocal): // whatever ended it: it proves nothing of the node
-		return choice.Moot, false
+		return policy.Moot, false
 	case errors.Is(cause, errTimedOut) && t.unsent:
-		return choice.Refused, false
+		return policy.Refused, false
 	case errors.Is(cause, errTimedOut):
-		return choice.TimedOut, false
+		return policy.TimedOut, false
 	case cause != nil: // called off, or the fleet closes
-		return choice.Cancelled, false
+		return policy.Cancelled, false
 	}
 	return c.ended(err)
 }
--- a/fleet/dial.go
+++ b/backend/dial.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
--- a/fleet/fleet.go
+++ b/backend/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet is the query nodes as one dispatcher sees them: the node list, kept connections, attempts and how they
+// Package backend is the query nodes as one dispatcher sees them: the node list, kept connections, attempts and how they
 // end, load reports, probes. It decides nothing: what it is told to do comes from the module, what it sees goes there.
-package fleet
+package backend
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"golang.org/x/sync/errgroup"
 	"google.golang.org/grpc"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/nodelist"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // Options are the fleet's settings; zero values mean the defaults.
@@ -41,7 +41,7 @@
 
 type poster struct{ Poster }
 
-func (p poster) Told(ev choice.Event) { p.Post(dispatch.Told{Event: ev}) }
+func (p poster) Told(ev policy.Event) { p.Post(dispatch.Told{Event: ev}) }
 
 // Fleet implements dispatch.Fleet over gRPC.
 type Fleet struct {
@@ -61,7 +61,7 @@
 	mu       sync.Mutex
 	closed   bool
 	nodes    map[string]*node
-	listedAt choice.Micros         // when the list in force was taken; 0: there is none
+	listedAt policy.Micros         // when the list in force was taken; 0: there is none
 	attempts map[string][]*attempt // those out, by query
 	sessions map[string]*sessionConn
 
--- a/fleet/flight.go
+++ b/backend/flight.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 	"google.golang.org/grpc/stats"
 	"google.golang.org/grpc/status"
 
-	"embershunt/choice"
 	"embershunt/internal/flightwire"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // fate is what the transport knows of an attempt's calls. It tells "may have run" from "never sent".
@@ -91,23 +91,23 @@
 }
 
 // ended implements carrier.
-func (t *flightAttempt) ended(err error) (code choice.Code, rejected bool) {
+func (t *flightAttempt) ended(err error) (code policy.Code, rejected bool) {
 	if !t.fate.written.Load() {
-		return choice.Refused, false
+		return policy.Refused, false
 	}
 	s, ok := status.FromError(err)
 	if !ok || !t.fate.trailer.Load() {
 		if ok && s.Code() == codes.Unavailable || errors.Is(err, io.ErrUnexpectedEOF) {
-			return choice.Reset, false
+			return policy.Reset, false
 		}
-		return choice.Failed, false
+		return policy.Failed, false
 	}
 	switch s.Code() { // the node's own word on the statement: another node would say the same
 	case codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
 		codes.FailedPrecondition, codes.OutOfRange, codes.Unimplemented:
-		return choice.Failed, true
+		return policy.Failed, true
 	}
-	return choice.Failed, false
+	return policy.Failed, false
 }
 
 // try implements carrier.
@@ -151,7 +151,7 @@
 	case flightwire.Schema:
 		return t.unary(ctx, flightwire.MethodGetSchema, flightwire.Descriptor(command))
 	}
-	return nil, fmt.Errorf("fleet: unknown kind of call %d", t.call.Kind)
+	return nil, fmt.Errorf("backend: unknown kind of call %d", t.call.Kind)
 }
 
 // headers are the call headers of the attempt, the same at each of its calls.
--- a/fleet/lines.go
+++ b/backend/lines.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 	"sync"
 	"syscall"
 
-	"embershunt/choice"
 	"embershunt/internal/lineproto"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // Errors of attempts over lines.
@@ -218,17 +218,17 @@
 func (e *connectionError) Unwrap() error { return e.err }
 
 // ended implements carrier.
-func (t *linesAttempt) ended(err error) (choice.Code, bool) {
+func (t *linesAttempt) ended(err error) (policy.Code, bool) {
 	var form *lineproto.FormatError
 	switch {
 	case errors.Is(err, errNodeFull):
-		return choice.Full, false
+		return policy.Full, false
 	case errors.Is(err, errNodeMoot), errors.Is(err, errNoRoom): // no fault of the node
-		return choice.Moot, false
+		return policy.Moot, false
 	case errors.Is(err, errNodeFailed), errors.As(err, &form):
-		return choice.Failed, false
+		return policy.Failed, false
 	}
-	return choice.Reset, false
+	return policy.Reset, false
 }
 
 // after implements carrier.
--- a/fleet/lines_probe.go
+++ b/backend/lines_probe.go
@@ -1,44 +1,44 @@
-package fleet
+package backend
 
 import (
 	"context"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/internal/lineproto"
+	"embershunt/policy"
 )
 
 // linesProbe pings a node on a connection of its own.
-func (n *node) linesProbe(ctx context.Context, f *Fleet) choice.Code {
+func (n *node) linesProbe(ctx context.Context, f *Fleet) policy.Code {
 	ctx, cancel := context.WithTimeout(ctx, f.opt.ConnectTimeout)
 	defer cancel()
 	if !f.reserveLines() { // a probe holds a descriptor like any attempt
-		return choice.Moot
+		return policy.Moot
 	}
 	defer f.linesOpen.Add(-1)
 	conn, err := f.dialLines(ctx, n.lines.address)
 	if isLocal(err) {
-		return choice.Moot
+		return policy.Moot
 	}
 	if err != nil {
-		return choice.Refused
+		return policy.Refused
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.Write(lineproto.AppendPing(nil, "ping")); err != nil {
-		return choice.Reset
+		return policy.Reset
 	}
 	a, err := lineproto.NewReader(conn).Read()
 	switch {
 	case ctx.Err() != nil:
-		return choice.TimedOut
+		return policy.TimedOut
 	case err != nil:
-		return choice.Reset
+		return policy.Reset
 	case a.Word != lineproto.Well || a.ID != "ping":
-		return choice.Failed
+		return policy.Failed
 	}
-	return choice.OK
+	return policy.OK
 }
 
 // LinesOpen counts the connections to nodes that speak lines.
--- a/fleet/lines_report.go
+++ b/backend/lines_report.go
@@ -1,19 +1,19 @@
-package fleet
+package backend
 
 import (
 	"strconv"
 	"strings"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // linesLoad reads a load report, name:value separated by semicolons; names of the settings and of the lines alike. One that
 // does not parse counts as none.
-func linesLoad(s string) *choice.Load {
+func linesLoad(s string) *policy.Load {
 	if s == "" {
 		return nil
 	}
-	l := choice.Load{Util: -1, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}
+	l := policy.Load{Util: -1, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}
 	for part := range strings.SplitSeq(s, ";") {
 		name, value, _ := strings.Cut(part, ":")
 		v, err := strconv.ParseFloat(value, 64)
@@ -37,7 +37,7 @@
 }
 
 // linesNote reads a note on an attempt that is out; ok is false where there is none.
-func linesNote(why, datum string) (p choice.Progress, ok bool) {
+func linesNote(why, datum string) (p policy.Progress, ok bool) {
 	v, err := strconv.ParseFloat(datum, 64)
 	if err != nil || !(v >= 0 && v < 1e9) {
 		return p, false
@@ -45,13 +45,13 @@
 	p.Value = v
 	switch {
 	case why == "p":
-		p.Kind = choice.ShareDone
+		p.Kind = policy.ShareDone
 	case why == "s":
-		p.Kind = choice.Spills
+		p.Kind = policy.Spills
 	case why == "w" && v == 2:
-		p.Kind = choice.WaitsLoad
+		p.Kind = policy.WaitsLoad
 	case why == "w":
-		p.Kind = choice.WaitsMemory
+		p.Kind = policy.WaitsMemory
 	default:
 		return p, false
 	}
--- a/fleet/lines_test.go
+++ b/backend/lines_test.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/internal/lineproto"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // lineFleet is a fleet with one node that speaks lines.
@@ -23,9 +23,9 @@
 	t     *testing.T
 	tape  tape
 	clock dispatch.Clock
-	notes []choice.Progress
+	notes []policy.Progress
 
-	before choice.Micros // of the attempts sent
+	before policy.Micros // of the attempts sent
 }
 
 func newLineFleet(t *testing.T, o Options, addresses ...string) *lineFleet {
@@ -64,7 +64,7 @@
 			case dispatch.Ended:
 				return ev
 			case dispatch.Told:
-				if p, ok := ev.Event.(choice.Progress); ok {
+				if p, ok := ev.Event.(policy.Progress); ok {
 					f.notes = append(f.notes, p)
 				}
 			}
@@ -84,72 +84,72 @@
 
 // Every way in which a node may end an attempt over lines, with care for what may have run.
 func TestEndsOfLineAttempts(t *testing.T) {
-	say := func(word, fields, body string) func(net.Conn, standin.LineCommand) {
-		return func(c net.Conn, cmd standin.LineCommand) {
+	say := func(word, fields, body string) func(net.Conn, simulated.LineCommand) {
+		return func(c net.Conn, cmd simulated.LineCommand) {
 			if cmd.Verb == "GET" {
-				fmt.Fprint(c, standin.LineAnswer(cmd.ID, word, fields, body))
+				fmt.Fprint(c, simulated.LineAnswer(cmd.ID, word, fields, body))
 			}
 		}
 	}
-	raw := func(text string) func(net.Conn, standin.LineCommand) {
-		return func(c net.Conn, cmd standin.LineCommand) { fmt.Fprint(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
+	raw := func(text string) func(net.Conn, simulated.LineCommand) {
+		return func(c net.Conn, cmd simulated.LineCommand) { fmt.Fprint(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
 	}
-	paged := func(page func(n int) string) func(net.Conn, standin.LineCommand) {
-		return func(c net.Conn, cmd standin.LineCommand) {
+	paged := func(page func(n int) string) func(net.Conn, simulated.LineCommand) {
+		return func(c net.Conn, cmd simulated.LineCommand) {
 			switch cmd.Verb {
 			case "GET":
-				fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
+				fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
 			case "PAGE":
 				fmt.Fprint(c, page(cmd.N))
 			}
 		}
 	}
 	whole := func(n int) string {
-		return standin.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
+		return simulated.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
 	}
 	cases := []struct {
 		name string
-		play func(net.Conn, standin.LineCommand)
-		code choice.Code
+		play func(net.Conn, simulated.LineCommand)
+		code policy.Code
 		rows string
 	}{
-		{"one page", say("data", "total=1", "a\tb\tc\nd\te\tf\n"), choice.OK, "a|b|c;d|e|f;"},
-		{"no rows", say("data", "total=1", ""), choice.OK, ""},
-		{"three pages", paged(whole), choice.OK, "a|b|c;p|1|;p|2|;"},
-		{"pages in another order, each twice", func(c net.Conn, cmd standin.LineCommand) {
+		{"one page", say("data", "total=1", "a\tb\tc\nd\te\tf\n"), policy.OK, "a|b|c;d|e|f;"},
+		{"no rows", say("data", "total=1", ""), policy.OK, ""},
+		{"three pages", paged(whole), policy.OK, "a|b|c;p|1|;p|2|;"},
+		{"pages in another order, each twice", func(c net.Conn, cmd simulated.LineCommand) {
 			if cmd.Verb == "GET" {
 				paged(nil)(c, cmd)
 			} else if cmd.Verb == "PAGE" && cmd.N == 2 {
 				fmt.Fprint(c, whole(2)+whole(2)+whole(1)+whole(1))
 			}
-		}, choice.OK, "a|b|c;p|1|;p|2|;"},
-		{"a second copy and an answer to nobody before it", raw(standin.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
-			standin.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + standin.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), choice.OK, "a|b|c;"},
-		{"full", say("full", "", ""), choice.Full, ""},
-		{"moot", say("moot", "", ""), choice.Moot, ""},
-		{"failed", say("failed", "", "what went wrong"), choice.Failed, ""},
-		{"a page that its node has lost", paged(func(int) string { return standin.LineAnswer("id", "failed", "", "") }), choice.Failed, ""},
-		{"a page beyond the last", paged(func(int) string { return whole(7) }), choice.Failed, ""},
-		{"a page within a row", say("data", "total=1", "a\tb\tc\nd\te"), choice.Failed, ""},
-		{"a row of two columns", say("data", "total=1", "a\tb\n"), choice.Failed, ""},
-		{"noise in a row", say("data", "total=1", "a\t\xff\xfe\tc\n"), choice.Failed, ""},
-		{"noise", raw("\x00\x01\x02 noise\r\n"), choice.Failed, ""},
-		{"an endless line", raw(strings.Repeat("x", 100000)), choice.Failed, ""},
-		{"3 GB", raw("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), choice.Failed, ""},
-		{"a negative length", raw("ID data total=1 -5\r\nabc\r\n"), choice.Failed, ""},
-		{"a length that does not fit", raw("ID data total=1 3\r\na\tb\tc\n\r\n"), choice.Failed, ""},
-		{"no total", say("data", "", "a\tb\tc\n"), choice.Failed, ""},
-		{"cut short", func(c net.Conn, cmd standin.LineCommand) {
+		}, policy.OK, "a|b|c;p|1|;p|2|;"},
+		{"a second copy and an answer to nobody before it", raw(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
+			simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
+		{"full", say("full", "", ""), policy.Full, ""},
+		{"moot", say("moot", "", ""), policy.Moot, ""},
+		{"failed", say("failed", "", "what went wrong"), policy.Failed, ""},
+		{"a page that its node has lost", paged(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
+		{"a page beyond the last", paged(func(int) string { return whole(7) }), policy.Failed, ""},
+		{"a page within a row", say("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
+		{"a row of two columns", say("data", "total=1", "a\tb\n"), policy.Failed, ""},
+		{"noise in a row", say("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
+		{"noise", raw("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
+		{"an endless line", raw(strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"3 GB", raw("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"a negative length", raw("ID data total=1 -5\r\nabc\r\n"), policy.Failed, ""},
+		{"a length that does not fit", raw("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
+		{"no total", say("data", "", "a\tb\tc\n"), policy.Failed, ""},
+		{"cut short", func(c net.Conn, cmd simulated.LineCommand) {
 			fmt.Fprintf(c, "%s data total=1 6\r\na\tb", cmd.ID)
 			c.Close()
-		}, choice.Reset, ""},
-		{"reset under a request", func(c net.Conn, _ standin.LineCommand) { standin.ResetConn(c) }, choice.Reset, ""},
-		{"never", func(net.Conn, standin.LineCommand) {}, choice.TimedOut, ""},
-		{"a whole page and then nothing", paged(func(int) string { return "" }), choice.TimedOut, ""},
+		}, policy.Reset, ""},
+		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.Reset, ""},
+		{"never", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
+		{"a whole page and then nothing", paged(func(int) string { return "" }), policy.TimedOut, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			node, err := standin.NewLineNode("", c.play)
+			node, err := simulated.NewLineNode("", c.play)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -160,7 +160,7 @@
 			if end.Code != c.code || rowsOf(end.Result) != c.rows {
 				t.Errorf("code %d (%v), rows %q; want %d, %q", end.Code, end.Err, rowsOf(end.Result), c.code, c.rows)
 			}
-			if strings.Contains(c.name, "pages") && c.code == choice.OK && (end.Load == nil || end.Load.Util != 0.5 || end.Load.InFlight != 7) {
+			if strings.Contains(c.name, "pages") && c.code == policy.OK && (end.Load == nil || end.Load.Util != 0.5 || end.Load.InFlight != 7) {
 				t.Errorf("load %+v", end.Load)
 			}
 		})
@@ -169,12 +169,12 @@
 
 // What proves that nothing ran, and what does not: nobody listens, a new connection that breaks, a kept one that has ended.
 func TestConnectionsOfLineAttempts(t *testing.T) {
-	serve := func(c net.Conn, cmd standin.LineCommand) {
+	serve := func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" {
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	}
-	node, err := standin.NewLineNode("", serve)
+	node, err := simulated.NewLineNode("", serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -188,34 +188,34 @@
 		return dialTCP(ctx, address)
 	}
 	f.send("a", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.OK {
+	if end := f.end(); end.Code != policy.OK {
 		t.Errorf("two new connections broke: code %d (%v)", end.Code, end.Err)
 	}
 	broken = linesTries
 	f.send("b", 0, "n0", time.Second) // on the kept connection
-	if end := f.end(); end.Code != choice.OK || node.Accepted() != 1 {
+	if end := f.end(); end.Code != policy.OK || node.Accepted() != 1 {
 		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
 	}
 	f.send("c", 0, "gone", time.Second)
-	if end := f.end(); end.Code != choice.Refused {
+	if end := f.end(); end.Code != policy.Refused {
 		t.Errorf("a node that is not listed: code %d", end.Code)
 	}
 	node.Close()
 	broken = 0
 	f.send("d", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.Refused && end.Code != choice.Reset {
+	if end := f.end(); end.Code != policy.Refused && end.Code != policy.Reset {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
 	}
 	f.send("e", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.Refused {
+	if end := f.end(); end.Code != policy.Refused {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
 	}
-	if node, err = standin.NewLineNode(address, serve); err != nil {
+	if node, err = simulated.NewLineNode(address, serve); err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
 	f.send("f", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.OK {
+	if end := f.end(); end.Code != policy.OK {
 		t.Errorf("it is back: code %d (%v)", end.Code, end.Err)
 	}
 }
@@ -237,8 +237,8 @@
 		if within == 5*time.Second {
 			f.Cancel("q-id", 0)
 		}
-		if end := f.end(); end.Code != choice.Moot {
-			t.Errorf("over within %v: code %d (%v), want %d", within, end.Code, end.Err, choice.Moot)
+		if end := f.end(); end.Code != policy.Moot {
+			t.Errorf("over within %v: code %d (%v), want %d", within, end.Code, end.Err, policy.Moot)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	}
 	for name, cross := range map[string]func(c *crossing){
 		"the client left":  func(c *crossing) { c.f.Cancel("q-id", 0) },
-		"the node drains":  func(c *crossing) { c.rows[0].State = choice.Draining; c.f.SetNodes(c.rows) },
+		"the node drains":  func(c *crossing) { c.rows[0].State = policy.Draining; c.f.SetNodes(c.rows) },
 		"the node is gone": func(c *crossing) { c.f.SetNodes(nil) },
 		"another node has its address": func(c *crossing) {
 			c.rows[0].ID = "other"
@@ -271,9 +271,9 @@
 	} {
 		for _, held := range []string{"connecting", "behind another command"} {
 			t.Run(name+", "+held, func(t *testing.T) {
-				node, err := standin.NewLineNode("", func(conn net.Conn, cmd standin.LineCommand) {
+				node, err := simulated.NewLineNode("", func(conn net.Conn, cmd simulated.LineCommand) {
 					if cmd.Verb == "GET" && cmd.ID != "before" {
-						fmt.Fprint(conn, standin.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+						fmt.Fprint(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 					}
 				})
 				if err != nil {
@@ -320,8 +320,8 @@
 				for end.ID == "q-before" { // ends with its node
 					end = f.end()
 				}
-				if end.Code != choice.Moot {
-					t.Errorf("code %d (%v), want %d", end.Code, end.Err, choice.Moot)
+				if end.Code != policy.Moot {
+					t.Errorf("code %d (%v), want %d", end.Code, end.Err, policy.Moot)
 				}
 				for _, cmd := range node.Commands() {
 					if cmd.ID == "id" {
@@ -337,18 +337,18 @@
 // the same query asked again.
 func TestASecondCopyLater(t *testing.T) {
 	first := ""
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb != "GET" {
 			return
 		}
 		if first == "" {
 			first = cmd.ID
 		} else { // half of the copy, then the rest with the next answer behind it
-			copied := standin.LineAnswer(first, "data", "total=1", "old\t\t\n")
+			copied := simulated.LineAnswer(first, "data", "total=1", "old\t\t\n")
 			fmt.Fprint(c, copied[:11])
 			fmt.Fprint(c, copied[11:])
 		}
-		fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
+		fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -357,7 +357,7 @@
 	f := newLineFleet(t, Options{}, node.Address())
 	for _, id := range []string{"a", "b", "c"} {
 		f.send(id, 0, "n0", time.Second)
-		if end := f.end(); end.Code != choice.OK || rowsOf(end.Result) != id+"||;" {
+		if end := f.end(); end.Code != policy.OK || rowsOf(end.Result) != id+"||;" {
 			t.Errorf("%s: code %d (%v), rows %q", id, end.Code, end.Err, rowsOf(end.Result))
 		}
 	}
@@ -369,9 +369,9 @@
 // A connection that ended before anything was written on it may tell so when the attempt is on another one already: that is no end of
 // it, and it is not sent a second time while it runs.
 func TestALateEndOfAnotherConnection(t *testing.T) {
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.ID == "go" {
-			fmt.Fprint(c, standin.LineAnswer("id", "data", "total=1", "a\tb\tc\n"))
+			fmt.Fprint(c, simulated.LineAnswer("id", "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
@@ -390,24 +390,24 @@
 		t.Error(err)
 	}
 	f.send("go", 0, "n0", 5*time.Second) // on the same connection
-	if end := f.end(); end.ID != "q-id" || end.Code != choice.OK {
+	if end := f.end(); end.ID != "q-id" || end.Code != policy.OK {
 		t.Errorf("%s ended with code %d (%v)", end.ID, end.Code, end.Err)
 	}
 }
 
 // Probes count among the connections held, and a connection that was closed makes room at once.
 func TestEverySocketIsCounted(t *testing.T) {
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" {
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	other, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
-		fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+	other, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+		fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -428,7 +428,7 @@
 	}
 	for i := range 20 { // each has to take the other node's idle connection
 		f.send(fmt.Sprintf("r%d", i), 0, fmt.Sprintf("n%d", i%2), time.Second)
-		if end := f.end(); end.Code != choice.OK {
+		if end := f.end(); end.Code != policy.OK {
 			t.Fatalf("attempt %d: code %d (%v)", i, end.Code, end.Err)
 		}
 		<-dialled
@@ -438,7 +438,7 @@
 // Attempts share a connection only where there are no more, never beyond what the node takes, and never with their own id.
 func TestAttemptsShareConnectionsAtLast(t *testing.T) {
 	hold := make(chan struct{})
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" && cmd.ID == "last" {
 			close(hold)
 		}
@@ -463,7 +463,7 @@
 		t.Errorf("%d connections for 4 attempts, want 2", node.Accepted())
 	}
 	f.send("more", 0, "n0", 3*time.Second)
-	if end := f.end(); end.Code != choice.Moot {
+	if end := f.end(); end.Code != policy.Moot {
 		t.Errorf("no room on any connection: code %d (%v)", end.Code, end.Err)
 	}
 }
@@ -472,16 +472,16 @@
 func TestGivenUpRequests(t *testing.T) {
 	var mu sync.Mutex
 	conns := map[string]net.Conn{}
-	got := make(chan standin.LineCommand, 10)
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	got := make(chan simulated.LineCommand, 10)
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		mu.Lock()
 		conns[cmd.Verb] = c
 		mu.Unlock()
 		if cmd.Verb == "DROP" {
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
 		}
 		if cmd.Verb == "GET" && cmd.Text == "SELECT 1" && len(got) > 1 {
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
 		}
 		got <- cmd
 	})
@@ -495,14 +495,14 @@
 		time.Sleep(time.Millisecond)
 	}
 	f.Cancel("q-id", 0)
-	if end := f.end(); end.Code != choice.Cancelled {
+	if end := f.end(); end.Code != policy.Cancelled {
 		t.Fatalf("code %d", end.Code)
 	}
 	for len(got) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	f.send("id", 1, "n0", 3*time.Second)
-	if end := f.end(); end.Code != choice.OK || rowsOf(end.Result) != "new||;" {
+	if end := f.end(); end.Code != policy.OK || rowsOf(end.Result) != "new||;" {
 		t.Errorf("code %d, rows %q", end.Code, rowsOf(end.Result))
 	}
 	if node.Accepted() != 2 {
@@ -512,10 +512,10 @@
 
 // A node in place of another at its address inherits no connection, and one that has gone keeps none.
 func TestANodeThatTakesAnAddress(t *testing.T) {
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" {
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+standin.LineAnswer(cmd.ID, "news", "why=w,datum=2", "")+
-				standin.LineAnswer(cmd.ID, "data", "total=1", ""))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.LineAnswer(cmd.ID, "news", "why=w,datum=2", "")+
+				simulated.LineAnswer(cmd.ID, "data", "total=1", ""))
 		}
 	})
 	if err != nil {
@@ -525,7 +525,7 @@
 	f := newLineFleet(t, Options{}, node.Address())
 	f.send("a", 0, "n0", time.Second)
 	f.end()
-	want := []choice.Progress{{ID: "q-a", Engine: "n0", Kind: choice.ShareDone, Value: 0.5}, {ID: "q-a", Engine: "n0", Kind: choice.WaitsLoad, Value: 2}}
+	want := []policy.Progress{{ID: "q-a", Engine: "n0", Kind: policy.ShareDone, Value: 0.5}, {ID: "q-a", Engine: "n0", Kind: policy.WaitsLoad, Value: 2}}
 	if fmt.Sprint(f.notes) != fmt.Sprint(want) {
 		t.Errorf("notes %v, want %v", f.notes, want)
 	}
@@ -544,7 +544,7 @@
 }
 
 func TestLoadReports(t *testing.T) {
-	for s, want := range map[string]*choice.Load{
+	for s, want := range map[string]*policy.Load{
 		"inflight:7;util:0.61":       {Util: 0.61, InFlight: 7, Queue: -1, Memory: -1, Disk: -1},
 		"rif:7;busy:0.61;q:2;x0:0.5": {Util: 0.61, InFlight: 7, Queue: 2, Memory: 0.5, Disk: -1},
 		"":                           nil,
--- a/fleet/list.go
+++ b/backend/list.go
@@ -1,12 +1,12 @@
-package fleet
+package backend
 
 import (
 	"maps"
 	"slices"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // SetNodes takes a whole node list. Rows that are missing from it are gone. A list that cannot be used changes
@@ -16,15 +16,15 @@
 		f.ListFailed(err)
 		return err
 	}
-	event := choice.Engines{Whole: true}
+	event := policy.Engines{Whole: true}
 	now := f.clock.Now()
 	f.mu.Lock()
 	listed := map[string]bool{}
 	for _, n := range nodes {
 		listed[n.ID] = true
-		event.Rows = append(event.Rows, choice.Engine{ID: n.ID, Zone: n.Hall, Kind: n.Kind, Cell: n.Cell,
+		event.Rows = append(event.Rows, policy.Engine{ID: n.ID, Zone: n.Hall, Kind: n.Kind, Cell: n.Cell,
 			State: n.State, Weight: n.Weight, Started: f.place(n), Speaks: n.Speaks()})
-		f.drains.notice(n.ID, n.State != choice.Healthy)
+		f.drains.notice(n.ID, n.State != policy.Healthy)
 	}
 	var idle []*node
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
@@ -54,13 +54,13 @@
 func (f *Fleet) ListFailed(err error) {
 	f.log.Warn("node list failed; the last good one holds", "error", err)
 	f.listFailures.Add(1)
-	f.post.Told(choice.Engines{Failed: true})
+	f.post.Told(policy.Engines{Failed: true})
 }
 
 // place books a node and tells its start by the dispatcher's clock; f.mu is held.
-func (f *Fleet) place(row nodelist.Node) choice.Micros {
+func (f *Fleet) place(row nodelist.Node) policy.Micros {
 	n := f.nodes[row.ID]
-	at := choice.Micros(0)
+	at := policy.Micros(0)
 	if n != nil && n.started.Equal(row.Started) {
 		at = n.startedAt
 	} else {
@@ -68,7 +68,7 @@
 	}
 	if n != nil && n.address == row.Address && n.native == row.Native && n.lines.address == row.Lines {
 		n.gone, n.started, n.startedAt = false, row.Started, at
-		n.notice(f.clock.Now(), row.State == choice.Healthy)
+		n.notice(f.clock.Now(), row.State == policy.Healthy)
 		return at
 	}
 	if n != nil { // attempts that are out keep the old connection until they end
@@ -80,13 +80,13 @@
 	}
 	n = &node{id: row.ID, address: row.Address, native: row.Native, started: row.Started, startedAt: at,
 		lines: linesPool{address: row.Lines}}
-	n.notice(f.clock.Now(), row.State == choice.Healthy)
+	n.notice(f.clock.Now(), row.State == policy.Healthy)
 	f.nodes[row.ID] = n
 	return at
 }
 
 // clockTime turns a wall time into the dispatcher's clock; 0 where it is unknown or lies before the clock's begin.
-func (f *Fleet) clockTime(t time.Time) choice.Micros {
+func (f *Fleet) clockTime(t time.Time) policy.Micros {
 	if t.IsZero() {
 		return 0
 	}
@@ -99,7 +99,7 @@
 
 // startOf is the start of a node by the dispatcher's clock. One that a list before did not have has started not long before that list,
 // whatever the wall clock says; f.mu is held.
-func (f *Fleet) startOf(row nodelist.Node) choice.Micros {
+func (f *Fleet) startOf(row nodelist.Node) policy.Micros {
 	at := f.clockTime(row.Started)
 	if at > 0 && f.listedAt > 0 && f.nodes[row.ID] == nil {
 		at = max(at, f.listedAt-listedWithin.Microseconds())
--- a/fleet/load.go
+++ b/backend/load.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/protobuf/proto"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // loadTrailer is where ORCA puts a load report (gRFC A51: per-call reports).
@@ -19,7 +19,7 @@
 // loadFrom reads an ORCA report. Util is cpu_utilization; Memory and Disk are the utilizations "memory" (or
 // mem_utilization) and "disk"; InFlight and Queue are the named metrics "inflight" and "queue". What is absent was not
 // reported. A report that does not parse counts as none.
-func loadFrom(trailer metadata.MD) *choice.Load {
+func loadFrom(trailer metadata.MD) *policy.Load {
 	v := trailer.Get(loadTrailer)
 	if len(v) == 0 {
 		return nil
@@ -34,7 +34,7 @@
 		}
 		return -1
 	}
-	l := &choice.Load{Util: r.CpuUtilization, InFlight: get(r.NamedMetrics, "inflight"),
+	l := &policy.Load{Util: r.CpuUtilization, InFlight: get(r.NamedMetrics, "inflight"),
 		Queue: get(r.NamedMetrics, "queue"), Memory: get(r.Utilization, "memory"), Disk: get(r.Utilization, "disk")}
 	if l.Memory < 0 && r.MemUtilization > 0 {
 		l.Memory = r.MemUtilization
@@ -47,7 +47,7 @@
 func (f *Fleet) Probe(id string) {
 	f.group.Go(func() error {
 		begun := time.Now()
-		ev := choice.Probed{Engine: id}
+		ev := policy.Probed{Engine: id}
 		ev.Code, ev.Load = f.probe(id)
 		ev.Took = time.Since(begun).Microseconds()
 		f.post.Told(ev)
@@ -55,10 +55,10 @@
 	})
 }
 
-func (f *Fleet) probe(id string) (choice.Code, *choice.Load) {
+func (f *Fleet) probe(id string) (policy.Code, *policy.Load) {
 	n := f.use(id)
 	if n == nil {
-		return choice.Refused, nil
+		return policy.Refused, nil
 	}
 	defer f.release(n)
 	ctx, cancel := context.WithTimeout(f.ctx, f.opt.ProbeTimeout)
@@ -71,15 +71,15 @@
 	}
 	conn, err := n.ready(ctx, &f.opt)
 	if err != nil {
-		return choice.Refused, nil
+		return policy.Refused, nil
 	}
 	var trailer metadata.MD
 	answer, err := healthpb.NewHealthClient(conn).Check(ctx, &healthpb.HealthCheckRequest{}, grpc.Trailer(&trailer))
 	switch {
 	case ctx.Err() != nil:
-		return choice.TimedOut, nil
+		return policy.TimedOut, nil
 	case err != nil || answer.GetStatus() != healthpb.HealthCheckResponse_SERVING:
-		return choice.Failed, loadFrom(trailer)
+		return policy.Failed, loadFrom(trailer)
 	}
-	return choice.OK, loadFrom(trailer)
+	return policy.OK, loadFrom(trailer)
 }
--- a/fleet/native.go
+++ b/backend/native.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"bufio"
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/internal/native"
 	"embershunt/permit"
+	"embershunt/policy"
 	"embershunt/session"
 )
 
@@ -132,14 +132,14 @@
 }
 
 // nativeProbe sends a Ping on a connection as queries use it, and waits for its Pong.
-func (n *node) nativeProbe(ctx context.Context, o *Options) choice.Code {
+func (n *node) nativeProbe(ctx context.Context, o *Options) policy.Code {
 	key := nativeKey{revision: native.Newest}
 	if r := int(n.revision.Load()); r >= native.Oldest {
 		key.revision = min(r, native.Newest)
 	}
 	c, err := n.nativeReady(ctx, o, key)
 	if err != nil {
-		return choice.Refused
+		return policy.Refused
 	}
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	c.w.Write([]byte{native.ClientPing})
@@ -150,13 +150,13 @@
 	}
 	if stop() && err == nil && p.Code == native.ServerPong {
 		n.keep(c)
-		return choice.OK
+		return policy.OK
 	}
 	c.conn.Close()
 	if ctx.Err() != nil {
-		return choice.TimedOut
+		return policy.TimedOut
 	}
-	return choice.Failed
+	return policy.Failed
 }
 
 // nativeAttempt makes an attempt over the ClickHouse native protocol.
@@ -184,7 +184,7 @@
 		return
 	}
 	t.share.told = now
-	t.f.post.Post(dispatch.Told{Event: choice.Progress{ID: t.a.Query.ID, Attempt: t.a.N, Engine: t.a.Node, Kind: choice.ShareDone,
+	t.f.post.Post(dispatch.Told{Event: policy.Progress{ID: t.a.Query.ID, Attempt: t.a.N, Engine: t.a.Node, Kind: policy.ShareDone,
 		Value: float64(t.share.read) / float64(t.share.total)}})
 }
 
@@ -466,26 +466,26 @@
 const tooManyQueries = 202
 
 // ended implements carrier.
-func (t *nativeAttempt) ended(err error) (code choice.Code, rejected bool) {
+func (t *nativeAttempt) ended(err error) (code policy.Code, rejected bool) {
 	var e *native.Exception
 	var form *native.FormatError
 	switch {
 	case errors.As(err, &e) && e.Code == tooManyQueries:
-		return choice.Full, false
+		return policy.Full, false
 	case errors.As(err, &e) && !nodeTroubles[e.Code]:
-		return choice.Failed, true
+		return policy.Failed, true
 	case t.unsent:
-		return choice.Refused, false
+		return policy.Refused, false
 	case errors.As(err, &e):
-		return choice.Failed, false
+		return policy.Failed, false
 	case errors.As(err, &form):
-		return choice.Failed, false
+		return policy.Failed, false
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return choice.Reset, false
+		return policy.Reset, false
 	}
 	var op *net.OpError
 	if errors.As(err, &op) {
-		return choice.Reset, false
+		return policy.Reset, false
 	}
-	return choice.Failed, false
+	return policy.Failed, false
 }
--- a/fleet/native_test.go
+++ b/backend/native_test.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/internal/native"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // tape keeps what a fleet has seen.
@@ -25,7 +25,7 @@
 func (s *taker) Pass([]byte, bool) error { return nil }
 
 // play sends one attempt to one node and returns what was seen of it, up to its end.
-func play(t *testing.T, address string, call native.Call, until time.Duration) (notes []choice.Progress, end dispatch.Ended) {
+func play(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.Ended) {
 	t.Helper()
 	clock := dispatch.NewClock()
 	f := New(Options{Clock: clock, ConnectTimeout: 200 * time.Millisecond})
@@ -53,7 +53,7 @@
 			case dispatch.Ended:
 				return notes, ev
 			case dispatch.Told:
-				if p, ok := ev.Event.(choice.Progress); ok {
+				if p, ok := ev.Event.(policy.Progress); ok {
 					notes = append(notes, p)
 				}
 			}
@@ -67,29 +67,29 @@
 	rows := [][]byte{native.EndOfData()}
 	cases := []struct {
 		name     string
-		fault    standin.Faults
+		fault    simulated.Faults
 		down     bool
 		text     string
 		data     [][]byte
-		code     choice.Code
+		code     policy.Code
 		rejected bool
 	}{
-		{"an answer", standin.Faults{}, false, "SELECT 1 /* rows=10 */", nil, choice.OK, false},
-		{"no connection", standin.Faults{}, true, "SELECT 1", nil, choice.Refused, false},
-		{"turned away", standin.Faults{Full: true}, false, "SELECT 1", nil, choice.Full, false},
-		{"failed", standin.Faults{Fail: 1}, false, "SELECT 1", nil, choice.Failed, false},
-		{"a wrong statement", standin.Faults{}, false, "SELECT 1 /* fail=no */", nil, choice.Failed, true},
-		{"silent", standin.Faults{Hang: true}, false, "SELECT 1", nil, choice.TimedOut, false},
-		{"an update without an answer", standin.Faults{Lost: true}, false, "CREATE TABLE t", nil, choice.TimedOut, false},
-		{"a cut answer", standin.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, choice.Reset, false},
-		{"rows taken", standin.Faults{}, false, insert, rows, choice.OK, false},
-		{"silent before it took a row: never ran", standin.Faults{Hang: true}, false, insert, rows, choice.Refused, false},
-		{"rows taken and no answer", standin.Faults{Lost: true}, false, insert, rows, choice.TimedOut, false},
-		{"rows taken and failed", standin.Faults{Fail: 1}, false, insert, rows, choice.Failed, false},
+		{"an answer", simulated.Faults{}, false, "SELECT 1 /* rows=10 */", nil, policy.OK, false},
+		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.Refused, false},
+		{"turned away", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Full, false},
+		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
+		{"a wrong statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
+		{"silent", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
+		{"an update without an answer", simulated.Faults{Lost: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
+		{"a cut answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.Reset, false},
+		{"rows taken", simulated.Faults{}, false, insert, rows, policy.OK, false},
+		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.Refused, false},
+		{"rows taken and no answer", simulated.Faults{Lost: true}, false, insert, rows, policy.TimedOut, false},
+		{"rows taken and failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := standin.NewNode("n", standin.Model{}, 1)
+			n := simulated.NewNode("n", simulated.Model{}, 1)
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
@@ -114,20 +114,20 @@
 
 // What a node tells of a query's course and cost comes to the module.
 func TestNativeNodesTellProgressAndCost(t *testing.T) {
-	n := standin.NewNode("n", standin.Model{}, 1)
+	n := simulated.NewNode("n", simulated.Model{}, 1)
 	if err := n.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
 	defer n.Die()
 	notes, end := play(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
-	if end.Code != choice.OK || end.WorkUs != 600000 || end.NeedMB != 50 {
+	if end.Code != policy.OK || end.WorkUs != 600000 || end.NeedMB != 50 {
 		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkUs, end.NeedMB)
 	}
 	if len(notes) < 3 || len(notes) > 8 {
 		t.Errorf("%d notes, want one each 100 ms", len(notes))
 	}
 	for i, p := range notes {
-		if p.ID != "q" || p.Engine != "n" || p.Kind != choice.ShareDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < notes[i-1].Value {
+		if p.ID != "q" || p.Engine != "n" || p.Kind != policy.ShareDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < notes[i-1].Value {
 			t.Errorf("note %d: %+v", i, p)
 		}
 	}
@@ -160,7 +160,7 @@
 	}()
 	large := make([]byte, 32<<20)
 	_, end := play(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
-	if end.Code != choice.Reset {
+	if end.Code != policy.Reset {
 		t.Errorf("code %d, want that the connection broke (%v)", end.Code, end.Err)
 	}
 }
@@ -172,18 +172,18 @@
 	f.Bind(tp)
 	defer f.Close()
 	started := time.Now().Add(-time.Minute)
-	seen := map[choice.Micros]bool{}
+	seen := map[policy.Micros]bool{}
 	for range 50 {
 		if err := f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started}}); err != nil {
 			t.Fatal(err)
 		}
-		seen[(<-tp.events).(dispatch.Told).Event.(choice.Engines).Rows[0].Started] = true
+		seen[(<-tp.events).(dispatch.Told).Event.(policy.Engines).Rows[0].Started] = true
 	}
 	if len(seen) != 1 {
 		t.Errorf("one start, told as %d", len(seen))
 	}
 	f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started.Add(time.Second)}})
-	if at := (<-tp.events).(dispatch.Told).Event.(choice.Engines).Rows[0].Started; seen[at] {
+	if at := (<-tp.events).(dispatch.Told).Event.(policy.Engines).Rows[0].Started; seen[at] {
 		t.Error("another start is told as the old one")
 	}
 }
--- a/fleet/node.go
+++ b/backend/node.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"google.golang.org/grpc/connectivity"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"embershunt/choice"
 	"embershunt/internal/flightwire"
+	"embershunt/policy"
 )
 
 // node is one query node and its kept connection.
@@ -21,7 +21,7 @@
 	native      string
 	lines       linesPool
 	started     time.Time     // by the list
-	startedAt   choice.Micros // the same by the dispatcher's clock, reckoned once: told anew it would look like another start
+	startedAt   policy.Micros // the same by the dispatcher's clock, reckoned once: told anew it would look like another start
 	users       int           // calls that hold it; under Fleet.mu
 	gone        bool          // left the list, or moved to another address; under Fleet.mu
 
@@ -63,7 +63,7 @@
 }
 
 // notice notes whether the list calls the node ready.
-func (n *node) notice(now choice.Micros, ready bool) {
+func (n *node) notice(now policy.Micros, ready bool) {
 	if ready {
 		n.notified.Store(0)
 	} else {
--- a/fleet/permit_test.go
+++ b/backend/permit_test.go
@@ -1,4 +1,4 @@
-package fleet
+package backend
 
 import (
 	"context"
@@ -9,18 +9,18 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/nodelist"
 	"embershunt/permit"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // An error of this machine at a connect tells nothing of the node and proves that nothing ran; a refused connection is the node's.
 func TestLocalConnectErrors(t *testing.T) {
-	for errno, want := range map[syscall.Errno]choice.Code{syscall.EMFILE: choice.Moot, syscall.ENFILE: choice.Moot, syscall.ENOBUFS: choice.Moot,
-		syscall.EADDRNOTAVAIL: choice.Moot, syscall.ENETUNREACH: choice.Moot, syscall.ECONNREFUSED: choice.Refused,
-		syscall.EHOSTUNREACH: choice.Refused, syscall.ETIMEDOUT: choice.Refused} {
+	for errno, want := range map[syscall.Errno]policy.Code{syscall.EMFILE: policy.Moot, syscall.ENFILE: policy.Moot, syscall.ENOBUFS: policy.Moot,
+		syscall.EADDRNOTAVAIL: policy.Moot, syscall.ENETUNREACH: policy.Moot, syscall.ECONNREFUSED: policy.Refused,
+		syscall.EHOSTUNREACH: policy.Refused, syscall.ETIMEDOUT: policy.Refused} {
 		f := newLineFleet(t, Options{}, "127.0.0.1:1")
 		f.dialLines = func(context.Context, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
@@ -37,9 +37,9 @@
 
 // What was withheld is counted by reason; what begins against a rule is a violation.
 func TestAttemptsAreAudited(t *testing.T) {
-	node, err := standin.NewLineNode("", func(conn net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(conn net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" {
-			fmt.Fprint(conn, standin.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			fmt.Fprint(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
@@ -48,12 +48,12 @@
 	defer node.Close()
 	f := newLineFleet(t, Options{DrainGrace: time.Millisecond}, node.Address())
 	f.send("one", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.OK || len(f.Audit().Counts()) != 0 {
+	if end := f.end(); end.Code != policy.OK || len(f.Audit().Counts()) != 0 {
 		t.Fatalf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
-	f.SetNodes([]nodelist.Node{{ID: "n0", Lines: node.Address(), State: choice.Draining}})
+	f.SetNodes([]nodelist.Node{{ID: "n0", Lines: node.Address(), State: policy.Draining}})
 	f.send("two", 0, "n0", time.Second)
-	if end := f.end(); end.Code != choice.Moot || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
+	if end := f.end(); end.Code != policy.Moot || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
 		t.Errorf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
 	n := f.use("n0")
--- a/fleet/quiet_unix.go
+++ b/backend/quiet_unix.go
@@ -1,6 +1,6 @@
 //go:build unix
 
-package fleet
+package backend
 
 import (
 	"net"
--- a/cmd/embercheck/main.go
+++ b/cmd/configcheck/main.go
@@ -1,4 +1,4 @@
-// Command embercheck validates a configuration and prints what is in effect, defaults included.
+// Command configcheck validates a configuration and prints what is in effect, defaults included.
 package main
 
 import (
@@ -17,7 +17,7 @@
 
 // Exit codes: 0 valid, 1 with mistakes, 2 wrong usage.
 func main() {
-	kong.Parse(&cli, kong.Name("embercheck"), kong.Description("Checks a dispatcher's configuration."))
+	kong.Parse(&cli, kong.Name("configcheck"), kong.Description("Checks a dispatcher's configuration."))
 	cfg, err := config.Load(cli.File)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -25,7 +25,7 @@
 	}
 	text, err := cfg.Effective()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "embercheck:", err)
+		fmt.Fprintln(os.Stderr, "configcheck:", err)
 		os.Exit(1)
 	}
 	if !cli.Quiet {
--- a/cmd/embercontrol/main.go
+++ b/cmd/controlserver/main.go
@@ -1,4 +1,4 @@
-// Command embercontrol is a stand-in control service: it streams node lists and numbered settings from a folder to
+// Command controlserver is a stand-in control service: it streams node lists and numbered settings from a folder to
 // dispatchers, a share of them first, and shows what each one said.
 package main
 
@@ -22,7 +22,7 @@
 
 	"embershunt/config"
 	"embershunt/control"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 var cli struct {
@@ -39,16 +39,16 @@
 
 // Exit codes: 0 ended by a signal, 1 it cannot serve, 2 wrong usage.
 func main() {
-	kong.Parse(&cli, kong.Name("embercontrol"), kong.Description("Streams node lists and settings to dispatchers."))
+	kong.Parse(&cli, kong.Name("controlserver"), kong.Description("Streams node lists and settings to dispatchers."))
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "embercontrol:", err)
+		fmt.Fprintln(os.Stderr, "controlserver:", err)
 		os.Exit(1)
 	}
 }
 
 // service is the folder as it was read last.
 type service struct {
-	control *standin.Control
+	control *simulated.Control
 	rollout *control.Rollout
 	begin   time.Time
 	known   map[uint64]control.FileParts
@@ -59,7 +59,7 @@
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	s := &service{control: standin.NewControl(cli.Cluster), begin: time.Now(), known: map[uint64]control.FileParts{},
+	s := &service{control: simulated.NewControl(cli.Cluster), begin: time.Now(), known: map[uint64]control.FileParts{},
 		told: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
 	s.rollout.Fall = cli.Fall
 	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.Replied(s.now(), d, n, refused) })
@@ -205,12 +205,12 @@
 	if err := config.Decode(file, text, &list, nil); err != nil {
 		return err
 	}
-	var rows []standin.Listed
+	var rows []simulated.Listed
 	for _, n := range list.Nodes {
 		if n.State == "gone" {
 			continue
 		}
-		row := standin.Listed{Name: n.Name, Address: n.Address, Hall: n.Hall, Kind: n.Kind, Draining: n.State == "draining"}
+		row := simulated.Listed{Name: n.Name, Address: n.Address, Hall: n.Hall, Kind: n.Kind, Draining: n.State == "draining"}
 		if n.Started != "" {
 			at, err := time.Parse(time.RFC3339Nano, n.Started)
 			if err != nil {
--- a/cmd/emberreplay/main.go
+++ b/cmd/decisionreplay/main.go
@@ -1,4 +1,4 @@
-// Command emberreplay feeds a recording of a dispatcher's decisions to this build's module and compares what it decides.
+// Command decisionreplay feeds a recording of a dispatcher's decisions to this build's module and compares what it decides.
 package main
 
 import (
@@ -11,7 +11,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"embershunt/choice"
+	"embershunt/policy"
 	"embershunt/trace"
 )
 
@@ -22,31 +22,31 @@
 
 // Exit codes: 0 the same decisions, 1 others, 2 wrong usage or no recording, 3 read only in part or with gaps.
 func main() {
-	kong.Parse(&cli, kong.Name("emberreplay"), kong.Description("Replays a dispatcher's decisions."))
+	kong.Parse(&cli, kong.Name("decisionreplay"), kong.Description("Replays a dispatcher's decisions."))
 	os.Exit(run())
 }
 
 func run() int {
 	f, err := os.Open(cli.File)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberreplay:", err)
+		fmt.Fprintln(os.Stderr, "decisionreplay:", err)
 		return 2
 	}
 	defer f.Close()
 	src, err := trace.NewReader(f)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "emberreplay: %s: %v\n", cli.File, err)
+		fmt.Fprintf(os.Stderr, "decisionreplay: %s: %v\n", cli.File, err)
 		return 2
 	}
 	begin := time.Now()
-	rep, err := trace.Replay(src, func(seed uint64, s choice.Settings) (trace.Module, error) {
+	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) {
 		if err := change(&s); err != nil {
 			return nil, err
 		}
-		return choice.New(seed, s)
+		return policy.New(seed, s)
 	})
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberreplay:", err)
+		fmt.Fprintln(os.Stderr, "decisionreplay:", err)
 		return 2
 	}
 	fmt.Printf("%d steps, %d events, %d actions, %d starts, replayed in %v\n", rep.Steps, rep.Events, rep.Actions, rep.Begins,
@@ -74,7 +74,7 @@
 }
 
 // change lays the command line's settings over those recorded.
-func change(s *choice.Settings) error {
+func change(s *policy.Settings) error {
 	if len(cli.Set) == 0 {
 		return nil
 	}
--- a/cmd/emberdispatch/demo.go
+++ b/cmd/dispatcher/demo.go
@@ -5,7 +5,7 @@
 	"strings"
 
 	"embershunt/config"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // demoConfig is the demonstration's configuration; the nodes' rows are filled in.
@@ -28,14 +28,14 @@
 // demo starts three stand-in nodes in this process.
 func demo() (*config.Config, func(), error) {
 	var rows []string
-	var nodes []*standin.Node
+	var nodes []*simulated.Node
 	stop := func() {
 		for _, n := range nodes {
 			n.Die()
 		}
 	}
 	for i := range 3 {
-		n := standin.NewNode(fmt.Sprintf("node-%d", i+1), standin.Model{}, uint64(i))
+		n := simulated.NewNode(fmt.Sprintf("node-%d", i+1), simulated.Model{}, uint64(i))
 		if err := n.Start("127.0.0.1:0", false); err != nil {
 			stop()
 			return nil, nil, err
--- a/cmd/emberdispatch/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,4 +1,4 @@
-// Command emberdispatch is the dispatcher: it takes Arrow Flight SQL sessions and routes their queries to query nodes.
+// Command dispatcher is the dispatcher: it takes Arrow Flight SQL sessions and routes their queries to query nodes.
 package main
 
 import (
@@ -18,8 +18,8 @@
 
 	"embershunt/config"
 	"embershunt/dispatch"
-	"embershunt/dispatcher"
 	"embershunt/internal/logs"
+	"embershunt/server"
 )
 
 var cli struct {
@@ -32,12 +32,12 @@
 
 // Exit codes: 0 drained, 1 failed, 2 wrong usage or configuration, 3 ended by a second signal.
 func main() {
-	kong.Parse(&cli, kong.Name("emberdispatch"), kong.Description("Admits queries and routes them to query nodes."))
+	kong.Parse(&cli, kong.Name("dispatcher"), kong.Description("Admits queries and routes them to query nodes."))
 	if cli.Platform && !cli.Demo && cli.Config == "" {
 		os.Exit(runPlatform())
 	}
 	if cli.Platform || cli.Demo == (cli.Config != "") {
-		fmt.Fprintln(os.Stderr, "emberdispatch: give a configuration file, --demo or --platform")
+		fmt.Fprintln(os.Stderr, "dispatcher: give a configuration file, --demo or --platform")
 		os.Exit(2)
 	}
 	os.Exit(run())
@@ -52,7 +52,7 @@
 	defer stop()
 	log, flush, err := logs.New(cfg.File.Log.Level, cfg.File.Log.Format)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberdispatch: log:", err)
+		fmt.Fprintln(os.Stderr, "dispatcher: log:", err)
 		return 2
 	}
 	defer flush()
@@ -62,14 +62,14 @@
 		return 2
 	}
 	defer closeTraces()
-	d, err := dispatcher.New(cfg, dispatcher.Options{Log: log, Seed: cli.Seed, Tracer: tracer})
+	d, err := server.New(cfg, server.Options{Log: log, Seed: cli.Seed, Tracer: tracer})
 	if err != nil {
 		log.Error("cannot start", "error", err)
 		return 1
 	}
 	log.Info("serving Flight SQL", "address", d.Address())
 	if cli.Demo {
-		fmt.Printf("\nTry: go run ./cmd/emberquery [--native] 'SELECT * FROM policy /* work_ms=20 rows=3 */'\n\n")
+		fmt.Printf("\nTry: go run ./cmd/queryclient [--native] 'SELECT * FROM policy /* work_ms=20 rows=3 */'\n\n")
 	}
 	var group errgroup.Group
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/emberdispatch/platform.go
+++ b/cmd/dispatcher/platform.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sync/errgroup"
 
 	"embershunt/config"
-	"embershunt/dispatcher"
 	"embershunt/internal/logs"
+	"embershunt/server"
 )
 
 // runPlatform serves the platform's protocol; signals that come while it starts are kept until it can heed them.
@@ -21,22 +21,22 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
-		fmt.Fprintln(os.Stderr, "emberdispatch: NODE_CONFIG: found nothing; allowed: the path of the platform's file")
+		fmt.Fprintln(os.Stderr, "dispatcher: NODE_CONFIG: found nothing; allowed: the path of the platform's file")
 		return 2
 	}
 	cfg, err := config.LoadPlatform(path)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberdispatch:", err)
+		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		return 2
 	}
-	dispatcher.Limit(cfg)
+	server.Limit(cfg)
 	log, flush, err := logs.New(cli.Log, "json")
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberdispatch: log:", err)
+		fmt.Fprintln(os.Stderr, "dispatcher: log:", err)
 		return 1
 	}
 	defer flush()
-	d, err := dispatcher.NewPlatform(cfg, log)
+	d, err := server.NewPlatform(cfg, log)
 	if err != nil {
 		log.Error("cannot start", "error", err)
 		return 1
@@ -52,7 +52,7 @@
 }
 
 // heed carries out signals until ctx ends: SIGHUP takes the file anew, the others stop the dispatcher.
-func heed(ctx context.Context, signals <-chan os.Signal, d *dispatcher.Platform, path string, log *slog.Logger) {
+func heed(ctx context.Context, signals <-chan os.Signal, d *server.Platform, path string, log *slog.Logger) {
 	draining := false
 	for {
 		select {
--- a/cmd/emberdispatch/platform_test.go
+++ b/cmd/dispatcher/platform_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asDispatcher) != "" {
-		os.Args = []string{"emberdispatch", "--platform"}
+		os.Args = []string{"dispatcher", "--platform"}
 		main()
 	}
 	os.Exit(m.Run())
--- a/cmd/emberctl/main.go
+++ b/cmd/dispatcherctl/main.go
@@ -1,4 +1,4 @@
-// Command emberctl is the operators' command line for a running dispatcher: it speaks to its admin socket.
+// Command dispatcherctl is the operators' command line for a running dispatcher: it speaks to its admin socket.
 package main
 
 import (
@@ -18,7 +18,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"embershunt/dispatcher"
+	"embershunt/server"
 )
 
 var cli struct {
@@ -38,9 +38,9 @@
 
 // Exit codes: 0 done, 1 turned down or not reached, 2 wrong usage.
 func main() {
-	ctx := kong.Parse(&cli, kong.Name("emberctl"), kong.Description("Operates a running dispatcher."))
+	ctx := kong.Parse(&cli, kong.Name("dispatcherctl"), kong.Description("Operates a running dispatcher."))
 	if err := ctx.Run(); err != nil {
-		fmt.Fprintln(os.Stderr, "emberctl:", err)
+		fmt.Fprintln(os.Stderr, "dispatcherctl:", err)
 		os.Exit(1)
 	}
 }
@@ -76,7 +76,7 @@
 }
 
 func state(method, path string, form url.Values) error {
-	var s dispatcher.ConfigState
+	var s server.ConfigState
 	if err := call(method, path, form, &s); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func print(s dispatcher.ConfigState) {
+func print(s server.ConfigState) {
 	from := fmt.Sprintf("set %d", s.Status.Number)
 	if s.Status.Number == 0 {
 		from = "the file"
@@ -110,7 +110,7 @@
 }
 
 func (c *showCmd) Run() error {
-	var s dispatcher.ConfigState
+	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 type historyCmd struct{}
 
 func (historyCmd) Run() error {
-	var s dispatcher.ConfigState
+	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
@@ -221,13 +221,13 @@
 	}
 	seed, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return fmt.Errorf("%s: wanted are %d hex digits, as \"emberctl key\" writes them", c.Key, 2*ed25519.SeedSize)
+		return fmt.Errorf("%s: wanted are %d hex digits, as \"dispatcherctl key\" writes them", c.Key, 2*ed25519.SeedSize)
 	}
-	var s dispatcher.ConfigState
+	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
-	sig := ed25519.Sign(ed25519.NewKeyFromSeed(seed), dispatcher.OverrideMessage(s.Dispatcher, c.Number))
+	sig := ed25519.Sign(ed25519.NewKeyFromSeed(seed), server.OverrideMessage(s.Dispatcher, c.Number))
 	return state("POST", "/config/override", url.Values{"number": {fmt.Sprint(c.Number)}, "signature": {hex.EncodeToString(sig)}})
 }
 
--- a/cmd/emberquery/main.go
+++ b/cmd/queryclient/main.go
@@ -1,4 +1,4 @@
-// Command emberquery sends statements to a dispatcher over Arrow Flight SQL or the ClickHouse native protocol and prints their answers as tables.
+// Command queryclient sends statements to a dispatcher over Arrow Flight SQL or the ClickHouse native protocol and prints their answers as tables.
 package main
 
 import (
@@ -36,7 +36,7 @@
 
 // Exit codes: 0 all served, 1 one failed, 2 wrong usage or no connection, 3 one refused (trying again does no harm).
 func main() {
-	kong.Parse(&cli, kong.Name("emberquery"), kong.Description("Sends statements to a dispatcher."))
+	kong.Parse(&cli, kong.Name("queryclient"), kong.Description("Sends statements to a dispatcher."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	if cli.Address == "" {
@@ -51,13 +51,13 @@
 	client, err := flightsql.NewClient(cli.Address, nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20)))
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberquery:", err)
+		fmt.Fprintln(os.Stderr, "queryclient:", err)
 		os.Exit(2)
 	}
 	defer client.Close()
 	ctx, err = client.Client.AuthenticateBasicToken(ctx, cli.User, cli.Password)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "emberquery: %s: %v\n", cli.Address, err)
+		fmt.Fprintf(os.Stderr, "queryclient: %s: %v\n", cli.Address, err)
 		os.Exit(2)
 	}
 	for k, v := range cli.Header {
--- a/cmd/emberquery/native.go
+++ b/cmd/queryclient/native.go
@@ -26,8 +26,8 @@
 	for _, s := range cli.Statements {
 		if c == nil {
 			var err error
-			if c, err = native.Dial(ctx, cli.Address, native.Hello{Name: "emberquery", User: cli.User, Password: cli.Password}); err != nil {
-				fmt.Fprintf(os.Stderr, "emberquery: %s: %v\n", cli.Address, err)
+			if c, err = native.Dial(ctx, cli.Address, native.Hello{Name: "queryclient", User: cli.User, Password: cli.Password}); err != nil {
+				fmt.Fprintf(os.Stderr, "queryclient: %s: %v\n", cli.Address, err)
 				return 2
 			}
 		}
--- a/cmd/embernode/main.go
+++ b/cmd/querynode/main.go
@@ -1,4 +1,4 @@
-// Command embernode is a stand-in query node: it speaks Flight SQL, shares modelled cores and answers made-up rows. It
+// Command querynode is a stand-in query node: it speaks Flight SQL, shares modelled cores and answers made-up rows. It
 // is for trying a dispatcher out; its costs are a model, not a measurement of any engine.
 package main
 
@@ -12,7 +12,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 var cli struct {
@@ -35,14 +35,14 @@
 
 // Exit codes: 0 ended by a signal, 1 the address cannot be had, 2 wrong usage.
 func main() {
-	kong.Parse(&cli, kong.Name("embernode"), kong.Description("A stand-in query node. Statements state their cost: "+
+	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A stand-in query node. Statements state their cost: "+
 		"/* work_ms=120 threads=1 rows=1000 row_bytes=0 memory_mb=0 */"))
-	n := standin.NewNode(cli.Name, standin.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
-	n.Set(standin.Faults{Hang: cli.Hang, Lost: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
+	n := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
+	n.Set(simulated.Faults{Hang: cli.Hang, Lost: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
 		StallRow: cli.Stall, CutRow: cli.Cut})
 	n.Native = cli.Native
 	if err := n.Start(cli.Listen, cli.Cold); err != nil {
-		fmt.Fprintln(os.Stderr, "embernode:", err)
+		fmt.Fprintln(os.Stderr, "querynode:", err)
 		os.Exit(1)
 	}
 	fmt.Println(cli.Name, "serves", n.Address, "and natively", n.Native)
--- a/cmd/emberday/main.go
+++ b/cmd/scenario/main.go
@@ -1,4 +1,4 @@
-// Command emberday plays a scripted day on loopback and judges the seven rules from what passed the sockets.
+// Command scenario plays a scripted day on loopback and judges the seven rules from what passed the sockets.
 package main
 
 import (
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/kong"
 
 	"embershunt/config"
-	"embershunt/day"
 	"embershunt/internal/logs"
+	"embershunt/scenario"
 )
 
 var cli struct {
@@ -24,7 +24,7 @@
 
 // Exit codes: 0 no rule broken, 1 one was, 2 wrong usage or script, 3 the day could not be played.
 func main() {
-	kong.Parse(&cli, kong.Name("emberday"), kong.Description("Plays a scripted day and judges the rules."))
+	kong.Parse(&cli, kong.Name("scenario"), kong.Description("Plays a scripted day and judges the rules."))
 	os.Exit(run())
 }
 
@@ -34,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 2
 	}
-	s, err := day.Parse(cli.Script, text)
+	s, err := scenario.Parse(cli.Script, text)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -53,25 +53,25 @@
 	defer flush()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var without *day.Report
+	var without *scenario.Report
 	if cli.Pair && len(s.Versions) > 1 {
 		plain := *s
 		plain.Versions = s.Versions[:1]
-		if without, err = day.Run(ctx, &plain, log); err != nil {
-			fmt.Fprintln(os.Stderr, "emberday:", err)
+		if without, err = scenario.Run(ctx, &plain, log); err != nil {
+			fmt.Fprintln(os.Stderr, "scenario:", err)
 			return 3
 		}
 	}
-	r, err := day.Run(ctx, s, log)
+	r, err := scenario.Run(ctx, s, log)
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "emberday:", err)
+		fmt.Fprintln(os.Stderr, "scenario:", err)
 		return 3
 	}
 	if err := r.Print(os.Stdout); err != nil {
 		return 3
 	}
 	if without != nil {
-		if err := day.PrintPair(os.Stdout, without, r); err != nil {
+		if err := scenario.PrintPair(os.Stdout, without, r); err != nil {
 			return 3
 		}
 	}
--- a/cmd/drill/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command drill hosts gateways of package choice on the dispatcher protocol:
+// Command simadapter hosts gateways of package policy on the dispatcher protocol:
 // batches of events on standard input, one reply for each on standard output.
 package main
 
@@ -7,13 +7,13 @@
 	"io"
 	"os"
 
-	"embershunt/choice"
 	"embershunt/internal/wire"
+	"embershunt/policy"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "drill:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
@@ -21,7 +21,7 @@
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
-	gateways := map[string]*choice.Gateway{}
+	gateways := map[string]*policy.Gateway{}
 	for {
 		b, err := r.Next()
 		if err == io.EOF {
@@ -40,13 +40,13 @@
 }
 
 // answer plays one batch: a run of events for one instance is one step.
-func answer(b *wire.Batch, gateways map[string]*choice.Gateway, w *wire.Writer) error {
+func answer(b *wire.Batch, gateways map[string]*policy.Gateway, w *wire.Writer) error {
 	var order []string // instances in order of their first event since a start
-	events := map[string][]choice.Event{}
+	events := map[string][]policy.Event{}
 	for _, item := range b.Items {
 		switch {
 		case item.Start != nil:
-			g, err := choice.New(item.Seed, *item.Start)
+			g, err := policy.New(item.Seed, *item.Start)
 			if err != nil {
 				return fmt.Errorf("instance %s: %w", item.Instance, err)
 			}
@@ -72,7 +72,7 @@
 }
 
 // step runs one gateway; a panic in it becomes the fault action.
-func step(g *choice.Gateway, now choice.Micros, instance string, evs []choice.Event, w *wire.Writer) {
+func step(g *policy.Gateway, now policy.Micros, instance string, evs []policy.Event, w *wire.Writer) {
 	defer func() {
 		if p := recover(); p != nil {
 			w.Fault(instance, fmt.Sprint(p))
--- a/config/config.go
+++ b/config/config.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/crypto/bcrypt"
 
-	"embershunt/choice"
 	"embershunt/classify"
+	"embershunt/policy"
 )
 
 // File is a configuration as it is written. docs/operators.md describes each field.
@@ -47,7 +47,7 @@
 	FlightSQL string `json:"flightsql"`
 	Native    string `json:"native"`  // ClickHouse native protocol; empty: none
 	Metrics   string `json:"metrics"` // empty: none
-	Admin     string `json:"admin"`   // path of a Unix socket for emberctl; empty: none
+	Admin     string `json:"admin"`   // path of a Unix socket for dispatcherctl; empty: none
 }
 
 // User may connect.
@@ -131,7 +131,7 @@
 	PerSecond float64 `json:"per_second"`
 }
 
-// Limits bound what the dispatcher does. Zero values mean the defaults, which embercheck prints.
+// Limits bound what the dispatcher does. Zero values mean the defaults, which configcheck prints.
 type Limits struct {
 	Attempts       int      `json:"attempts"`
 	Held           int      `json:"held"`
@@ -192,7 +192,7 @@
 type Log struct {
 	Level  string `json:"level"`  // debug, info, warn or error
 	Format string `json:"format"` // json or console
-	// Decisions is the file that all decisions are recorded in, for emberreplay; empty: none. It ends at DecisionsMost bytes.
+	// Decisions is the file that all decisions are recorded in, for decisionreplay; empty: none. It ends at DecisionsMost bytes.
 	Decisions     string `json:"decisions"`
 	DecisionsMost int    `json:"decisions_most_bytes"`
 	// Learned is the file that what the module has learned is kept in for the next start, each LearnedEvery; empty: none.
@@ -221,7 +221,7 @@
 // Config is a configuration in effect.
 type Config struct {
 	File     File
-	Settings choice.Settings
+	Settings policy.Settings
 	Classes  classify.Table
 	Keys     [][]byte
 }
@@ -341,10 +341,10 @@
 const KeyedSuffix = " (keyed)"
 
 var (
-	effects   = map[string]choice.Effect{"safe": choice.Safe, "keyed": choice.Keyed, "unsafe": choice.Unsafe}
-	groups    = map[string]choice.Group{"all": choice.GroupAll, "hall": choice.GroupZone, "cell": choice.GroupCell}
-	shortages = map[string]choice.Shortage{"queue": choice.ShortQueue, "trim": choice.ShortTrim,
-		"swap": choice.ShortSwap}
+	effects   = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+	groups    = map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupCell}
+	shortages = map[string]policy.Shortage{"queue": policy.ShortQueue, "trim": policy.ShortTrim,
+		"swap": policy.ShortSwap}
 )
 
 // check validates what the types alone cannot say and derives what the module is told.
@@ -426,7 +426,7 @@
 
 	s := &c.Settings
 	l, send := &f.Limits, &f.Sending
-	*s = choice.Settings{Zone: max(hall, 0), Me: f.Number, Peers: f.Peers, OverShareWorth: l.OverShareWorth,
+	*s = policy.Settings{Zone: max(hall, 0), Me: f.Number, Peers: f.Peers, OverShareWorth: l.OverShareWorth,
 		MaxAttempts: l.Attempts, MaxHeld: l.Held, MaxComeBack: l.ComeBack.D().Microseconds(), CanCancel: true,
 		CanProbe: send.Probes, SecondCopies: l.SecondCopies, ReportsByAnswer: true, ReportsByProbe: send.Probes,
 		GrantsCount: send.Grants, PriorityCount: send.Priorities, MaxGrantShare: send.GrantShare,
@@ -479,7 +479,7 @@
 		kinds[i] = k.Name
 		within(fmt.Sprintf("kinds[%d].cores", i), float64(k.Cores), 1, 10000)
 		within(fmt.Sprintf("kinds[%d].memory_mb", i), k.MemoryMB, 0, 1e9)
-		s.Kinds = append(s.Kinds, choice.Kind{Cores: k.Cores, MemoryMB: k.MemoryMB})
+		s.Kinds = append(s.Kinds, policy.Kind{Cores: k.Cores, MemoryMB: k.MemoryMB})
 	}
 	unique("kinds", kinds)
 	if len(kinds) == 0 {
@@ -488,10 +488,10 @@
 	for i, t := range f.Tenants {
 		c.Classes.Tenants = append(c.Classes.Tenants, t.Name)
 		within(fmt.Sprintf("tenants[%d].per_second", i), t.PerSecond, 0, 1e9)
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Allowance: t.PerSecond})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Allowance: t.PerSecond})
 	}
 	unique("tenants", c.Classes.Tenants)
-	var updates []choice.Class // what writes is a class of its own, where its effect differs
+	var updates []policy.Class // what writes is a class of its own, where its effect differs
 	for i := range f.Classes {
 		at := fmt.Sprintf("classes[%d]", i)
 		k := &f.Classes[i]
@@ -503,7 +503,7 @@
 		within(at+".late_worth", k.LateWorth, 0, 1)
 		within(at+".aim_stretch", k.AimStretch, 0, 1000)
 		within(at+".threads", float64(k.Threads), 1, 10000)
-		m := choice.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, Aim: k.Aim.D().Microseconds(),
+		m := policy.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, Aim: k.Aim.D().Microseconds(),
 			AimStretch: k.AimStretch, Deadline: k.Deadline.D().Microseconds(), Threads: k.Threads, Loads: k.Loads,
 			Waits: k.Waits, InTurn: k.InTurn, Window: k.Window.D().Microseconds()}
 		for _, e := range []struct{ field, name string }{{".effect", k.Effect}, {".updates", k.Updates}} {
@@ -537,7 +537,7 @@
 			c.Classes.Keyed[i] = c.Classes.Updates[i]
 		} else if k.Updates == "unsafe" && k.Window > 0 { // nodes remember tokens
 			c.Classes.Keyed[i] = len(f.Classes) + len(updates)
-			m.Name, m.Effect = k.Name+KeyedSuffix, choice.Keyed
+			m.Name, m.Effect = k.Name+KeyedSuffix, policy.Keyed
 			updates = append(updates, m)
 		}
 	}
@@ -584,7 +584,7 @@
 	}
 	unique("rules", names)
 	if len(d.all) == 0 {
-		if _, err := choice.New(0, *s); err != nil { // the module's own word, should the checks above miss something
+		if _, err := policy.New(0, *s); err != nil { // the module's own word, should the checks above miss something
 			d.wrong("", err.Error(), "what the module takes")
 		}
 	}
--- a/config/decode.go
+++ b/config/decode.go
@@ -172,7 +172,7 @@
 func (d *decoder) value(path string, v hujson.Value, into reflect.Value) {
 	d.places[path] = v.StartOffset
 	if lit, ok := v.Value.(hujson.Literal); ok && string(lit) == "null" && into.Kind() != reflect.Struct {
-		return // as if it were absent, so that what embercheck prints can be read again
+		return // as if it were absent, so that what configcheck prints can be read again
 	}
 	if into.Type() == durationType {
 		d.duration(path, v, into)
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
-var states = map[string]choice.EngineState{"": choice.Healthy, "healthy": choice.Healthy, "draining": choice.Draining,
-	"gone": choice.Gone}
+var states = map[string]policy.EngineState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
+	"gone": policy.Gone}
 
 // checkRows validates rows of a node list.
 func (c *Config) checkRows(d *decoder, path string, rows []Node) {
--- a/config/platform.go
+++ b/config/platform.go
@@ -8,9 +8,9 @@
 	"os"
 	"strconv"
 
-	"embershunt/choice"
 	"embershunt/internal/wire"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // Platform is what the platform tells a dispatcher.
@@ -26,7 +26,7 @@
 	Resolver   string
 	Known      nodelist.Numbered
 	Names      nodelist.Names
-	Settings   choice.Settings
+	Settings   policy.Settings
 	OnSockets  wire.Sockets
 }
 
@@ -102,7 +102,7 @@
 	}
 	p.Settings, p.OnSockets = *s, sockets
 	p.Names = nodelist.Names{Halls: sockets.Zones, Kinds: sockets.Models}
-	if _, err := choice.New(p.Seed, *s); err != nil {
+	if _, err := policy.New(p.Seed, *s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if s.CanTell {
--- a/config/platform_test.go
+++ b/config/platform_test.go
@@ -42,7 +42,7 @@
 		{`"127.0.1.1:7946"`, `"x"`, `peers[0]: found "x"`},
 		{`"az":"west"`, `"az":"north"`, `known: entries[0].hosts.targets[0].az: hall "north"`},
 		{`"effect":"retryable"`, `"effect":"odd"`, `settings: classes[0].effect: unknown value "odd"`},
-		{`"deadlineUs":2500000`, `"deadlineUs":0`, "settings: choice: Classes[0].Deadline"},
+		{`"deadlineUs":2500000`, `"deadlineUs":0`, "settings: policy: Classes[0].Deadline"},
 		{`"settings":{`, `"settings":[],"x":{`, "settings: "},
 	} {
 		text := strings.Replace(platformFile, c[0], c[1], 1)
--- a/control/control.go
+++ b/control/control.go
@@ -12,14 +12,14 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"embershunt/choice"
 	"embershunt/config"
 	"embershunt/control/configv1"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // Micros is a point in time or a span, in microseconds of the caller's clock.
-type Micros = choice.Micros
+type Micros = policy.Micros
 
 // Kind is a kind of resource.
 type Kind int
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,10 +10,10 @@
 
 	"pgregory.net/rapid"
 
-	"embershunt/choice"
 	"embershunt/config"
 	"embershunt/control/configv1"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 const second = Micros(1e6)
@@ -164,7 +164,7 @@
 			if c.drain > 0 {
 				rows := []nodelist.Node{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}}
 				m.Step(now-c.drain, Offered{Kind: Nodes, Nodes: rows})
-				rows[0].State = choice.Draining
+				rows[0].State = policy.Draining
 				m.Step(now-c.drain, Offered{Kind: Nodes, Nodes: rows})
 			}
 			bad := version(2, c.spoil)
@@ -199,10 +199,10 @@
 
 func TestNodeListsThatAreRefused(t *testing.T) {
 	born, later := time.Unix(1000, 0), time.Unix(2000, 0)
-	row := func(id, address string, state choice.EngineState, started time.Time) nodelist.Node {
+	row := func(id, address string, state policy.EngineState, started time.Time) nodelist.Node {
 		return nodelist.Node{ID: id, Address: address, State: state, Started: started}
 	}
-	ok, drains := choice.Healthy, choice.Draining
+	ok, drains := policy.Healthy, policy.Draining
 	good := []nodelist.Node{row("a", "a:1", ok, born), row("b", "b:1", ok, born), row("c", "c:1", ok, born), row("d", "d:1", ok, born)}
 	drained := slices.Clone(good)
 	drained[0].State = drains
--- a/control/nodes.go
+++ b/control/nodes.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // known is what this dispatcher has learned of one node, from all lists so far.
@@ -72,7 +72,7 @@
 		}
 	}
 	for _, n := range ev.Nodes {
-		if n.State != choice.Healthy {
+		if n.State != policy.Healthy {
 			continue
 		}
 		after++
@@ -93,7 +93,7 @@
 	}
 	drained := 0 // explicitly: that is an operator's will, and believed in any case
 	for _, n := range ev.Nodes {
-		if k := m.nodes.known[n.ID]; n.State == choice.Draining && k != nil && k.listed && k.told == 0 {
+		if k := m.nodes.known[n.ID]; n.State == policy.Draining && k != nil && k.listed && k.told == 0 {
 			drained++
 		}
 	}
@@ -141,7 +141,7 @@
 			k.started = n.Started
 		}
 		switch {
-		case n.State == choice.Healthy:
+		case n.State == policy.Healthy:
 			k.told = 0
 		case k.told == 0:
 			k.told = m.now
@@ -171,8 +171,8 @@
 func (m *Module) believeDrains(rows []nodelist.Node) {
 	changed := false
 	for _, n := range rows {
-		if k := m.nodes.known[n.ID]; n.State == choice.Draining && k != nil && k.listed && k.told == 0 {
-			k.told, k.row.State, changed = m.now, choice.Draining, true
+		if k := m.nodes.known[n.ID]; n.State == policy.Draining && k != nil && k.listed && k.told == 0 {
+			k.told, k.row.State, changed = m.now, policy.Draining, true
 		}
 	}
 	if changed {
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -15,7 +15,7 @@
 	"embershunt/control"
 	"embershunt/control/configv1"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -50,7 +50,7 @@
 	return len(t.offered), t.lost
 }
 
-func until(t testing.TB, c *standin.Control, what string, good func() bool) {
+func until(t testing.TB, c *simulated.Control, what string, good func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -75,8 +75,8 @@
 	return h
 }
 
-func service(t *testing.T) *standin.Control {
-	c := standin.NewControl("nodes")
+func service(t *testing.T) *simulated.Control {
+	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/dispatch/change.go
+++ b/dispatch/change.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // numbering turns the numbers of classes and tenants of one version of the settings into those of the one in force. A
@@ -19,7 +19,7 @@
 // versionsKept bounds the versions that a query on its way may still name.
 const versionsKept = 16
 
-func namesOf(s choice.Settings) names {
+func namesOf(s policy.Settings) names {
 	var n names
 	for _, c := range s.Classes {
 		n.classes = append(n.classes, c.Name)
@@ -30,11 +30,11 @@
 	return n
 }
 
-func newNumbering(s choice.Settings) numbering {
+func newNumbering(s policy.Settings) numbering {
 	return numbering{of: map[uint64]names{0: namesOf(s)}, order: []uint64{0}}
 }
 
-func (n *numbering) add(version uint64, s choice.Settings) {
+func (n *numbering) add(version uint64, s policy.Settings) {
 	n.version = version
 	if _, ok := n.of[version]; !ok {
 		n.order = append(n.order, version)
@@ -129,7 +129,7 @@
 	return out
 }
 
-// Out tells what of the rules' counts is out (choice.Gateway.Out).
+// Out tells what of the rules' counts is out (policy.Gateway.Out).
 func (c *Core) Out() (further, taken int, resting bool) { return c.gateway.Out() }
 
 // Version is that of the settings in force.
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -1,4 +1,4 @@
-// Package dispatch is the heart of the dispatcher: it hosts one choice.Gateway. Events come in, the module decides, a
+// Package dispatch is the heart of the dispatcher: it hosts one policy.Gateway. Events come in, the module decides, a
 // ledger sees to it that each query gets exactly one final answer, and actions go out through two small interfaces.
 //
 // Core is pure: no clock, no goroutine, no socket. Loop runs it in real time; a simulation may step it as well.
@@ -8,8 +8,8 @@
 	"fmt"
 	"runtime/debug"
 
-	"embershunt/choice"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // Core is a gateway with its ledger. It is not safe for concurrent use.
@@ -24,21 +24,21 @@
 	draining bool
 	numbers  numbering
 	seed     uint64
-	settings choice.Settings // at the start
-	classes  []choice.Class  // of the settings in force
-	learned  *choice.Learned // that it began with; nil: nothing
+	settings policy.Settings // at the start
+	classes  []policy.Class  // of the settings in force
+	learned  *policy.Learned // that it began with; nil: nothing
 	fresh    bool
 	recorder Recorder // nil: none
 	actions  int      // of this step
 	at       int      // event of this step that is being played
-	events   []choice.Event
-	extra    []choice.Event
+	events   []policy.Event
+	extra    []policy.Event
 }
 
-// decider is what a Core asks: *choice.Gateway, but in tests of what a faulty one may do.
+// decider is what a Core asks: *policy.Gateway, but in tests of what a faulty one may do.
 type decider interface {
-	Step(now Micros, events []choice.Event) []choice.Action
-	Change(s choice.Settings, classes, tenants []int) error
+	Step(now Micros, events []policy.Event) []policy.Action
+	Change(s policy.Settings, classes, tenants []int) error
 	Out() (further, taken int, resting bool)
 }
 
@@ -49,7 +49,7 @@
 	Sent(a Attempt)
 	Ended(q *Query, node string, ev Ended)
 	Fault(Fault)
-	Changed(version uint64, s choice.Settings)
+	Changed(version uint64, s policy.Settings)
 	Paused(d Micros) // how long a step with a change of the settings held the loop
 	Note(text string)
 	Stepped(events, actions, held int)
@@ -57,8 +57,8 @@
 
 // NewCore returns a Core, or the module's word on the setting that cannot be used. The events of a Core depend on
 // seed, settings and what Step is given alone.
-func NewCore(seed uint64, s choice.Settings, f Fleet, o Observer) (*Core, error) {
-	g, err := choice.New(seed, s)
+func NewCore(seed uint64, s policy.Settings, f Fleet, o Observer) (*Core, error) {
+	g, err := policy.New(seed, s)
 	if err != nil {
 		return nil, err
 	}
@@ -69,9 +69,9 @@
 // Recorder is told all that the module is told and decides, in order. It must not block and must copy what it keeps.
 type Recorder interface {
 	// Began tells what the module was made of; l is what it began with, nil where that is nothing.
-	Began(now Micros, seed uint64, s choice.Settings, l *choice.Learned, fresh bool)
-	Stepped(now Micros, events []choice.Event, actions []choice.Action)
-	Changed(now Micros, s choice.Settings, classes, tenants []int)
+	Began(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool)
+	Stepped(now Micros, events []policy.Event, actions []policy.Action)
+	Changed(now Micros, s policy.Settings, classes, tenants []int)
 }
 
 // Record has a recorder told of everything from now on; call it before the first Step.
@@ -143,7 +143,7 @@
 		c.expire(now, e)
 	}
 	if c.woken && now >= c.wakeAt {
-		c.events = append(c.events, choice.Alarm{})
+		c.events = append(c.events, policy.Alarm{})
 		c.woken = false
 	}
 	c.at = len(events)
@@ -185,7 +185,7 @@
 	case Left:
 		if e := c.books.entries[ev.ID]; e != nil && e.final == 0 {
 			e.mark(now, "client left", -1, -1)
-			c.events = append(c.events, choice.Left{ID: ev.ID})
+			c.events = append(c.events, policy.Left{ID: ev.ID})
 			c.answer(now, e, Verdict{Final: Failed, Reason: ReasonGone})
 		}
 	case Begun:
@@ -213,7 +213,7 @@
 			return
 		}
 		c.observe.Taken(q)
-		c.events = append(c.events, choice.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Cost: q.Cost,
+		c.events = append(c.events, policy.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Cost: q.Cost,
 			MemoryMB: q.MemoryMB, Tables: q.Tables, Key: q.Key, HasKey: q.HasKey, Retry: q.Retry, Due: q.Due, Protocol: q.Protocol, Only: q.Only})
 	}
 }
@@ -238,7 +238,7 @@
 	}
 	e.opened = ev.N
 	e.mark(now, "first frame of", ev.N, -1)
-	c.events = append(c.events, choice.First{ID: ev.ID, Attempt: ev.N})
+	c.events = append(c.events, policy.First{ID: ev.ID, Attempt: ev.N})
 	c.fleet.Open(ev.ID, ev.N)
 	for n := range e.attempts { // their answers cannot be used any more
 		if n != ev.N {
@@ -254,12 +254,12 @@
 	}
 	node := e.attempts[ev.N].node
 	c.observe.Ended(e.q, node, ev)
-	broken := e.opened == ev.N && ev.Code != choice.OK
+	broken := e.opened == ev.N && ev.Code != policy.OK
 	code := ev.Code
 	if ev.Rejected { // over without blame: the module learns nothing from it
-		code = choice.Cancelled
+		code = policy.Cancelled
 	}
-	c.events = append(c.events, choice.Outcome{ID: ev.ID, Attempt: ev.N, Engine: node, Code: code,
+	c.events = append(c.events, policy.Outcome{ID: ev.ID, Attempt: ev.N, Engine: node, Code: code,
 		Over: e.final != 0 || over(ev, broken), Took: ev.Took, Load: ev.Load,
 		WorkUs: ev.WorkUs, NeedMB: ev.NeedMB})
 	if e.final == 0 && over(ev, broken) {
@@ -282,7 +282,7 @@
 	if e.opened < 0 {
 		c.books.fault(FaultForgotten, e.q.ID, e)
 	}
-	c.events = append(c.events, choice.Left{ID: e.q.ID})
+	c.events = append(c.events, policy.Left{ID: e.q.ID})
 	c.answer(now, e, Verdict{Final: Failed, Reason: ReasonDeadline})
 }
 
@@ -312,40 +312,40 @@
 }
 
 // act carries one action of the module out.
-func (c *Core) act(now Micros, a choice.Action) {
+func (c *Core) act(now Micros, a policy.Action) {
 	switch a := a.(type) {
-	case choice.Send:
+	case policy.Send:
 		c.send(now, a)
-	case choice.Terms:
+	case policy.Terms:
 		if e := c.entry(a.ID); e != nil {
 			e.terms = Attempt{MemoryMB: a.MemoryMB, Priority: a.Priority, HasTerms: true}
 			if e.out > 0 {
 				c.fleet.Terms(a.ID, a.MemoryMB, a.Priority)
 			}
 		}
-	case choice.Cancel:
+	case policy.Cancel:
 		if e := c.books.entries[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.attempts) {
 			c.cancel(now, e, a.Attempt)
 		}
-	case choice.Refuse:
+	case policy.Refuse:
 		if e := c.entry(a.ID); e != nil {
 			c.answer(now, e, Verdict{Final: Refused, Reason: ReasonOverload, ComeBack: a.ComeBack})
 		}
-	case choice.Fail:
+	case policy.Fail:
 		if e := c.entry(a.ID); e != nil {
 			c.answer(now, e, Verdict{Final: Failed, Reason: ReasonAttempt})
 		}
-	case choice.Probe:
+	case policy.Probe:
 		c.fleet.Probe(a.Engine)
-	case choice.Wake:
+	case policy.Wake:
 		c.wakeAt, c.woken = now+a.After, true
-	case choice.Tell:
+	case policy.Tell:
 		c.fleet.Tell(a.To, a.Data)
-	case choice.Watch:
+	case policy.Watch:
 		c.fleet.Watch()
-	case choice.Fetch:
+	case policy.Fetch:
 		c.fleet.Fetch()
-	case choice.Note:
+	case policy.Note:
 		c.observe.Note(a.Text)
 	default:
 		panic(fmt.Sprintf("dispatch: unknown action %T", a))
@@ -363,16 +363,16 @@
 }
 
 // class is a query's, by the settings in force; the zero value where there is none.
-func (c *Core) class(q *Query) choice.Class {
+func (c *Core) class(q *Query) policy.Class {
 	if q.Class >= 0 && q.Class < len(c.classes) {
 		return c.classes[q.Class]
 	}
-	return choice.Class{}
+	return policy.Class{}
 }
 
-func (c *Core) send(now Micros, s choice.Send) {
+func (c *Core) send(now Micros, s policy.Send) {
 	if n, ok := c.books.late(s.ID); ok { // it was decided before the module heard of the end: its books are closed too
-		c.extra = append(c.extra, choice.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine, Code: choice.Moot, Over: true})
+		c.extra = append(c.extra, policy.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine, Code: policy.Moot, Over: true})
 		return
 	}
 	e := c.entry(s.ID)
@@ -381,8 +381,8 @@
 	}
 	n, ok := c.books.send(now, e, s.Engine, c.class(e.q))
 	if !ok { // the module numbers it all the same, and is told that it never left
-		c.extra = append(c.extra, choice.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine,
-			Code: choice.Moot, Over: e.final != 0})
+		c.extra = append(c.extra, policy.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine,
+			Code: policy.Moot, Over: e.final != 0})
 		return
 	}
 	a := Attempt{Query: e.q, N: n, Node: s.Engine, Until: e.q.Due, Before: s.Before, MemoryMB: e.terms.MemoryMB,
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -9,18 +9,18 @@
 
 	"pgregory.net/rapid"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 const ms = Micros(1000)
 
 // scripted is a decider that says what a test tells it to.
 type scripted struct {
-	say  func(now Micros, events []choice.Event) []choice.Action
-	told []choice.Event
+	say  func(now Micros, events []policy.Event) []policy.Action
+	told []policy.Event
 }
 
-func (s *scripted) Step(now Micros, events []choice.Event) []choice.Action {
+func (s *scripted) Step(now Micros, events []policy.Event) []policy.Action {
 	s.told = append(s.told, events...)
 	if s.say == nil {
 		return nil
@@ -29,7 +29,7 @@
 }
 
 // Change takes everything.
-func (s *scripted) Change(choice.Settings, []int, []int) error { return nil }
+func (s *scripted) Change(policy.Settings, []int, []int) error { return nil }
 
 // Out has nothing out.
 func (s *scripted) Out() (int, int, bool) { return 0, 0, false }
@@ -57,7 +57,7 @@
 func (t *tape) Sent(Attempt)                      {}
 func (t *tape) Ended(*Query, string, Ended)       {}
 func (t *tape) Fault(f Fault)                     { t.faults = append(t.faults, f.Kind) }
-func (t *tape) Changed(uint64, choice.Settings)   {}
+func (t *tape) Changed(uint64, policy.Settings)   {}
 func (t *tape) Paused(Micros)                     {}
 func (t *tape) Note(string)                       {}
 func (t *tape) Stepped(events, actions, held int) {}
@@ -84,23 +84,23 @@
 func TestAClientThatLeavesAtOnce(t *testing.T) {
 	s, tp := &scripted{}, &tape{}
 	c := newTestCore(s, tp)
-	s.say = func(now Micros, events []choice.Event) []choice.Action {
-		if _, ok := events[0].(choice.Request); ok {
-			return []choice.Action{choice.Terms{ID: "q"}, choice.Send{ID: "q", Engine: "n1"}}
+	s.say = func(now Micros, events []policy.Event) []policy.Action {
+		if _, ok := events[0].(policy.Request); ok {
+			return []policy.Action{policy.Terms{ID: "q"}, policy.Send{ID: "q", Engine: "n1"}}
 		}
 		return nil
 	}
 	if err := c.Step(1*ms, []Event{Taken{tp.query("q", 50*ms)}, Left{"q"}}); err != nil {
 		t.Fatal(err)
 	}
-	want := choice.Outcome{ID: "q", Engine: "n1", Code: choice.Moot, Over: true}
+	want := policy.Outcome{ID: "q", Engine: "n1", Code: policy.Moot, Over: true}
 	if last := s.told[len(s.told)-1]; last != want {
 		t.Errorf("the module is told %+v, want %+v", last, want)
 	}
 	if len(tp.faults) > 0 || len(tp.lines) != 1 || c.Booked() != 0 {
 		t.Errorf("faults %v, done %v, booked %d", tp.faults, tp.lines, c.Booked())
 	}
-	s.say = func(Micros, []choice.Event) []choice.Action { return []choice.Action{choice.Refuse{ID: "r"}} }
+	s.say = func(Micros, []policy.Event) []policy.Action { return []policy.Action{policy.Refuse{ID: "r"}} }
 	c.Step(2*ms, []Event{Taken{tp.query("r", 50*ms)}, Left{"r"}}) // given up in the step in which its client left
 	if len(tp.faults) > 0 || len(tp.lines) != 2 {
 		t.Errorf("faults %v, done %v", tp.faults, tp.lines)
@@ -111,68 +111,68 @@
 }
 
 // effectOf is the effect of the cases whose class is not safe to repeat.
-var effectOf = map[string]choice.Effect{"a repeat of what may have run is withheld": choice.Unsafe,
-	"a second copy of what is out is withheld": choice.Unsafe, "what never ran is sent again": choice.Unsafe}
+var effectOf = map[string]policy.Effect{"a repeat of what may have run is withheld": policy.Unsafe,
+	"a second copy of what is out is withheld": policy.Unsafe, "what never ran is sent again": policy.Unsafe}
 
 // What the ledger lets through and what it withholds, whatever the module says.
 func TestLedgerGivesOneAnswer(t *testing.T) {
-	send := choice.Send{ID: "q", Engine: "n1"}
-	send2 := choice.Send{ID: "q", Engine: "n2"}
+	send := policy.Send{ID: "q", Engine: "n1"}
+	send2 := policy.Send{ID: "q", Engine: "n2"}
 	type step struct {
 		at  Micros
 		in  []Event
-		say []choice.Action
+		say []policy.Action
 	}
-	ended := func(n int, c choice.Code) Event { return Ended{ID: "q", N: n, Code: c} }
+	ended := func(n int, c policy.Code) Event { return Ended{ID: "q", N: n, Code: c} }
 	cases := []struct {
 		name   string
 		steps  []step
 		want   string
 		faults []FaultKind
 	}{
-		{"served by a clean end", []step{{0, nil, []choice.Action{send}}, {5, []Event{ended(0, choice.OK)}, nil}},
+		{"served by a clean end", []step{{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, nil}},
 			"send q/0 n1; answer q served ", nil},
 		{"a second answer is withheld", []step{
-			{0, nil, []choice.Action{send}}, {5, []Event{ended(0, choice.OK)}, []choice.Action{choice.Refuse{ID: "q"}}}},
+			{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, []policy.Action{policy.Refuse{ID: "q"}}}},
 			"send q/0 n1; answer q served ", []FaultKind{FaultUnknown}},
 		{"a second answer while an attempt is out", []step{
-			{0, nil, []choice.Action{send, choice.Fail{ID: "q"}, choice.Refuse{ID: "q"}}}},
+			{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, policy.Refuse{ID: "q"}}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultDoubleAnswer}},
-		{"nothing leaves after the answer", []step{{0, nil, []choice.Action{send, choice.Fail{ID: "q"}, send2}}},
+		{"nothing leaves after the answer", []step{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, send2}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultLateSend}},
-		{"nothing leaves after the deadline", []step{{100 * ms, nil, []choice.Action{send}}},
+		{"nothing leaves after the deadline", []step{{100 * ms, nil, []policy.Action{send}}},
 			"answer q failed DEADLINE", []FaultKind{FaultForgotten}},
-		{"a forgotten query is failed at its deadline", []step{{0, nil, []choice.Action{send}}, {100 * ms, nil, nil}},
+		{"a forgotten query is failed at its deadline", []step{{0, nil, []policy.Action{send}}, {100 * ms, nil, nil}},
 			"send q/0 n1; answer q failed DEADLINE; cancel q/0", []FaultKind{FaultForgotten}},
-		{"an end that comes twice", []step{{0, nil, []choice.Action{send}},
-			{5, []Event{ended(0, choice.Failed), ended(0, choice.Failed)}, nil}},
+		{"an end that comes twice", []step{{0, nil, []policy.Action{send}},
+			{5, []Event{ended(0, policy.Failed), ended(0, policy.Failed)}, nil}},
 			"send q/0 n1", []FaultKind{FaultDoubleEnd}},
-		{"an end that nobody waits for", []step{{5, []Event{ended(3, choice.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
+		{"an end that nobody waits for", []step{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
 		{"an id that comes twice", []step{{5, []Event{Taken{&Query{ID: "q", Client: clientTape{&tape{}, "q"}}}}, nil}},
 			"", []FaultKind{FaultDoubleID}},
-		{"the first to begin has the client", []step{{0, nil, []choice.Action{send, send2}},
-			{5, []Event{Begun{"q", 1}, Begun{"q", 0}}, nil}, {9, []Event{ended(0, choice.Cancelled)}, nil},
-			{12, []Event{ended(1, choice.OK)}, nil}},
+		{"the first to begin has the client", []step{{0, nil, []policy.Action{send, send2}},
+			{5, []Event{Begun{"q", 1}, Begun{"q", 0}}, nil}, {9, []Event{ended(0, policy.Cancelled)}, nil},
+			{12, []Event{ended(1, policy.OK)}, nil}},
 			"send q/0 n1; send q/1 n2; open q/1; cancel q/0; answer q served ", nil},
-		{"no further attempt once an answer flows", []step{{0, nil, []choice.Action{send}},
-			{5, []Event{Begun{"q", 0}}, []choice.Action{send2}}}, "send q/0 n1; open q/0", []FaultKind{FaultLateSend}},
-		{"a repeat of what may have run is withheld", []step{{0, nil, []choice.Action{send}},
-			{5, []Event{ended(0, choice.Reset)}, []choice.Action{send2}}}, "send q/0 n1", []FaultKind{FaultForbidden}},
-		{"a second copy of what is out is withheld", []step{{0, nil, []choice.Action{send}}, {5, nil, []choice.Action{send2}}},
+		{"no further attempt once an answer flows", []step{{0, nil, []policy.Action{send}},
+			{5, []Event{Begun{"q", 0}}, []policy.Action{send2}}}, "send q/0 n1; open q/0", []FaultKind{FaultLateSend}},
+		{"a repeat of what may have run is withheld", []step{{0, nil, []policy.Action{send}},
+			{5, []Event{ended(0, policy.Reset)}, []policy.Action{send2}}}, "send q/0 n1", []FaultKind{FaultForbidden}},
+		{"a second copy of what is out is withheld", []step{{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
 			"send q/0 n1", []FaultKind{FaultForbidden}},
-		{"what never ran is sent again", []step{{0, nil, []choice.Action{send}},
-			{5, []Event{ended(0, choice.Full)}, []choice.Action{send2}}}, "send q/0 n1; send q/1 n2", nil},
-		{"a broken stream is failed at once", []step{{0, nil, []choice.Action{send}}, {5, []Event{Begun{"q", 0}}, nil},
-			{9, []Event{ended(0, choice.Reset)}, nil}}, "send q/0 n1; open q/0; answer q failed ANSWER_BROKEN", nil},
-		{"a stalled stream is cut off at the deadline, no fault", []step{{0, nil, []choice.Action{send}},
+		{"what never ran is sent again", []step{{0, nil, []policy.Action{send}},
+			{5, []Event{ended(0, policy.Full)}, []policy.Action{send2}}}, "send q/0 n1; send q/1 n2", nil},
+		{"a broken stream is failed at once", []step{{0, nil, []policy.Action{send}}, {5, []Event{Begun{"q", 0}}, nil},
+			{9, []Event{ended(0, policy.Reset)}, nil}}, "send q/0 n1; open q/0; answer q failed ANSWER_BROKEN", nil},
+		{"a stalled stream is cut off at the deadline, no fault", []step{{0, nil, []policy.Action{send}},
 			{5, []Event{Begun{"q", 0}}, nil}, {100 * ms, nil, nil}},
 			"send q/0 n1; open q/0; answer q failed DEADLINE; cancel q/0", nil},
-		{"a statement that a node turns down is over", []step{{0, nil, []choice.Action{send}},
-			{5, []Event{Ended{ID: "q", Code: choice.Failed, Rejected: true}}, nil}},
+		{"a statement that a node turns down is over", []step{{0, nil, []policy.Action{send}},
+			{5, []Event{Ended{ID: "q", Code: policy.Failed, Rejected: true}}, nil}},
 			"send q/0 n1; answer q failed STATEMENT", nil},
-		{"a client that left", []step{{0, nil, []choice.Action{send}}, {5, []Event{Left{"q"}}, nil}},
+		{"a client that left", []step{{0, nil, []policy.Action{send}}, {5, []Event{Left{"q"}}, nil}},
 			"send q/0 n1; answer q failed CLIENT_GONE; cancel q/0", nil},
-		{"a begin after the answer is called off, once", []step{{0, nil, []choice.Action{send, choice.Fail{ID: "q"}}},
+		{"a begin after the answer is called off, once", []step{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}}},
 			{5, []Event{Begun{"q", 0}}, nil}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", nil},
 	}
@@ -180,10 +180,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			log, s := &tape{}, &scripted{}
 			core := newTestCore(s, log)
-			core.classes = []choice.Class{{Effect: effectOf[c.name]}}
+			core.classes = []policy.Class{{Effect: effectOf[c.name]}}
 			first := []Event{Taken{log.query("q", 100*ms)}}
 			for i, st := range c.steps {
-				s.say = func(Micros, []choice.Event) []choice.Action {
+				s.say = func(Micros, []policy.Event) []policy.Action {
 					out := st.say
 					st.say = nil
 					return out
@@ -212,7 +212,7 @@
 	if err := core.Step(0, []Event{Taken{log.query("a", 9*ms)}, Taken{log.query("b", 5*ms)}}); err != nil {
 		t.Fatal(err)
 	}
-	s.say = func(Micros, []choice.Event) []choice.Action { panic("no such class") }
+	s.say = func(Micros, []policy.Event) []policy.Action { panic("no such class") }
 	err := core.Step(ms, nil)
 	var p *PanicError
 	if !errors.As(err, &p) || !strings.Contains(err.Error(), "no such class") || len(p.Stack) == 0 {
@@ -225,7 +225,7 @@
 		t.Errorf("%d still held", core.Held())
 	}
 	// One that stood behind a change in the same step had not come to the books: it is answered too.
-	log, s = &tape{}, &scripted{say: func(Micros, []choice.Event) []choice.Action { panic("no such class") }}
+	log, s = &tape{}, &scripted{say: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
 	core = newTestCore(s, log)
 	core.Step(0, []Event{Taken{log.query("c", 9*ms)}, Change{Version: 1, Done: func(error) {}}, Taken{log.query("d", 9*ms)}})
 	if got := strings.Join(log.lines, "; "); got != "answer c failed DISPATCHER_FAULT; answer d failed DISPATCHER_FAULT" {
@@ -256,19 +256,19 @@
 		core := newTestCore(s, log)
 		ids := []string{"a", "b", "c"}
 		pick := func() string { return ids[rapid.IntRange(0, 2).Draw(r, "id")] }
-		s.say = func(Micros, []choice.Event) (out []choice.Action) {
+		s.say = func(Micros, []policy.Event) (out []policy.Action) {
 			for range rapid.IntRange(0, 3).Draw(r, "actions") {
 				switch id := pick(); rapid.IntRange(0, 5).Draw(r, "action") {
 				case 0, 1:
-					out = append(out, choice.Send{ID: id, Engine: "n"})
+					out = append(out, policy.Send{ID: id, Engine: "n"})
 				case 2:
-					out = append(out, choice.Refuse{ID: id})
+					out = append(out, policy.Refuse{ID: id})
 				case 3:
-					out = append(out, choice.Fail{ID: id})
+					out = append(out, policy.Fail{ID: id})
 				case 4:
-					out = append(out, choice.Cancel{ID: id, Attempt: rapid.IntRange(0, 3).Draw(r, "n")})
+					out = append(out, policy.Cancel{ID: id, Attempt: rapid.IntRange(0, 3).Draw(r, "n")})
 				case 5:
-					out = append(out, choice.Terms{ID: id, Priority: 1})
+					out = append(out, policy.Terms{ID: id, Priority: 1})
 				}
 			}
 			return out
@@ -286,7 +286,7 @@
 				case 0:
 					in = append(in, Begun{id, n})
 				case 1, 2:
-					in = append(in, Ended{ID: id, N: n, Code: choice.Code(rapid.IntRange(0, 7).Draw(r, "code"))})
+					in = append(in, Ended{ID: id, N: n, Code: policy.Code(rapid.IntRange(0, 7).Draw(r, "code"))})
 				case 3:
 					in = append(in, Left{id})
 				}
@@ -319,18 +319,18 @@
 	for _, nodes := range []int{8, 34, 76} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			log := &quiet{}
-			core, err := NewCore(1, choice.Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, PriorityCount: true,
-				ReportsByAnswer: true, Kinds: []choice.Kind{{Cores: 8, MemoryMB: 16384}},
-				Classes: []choice.Class{{Name: "lookup", Worth: 1, Aim: 750 * ms, Deadline: 4000 * ms}}}, log, log)
+			core, err := NewCore(1, policy.Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, PriorityCount: true,
+				ReportsByAnswer: true, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16384}},
+				Classes: []policy.Class{{Name: "lookup", Worth: 1, Aim: 750 * ms, Deadline: 4000 * ms}}}, log, log)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
-			rows := make([]choice.Engine, nodes)
+			rows := make([]policy.Engine, nodes)
 			for i := range rows {
 				rows[i].ID = fmt.Sprintf("node-%d", i)
 			}
-			core.Step(now, []Event{Told{choice.Engines{Whole: true, Rows: rows}}})
+			core.Step(now, []Event{Told{policy.Engines{Whole: true, Rows: rows}}})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -340,7 +340,7 @@
 				now += 100
 				core.Step(now, []Event{Begun{id, 0}})
 				now += 100
-				core.Step(now, []Event{Ended{ID: id, Code: choice.OK, Took: 200, Load: &choice.Load{Util: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}}})
+				core.Step(now, []Event{Ended{ID: id, Code: policy.OK, Took: 200, Load: &policy.Load{Util: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}}})
 				now += 800
 			}
 			if log.served != b.N {
@@ -370,10 +370,10 @@
 // A query that was classified by an older version gets the numbers in force; one whose class is gone is refused.
 func TestChangeBetweenSteps(t *testing.T) {
 	log := &tape{}
-	settings := func(classes ...string) choice.Settings {
-		s := choice.Settings{Peers: 1, MaxAttempts: 1, Kinds: []choice.Kind{{Cores: 8}}}
+	settings := func(classes ...string) policy.Settings {
+		s := policy.Settings{Peers: 1, MaxAttempts: 1, Kinds: []policy.Kind{{Cores: 8}}}
 		for _, c := range classes {
-			s.Classes = append(s.Classes, choice.Class{Name: c, Worth: 1, Aim: 500 * ms, Deadline: 1000 * ms})
+			s.Classes = append(s.Classes, policy.Class{Name: c, Worth: 1, Aim: 500 * ms, Deadline: 1000 * ms})
 		}
 		return s
 	}
@@ -382,7 +382,7 @@
 		t.Fatal(err)
 	}
 	var errs []error
-	change := func(v uint64, s choice.Settings) Event {
+	change := func(v uint64, s policy.Settings) Event {
 		return Change{v, s, func(err error) { errs = append(errs, err) }}
 	}
 	query := func(id string, version uint64, class int) Event {
@@ -403,7 +403,7 @@
 			t.Fatal(err)
 		}
 	}
-	step(Told{choice.Engines{Whole: true, Rows: []choice.Engine{{ID: "n"}}}}, query("a", 0, 1))
+	step(Told{policy.Engines{Whole: true, Rows: []policy.Engine{{ID: "n"}}}}, query("a", 0, 1))
 	step(change(1, settings("report", "load")), query("b", 0, 0), query("c", 0, 1), query("d", 1, 1))
 	if got := core.InFlight(); got["report"] != 2 || got["load"] != 1 {
 		t.Errorf("in flight: %v", got)
@@ -412,7 +412,7 @@
 	if errs[0] != nil || errs[1] == nil || errs[2] == nil {
 		t.Errorf("the changes ended with %v; want taken, refused for its queries in flight, refused for its number", errs)
 	}
-	step(Ended{ID: "a", Code: choice.OK}, Ended{ID: "c", Code: choice.OK}, change(3, settings("load")))
+	step(Ended{ID: "a", Code: policy.OK}, Ended{ID: "c", Code: policy.OK}, change(3, settings("load")))
 	if errs[3] != nil {
 		t.Errorf("with nothing of the class in flight: %v", errs[3])
 	}
@@ -427,14 +427,14 @@
 	for _, n := range []int{0, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("inflight=%d", n), func(b *testing.B) {
 			log := &quiet{}
-			s := choice.Settings{Peers: 1, MaxAttempts: 3, Kinds: []choice.Kind{{Cores: 100000}}, Classes: []choice.Class{
+			s := policy.Settings{Peers: 1, MaxAttempts: 3, Kinds: []policy.Kind{{Cores: 100000}}, Classes: []policy.Class{
 				{Name: "lookup", Worth: 1, Aim: 60e6, Deadline: 60e6}, {Name: "report", Worth: 1, Aim: 60e6, Deadline: 60e6}}}
 			core, err := NewCore(1, s, log, log)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
-			core.Step(now, []Event{Told{choice.Engines{Whole: true, Rows: []choice.Engine{{ID: "n"}}}}})
+			core.Step(now, []Event{Told{policy.Engines{Whole: true, Rows: []policy.Engine{{ID: "n"}}}}})
 			for i := range n {
 				core.Step(now, []Event{Taken{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Due: now + 60e6, Client: log}}})
 			}
--- a/dispatch/learned_golden_test.go
+++ b/dispatch/learned_golden_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // TestLearnedFileOfTheBuildBefore reads the learned file of a short scripted day, written by the build before any rename.
@@ -29,10 +29,10 @@
 		t.Errorf("format %d, build %q, at %v", stored.Format, stored.Build, stored.At)
 	}
 	learned := stored.Learned
-	if learned.Version != choice.LearnedVersion || len(learned.Classes) != 6 || len(learned.Engines) != 4 {
+	if learned.Version != policy.LearnedVersion || len(learned.Classes) != 6 || len(learned.Engines) != 4 {
 		t.Fatalf("version %d, %d classes, %d nodes", learned.Version, len(learned.Classes), len(learned.Engines))
 	}
-	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.Heft != (choice.Running{V: 0.021161601402126105, N: 178}) ||
+	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.Heft != (policy.Running{V: 0.021161601402126105, N: 178}) ||
 		lookup.Stray != 0.1278793493089433 || lookup.Taken != 178 || lookup.Fit[0] != 156 {
 		t.Errorf("class lookup: %+v", lookup)
 	}
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"strings"
 
-	"embershunt/choice"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // entry is one query on the books, from Taken until it has its final answer and all its attempts have ended.
@@ -30,7 +30,7 @@
 	node      string
 	sent      Micros
 	ended     bool
-	code      choice.Code // of its end
+	code      policy.Code // of its end
 	cancelled bool
 }
 
@@ -39,7 +39,7 @@
 	at   Micros
 	what string // a constant
 	n    int    // attempt, where it is about one; else -1
-	code int    // of choice.Code or Final
+	code int    // of policy.Code or Final
 }
 
 // historyMost bounds the marks kept; a query with more has seen many attempts, and its first ones tell least.
@@ -170,7 +170,7 @@
 }
 
 // repeating is what is known of a query of which another attempt would be sent; class is that of the settings in force.
-func (e *entry) repeating(now Micros, class choice.Class) permit.Repeating {
+func (e *entry) repeating(now Micros, class policy.Class) permit.Repeating {
 	r := permit.Repeating{Now: now, Due: e.q.Due, Answered: e.final != 0 || e.opened >= 0, Effect: class.Effect, Window: class.Window}
 	for _, a := range e.attempts {
 		r.Earlier = append(r.Earlier, permit.Attempt{Sent: a.sent, Ended: a.ended, Code: a.code})
@@ -179,7 +179,7 @@
 }
 
 // send books an attempt; false where it must not leave.
-func (l *ledger) send(now Micros, e *entry, node string, class choice.Class) (n int, ok bool) {
+func (l *ledger) send(now Micros, e *entry, node string, class policy.Class) (n int, ok bool) {
 	n = len(e.attempts)
 	if why := e.repeating(now, class).Repeat(); why != permit.Permitted {
 		kind := FaultLateSend
@@ -187,7 +187,7 @@
 			kind = FaultForbidden
 		}
 		l.fault(kind, e.q.ID, e)
-		e.attempts = append(e.attempts, attempt{node: node, sent: now, ended: true, code: choice.Moot}) // the module numbers it too
+		e.attempts = append(e.attempts, attempt{node: node, sent: now, ended: true, code: policy.Moot}) // the module numbers it too
 		return n, false
 	}
 	e.attempts = append(e.attempts, attempt{node: node, sent: now})
@@ -251,5 +251,5 @@
 
 // over tells that a query ends with this attempt; broken tells that its answer had begun.
 func over(ev Ended, broken bool) bool {
-	return ev.Code == choice.OK || ev.Rejected || broken
+	return ev.Code == policy.OK || ev.Rejected || broken
 }
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -3,18 +3,18 @@
 import (
 	"fmt"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // Micros is a point in time or a span, in microseconds of the clock handed in.
-type Micros = choice.Micros
+type Micros = policy.Micros
 
 // Query is one client's query as a front hands it over.
 type Query struct {
 	ID       string // never used twice by this dispatcher
 	Version  uint64 // of the settings by which Class and Tenant are numbered
-	Class    int    // index in choice.Settings.Classes
-	Tenant   int    // index in choice.Settings.Tenants
+	Class    int    // index in policy.Settings.Classes
+	Tenant   int    // index in policy.Settings.Tenants
 	Cost     Micros // estimated work of all threads; 0: unknown
 	MemoryMB float64
 	Tables   int64 // group of tables it reads or writes
@@ -128,21 +128,21 @@
 	Ended struct {
 		ID       string
 		N        int
-		Code     choice.Code
+		Code     policy.Code
 		Rejected bool // the node's word that the statement is wrong: an answer, no fault of the node
 		Took     Micros
-		Load     *choice.Load
+		Load     *policy.Load
 		WorkUs   Micros  // processor time of all threads, where the node tells; else 0
 		NeedMB   float64 // most memory, where the node tells; else 0
 		Result   any
 		Err      error
 	}
-	// Told passes on what needs no ledger: choice.Engines, Probed, Progress and Heard.
-	Told struct{ Event choice.Event }
+	// Told passes on what needs no ledger: policy.Engines, Probed, Progress and Heard.
+	Told struct{ Event policy.Event }
 	// Change puts new settings in force between two steps, whole or not at all. Done gets exactly one value.
 	Change struct {
 		Version  uint64
-		Settings choice.Settings
+		Settings policy.Settings
 		Done     func(error)
 	}
 	// Look lets the loop look at the core between two events; At must neither block nor change anything.
--- a/dispatch/warm.go
+++ b/dispatch/warm.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // Warm is what a dispatcher writes down of what its module has learned, so that it may start warm. Starts of nodes are in
@@ -14,7 +14,7 @@
 	Format  int            `json:"format"`
 	Build   string         `json:"build"` // of the module that learned it
 	At      time.Time      `json:"at"`
-	Learned choice.Learned `json:"learned"`
+	Learned policy.Learned `json:"learned"`
 }
 
 // WarmFormat is the form of Warm.
@@ -34,8 +34,8 @@
 	switch {
 	case w.Format != WarmFormat:
 		return false, false, fmt.Sprintf("format %d, allowed is %d", w.Format, WarmFormat)
-	case w.Learned.Version != choice.LearnedVersion:
-		return false, false, fmt.Sprintf("version %d of what was learned, allowed is %d", w.Learned.Version, choice.LearnedVersion)
+	case w.Learned.Version != policy.LearnedVersion:
+		return false, false, fmt.Sprintf("version %d of what was learned, allowed is %d", w.Learned.Version, policy.LearnedVersion)
 	case w.Build != build:
 		return false, false, fmt.Sprintf("of build %q, this is %q", w.Build, build)
 	case age < -time.Minute:
@@ -50,24 +50,24 @@
 
 // learner is a module that can tell and take what it has learned.
 type learner interface {
-	Learned() choice.Learned
-	Recall(l choice.Learned, fresh bool) error
+	Learned() policy.Learned
+	Recall(l policy.Learned, fresh bool) error
 }
 
 var errNoLearner = errors.New("dispatch: this module keeps nothing of what it learns")
 
 // Learned is what the module knows now, with starts of nodes in the wall time that belongs to its clock: zero is at wall time
 // epoch.
-func (c *Core) Learned(epoch time.Time) (choice.Learned, error) {
+func (c *Core) Learned(epoch time.Time) (policy.Learned, error) {
 	m, ok := c.gateway.(learner)
 	if !ok {
-		return choice.Learned{}, errNoLearner
+		return policy.Learned{}, errNoLearner
 	}
 	return shifted(m.Learned(), epoch.UnixMicro()), nil
 }
 
 // Recall hands on what was learned before, ahead of the first Step and of Record.
-func (c *Core) Recall(l choice.Learned, fleet bool, epoch time.Time) error {
+func (c *Core) Recall(l policy.Learned, fleet bool, epoch time.Time) error {
 	m, ok := c.gateway.(learner)
 	if !ok {
 		return errNoLearner
@@ -80,8 +80,8 @@
 	return err
 }
 
-func shifted(l choice.Learned, by Micros) choice.Learned {
-	engines := make([]choice.LearnedEngine, len(l.Engines))
+func shifted(l policy.Learned, by Micros) policy.Learned {
+	engines := make([]policy.LearnedEngine, len(l.Engines))
 	for i, e := range l.Engines {
 		if e.Started != 0 {
 			e.Started += by
--- a/dispatch/warm_test.go
+++ b/dispatch/warm_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 func TestWhatIsCarriedOver(t *testing.T) {
@@ -22,7 +22,7 @@
 		"another format":  {func(w *Warm) { w.Format = 9 }, 0, false, false},
 		"another version": {func(w *Warm) { w.Learned.Version = 9 }, 0, false, false},
 	} {
-		w := &Warm{Format: WarmFormat, Build: "b", At: at, Learned: choice.Learned{Version: choice.LearnedVersion}}
+		w := &Warm{Format: WarmFormat, Build: "b", At: at, Learned: policy.Learned{Version: policy.LearnedVersion}}
 		if c.change != nil {
 			c.change(w)
 		}
--- a/front/cache.go
+++ b/frontend/cache.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"container/list"
--- a/front/clickhouse/clickhouse.go
+++ b/frontend/clickhouse/clickhouse.go
@@ -20,7 +20,7 @@
 
 	"embershunt/classify"
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/native"
 	"embershunt/nodelist"
 )
@@ -28,13 +28,13 @@
 // Options are the front's settings; zero values mean the defaults.
 type Options struct {
 	Log         *slog.Logger
-	Auth        front.Authenticator
+	Auth        frontend.Authenticator
 	MaxPacket   int           // bytes; default 16 MiB
 	HelloWithin time.Duration // a client that has not shaken hands by then is closed; default 5 s
 	MaxConns    int           // default 20000
 	InsertMost  int           // bytes that one query may bring as rows and external tables; default 64 MiB
 	InsertsHeld int           // bytes of all of them together; default 512 MiB
-	Sessions    *front.Sessions
+	Sessions    *frontend.Sessions
 	Revision    func() int    // the newest that all nodes speak; 0: not known; nil: the newest there is
 	SampleLife  time.Duration // how long the columns of an INSERT are cached; default 5 min
 	SampleMost  int           // statements cached; default 4096
@@ -43,9 +43,9 @@
 // Front serves the protocol on a listener.
 type Front struct {
 	opt     Options
-	desk    *front.Desk
+	desk    *frontend.Desk
 	store   store
-	samples *front.Cache
+	samples *frontend.Cache
 
 	mu    sync.Mutex
 	conns map[net.Conn]bool
@@ -53,7 +53,7 @@
 }
 
 // New returns a front that hands its queries over at a desk.
-func New(o Options, d *front.Desk) *Front {
+func New(o Options, d *frontend.Desk) *Front {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -78,7 +78,7 @@
 	if o.SampleMost == 0 {
 		o.SampleMost = 4096
 	}
-	return &Front{opt: o, desk: d, conns: map[net.Conn]bool{}, left: make(chan struct{}), samples: front.NewCache(o.SampleMost, o.SampleLife),
+	return &Front{opt: o, desk: d, conns: map[net.Conn]bool{}, left: make(chan struct{}), samples: frontend.NewCache(o.SampleMost, o.SampleLife),
 		store: store{books: dispatch.NewHolding(int64(o.InsertMost), int64(o.InsertsHeld)), begin: time.Now()}}
 }
 
@@ -388,14 +388,14 @@
 }
 
 // call is a query as the desk takes it.
-func (s *client) call(st step) front.Call {
+func (s *client) call(st step) frontend.Call {
 	q := st.query
 	q.Settings = s.life.replay(q.Settings)
 	settings := map[string]string{}
 	for _, set := range q.Settings {
 		settings[set.Name] = set.Value
 	}
-	c := front.Call{Speaks: nodelist.ClickHouse, Work: &native.Call{Query: q, Revision: s.revision, Database: s.hello.Database,
+	c := frontend.Call{Speaks: nodelist.ClickHouse, Work: &native.Call{Query: q, Revision: s.revision, Database: s.hello.Database,
 		Tables: st.tables, Sink: s}}
 	c.Facts = classify.Facts{User: s.hello.User, Statement: q.Text, Command: "native.Query", Token: settings["insert_deduplication_token"],
 		Header: func(string) string { return "" }, Option: func(name string) string { return settings[name] }}
@@ -445,7 +445,7 @@
 const watchAfter = 2 * time.Millisecond
 
 // ask hands a call over and waits for its final answer; meanwhile it heeds what the client sends.
-func (s *client) ask(ctx context.Context, call front.Call) (v dispatch.Verdict, how ending, err error) {
+func (s *client) ask(ctx context.Context, call frontend.Call) (v dispatch.Verdict, how ending, err error) {
 	if use := s.life.use(call); use != nil {
 		return s.askPinned(ctx, call, use)
 	}
--- a/front/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -10,7 +10,7 @@
 
 	"embershunt/classify"
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/native"
 	"embershunt/session"
 )
@@ -68,14 +68,14 @@
 }
 
 // use tells what a statement is to the session; nil where it has none and makes none.
-func (c *connection) use(call front.Call) *front.Use {
+func (c *connection) use(call frontend.Call) *frontend.Use {
 	kind, name, _ := classify.OnConnection(call.Facts.Statement)
-	u := &front.Use{Kind: session.Plain, ID: c.id, Lasts: true, Reads: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
+	u := &frontend.Use{Kind: session.Plain, ID: c.id, Lasts: true, Reads: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
 	switch {
 	case kind == classify.LeavesTable:
 		u.Kind, u.Name = session.Make, name
 		if c.id == "" {
-			c.id = front.NewSessionID()
+			c.id = frontend.NewSessionID()
 			u.ID = c.id
 		}
 	case len(c.tables) == 0:
@@ -87,7 +87,7 @@
 }
 
 // served takes in what a statement has left.
-func (c *connection) served(u *front.Use) {
+func (c *connection) served(u *frontend.Use) {
 	switch u.Kind {
 	case session.Make:
 		if c.tables == nil {
@@ -105,7 +105,7 @@
 func (c *connection) lost() { c.tables, c.id = nil, "" }
 
 // close ends the session with its client's connection.
-func (c *connection) close(s *front.Sessions) {
+func (c *connection) close(s *frontend.Sessions) {
 	if c.id != "" && s != nil {
 		s.Close(c.id)
 	}
@@ -139,7 +139,7 @@
 }
 
 // askPinned is ask for a statement of a session.
-func (s *client) askPinned(ctx context.Context, call front.Call, u *front.Use) (v dispatch.Verdict, how ending, err error) {
+func (s *client) askPinned(ctx context.Context, call frontend.Call, u *frontend.Use) (v dispatch.Verdict, how ending, err error) {
 	if s.front.opt.Sessions == nil {
 		return v, answered, errors.New("temporary tables are not served here")
 	}
@@ -166,7 +166,7 @@
 		s.watch()
 		select {
 		case a := <-done:
-			var ended *front.SessionError
+			var ended *frontend.SessionError
 			if errors.As(a.err, &ended) && (ended.State == session.Lost || ended.State == session.Expired || ended.State == session.Ending) {
 				s.life.lost()
 			} else if a.err == nil && a.v.Final == dispatch.Served {
@@ -192,7 +192,7 @@
 
 // refuseOf answers what no final answer was made for: hints that cannot be used, a session that has ended.
 func (s *client) refuseOf(err error) {
-	var ended *front.SessionError
+	var ended *frontend.SessionError
 	if !errors.As(err, &ended) {
 		s.refuse(36, err.Error()) // BAD_ARGUMENTS
 		return
--- a/front/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -11,7 +11,7 @@
 
 	"embershunt/classify"
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/native"
 )
 
@@ -48,7 +48,7 @@
 // insert runs an INSERT whose rows come from the client. First the client is told which columns the table has, by a node or
 // from the cache; then its rows are held here until they are complete; only then is the query made, so that a client that
 // stalls keeps no node waiting and a further attempt has the rows at hand.
-func (s *client) insert(ctx context.Context, call front.Call) error {
+func (s *client) insert(ctx context.Context, call frontend.Call) error {
 	left, err := s.front.desk.Deadline(call)
 	if err != nil {
 		return s.close(dispatch.Verdict{}, answered, err)
--- a/front/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -19,7 +19,7 @@
 
 	"embershunt/classify"
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/flightwire"
 	"embershunt/internal/seal"
 	"embershunt/nodelist"
@@ -29,12 +29,12 @@
 // Options are the front's settings; zero values mean the defaults.
 type Options struct {
 	Log         *slog.Logger
-	Auth        front.Authenticator
+	Auth        frontend.Authenticator
 	Seal        *seal.Sealer
 	SchemaLife  time.Duration // how long a statement's schema is cached; default 5 min
 	SchemaMost  int           // statements cached; default 4096
 	PassHeaders []string      // call headers passed on to nodes
-	Sessions    *front.Sessions
+	Sessions    *frontend.Sessions
 	Idle        time.Duration // of a transaction without a statement
 	Age         time.Duration // of a transaction at most; its token is valid for so long
 }
@@ -54,17 +54,17 @@
 // Front serves the protocol on a gRPC server made with ServerOptions.
 type Front struct {
 	opt     Options
-	desk    *front.Desk
-	schemas *front.Cache
+	desk    *frontend.Desk
+	schemas *frontend.Cache
 
 	mu      sync.Mutex
 	running map[string]map[string]bool // ids of running queries by their ticket's serial number
 }
 
 // New returns a front that hands its queries over at a desk.
-func New(o Options, d *front.Desk) *Front {
+func New(o Options, d *frontend.Desk) *Front {
 	o.defaults()
-	return &Front{opt: o, desk: d, schemas: front.NewCache(o.SchemaMost, o.SchemaLife), running: map[string]map[string]bool{}}
+	return &Front{opt: o, desk: d, schemas: frontend.NewCache(o.SchemaMost, o.SchemaLife), running: map[string]map[string]bool{}}
 }
 
 // ServerOptions are what a gRPC server needs for this front. Messages are read whole, so their size is bounded: a
@@ -158,10 +158,10 @@
 	call      *flightwire.Call
 	statement string
 	command   string
-	serial    string        // of the ticket; "" where it has none
-	tx        *front.Pinned // the transaction that it belongs to; nil: none
-	use       *front.Use    // of what begins and ends one
-	pin       *front.Pinned // where a transaction was begun
+	serial    string           // of the ticket; "" where it has none
+	tx        *frontend.Pinned // the transaction that it belongs to; nil: none
+	use       *frontend.Use    // of what begins and ends one
+	pin       *frontend.Pinned // where a transaction was begun
 }
 
 // ask hands a query over and waits for its final answer.
@@ -171,7 +171,7 @@
 			len(w.statement), most)
 	}
 	f.read(c)
-	call := front.Call{Speaks: nodelist.FlightSQL, Work: w.call, Facts: classify.Facts{User: c.user, Header: c.header, Option: c.option,
+	call := frontend.Call{Speaks: nodelist.FlightSQL, Work: w.call, Facts: classify.Facts{User: c.user, Header: c.header, Option: c.option,
 		Statement: w.statement, Command: w.command}}
 	if d, ok := c.ctx.Deadline(); ok {
 		call.Left = max(time.Until(d), 1)
@@ -188,7 +188,7 @@
 	}
 	use := w.use
 	if use == nil && w.tx != nil {
-		use = &front.Use{Kind: session.Plain, Reads: classify.IsRead(w.statement), Tied: w.tx}
+		use = &frontend.Use{Kind: session.Plain, Reads: classify.IsRead(w.statement), Tied: w.tx}
 	}
 	var v dispatch.Verdict
 	var err error
@@ -206,7 +206,7 @@
 		v, w.pin, err = f.opt.Sessions.Ask(c.ctx, call, *use)
 	}
 	f.leave(w.serial, id)
-	var ended *front.SessionError
+	var ended *frontend.SessionError
 	if errors.As(err, &ended) {
 		return v, sessionError(ended)
 	}
--- a/front/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -11,7 +11,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/flightwire"
 	"embershunt/internal/seal"
 	"embershunt/session"
@@ -20,7 +20,7 @@
 // A transaction's id is a sealed token that says where its state is, so that any dispatcher with the same key can go on
 // with it, this one after a restart too (docs/design-session.md).
 
-func sealPin(user string, p *front.Pinned) []byte {
+func sealPin(user string, p *frontend.Pinned) []byte {
 	b := flightwire.AppendBytes(nil, 1, user)
 	b = flightwire.AppendBytes(b, 2, p.ID)
 	b = flightwire.AppendBytes(b, 3, p.Node)
@@ -32,12 +32,12 @@
 	return flightwire.AppendVarint(b, 7, uint64(p.Since.UnixMicro()))
 }
 
-func openPin(b []byte) (user string, p *front.Pinned, err error) {
+func openPin(b []byte) (user string, p *frontend.Pinned, err error) {
 	fields, varints, err := flightwire.Fields(b)
 	if err != nil {
 		return "", nil, malformed(err)
 	}
-	p = &front.Pinned{Since: time.UnixMicro(int64(varints[7]))}
+	p = &frontend.Pinned{Since: time.UnixMicro(int64(varints[7]))}
 	if v := varints[6]; v > 0 {
 		p.Started = time.UnixMicro(int64(v))
 	}
@@ -59,7 +59,7 @@
 }
 
 // transaction opens a transaction's id; nil where a call has none.
-func (f *Front) transaction(c *caller, token []byte) (*front.Pinned, error) {
+func (f *Front) transaction(c *caller, token []byte) (*frontend.Pinned, error) {
 	if len(token) == 0 {
 		return nil, nil
 	}
@@ -85,7 +85,7 @@
 }
 
 // statementIn is a statement's command, in the node's transaction where there is one.
-func statementIn(name, text string, tx *front.Pinned) []byte {
+func statementIn(name, text string, tx *frontend.Pinned) []byte {
 	body := flightwire.AppendBytes(nil, 1, text)
 	if tx != nil {
 		body = flightwire.AppendBytes(body, 2, tx.Handle)
@@ -103,7 +103,7 @@
 	}
 	w := &work{command: "ActionBeginTransactionRequest", statement: "BEGIN", call: &flightwire.Call{Kind: flightwire.Do,
 		Action: flightwire.Action{Type: "BeginTransaction", Body: flightwire.NewCommand("ActionBeginTransactionRequest", nil)}},
-		use: &front.Use{Kind: session.Begin, ID: front.NewSessionID(), Handle: handleOf}}
+		use: &frontend.Use{Kind: session.Begin, ID: frontend.NewSessionID(), Handle: handleOf}}
 	if f.opt.Idle > 0 { // were this dispatcher to vanish, the node ends it a little later than we would have
 		w.call.Headers = append(w.call.Headers, flightwire.HeaderIdle, strconv.FormatInt((f.opt.Idle+f.opt.Idle/2).Milliseconds(), 10))
 	}
@@ -153,12 +153,12 @@
 		kind, text = session.Rollback, "ROLLBACK"
 	}
 	request := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, tx.Handle), 2, end)
-	return f.act(c, &work{command: "ActionEndTransactionRequest", statement: text, use: &front.Use{Kind: kind, Tied: tx}},
+	return f.act(c, &work{command: "ActionEndTransactionRequest", statement: text, use: &frontend.Use{Kind: kind, Tied: tx}},
 		"EndTransaction", "ActionEndTransactionRequest", request)
 }
 
 // ended reads the request that ends a transaction or savepoint: field 1 is its token, field 2 how it ends.
-func (f *Front) ended(c *caller, body []byte, name string, open func(*caller, []byte) (*front.Pinned, error)) (tx *front.Pinned, token []byte, end uint64, err error) {
+func (f *Front) ended(c *caller, body []byte, name string, open func(*caller, []byte) (*frontend.Pinned, error)) (tx *frontend.Pinned, token []byte, end uint64, err error) {
 	if err = named(body, name); err != nil {
 		return nil, nil, 0, err
 	}
@@ -206,7 +206,7 @@
 	}
 	label, _ := flightwire.Field(cmd.Body, 2)
 	request := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, tx.Handle), 2, label)
-	w := &work{command: cmd.Name, statement: "SAVEPOINT", use: &front.Use{Kind: session.Plain, Tied: tx}, call: &flightwire.Call{
+	w := &work{command: cmd.Name, statement: "SAVEPOINT", use: &frontend.Use{Kind: session.Plain, Tied: tx}, call: &flightwire.Call{
 		Kind: flightwire.Do, Action: flightwire.Action{Type: "BeginSavepoint", Body: flightwire.NewCommand(cmd.Name, request)}}}
 	v, err := f.ask(c, w)
 	if err == nil {
@@ -223,7 +223,7 @@
 // endSavepoint releases a savepoint or rolls back to it.
 func (f *Front) endSavepoint(c *caller, body []byte) error {
 	var handle []byte
-	tx, _, end, err := f.ended(c, body, "ActionEndSavepointRequest", func(c *caller, token []byte) (*front.Pinned, error) {
+	tx, _, end, err := f.ended(c, body, "ActionEndSavepointRequest", func(c *caller, token []byte) (*frontend.Pinned, error) {
 		b, err := f.open(seal.Savepoint, token)
 		if err != nil {
 			return nil, err
@@ -238,12 +238,12 @@
 		return err
 	}
 	request := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, handle), 2, end)
-	return f.act(c, &work{command: "ActionEndSavepointRequest", statement: "ROLLBACK TO", use: &front.Use{Kind: session.Plain, Tied: tx}},
+	return f.act(c, &work{command: "ActionEndSavepointRequest", statement: "ROLLBACK TO", use: &frontend.Use{Kind: session.Plain, Tied: tx}},
 		"EndSavepoint", "ActionEndSavepointRequest", request)
 }
 
 // sessionError is the status of a statement that its session turned away or took with it.
-func sessionError(e *front.SessionError) error {
+func sessionError(e *frontend.SessionError) error {
 	code, final := codes.Aborted, "failed"
 	switch e.Why {
 	case session.WhyMany, session.WhyTables:
--- a/front/front.go
+++ b/frontend/front.go
@@ -1,6 +1,6 @@
-// Package front has what the fronts share: the tables that settings change, and the way from a classified call to the one
+// Package frontend has what the fronts share: the tables that settings change, and the way from a classified call to the one
 // final answer. A front itself is a protocol: it reads calls and writes answers.
-package front
+package frontend
 
 import (
 	"context"
--- a/front/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 )
 
 // faulty is a listener whose accept fails some times before it gives a connection.
@@ -88,7 +88,7 @@
 	t.Helper()
 	d := &desk{answer: func(*dispatch.Query) (dispatch.Verdict, bool) { return result(0), true }, open: map[string]*dispatch.Query{},
 		left: make(chan string, 100)}
-	s := &served{t: t, desk: d, front: New(Options{Settings: testSettings()}, front.NewDesk(d, dispatch.NewClock(), front.Tables{}))}
+	s := &served{t: t, desk: d, front: New(Options{Settings: testSettings()}, frontend.NewDesk(d, dispatch.NewClock(), frontend.Tables{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/front/postgres/fields.go
+++ b/frontend/postgres/fields.go
@@ -8,9 +8,9 @@
 	"time"
 	"unicode/utf8"
 
-	"embershunt/choice"
 	"embershunt/classify"
 	"embershunt/internal/lineproto"
+	"embershunt/policy"
 )
 
 // asked is what a client says of its query in the comment before it.
@@ -46,7 +46,7 @@
 const fieldsMost = 32
 
 // read takes a statement apart. The error is a *BadFieldError.
-func read(statement string, s *choice.Settings) (asked, error) {
+func read(statement string, s *policy.Settings) (asked, error) {
 	a := asked{tenant: -1}
 	fields, text, err := split(statement)
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 	}
 	a.nonce = fields["nonce"]
-	if a.nonce != "" && !lineproto.Token(a.nonce) || a.nonce == "" && class.Effect == choice.Keyed {
+	if a.nonce != "" && !lineproto.Token(a.nonce) || a.nonce == "" && class.Effect == policy.Keyed {
 		return a, &BadFieldError{"nonce", a.nonce, "a key of 1 to 64 letters and digits, in keyed classes"}
 	}
 	return a, nil
@@ -97,7 +97,7 @@
 // memoryTimes bounds an estimate of memory that can be meant, in times of the largest machine: estimates are rough.
 const memoryTimes = 100
 
-func memoryMost(s *choice.Settings) float64 {
+func memoryMost(s *policy.Settings) float64 {
 	most := 0.0
 	for _, k := range s.Kinds {
 		most = max(most, k.MemoryMB)
--- a/front/postgres/fields_test.go
+++ b/frontend/postgres/fields_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
-func testSettings() choice.Settings {
-	return choice.Settings{Peers: 1, Classes: []choice.Class{
-		{Name: "lookup", Worth: 1, Aim: 1e6, Deadline: 3e6}, {Name: "load", Worth: 5, Aim: 3e6, Deadline: 9e6, Effect: choice.Keyed}},
-		Kinds: []choice.Kind{{Cores: 8, MemoryMB: 1000}}, Tenants: []choice.Tenant{{Name: "motor"}, {Name: "property"}}}
+func testSettings() policy.Settings {
+	return policy.Settings{Peers: 1, Classes: []policy.Class{
+		{Name: "lookup", Worth: 1, Aim: 1e6, Deadline: 3e6}, {Name: "load", Worth: 5, Aim: 3e6, Deadline: 9e6, Effect: policy.Keyed}},
+		Kinds: []policy.Kind{{Cores: 8, MemoryMB: 1000}}, Tenants: []policy.Tenant{{Name: "motor"}, {Name: "property"}}}
 }
 
 const good = "/* route=lookup,trace=9b1f03aa5c7e2d41,patience=1500 */ SELECT 1"
--- a/front/postgres/postgres.go
+++ b/frontend/postgres/postgres.go
@@ -15,15 +15,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/choice"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/pgwire"
+	"embershunt/policy"
 )
 
 // Options are the front's settings; zero values mean the defaults.
 type Options struct {
 	Log          *slog.Logger
-	Settings     choice.Settings // names of classes and tenants, deadlines, memory of machines
+	Settings     policy.Settings // names of classes and tenants, deadlines, memory of machines
 	MostSessions int             // connections held at once; default 256
 	MaxStatement int             // bytes of one message; default 64 KiB
 	Idle         time.Duration   // a session without a query for so long ends; default 30 s
@@ -36,7 +36,7 @@
 // Front serves sessions.
 type Front struct {
 	opt   Options
-	desk  *front.Desk
+	desk  *frontend.Desk
 	group errgroup.Group
 
 	mu       sync.Mutex
@@ -53,7 +53,7 @@
 }
 
 // New returns a front; nothing is served before Serve.
-func New(o Options, d *front.Desk) *Front {
+func New(o Options, d *frontend.Desk) *Front {
 	if o.MostSessions == 0 {
 		o.MostSessions = 256
 	}
--- a/front/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -10,13 +10,13 @@
 	"sync"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/lineproto"
 	"embershunt/internal/pgwire"
 	"embershunt/nodelist"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // SQLSTATEs. Those of class 53 and 57P03 tell a client that trying again does no harm: nothing else may wear them.
@@ -69,7 +69,7 @@
 	size      int       // bytes of those
 	room      sync.Cond // signalled when commands get fewer
 	lingering bool      // the last word has been written; what still comes is read off
-	query     *front.Asked
+	query     *frontend.Asked
 	bad       int // commands in a row that could not be used
 
 	wmu  sync.Mutex
@@ -490,10 +490,10 @@
 		return s.wrong(codeOpen, fmt.Sprintf("trace %s: the id is open already; allowed is a new one for each request", a.trace))
 	}
 	work := &lineproto.Request{ID: a.trace, Class: s.f.opt.Settings.Classes[a.class].Name, Text: a.text, Priority: -1}
-	if s.f.opt.Settings.Classes[a.class].Effect == choice.Keyed {
+	if s.f.opt.Settings.Classes[a.class].Effect == policy.Keyed {
 		work.Key = a.nonce
 	}
-	query, err := s.ask(front.Call{Traits: a.traits(), Speaks: nodelist.Lines, Left: left, Work: work})
+	query, err := s.ask(frontend.Call{Traits: a.traits(), Speaks: nodelist.Lines, Left: left, Work: work})
 	if err != nil {
 		s.f.shut(a.trace)
 		return s.wrong(codeBadField, err.Error())
@@ -510,7 +510,7 @@
 }
 
 // ask hands a query over, unless its client has gone or called it off; nil then.
-func (s *session) ask(c front.Call) (*front.Asked, error) {
+func (s *session) ask(c frontend.Call) (*frontend.Asked, error) {
 	s.used()
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -14,7 +14,7 @@
 	"go.uber.org/goleak"
 
 	"embershunt/dispatch"
-	"embershunt/front"
+	"embershunt/frontend"
 	"embershunt/internal/lineproto"
 	"embershunt/internal/pgwire"
 )
@@ -128,7 +128,7 @@
 	t.Helper()
 	d := &desk{answer: answer, open: map[string]*dispatch.Query{}, left: make(chan string, 100)}
 	o.Settings = testSettings()
-	s := &served{t: t, desk: d, front: New(o, front.NewDesk(d, dispatch.NewClock(), front.Tables{}))}
+	s := &served{t: t, desk: d, front: New(o, frontend.NewDesk(d, dispatch.NewClock(), frontend.Tables{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/front/sessions.go
+++ b/frontend/sessions.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/nodelist"
+	"embershunt/policy"
 	"embershunt/session"
 )
 
@@ -210,7 +210,7 @@
 	clear(s.nodes)
 	var ev session.Listed
 	for _, n := range list {
-		if n.State == choice.Gone {
+		if n.State == policy.Gone {
 			continue
 		}
 		started := n.Started
@@ -218,7 +218,7 @@
 			started = time.UnixMicro(started.UnixMicro())
 		}
 		s.nodes[n.ID] = started
-		ev.Nodes = append(ev.Nodes, session.Node{ID: n.ID, Draining: n.State == choice.Draining, Started: started,
+		ev.Nodes = append(ev.Nodes, session.Node{ID: n.ID, Draining: n.State == policy.Draining, Started: started,
 			DrainsIn: drainsIn(n.DrainAt)})
 	}
 	s.step(ev)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // env is the settings object; keys that it lacks here are skipped.
@@ -17,11 +17,11 @@
 		Credit     float64       `json:"credit"`
 		LateWorth  float64       `json:"lateWorth"`
 		AimStretch float64       `json:"aimStretch"`
-		PromiseUs  choice.Micros `json:"promiseUs"`
-		DeadlineUs choice.Micros `json:"deadlineUs"`
+		PromiseUs  policy.Micros `json:"promiseUs"`
+		DeadlineUs policy.Micros `json:"deadlineUs"`
 		Effect     string        `json:"effect"`
 		Group      string        `json:"group"`
-		WindowUs   choice.Micros `json:"windowUs"`
+		WindowUs   policy.Micros `json:"windowUs"`
 		InTurn     bool          `json:"inTurn"`
 		AllowedIn  []int         `json:"allowedIn"`
 		ServedOn   []int         `json:"servedOn"`
@@ -39,7 +39,7 @@
 		KindCores     []int         `json:"kindCores"`
 		MaxGrantShare float64       `json:"maxGrantShare"`
 		OnShortage    string        `json:"onShortage"`
-		ProgressUs    choice.Micros `json:"progressUs"`
+		ProgressUs    policy.Micros `json:"progressUs"`
 		RAMOfKindMb   []float64     `json:"ramOfKindMb"`
 		TakesPriority bool          `json:"takesPriority"`
 		WaitsForLoads []bool        `json:"waitsForLoads"`
@@ -50,10 +50,10 @@
 	} `json:"feedback"`
 	Limits struct {
 		Cancelling      bool          `json:"cancelling"`
-		ConnIdleUs      choice.Micros `json:"connIdleUs"`
-		ConnectTimeout  choice.Micros `json:"connectTimeoutUs"`
+		ConnIdleUs      policy.Micros `json:"connIdleUs"`
+		ConnectTimeout  policy.Micros `json:"connectTimeoutUs"`
 		StreamsPerConn  int           `json:"streamsPerConn"`
-		MaxRetryAfterUs choice.Micros `json:"maxRetryAfterUs"`
+		MaxRetryAfterUs policy.Micros `json:"maxRetryAfterUs"`
 		MostHeld        int           `json:"mostHeld"`
 		Peers           bool          `json:"peers"`
 		Probes          bool          `json:"probes"`
@@ -65,38 +65,38 @@
 	RegistryMode   string  `json:"registryMode"`
 	Rules          struct {
 		ColdFrom            float64       `json:"coldFrom"`
-		ColdUs              choice.Micros `json:"coldUs"`
+		ColdUs              policy.Micros `json:"coldUs"`
 		FallMultiple        float64       `json:"fallMultiple"`
-		GraceToAnswerUs     choice.Micros `json:"graceToAnswerUs"`
-		MustAskInUs         choice.Micros `json:"mustAskInUs"`
-		OverloadForUs       choice.Micros `json:"overloadForUs"`
-		StopSendingWithinUs choice.Micros `json:"stopSendingWithinUs"`
-		TurnGapUs           choice.Micros `json:"turnGapUs"`
+		GraceToAnswerUs     policy.Micros `json:"graceToAnswerUs"`
+		MustAskInUs         policy.Micros `json:"mustAskInUs"`
+		OverloadForUs       policy.Micros `json:"overloadForUs"`
+		StopSendingWithinUs policy.Micros `json:"stopSendingWithinUs"`
+		TurnGapUs           policy.Micros `json:"turnGapUs"`
 		BudgetFree          float64       `json:"budgetFree"`
 		BudgetShare         float64       `json:"budgetShare"`
-		BudgetSpanUs        choice.Micros `json:"budgetSpanUs"`
+		BudgetSpanUs        policy.Micros `json:"budgetSpanUs"`
 	} `json:"rules"`
 }
 
 var (
-	effects = map[string]choice.Effect{"": choice.Safe, "retryable": choice.Safe, "dedup": choice.Keyed,
-		"fragile": choice.Unsafe}
-	groups = map[string]choice.Group{"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone,
-		"cell": choice.GroupCell}
-	shortages = map[string]choice.Shortage{"": choice.ShortQueue, "queue": choice.ShortQueue,
-		"trim": choice.ShortTrim, "swap": choice.ShortSwap}
+	effects = map[string]policy.Effect{"": policy.Safe, "retryable": policy.Safe, "dedup": policy.Keyed,
+		"fragile": policy.Unsafe}
+	groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
+		"cell": policy.GroupCell}
+	shortages = map[string]policy.Shortage{"": policy.ShortQueue, "queue": policy.ShortQueue,
+		"trim": policy.ShortTrim, "swap": policy.ShortSwap}
 )
 
 // Sockets is what the settings tell those who speak over sockets; the module needs none of it.
 type Sockets struct {
 	Zones, Models  []string // names, in the order of the indexes
-	ConnectTimeout choice.Micros
-	ConnIdle       choice.Micros // connections idle for so long are closed
+	ConnectTimeout policy.Micros
+	ConnIdle       policy.Micros // connections idle for so long are closed
 	StreamsPerConn int           // attempts that one connection carries at once
 }
 
 // Settings decodes the settings object, for the module and for sockets.
-func Settings(raw json.RawMessage) (*choice.Settings, Sockets, error) {
+func Settings(raw json.RawMessage) (*policy.Settings, Sockets, error) {
 	var e env
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return nil, Sockets{}, err
@@ -106,9 +106,9 @@
 		e.Limits.StreamsPerConn}, err
 }
 
-func (e *env) settings() (*choice.Settings, error) {
+func (e *env) settings() (*policy.Settings, error) {
 	f, l, r := &e.FamilyInfo, &e.Limits, &e.Rules
-	s := &choice.Settings{Zone: e.AZ, Me: e.Me, Peers: e.PeersTotal, OverShareWorth: e.OverShareWorth,
+	s := &policy.Settings{Zone: e.AZ, Me: e.Me, Peers: e.PeersTotal, OverShareWorth: e.OverShareWorth,
 		CountByWork: e.CountedBy == "work", MaxAttempts: l.SendCap, MaxHeld: l.MostHeld,
 		CanCancel: l.Cancelling, CanProbe: l.Probes, CanTell: l.Peers, SecondCopies: l.SecondCopies,
 		ReportsByAnswer: e.Feedback.How == "piggyback", ReportsByProbe: e.Feedback.How == "pull",
@@ -134,7 +134,7 @@
 		return nil, fmt.Errorf("familyInfo.ramOfKindMb: %d entries for %d kinds", len(f.RAMOfKindMb), len(f.KindCores))
 	}
 	for i, c := range e.Classes {
-		d := choice.Class{Name: c.Name, Worth: c.Credit, LateWorth: c.LateWorth, Aim: c.PromiseUs,
+		d := policy.Class{Name: c.Name, Worth: c.Credit, LateWorth: c.LateWorth, Aim: c.PromiseUs,
 			AimStretch: c.AimStretch, Deadline: c.DeadlineUs, Window: c.WindowUs, InTurn: c.InTurn,
 			Zones: c.AllowedIn, Kinds: c.ServedOn}
 		if d.Effect, ok = effects[c.Effect]; !ok {
@@ -155,14 +155,14 @@
 		s.Classes = append(s.Classes, d)
 	}
 	for i, cores := range f.KindCores {
-		k := choice.Kind{Cores: cores}
+		k := policy.Kind{Cores: cores}
 		if len(f.RAMOfKindMb) > 0 {
 			k.MemoryMB = f.RAMOfKindMb[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
 	for _, t := range e.Customers {
-		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Allowance: t.AllowancePerS})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Allowance: t.AllowancePerS})
 	}
 	return s, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -11,7 +11,7 @@
 	"io"
 	"strconv"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // maxLine bounds one frame; whole engine lists come in a single line.
@@ -34,15 +34,15 @@
 // mark the instance's birth and death; then Event is nil.
 type Item struct {
 	Instance string
-	Event    choice.Event
-	Start    *choice.Settings
+	Event    policy.Event
+	Start    *policy.Settings
 	Seed     uint64
 	Stop     bool
 }
 
 // Batch is what happened at one moment.
 type Batch struct {
-	Now   choice.Micros
+	Now   policy.Micros
 	Items []Item
 }
 
@@ -50,12 +50,12 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]choice.Engine
+	lists map[int][]policy.Engine
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]choice.Engine{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Engine{}}
 }
 
 func (r *Reader) fail(field string, err error) error {
@@ -102,7 +102,7 @@
 		return nil, r.fail(name, errors.New("a batch starts with clock"))
 	}
 	var clock struct {
-		MomentUs *choice.Micros `json:"momentUs"`
+		MomentUs *policy.Micros `json:"momentUs"`
 	}
 	if err := json.Unmarshal(body, &clock); err != nil {
 		return nil, r.fail(name, err)
@@ -152,7 +152,7 @@
 	case "crashNow":
 		item.Stop = true
 	case "view":
-		e := choice.Engines{Whole: f.Mode == "snapshot" || f.Mode == "disk", Failed: f.Mode == "error"}
+		e := policy.Engines{Whole: f.Mode == "snapshot" || f.Mode == "disk", Failed: f.Mode == "error"}
 		if !e.Failed {
 			e.Rows = r.lists[f.List]
 		}
@@ -160,25 +160,25 @@
 	case "accept":
 		item.Event = f.request()
 	case "closedAttempt":
-		o := choice.Outcome{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Code: codes[f.RC],
+		o := policy.Outcome{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Code: codes[f.RC],
 			Over: f.Last, Took: f.TimeTakenUs, Load: load(f.Load)}
 		if f.UsedUp > 0 {
 			o.WorkUs, o.NeedMB = f.UsedUp/4096*1000, float64(f.UsedUp%4096)*4
 		}
 		item.Event = o
 	case "checked":
-		item.Event = choice.Probed{Engine: f.Node, Code: codes[f.RC], Took: f.TimeTakenUs, Load: load(f.Load)}
+		item.Event = policy.Probed{Engine: f.Node, Code: codes[f.RC], Took: f.TimeTakenUs, Load: load(f.Load)}
 	case "progress":
 		item.Event, ok = f.progress()
 		return item, ok, nil
 	case "ackFirst":
-		item.Event = choice.First{ID: f.TID, Attempt: f.Attempt}
+		item.Event = policy.First{ID: f.TID, Attempt: f.Attempt}
 	case "clientGone":
-		item.Event = choice.Left{ID: f.TID}
+		item.Event = policy.Left{ID: f.TID}
 	case "reminder":
-		item.Event = choice.Alarm{}
+		item.Event = policy.Alarm{}
 	case "neighbourSays":
-		item.Event = choice.Heard{From: f.OriginPeer, Data: f.Contents}
+		item.Event = policy.Heard{From: f.OriginPeer, Data: f.Contents}
 	default:
 		return item, false, nil
 	}
@@ -196,20 +196,20 @@
 	Mode         string             `json:"mode"`
 	List         int                `json:"list"`
 	TID          string             `json:"tid"`
-	CostUs       choice.Micros      `json:"costUs"`
+	CostUs       policy.Micros      `json:"costUs"`
 	SourceSet    int64              `json:"sourceSet"`
 	RAMMb        float64            `json:"ramMb"`
 	Attrs        int                `json:"attrs"`
 	UserGroup    int                `json:"userGroup"`
 	Type         int                `json:"type"`
-	DueUs        choice.Micros      `json:"dueUs"`
+	DueUs        policy.Micros      `json:"dueUs"`
 	OrderKey     *int64             `json:"orderKey"`
 	RC           int                `json:"rc"`
 	UsedUp       int64              `json:"usedUp"`
 	Attempt      int                `json:"attempt"`
 	Node         string             `json:"node"`
 	Last         bool               `json:"last"`
-	TimeTakenUs  choice.Micros      `json:"timeTakenUs"`
+	TimeTakenUs  policy.Micros      `json:"timeTakenUs"`
 	Load         map[string]float64 `json:"load"`
 	X            float64            `json:"x"`
 	Kind         int                `json:"kind"`
@@ -231,8 +231,8 @@
 	attrRetry = 2
 )
 
-func (f *frame) request() choice.Request {
-	q := choice.Request{ID: f.TID, Class: f.Type, Tenant: f.UserGroup, MemoryMB: f.RAMMb, Tables: f.SourceSet,
+func (f *frame) request() policy.Request {
+	q := policy.Request{ID: f.TID, Class: f.Type, Tenant: f.UserGroup, MemoryMB: f.RAMMb, Tables: f.SourceSet,
 		Retry: f.Attrs&attrRetry != 0, Due: f.DueUs}
 	if f.Attrs&attrCost != 0 {
 		q.Cost = f.CostUs
@@ -243,27 +243,27 @@
 	return q
 }
 
-func (f *frame) progress() (choice.Event, bool) {
-	p := choice.Progress{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Value: f.X}
+func (f *frame) progress() (policy.Event, bool) {
+	p := policy.Progress{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Value: f.X}
 	switch {
 	case f.Kind == 1:
-		p.Kind = choice.ShareDone
+		p.Kind = policy.ShareDone
 	case f.Kind == 2:
-		p.Kind = choice.Spills
+		p.Kind = policy.Spills
 	case f.Kind == 3 && f.X == 2:
-		p.Kind = choice.WaitsLoad
+		p.Kind = policy.WaitsLoad
 	case f.Kind == 3:
-		p.Kind = choice.WaitsMemory
+		p.Kind = policy.WaitsMemory
 	default:
 		return nil, false
 	}
 	return p, true
 }
 
-var codes = map[int]choice.Code{100: choice.OK, 301: choice.Failed, 302: choice.Full, 303: choice.TimedOut,
-	304: choice.Refused, 305: choice.Reset, 306: choice.Cancelled, 307: choice.Moot}
+var codes = map[int]policy.Code{100: policy.OK, 301: policy.Failed, 302: policy.Full, 303: policy.TimedOut,
+	304: policy.Refused, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot}
 
-func load(m map[string]float64) *choice.Load {
+func load(m map[string]float64) *policy.Load {
 	if len(m) == 0 {
 		return nil
 	}
@@ -273,12 +273,12 @@
 		}
 		return -1
 	}
-	return &choice.Load{Util: get("busy"), InFlight: get("rif"), Queue: get("q"),
+	return &policy.Load{Util: get("busy"), InFlight: get("rif"), Queue: get("q"),
 		Memory: get("x0"), Disk: get("x1")}
 }
 
-var states = map[string]choice.EngineState{"healthy": choice.Healthy, "cordoned": choice.Draining,
-	"deregistered": choice.Gone}
+var states = map[string]policy.EngineState{"healthy": policy.Healthy, "cordoned": policy.Draining,
+	"deregistered": policy.Gone}
 
 func (r *Reader) register(body json.RawMessage) error {
 	var reg struct {
@@ -290,19 +290,19 @@
 			Cohort        int            `json:"cohort"`
 			Condition     string         `json:"condition"`
 			Share         float64        `json:"share"`
-			OnlineSinceUs *choice.Micros `json:"onlineSinceUs"`
+			OnlineSinceUs *policy.Micros `json:"onlineSinceUs"`
 		} `json:"rowsIn"`
 	}
 	if err := json.Unmarshal(body, &reg); err != nil {
 		return err
 	}
-	rows := make([]choice.Engine, 0, len(reg.RowsIn))
+	rows := make([]policy.Engine, 0, len(reg.RowsIn))
 	for i, e := range reg.RowsIn {
 		state, ok := states[e.Condition]
 		if !ok {
 			return fmt.Errorf("rowsIn[%d].condition: unknown value %q", i, e.Condition)
 		}
-		row := choice.Engine{ID: e.Node, Zone: e.AZ, Kind: e.Type, Cell: e.Cohort, State: state, Weight: e.Share}
+		row := policy.Engine{ID: e.Node, Zone: e.AZ, Kind: e.Type, Cell: e.Cohort, State: state, Weight: e.Share}
 		if e.OnlineSinceUs != nil {
 			row.Started = *e.OnlineSinceUs
 		}
@@ -359,50 +359,50 @@
 }
 
 // Put writes one action of an instance.
-func (w *Writer) Put(instance string, a choice.Action) {
+func (w *Writer) Put(instance string, a policy.Action) {
 	switch a := a.(type) {
-	case choice.Send:
+	case policy.Send:
 		w.open("submitTo", instance)
 		w.text(`,"tid":`, a.ID)
 		if a.Timeout != 0 {
 			w.number(`,"allowForUs":`, a.Timeout)
 		}
 		w.text(`,"node":`, a.Engine)
-	case choice.Terms:
+	case policy.Terms:
 		w.open("assignTerms", instance)
 		w.text(`,"tid":`, a.ID)
 		w.out.WriteString(`,"workspaceMb":`)
 		w.out.Write(strconv.AppendFloat(w.out.AvailableBuffer(), a.MemoryMB, 'f', -1, 64))
 		w.number(`,"prio":`, int64(a.Priority))
-	case choice.Cancel:
+	case policy.Cancel:
 		w.open("cancel", instance)
 		w.text(`,"tid":`, a.ID)
 		w.number(`,"attempt":`, int64(a.Attempt))
-	case choice.Refuse:
+	case policy.Refuse:
 		w.open("sayNo", instance)
 		w.text(`,"tid":`, a.ID)
 		w.number(`,"notBeforeForUs":`, a.ComeBack)
-	case choice.Fail:
+	case policy.Fail:
 		w.open("dropRequest", instance)
 		w.text(`,"tid":`, a.ID)
-	case choice.Probe:
+	case policy.Probe:
 		w.open("healthCheck", instance)
 		w.text(`,"node":`, a.Engine)
-	case choice.Wake:
+	case policy.Wake:
 		w.open("setAlarm", instance)
 		w.number(`,"delayUs":`, a.After)
 		w.number(`,"handle":`, 1)
-	case choice.Tell:
+	case policy.Tell:
 		w.open("writePeer", instance)
 		text, _ := json.Marshal(a.Data) // bytes always marshal, to base64
 		w.number(`,"dest":`, int64(a.To))
 		w.out.WriteString(`,"contents":` + string(text))
-	case choice.Watch:
+	case policy.Watch:
 		w.open("tail", instance)
 		w.out.WriteString(`,"want":true`)
-	case choice.Fetch:
+	case policy.Fetch:
 		w.open("listAll", instance)
-	case choice.Note:
+	case policy.Note:
 		w.open("record", instance)
 		w.text(`,"message":`, a.Text)
 	default:
--- a/member/view.go
+++ b/membership/view.go
@@ -1,4 +1,4 @@
-// Package member decides which query nodes are in force, from the answers of a name service that may
+// Package membership decides which query nodes are in force, from the answers of a name service that may
 // be late, lost, repeated, out of order or wrong. It is free of I/O, clocks and goroutines.
 //
 // A single answer never proves much: its number may be wrong, or its rows those of an older list. So
@@ -8,13 +8,13 @@
 // told to drain or to be gone, and has not started since, needs many in a row, for that hardly ever
 // happens and an old list says it every time. A number that goes back is believed once enough answers
 // in a row agree that the one in force is too high.
-package member
+package membership
 
 import (
 	"slices"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // How many answers in a row it takes ...
@@ -124,7 +124,7 @@
 // are wrong is open.
 func (v *View) heedDrains(a Answer) {
 	for _, row := range a.Nodes {
-		if row.State != choice.Healthy {
+		if row.State != policy.Healthy {
 			v.drain(row.ID)
 		}
 	}
@@ -192,15 +192,15 @@
 		return
 	}
 	current := v.nodes[at]
-	more := row.State == choice.Healthy && (current.State != choice.Healthy || row.Lines != current.Lines)
+	more := row.State == policy.Healthy && (current.State != policy.Healthy || row.Lines != current.Lines)
 	switch {
 	case !more || v.confirmed(question, row):
 		delete(v.awaiting, row.ID)
 		delete(v.missing, row.ID)
 		v.nodes[at] = row
-	case current.State == choice.Healthy: // it is not where it was
+	case current.State == policy.Healthy: // it is not where it was
 		v.missing[row.ID] = absence{question, true}
-		v.nodes[at].State = choice.Draining
+		v.nodes[at].State = policy.Draining
 		v.applied = nil // the next answer under the number in force is looked at whole
 	}
 }
@@ -227,7 +227,7 @@
 // needed is how many answers it takes to give a node work.
 func (v *View) needed(row nodelist.Node) int {
 	old, told := v.gone[row.ID]
-	if at := v.index(row.ID); at >= 0 && v.nodes[at].State != choice.Healthy {
+	if at := v.index(row.ID); at >= 0 && v.nodes[at].State != policy.Healthy {
 		old, told = v.nodes[at], !v.missing[row.ID].wasHealthy
 	}
 	if told && !row.Started.After(old.Started) {
@@ -258,9 +258,9 @@
 				continue
 			}
 			if !again {
-				v.missing[n.ID] = absence{question, n.State == choice.Healthy}
+				v.missing[n.ID] = absence{question, n.State == policy.Healthy}
 			}
-			n.State = choice.Draining
+			n.State = policy.Draining
 		}
 		kept = append(kept, n)
 	}
@@ -271,7 +271,7 @@
 func (v *View) dropShadowed() {
 	owner := map[string]string{}
 	for _, n := range v.nodes {
-		if n.State == choice.Healthy {
+		if n.State == policy.Healthy {
 			owner[n.Lines] = n.ID
 		}
 	}
@@ -295,8 +295,8 @@
 // drain has a node drain; answers that it returns are counted anew.
 func (v *View) drain(id string) {
 	delete(v.awaiting, id)
-	if at := v.index(id); at >= 0 && v.nodes[at].State == choice.Healthy {
-		v.nodes[at].State = choice.Draining
+	if at := v.index(id); at >= 0 && v.nodes[at].State == policy.Healthy {
+		v.nodes[at].State = policy.Draining
 		v.applied = nil // the next answer under the number in force is looked at whole
 	}
 }
--- a/member/view_test.go
+++ b/membership/view_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"pgregory.net/rapid"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // list reads "a b! c" as the nodes a, b that drains, and c; "d+" has started later, "?d" is a row of d that
@@ -29,7 +29,7 @@
 			n.Started = time.UnixMilli(1700000000000)
 		}
 		if drains {
-			n.State = choice.Draining
+			n.State = policy.Draining
 		}
 		out.Nodes = append(out.Nodes, n)
 	}
@@ -40,7 +40,7 @@
 	var out []string
 	for _, n := range v.Nodes() {
 		id := n.ID
-		if n.State != choice.Healthy {
+		if n.State != policy.Healthy {
 			id += "!"
 		}
 		out = append(out, id)
@@ -173,7 +173,7 @@
 		}
 		observe(truth)
 		for _, n := range truth.Nodes {
-			if at := index(n.ID); n.State == choice.Draining && at >= 0 && v.nodes[at].State == choice.Healthy {
+			if at := index(n.ID); n.State == policy.Draining && at >= 0 && v.nodes[at].State == policy.Healthy {
 				t.Fatalf("%s drains, in force: %s", n.ID, show(v))
 			}
 		}
--- a/nodelist/changes_test.go
+++ b/nodelist/changes_test.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"testing"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // Changes names what differs between two lists and nothing else.
 func TestChanges(t *testing.T) {
-	row := func(id string, state choice.EngineState) nodelist.Node { return nodelist.Node{ID: id, State: state} }
-	before := []nodelist.Node{row("stays", choice.Healthy), row("drains", choice.Healthy), row("leaves", choice.Draining)}
-	after := []nodelist.Node{row("stays", choice.Healthy), row("drains", choice.Draining), row("joins", choice.Healthy)}
+	row := func(id string, state policy.EngineState) nodelist.Node { return nodelist.Node{ID: id, State: state} }
+	before := []nodelist.Node{row("stays", policy.Healthy), row("drains", policy.Healthy), row("leaves", policy.Draining)}
+	after := []nodelist.Node{row("stays", policy.Healthy), row("drains", policy.Draining), row("joins", policy.Healthy)}
 	got := fmt.Sprint(nodelist.Changes(before, after))
 	if want := "[drains:draining joins:ready leaves:gone]"; got != want {
 		t.Errorf("changes %s, want %s", got, want)
--- a/nodelist/eds.go
+++ b/nodelist/eds.go
@@ -10,7 +10,7 @@
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // MetadataKey is the filter metadata of an endpoint with our own words: name, kind, cell, started and drain_at (Unix
@@ -62,7 +62,7 @@
 		n.DrainAt = time.UnixMicro(int64(at * 1e6))
 	}
 	if p.GetHealthStatus() == corev3.HealthStatus_DRAINING {
-		n.State = choice.Draining
+		n.State = policy.Draining
 	}
 	return n, nil
 }
--- a/nodelist/nodelist.go
+++ b/nodelist/nodelist.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // Node is one row.
@@ -19,7 +19,7 @@
 	Hall    int
 	Kind    int
 	Cell    int
-	State   choice.EngineState
+	State   policy.EngineState
 	Weight  float64   // 0 counts as 1
 	Started time.Time // last start; zero: long ago
 	DrainAt time.Time // when a drain is announced for; zero: none
@@ -75,7 +75,7 @@
 			return fmt.Errorf("a node at %q has no name", n.Address)
 		case ids[n.ID]:
 			return fmt.Errorf("node %q is listed twice", n.ID)
-		case n.Speaks() == 0 && n.State != choice.Gone:
+		case n.Speaks() == 0 && n.State != policy.Gone:
 			return fmt.Errorf("node %q has no address", n.ID)
 		case n.Address != "" && addresses[n.Address] != "":
 			return fmt.Errorf("nodes %q and %q have the same address %s", addresses[n.Address], n.ID, n.Address)
@@ -90,17 +90,17 @@
 // Change is one node whose row differs between two lists.
 type Change struct {
 	ID       string
-	From, To choice.EngineState // Gone: the node is not in that list
+	From, To policy.EngineState // Gone: the node is not in that list
 }
 
-var stateNames = map[choice.EngineState]string{choice.Healthy: "ready", choice.Draining: "draining", choice.Gone: "gone"}
+var stateNames = map[policy.EngineState]string{policy.Healthy: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // String names the node and its new state.
 func (c Change) String() string { return c.ID + ":" + stateNames[c.To] }
 
 // Changes lists the nodes whose state differs between two lists, those of the newer list first.
 func Changes(before, after []Node) (out []Change) {
-	states := map[string]choice.EngineState{}
+	states := map[string]policy.EngineState{}
 	for _, n := range before {
 		states[n.ID] = n.State
 	}
@@ -109,15 +109,15 @@
 		listed[n.ID] = true
 		from, known := states[n.ID]
 		if !known {
-			from = choice.Gone
+			from = policy.Gone
 		}
 		if from != n.State {
 			out = append(out, Change{ID: n.ID, From: from, To: n.State})
 		}
 	}
 	for _, n := range before {
-		if !listed[n.ID] && n.State != choice.Gone {
-			out = append(out, Change{ID: n.ID, From: n.State, To: choice.Gone})
+		if !listed[n.ID] && n.State != policy.Gone {
+			out = append(out, Change{ID: n.ID, From: n.State, To: policy.Gone})
 		}
 	}
 	return out
--- a/nodelist/platform.go
+++ b/nodelist/platform.go
@@ -13,7 +13,7 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // Service is the name under which the platform's name service lists the query nodes.
@@ -55,7 +55,7 @@
 	} `json:"hosts"`
 }
 
-var knownStates = map[string]choice.EngineState{"active": choice.Healthy, "leaving": choice.Draining, "left": choice.Gone}
+var knownStates = map[string]policy.EngineState{"active": policy.Healthy, "leaving": policy.Draining, "left": policy.Gone}
 
 // ParseKnown reads the events that a dispatcher starts with into the list that they come to.
 func ParseKnown(raw json.RawMessage, names Names) (Numbered, error) {
@@ -87,7 +87,7 @@
 			if n.Kind, err = names.Kind(t.Model); err != nil {
 				return Numbered{}, fmt.Errorf("%s.model: %w", place, err)
 			}
-			if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && n.State != choice.Gone {
+			if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && n.State != policy.Gone {
 				return Numbered{}, fmt.Errorf("%s.endpoint: %w", place, err)
 			}
 			if t.BootMs > 0 {
@@ -104,7 +104,7 @@
 	}
 	kept := out.Nodes[:0]
 	for _, n := range out.Nodes {
-		if n.State != choice.Gone {
+		if n.State != policy.Gone {
 			kept = append(kept, n)
 		}
 	}
@@ -229,7 +229,7 @@
 	switch srv.Priority {
 	case priorityReady:
 	case priorityDraining:
-		n.State = choice.Draining
+		n.State = policy.Draining
 	default:
 		return n, fmt.Errorf("priority %d; allowed are 0 and 1", srv.Priority)
 	}
--- a/nodelist/platform_test.go
+++ b/nodelist/platform_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 var names = nodelist.Names{Halls: []string{"west", "east"}, Kinds: []string{"std", "big"}}
@@ -29,7 +29,7 @@
 	if err != nil || list.Number != 9 || len(list.Nodes) != 2 {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	want := nodelist.Node{ID: "a", Lines: "127.0.0.1:1", Hall: 1, Kind: 1, Cell: 2, State: choice.Draining, Weight: 4, Started: time.UnixMilli(1700000000000)}
+	want := nodelist.Node{ID: "a", Lines: "127.0.0.1:1", Hall: 1, Kind: 1, Cell: 2, State: policy.Draining, Weight: 4, Started: time.UnixMilli(1700000000000)}
 	if list.Nodes[0] != want || list.Nodes[1].ID != "c" {
 		t.Errorf("%+v", list.Nodes)
 	}
@@ -48,14 +48,14 @@
 func listed() []nodelist.Node {
 	return []nodelist.Node{
 		{ID: "s-1", Lines: "127.0.0.1:7001", Hall: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMilli(1700000000000)},
-		{ID: "s-2", Lines: "127.0.0.2:7002", State: choice.Draining, Weight: 1}}
+		{ID: "s-2", Lines: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
 }
 
 func all(uint16) bool { return true }
 
 // Names are compressed in the answer, also the targets of SRV records.
 func TestAnswers(t *testing.T) {
-	msg := standin.ListAnswer(7, 42, listed(), names)
+	msg := simulated.ListAnswer(7, 42, listed(), names)
 	if strings.Count(string(msg), "hosts") != 1 {
 		t.Fatal("the answer is not compressed: the test shows nothing")
 	}
@@ -63,7 +63,7 @@
 	if err != nil || list.Number != 42 || len(list.Nodes) != 2 || list.Nodes[0] != listed()[0] || list.Nodes[1] != listed()[1] {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	if list, err = nodelist.ParseAnswer(standin.ListAnswer(7, 43, nil, names), all, names); err != nil || len(list.Nodes) != 0 {
+	if list, err = nodelist.ParseAnswer(simulated.ListAnswer(7, 43, nil, names), all, names); err != nil || len(list.Nodes) != 0 {
 		t.Errorf("an empty list: %+v, %v", list, err)
 	}
 	for cut := range msg { // cut short anywhere, it tells nothing
@@ -85,7 +85,7 @@
 		"truncated":        {edit(2, msg[2]|2), all},
 		"a failure":        {edit(3, 2), all},
 		"another question": {edit(13, 'x'), all},
-		"no usable row":    {standin.ListAnswer(7, 42, listed()[:1], nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), all},
+		"no usable row":    {simulated.ListAnswer(7, 42, listed()[:1], nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), all},
 	} {
 		if list, err := nodelist.ParseAnswer(c.msg, c.asked, names); err == nil {
 			t.Errorf("%s: taken as %+v", name, list)
@@ -101,11 +101,11 @@
 		skipped string
 		drains  bool
 	}{
-		"an unknown kind":   {standin.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"std", "odd"}}), "s-1", false},
-		"an unknown zone":   {standin.ListAnswer(7, 42, listed(), nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), "s-1", false},
-		"an address twice":  {standin.ListAnswer(7, 42, three, names), "s-3", false},
-		"a name twice":      {standin.ListAnswer(7, 42, append(listed(), listed()[1]), names), "s-2", true},
-		"fewer additionals": {fewer(standin.ListAnswer(7, 42, listed(), names)), "s-2", true},
+		"an unknown kind":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"std", "odd"}}), "s-1", false},
+		"an unknown zone":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), "s-1", false},
+		"an address twice":  {simulated.ListAnswer(7, 42, three, names), "s-3", false},
+		"a name twice":      {simulated.ListAnswer(7, 42, append(listed(), listed()[1]), names), "s-2", true},
+		"fewer additionals": {fewer(simulated.ListAnswer(7, 42, listed(), names)), "s-2", true},
 	} {
 		list, err := nodelist.ParseAnswer(c.msg, all, names)
 		if err != nil || list.Number != 42 || len(list.Skipped) != 1 || list.Skipped[0].ID != c.skipped || list.Skipped[0].Draining != c.drains ||
@@ -113,7 +113,7 @@
 			t.Errorf("%s: %+v, %v", name, list, err)
 		}
 	}
-	none := standin.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"new", "odd"}})
+	none := simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"new", "odd"}})
 	if list, err := nodelist.ParseAnswer(none, all, names); err == nil {
 		t.Errorf("taken without a usable row: %+v", list)
 	}
@@ -126,7 +126,7 @@
 }
 
 func FuzzParseAnswer(f *testing.F) {
-	f.Add(standin.ListAnswer(7, 42, listed(), names))
+	f.Add(simulated.ListAnswer(7, 42, listed(), names))
 	f.Fuzz(func(t *testing.T, msg []byte) {
 		list, err := nodelist.ParseAnswer(msg, all, names)
 		if err == nil && nodelist.Check(list.Nodes) != nil {
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/member"
+	"embershunt/membership"
 	"embershunt/nodelist"
 )
 
@@ -62,7 +62,7 @@
 	stats counters
 
 	// The goroutine of Run alone uses what follows.
-	view      *member.View
+	view      *membership.View
 	active    []*socket
 	retired   []*socket
 	questions map[uint16]question
@@ -101,7 +101,7 @@
 		o.Quick = min(quickInterval, o.Interval)
 	}
 	r := &Resolver{options: o, log: o.Log, address: o.Address, packets: make(chan packet), moved: make(chan struct{}, 1),
-		began: time.Now(), view: member.New(o.Known), questions: map[uint16]question{}, extra: extraMost}
+		began: time.Now(), view: membership.New(o.Known), questions: map[uint16]question{}, extra: extraMost}
 	r.stats.version.Store(o.Known.Number)
 	return r
 }
@@ -260,7 +260,7 @@
 	if list.Number < before {
 		r.stats.lower.Add(1)
 	}
-	u := r.view.Observe(member.Answer{Question: q.serial, Numbered: list})
+	u := r.view.Observe(membership.Answer{Question: q.serial, Numbered: list})
 	r.unsure = u.Unsure
 	if u.Reverted {
 		r.stats.reverted.Add(1)
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -12,10 +12,10 @@
 
 	"go.uber.org/goleak"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
 	"embershunt/nodelist/resolver"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -29,9 +29,9 @@
 	return out
 }
 
-func service(t *testing.T) *standin.NameService {
+func service(t *testing.T) *simulated.NameService {
 	t.Helper()
-	s, err := standin.NewNameService(names)
+	s, err := simulated.NewNameService(names)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	told := make(chan string, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
 		Known: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
-			if len(n) == 1 && n[0].State == choice.Healthy { // between two lists the old node drains until an answer confirms its end
+			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until an answer confirms its end
 				told <- n[0].ID
 			}
 		}})
@@ -63,7 +63,7 @@
 			t.Fatalf("not told of %s", want)
 		}
 	}
-	asked := func(s *standin.NameService, more int) {
+	asked := func(s *simulated.NameService, more int) {
 		t.Helper()
 		from := s.Asked()
 		for s.Asked() < from+more {
@@ -141,7 +141,7 @@
 		if given.Add(1) > answers {
 			return answer
 		}
-		return standin.ListAnswer(uint16(question[0])<<8|uint16(question[1]), number, nodes("older"), names)
+		return simulated.ListAnswer(uint16(question[0])<<8|uint16(question[1]), number, nodes("older"), names)
 	}
 }
 
@@ -157,11 +157,11 @@
 			row := nodes("a")
 			r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
 				Known: nodelist.Numbered{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
-					if len(n) == 1 && n[0].State == choice.Draining {
+					if len(n) == 1 && n[0].State == policy.Draining {
 						once.Do(func() { close(drained) })
 					}
 				}})
-			row[0].State = choice.Draining
+			row[0].State = policy.Draining
 			s.Set(2, row)
 			s.Delay(time.Duration(times) * interval)
 			ctx, cancel := context.WithCancel(t.Context())
@@ -207,9 +207,9 @@
 	}
 	until("the wrong number", func() bool { return r.Stats().Reverted == 1 && r.Stats().Version == 2 })
 	rows := nodes("a", "b")
-	rows[0].State = choice.Draining
+	rows[0].State = policy.Draining
 	s.Set(3, rows)
-	until("the drain", func() bool { return state.Load() == fmt.Sprintf("a:%d b:%d ", choice.Draining, choice.Healthy) })
+	until("the drain", func() bool { return state.Load() == fmt.Sprintf("a:%d b:%d ", policy.Draining, policy.Healthy) })
 }
 
 // A flow that falls silent is replaced, again and again, without a flood of sockets.
@@ -259,7 +259,7 @@
 	}
 	s.Mute() // answers that took long still come
 	drained := nodes("a")
-	drained[0].State = choice.Draining
+	drained[0].State = policy.Draining
 	s.Set(2, drained)
 	silent := time.Now()
 	select {
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -9,14 +9,14 @@
 	"net/netip"
 	"sync/atomic"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // MessageMost is the longest message, in bytes.
 const MessageMost = 256
 
 // Poster takes what was heard.
-type Poster interface{ Told(choice.Event) }
+type Poster interface{ Told(policy.Event) }
 
 // Peers is the socket to the other dispatchers of a tier.
 type Peers struct {
@@ -85,6 +85,6 @@
 			continue
 		}
 		p.heard.Add(1)
-		post.Told(choice.Heard{From: from, Data: append([]byte(nil), buf[:n]...)})
+		post.Told(policy.Heard{From: from, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -9,15 +9,15 @@
 
 	"go.uber.org/goleak"
 
-	"embershunt/choice"
 	"embershunt/peers"
+	"embershunt/policy"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type heard chan choice.Event
+type heard chan policy.Event
 
-func (h heard) Told(ev choice.Event) { h <- ev }
+func (h heard) Told(ev policy.Event) { h <- ev }
 
 // Messages pass as they are, a sender is known by its address, and what comes from elsewhere or is too long is dropped.
 func TestMessages(t *testing.T) {
@@ -55,7 +55,7 @@
 	all[0].Tell(1, []byte{0, 255, 10})
 	select {
 	case ev := <-ears[1]:
-		if h, ok := ev.(choice.Heard); !ok || h.From != 0 || string(h.Data) != "\x00\xff\n" {
+		if h, ok := ev.(policy.Heard); !ok || h.From != 0 || string(h.Data) != "\x00\xff\n" {
 			t.Errorf("heard %+v", ev)
 		}
 	case <-time.After(5 * time.Second):
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -6,7 +6,7 @@
 // no effect twice, nothing new to a server that drains or is gone.
 package permit
 
-import "embershunt/choice"
+import "embershunt/policy"
 
 // Reason is why an act is not permitted; Permitted where it is.
 type Reason uint8
@@ -53,13 +53,13 @@
 
 // Sending is what is known of an attempt at the moment at which its first byte would leave.
 type Sending struct {
-	Now        choice.Micros
-	Until      choice.Micros // the query's deadline, or the attempt's
-	Before     choice.Micros // the end of a keyed query's window; 0: there is none
+	Now        policy.Micros
+	Until      policy.Micros // the query's deadline, or the attempt's
+	Before     policy.Micros // the end of a keyed query's window; 0: there is none
 	ClientGone bool
-	Notified   choice.Micros // when it was told that the server drains or is gone; 0: it is ready
+	Notified   policy.Micros // when it was told that the server drains or is gone; 0: it is ready
 	Pinned     bool          // the server holds the state of the query's session
-	Grace      choice.Micros // for pinned queries, after Notified
+	Grace      policy.Micros // for pinned queries, after Notified
 }
 
 // Send says whether an attempt may begin.
@@ -85,12 +85,12 @@
 
 // Sent is what is known of an attempt whose first byte has left.
 type Sent struct {
-	At       choice.Micros // when the first byte had left, at the latest
-	Until    choice.Micros
-	Before   choice.Micros
-	GoneAt   choice.Micros // when the client left; 0: it is there
-	Notified choice.Micros // as in Sending
-	Grace    choice.Micros
+	At       policy.Micros // when the first byte had left, at the latest
+	Until    policy.Micros
+	Before   policy.Micros
+	GoneAt   policy.Micros // when the client left; 0: it is there
+	Notified policy.Micros // as in Sending
+	Grace    policy.Micros
 }
 
 // Violation says which rule an attempt has broken; Permitted where it is none.
@@ -110,23 +110,23 @@
 
 // Attempt is one that was sent before.
 type Attempt struct {
-	Sent  choice.Micros
+	Sent  policy.Micros
 	Ended bool
-	Code  choice.Code // of an attempt that has ended
+	Code  policy.Code // of an attempt that has ended
 }
 
 // NeverRan tells that an attempt surely had no effect.
 func (a Attempt) NeverRan() bool {
-	return a.Ended && (a.Code == choice.Full || a.Code == choice.Refused || a.Code == choice.Moot)
+	return a.Ended && (a.Code == policy.Full || a.Code == policy.Refused || a.Code == policy.Moot)
 }
 
 // Repeating is what is known of a query of which another attempt would be sent.
 type Repeating struct {
-	Now      choice.Micros
-	Due      choice.Micros
+	Now      policy.Micros
+	Due      policy.Micros
 	Answered bool
-	Effect   choice.Effect
-	Window   choice.Micros // of keyed queries; 0: no limit
+	Effect   policy.Effect
+	Window   policy.Micros // of keyed queries; 0: no limit
 	Earlier  []Attempt
 }
 
@@ -142,9 +142,9 @@
 	for _, a := range r.Earlier {
 		switch {
 		case a.NeverRan():
-		case r.Effect == choice.Unsafe:
+		case r.Effect == policy.Unsafe:
 			return MayHaveRun
-		case r.Effect == choice.Keyed && r.Window > 0 && r.Now >= a.Sent+r.Window:
+		case r.Effect == policy.Keyed && r.Window > 0 && r.Now >= a.Sent+r.Window:
 			return Window
 		}
 	}
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 func TestSend(t *testing.T) {
@@ -52,21 +52,21 @@
 // What is unsafe is repeated only if every earlier attempt surely never ran; what is keyed only within the window of the first that may
 // have; nothing after the answer or the deadline.
 func TestRepeat(t *testing.T) {
-	codes := []choice.Code{choice.OK, choice.Failed, choice.Full, choice.TimedOut, choice.Refused, choice.Reset, choice.Cancelled, choice.Moot}
+	codes := []policy.Code{policy.OK, policy.Failed, policy.Full, policy.TimedOut, policy.Refused, policy.Reset, policy.Cancelled, policy.Moot}
 	rapid.Check(t, func(t *rapid.T) {
 		r := Repeating{Now: rapid.Int64Range(0, 20).Draw(t, "now"), Due: rapid.Int64Range(0, 30).Draw(t, "due"),
 			Answered: rapid.Bool().Draw(t, "answered"), Window: rapid.Int64Range(0, 10).Draw(t, "window"),
-			Effect: rapid.SampledFrom([]choice.Effect{choice.Safe, choice.Keyed, choice.Unsafe}).Draw(t, "effect")}
+			Effect: rapid.SampledFrom([]policy.Effect{policy.Safe, policy.Keyed, policy.Unsafe}).Draw(t, "effect")}
 		may, first := false, r.Now
 		for range rapid.IntRange(0, 3).Draw(t, "earlier") {
 			a := Attempt{Sent: rapid.Int64Range(0, r.Now).Draw(t, "sent"), Ended: rapid.Bool().Draw(t, "ended"), Code: rapid.SampledFrom(codes).Draw(t, "code")}
 			r.Earlier = append(r.Earlier, a)
-			if !a.Ended || a.Code != choice.Full && a.Code != choice.Refused && a.Code != choice.Moot {
+			if !a.Ended || a.Code != policy.Full && a.Code != policy.Refused && a.Code != policy.Moot {
 				may, first = true, min(first, a.Sent)
 			}
 		}
-		want := !r.Answered && r.Now < r.Due && !(may && r.Effect == choice.Unsafe) &&
-			!(may && r.Effect == choice.Keyed && r.Window > 0 && r.Now-first >= r.Window)
+		want := !r.Answered && r.Now < r.Due && !(may && r.Effect == policy.Unsafe) &&
+			!(may && r.Effect == policy.Keyed && r.Window > 0 && r.Now-first >= r.Window)
 		if got := r.Repeat() == Permitted; got != want {
 			t.Errorf("%+v: %v, want permitted %v", r, r.Repeat(), want)
 		}
--- a/choice/api.go
+++ b/policy/api.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import "fmt"
 
@@ -304,7 +304,7 @@
 // validate names the first field that cannot be used.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("choice: Classes: at least one is needed")
+		return fmt.Errorf("policy: Classes: at least one is needed")
 	}
 	type check struct {
 		field string
@@ -349,7 +349,7 @@
 	}
 	for _, c := range checks {
 		if c.bad {
-			return fmt.Errorf("choice: %s: out of range", c.field)
+			return fmt.Errorf("policy: %s: out of range", c.field)
 		}
 	}
 	return nil
--- a/choice/change.go
+++ b/policy/change.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"fmt"
@@ -18,11 +18,11 @@
 		return err
 	}
 	if len(classes) != len(s.Classes) || len(tenants) != len(s.Tenants) {
-		return fmt.Errorf("choice: Change: %d classes and %d tenants are mapped, there are %d and %d", len(classes),
+		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d", len(classes),
 			len(tenants), len(s.Classes), len(s.Tenants))
 	}
 	if len(s.Kinds) < len(g.set.Kinds) {
-		return fmt.Errorf("choice: Kinds: %d, there were %d", len(s.Kinds), len(g.set.Kinds))
+		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.set.Kinds))
 	}
 	newClass, err := numbers("Classes", classes, len(g.classes))
 	if err != nil {
@@ -35,7 +35,7 @@
 	open := slices.DeleteFunc(slices.Clone(g.live), func(q *request) bool { return q.done && q.open == 0 })
 	for _, q := range open {
 		if newClass[q.Class] < 0 {
-			return fmt.Errorf("choice: Classes: %q has open requests", g.classes[q.Class].Name)
+			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
 		}
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
@@ -105,7 +105,7 @@
 		switch {
 		case f < 0:
 		case f >= old || out[f] >= 0:
-			return nil, fmt.Errorf("choice: %s[%d]: continues %d, which is not there or continued already", field, i, f)
+			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already", field, i, f)
 		default:
 			out[f] = i
 		}
--- a/choice/example_test.go
+++ b/policy/example_test.go
@@ -1,19 +1,19 @@
-package choice_test
+package policy_test
 
 import (
 	"fmt"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // A dispatcher embeds a Gateway: it passes on what happened and does what the
 // actions say. Nothing here knows of any wire.
 func Example() {
-	const second = choice.Micros(1e6)
-	g, err := choice.New(42, choice.Settings{
+	const second = policy.Micros(1e6)
+	g, err := policy.New(42, policy.Settings{
 		Peers: 1, MaxAttempts: 3, CanCancel: true, PriorityCount: true, MaxComeBack: 2 * second,
-		Kinds: []choice.Kind{{Cores: 8, MemoryMB: 16384}},
-		Classes: []choice.Class{
+		Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16384}},
+		Classes: []policy.Class{
 			{Name: "lookup", Worth: 1, Aim: second, Deadline: 4 * second, Threads: 1},
 			{Name: "report", Worth: 10, Aim: 3 * second, Deadline: 15 * second, Threads: 4},
 		},
@@ -22,24 +22,24 @@
 		fmt.Println(err)
 		return
 	}
-	now := choice.Micros(0)
-	do := func(events ...choice.Event) {
+	now := policy.Micros(0)
+	do := func(events ...policy.Event) {
 		for _, a := range g.Step(now, events) {
 			switch a := a.(type) {
-			case choice.Send:
+			case policy.Send:
 				fmt.Printf("send %s to %s\n", a.ID, a.Engine)
-			case choice.Refuse:
+			case policy.Refuse:
 				fmt.Printf("refuse %s\n", a.ID)
-			case choice.Cancel:
+			case policy.Cancel:
 				fmt.Printf("cancel attempt %d of %s\n", a.Attempt, a.ID)
 			}
 		}
 	}
-	do(choice.Engines{Whole: true, Rows: []choice.Engine{{ID: "engine-1"}}})
-	do(choice.Request{ID: "q1", Class: 0, Cost: second / 10, Due: now + 4*second})
+	do(policy.Engines{Whole: true, Rows: []policy.Engine{{ID: "engine-1"}}})
+	do(policy.Request{ID: "q1", Class: 0, Cost: second / 10, Due: now + 4*second})
 	now += second / 10
-	do(choice.Outcome{ID: "q1", Engine: "engine-1", Code: choice.OK, Over: true, Took: second / 10})
-	do(choice.Request{ID: "q2", Class: 1, Cost: 3600 * second, Due: now + 15*second})
+	do(policy.Outcome{ID: "q1", Engine: "engine-1", Code: policy.OK, Over: true, Took: second / 10})
+	do(policy.Request{ID: "q2", Class: 1, Cost: 3600 * second, Due: now + 15*second})
 	// Output:
 	// send q1 to engine-1
 	// refuse q2
--- a/choice/learned.go
+++ b/policy/learned.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import "fmt"
 
@@ -84,10 +84,10 @@
 // and single engines' where fresh says that they still hold. It must come before the first Step.
 func (g *Gateway) Recall(l Learned, fresh bool) error {
 	if g.begun || g.now != 0 {
-		return fmt.Errorf("choice: what was learned must be recalled before the first step")
+		return fmt.Errorf("policy: what was learned must be recalled before the first step")
 	}
 	if l.Version != LearnedVersion {
-		return fmt.Errorf("choice: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
+		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
 	run := func(r Running) average { return average{v: r.V, n: r.N} }
 	rank := func(r Running) quantile { return quantile{r.V, r.N} }
--- a/choice/choice.go
+++ b/policy/policy.go
@@ -1,12 +1,12 @@
-// Package choice decides for a gateway that keeps short and long queries apart
+// Package policy decides for a gateway that keeps short and long queries apart
 // on shared engines: admission, priority level, engine, memory grant, further
-// attempts. Its types, events and actions are in choice/api.go; every decision,
+// attempts. Its types, events and actions are in policy/api.go; every decision,
 // table and tuned value is in this file. The ordinary path is priority pricing
 // after Konana et al.: see docs/design.md for what was kept and what was added.
 //
 // A request meets the functions below in their order: take, cheapest, passes,
 // pick, send, outcome; the watch over open attempts and the prices come last.
-package choice
+package policy
 
 import (
 	"math"
--- a/choice/toll_test.go
+++ b/policy/toll_test.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"math"
--- a/day/day_test.go
+++ b/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"log/slog"
@@ -10,7 +10,7 @@
 	"go.uber.org/goleak"
 
 	"embershunt/config"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -71,37 +71,37 @@
 	good := func(serial, group int) *Asked {
 		return &Asked{Serial: serial, Group: group, Key: -1, Sent: at(0), Deadline: at(1000), Ended: at(500), Final: "served"}
 	}
-	seen := func(node string, attempt, ms int) standin.Seen {
-		return standin.Seen{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
+	seen := func(node string, attempt, ms int) simulated.Seen {
+		return simulated.Seen{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
 	}
 	cases := []struct {
 		rule   int
 		change func(w *world, a *Asked)
 		group  int
-		seen   []standin.Seen
+		seen   []simulated.Seen
 	}{
 		{0, func(_ *world, a *Asked) { a.Final = "" }, 0, nil},
 		{0, func(_ *world, a *Asked) { a.Ended = at(1001) }, 0, nil},
 		{0, func(_ *world, a *Asked) { a.Rows = 1 }, 0, nil},
-		{0, nil, 0, []standin.Seen{seen("node-0", 0, 700)}},
-		{1, nil, 1, []standin.Seen{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
-		{1, func(_ *world, a *Asked) { a.Final = "refused" }, 1, []standin.Seen{seen("node-0", 0, 1)}},
+		{0, nil, 0, []simulated.Seen{seen("node-0", 0, 700)}},
+		{1, nil, 1, []simulated.Seen{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
+		{1, func(_ *world, a *Asked) { a.Final = "refused" }, 1, []simulated.Seen{seen("node-0", 0, 1)}},
 		{3, func(w *world, a *Asked) {
 			w.lists = []restart{{"node-0", at(0)}}
 			a.Work = time.Hour
-		}, 0, []standin.Seen{seen("node-0", 0, 1)}},
-		{5, nil, 2, []standin.Seen{seen("node-0", 0, 1)}},
-		{6, nil, 0, []standin.Seen{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
+		}, 0, []simulated.Seen{seen("node-0", 0, 1)}},
+		{5, nil, 2, []simulated.Seen{seen("node-0", 0, 1)}},
+		{6, nil, 0, []simulated.Seen{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
 	}
 	for i, c := range cases {
-		w := &world{script: script, hosts: []*host{{cfg: cfg}}, control: standin.NewControl("c"),
-			nodes: []*standin.Node{standin.NewNode("node-0", standin.Model{}, 1), standin.NewNode("node-1", standin.Model{}, 1)}}
+		w := &world{script: script, hosts: []*host{{cfg: cfg}}, control: simulated.NewControl("c"),
+			nodes: []*simulated.Node{simulated.NewNode("node-0", simulated.Model{}, 1), simulated.NewNode("node-1", simulated.Model{}, 1)}}
 		a := good(0, c.group)
 		if c.change != nil {
 			c.change(w, a)
 		}
 		w.asked = []*Asked{a}
-		all := [][]standin.Seen{c.seen}
+		all := [][]simulated.Seen{c.seen}
 		rules := []Rule{w.oneAnswer(all), w.noEffectTwice(all), w.drains(nil, &Report{}), w.coldNodes(all), w.order(all),
 			w.placement(all), w.budget(all)}
 		for j, r := range rules {
@@ -113,7 +113,7 @@
 	// Order takes two queries.
 	w := &world{script: script, hosts: []*host{{cfg: cfg}}, asked: []*Asked{good(0, 2), good(1, 2)}}
 	w.asked[0].Key, w.asked[1].Key = 0, 0
-	if r := w.order([][]standin.Seen{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
+	if r := w.order([][]simulated.Seen{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
 		t.Errorf("order broken %d times, want once", r.Broken)
 	}
 }
--- a/day/judge.go
+++ b/scenario/judge.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"embershunt/choice"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // What passes the sockets is seen a little after it was sent, later on a busy machine. Nothing earlier than this after
@@ -80,12 +80,12 @@
 // judge compares the clients' tallies with the nodes'.
 func (w *world) judge() *Report {
 	r := &Report{Name: w.script.Name, Reasons: map[string]int{}, Samples: map[string]string{}, Nacks: len(w.control.Nacks())}
-	seen := make([][]standin.Seen, len(w.asked)) // by serial, in the order of arrival
-	var all []standin.Seen
+	seen := make([][]simulated.Seen, len(w.asked)) // by serial, in the order of arrival
+	var all []simulated.Seen
 	for _, n := range w.nodes {
 		all = append(all, n.Seen()...)
 	}
-	slices.SortFunc(all, func(a, b standin.Seen) int { return a.At.Compare(b.At) })
+	slices.SortFunc(all, func(a, b simulated.Seen) int { return a.At.Compare(b.At) })
 	for _, s := range all {
 		if i, ok := serialOf(s.Statement); ok && i < len(seen) {
 			seen[i] = append(seen[i], s)
@@ -136,7 +136,7 @@
 	return false
 }
 
-func (w *world) oneAnswer(seen [][]standin.Seen) Rule {
+func (w *world) oneAnswer(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "1 one final answer, in time, nothing after it"}
 	for _, a := range w.asked {
 		if a.Left || w.excused(a) {
@@ -153,11 +153,11 @@
 	return r
 }
 
-func (w *world) noEffectTwice(seen [][]standin.Seen) Rule {
+func (w *world) noEffectTwice(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "2 no effect happens twice"}
 	for _, a := range w.asked {
 		class := w.classOf(a.Group)
-		if class.Effect == choice.Safe || class.Effect == choice.Keyed && a.Came { // a repeat of the client's own has its token
+		if class.Effect == policy.Safe || class.Effect == policy.Keyed && a.Came { // a repeat of the client's own has its token
 			continue
 		}
 		ran := 0
@@ -167,14 +167,14 @@
 			}
 		}
 		r.check(ran > 1, "query %d ran %d times", a.Serial, ran)
-		r.check(a.Final == "refused" && ran > 0 && (class.Effect == choice.Unsafe || class.Group != choice.GroupAll), "query %d was refused and had run", a.Serial)
+		r.check(a.Final == "refused" && ran > 0 && (class.Effect == policy.Unsafe || class.Group != policy.GroupAll), "query %d was refused and had run", a.Serial)
 	}
 	return r
 }
 
 // drains: nothing new later than the grace after the list that tells of the drain was sent to the dispatcher. One that
 // is listed as healthy again starts anew.
-func (w *world) drains(all []standin.Seen, rep *Report) Rule {
+func (w *world) drains(all []simulated.Seen, rep *Report) Rule {
 	r := Rule{Name: "3 drains are kept"}
 	grace := w.hosts[0].cfg.File.Limits.DrainGrace.D()
 	pushed := w.control.Pushed()
@@ -209,7 +209,7 @@
 }
 
 // coldNodes: in no window is a node that has just started sent more than the stated multiple of what it can do.
-func (w *world) coldNodes(seen [][]standin.Seen) Rule {
+func (w *world) coldNodes(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "4 cold nodes are not pushed over"}
 	l := &w.hosts[0].cfg.File.Limits
 	for _, born := range w.lists {
@@ -255,7 +255,7 @@
 }
 
 // order: queries of one key run one at a time, and rest after an attempt that may still run.
-func (w *world) order(seen [][]standin.Seen) Rule {
+func (w *world) order(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "5 order is kept"}
 	type run struct {
 		serial   int
@@ -286,7 +286,7 @@
 	return r
 }
 
-func (w *world) placement(seen [][]standin.Seen) Rule {
+func (w *world) placement(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "6 placement is kept"}
 	kinds := w.hosts[0].cfg.Names()
 	for _, a := range w.asked {
@@ -307,7 +307,7 @@
 }
 
 // budget: further attempts of one dispatcher, as nodes saw them, within any span.
-func (w *world) budget(seen [][]standin.Seen) Rule {
+func (w *world) budget(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "7 further attempts stay within the budget"}
 	l := &w.hosts[0].cfg.File.Limits
 	if l.BudgetSpan == 0 {
--- a/day/native.go
+++ b/scenario/native.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
