--- a/day/run.go
+++ b/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"embershunt/choice"
 	"embershunt/config"
-	"embershunt/dispatcher"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/server"
+	"embershunt/simulated"
 )
 
 // Asked is one query as its client saw it.
@@ -52,9 +52,9 @@
 	script  *Script
 	log     *slog.Logger
 	rng     *rand.Rand // of the arrivals; one goroutine
-	nodes   []*standin.Node
-	rows    []standin.Listed // as the control service will know them
-	control *standin.Control
+	nodes   []*simulated.Node
+	rows    []simulated.Listed // as the control service will know them
+	control *simulated.Control
 	begin   time.Time
 
 	mu      sync.Mutex
@@ -79,7 +79,7 @@
 
 // host is one dispatcher and its clients' connections.
 type host struct {
-	d       *dispatcher.Dispatcher
+	d       *server.Dispatcher
 	cfg     *config.Config
 	address string
 	client  *flightsql.Client
@@ -92,7 +92,7 @@
 // Run plays a script and judges it.
 func Run(ctx context.Context, s *Script, log *slog.Logger) (*Report, error) {
 	w := &world{script: s, log: log, rng: rand.New(rand.NewPCG(uint64(s.Seed), 77)),
-		control: standin.NewControl(cluster)}
+		control: simulated.NewControl(cluster)}
 	defer w.stop()
 	if err := w.start(); err != nil {
 		return nil, err
@@ -124,12 +124,12 @@
 	if err := w.control.Start(); err != nil {
 		return err
 	}
-	tokens := map[string]*standin.Tokens{} // the nodes of a hall drop each other's repeats
+	tokens := map[string]*simulated.Tokens{} // the nodes of a hall drop each other's repeats
 	for _, g := range s.Nodes {
 		if tokens[g.Hall] == nil {
-			tokens[g.Hall] = standin.NewTokens(s.window())
+			tokens[g.Hall] = simulated.NewTokens(s.window())
 		}
-		model := standin.Model{ColdFor: s.Config.Limits.ColdFor.D(), ColdFrom: s.Config.Limits.ColdFrom}
+		model := simulated.Model{ColdFor: s.Config.Limits.ColdFor.D(), ColdFrom: s.Config.Limits.ColdFrom}
 		for _, k := range s.Config.Kinds {
 			if k.Name == g.Kind || g.Kind == "" {
 				model.Cores, model.MemoryMB = k.Cores, k.MemoryMB
@@ -137,13 +137,13 @@
 			}
 		}
 		for range g.Count {
-			n := standin.NewNode(fmt.Sprintf("node-%d", len(w.nodes)), model, w.rng.Uint64())
+			n := simulated.NewNode(fmt.Sprintf("node-%d", len(w.nodes)), model, w.rng.Uint64())
 			n.Share(tokens[g.Hall])
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
 			w.nodes = append(w.nodes, n)
-			w.rows = append(w.rows, standin.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Hall, Kind: g.Kind})
+			w.rows = append(w.rows, simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Hall, Kind: g.Kind})
 		}
 	}
 	w.control.Set(w.listed(), "")
@@ -176,7 +176,7 @@
 		cfg.File.Listen.FlightSQL, cfg.File.Listen.Native = h.address, h.natives.address
 		h.pauses = addPauses(h.pauses, h.d)
 	}
-	d, err := dispatcher.New(&cfg, dispatcher.Options{Log: w.log, Seed: uint64(w.script.Seed)<<8 + uint64(i) + 1})
+	d, err := server.New(&cfg, server.Options{Log: w.log, Seed: uint64(w.script.Seed)<<8 + uint64(i) + 1})
 	if err != nil {
 		return err
 	}
@@ -210,10 +210,10 @@
 	w.control.Stop()
 }
 
-func (w *world) listed() []standin.Listed { return append([]standin.Listed(nil), w.rows...) }
+func (w *world) listed() []simulated.Listed { return append([]simulated.Listed(nil), w.rows...) }
 
 // list changes one row of the control service's list, after its delay.
-func (w *world) list(ctx context.Context, change func(rows []standin.Listed) []standin.Listed) {
+func (w *world) list(ctx context.Context, change func(rows []simulated.Listed) []simulated.Listed) {
 	if !sleep(ctx, w.script.ListDelay.D()) {
 		return
 	}
@@ -283,14 +283,14 @@
 		}
 		var group errgroup.Group
 		group.Go(func() error {
-			w.list(ctx, func(rows []standin.Listed) []standin.Listed { return without(rows, n.Name) })
+			w.list(ctx, func(rows []simulated.Listed) []simulated.Listed { return without(rows, n.Name) })
 			return nil
 		})
 		sleep(ctx, f.For.D())
 		group.Wait()
 		return w.reborn(ctx, i)
 	case "drain": // it finishes its work, leaves, and comes back as a new process
-		w.list(ctx, func(rows []standin.Listed) []standin.Listed {
+		w.list(ctx, func(rows []simulated.Listed) []simulated.Listed {
 			for j := range rows {
 				rows[j].Draining = rows[j].Draining || rows[j].Name == n.Name
 			}
@@ -302,11 +302,11 @@
 		n.Die()
 		return w.reborn(ctx, i)
 	}
-	n.Set(standin.Faults{Hang: f.Do == "hang", Lost: f.Do == "lose", Full: f.Do == "full", StallRow: onlyIf(f, "stall", f.Rows),
+	n.Set(simulated.Faults{Hang: f.Do == "hang", Lost: f.Do == "lose", Full: f.Do == "full", StallRow: onlyIf(f, "stall", f.Rows),
 		CutRow: onlyIf(f, "cut", f.Rows), Fail: onlyIf(f, "fail", f.Share), Slow: onlyIf(f, "slow", f.Times),
 		PauseFor: onlyIf(f, "pause", f.Pause.D()), PauseEach: onlyIf(f, "pause", f.Each.D())})
 	sleep(ctx, f.For.D())
-	n.Set(standin.Faults{})
+	n.Set(simulated.Faults{})
 	return nil
 }
 
@@ -317,8 +317,8 @@
 	return none
 }
 
-func without(rows []standin.Listed, name string) []standin.Listed {
-	var out []standin.Listed
+func without(rows []simulated.Listed, name string) []simulated.Listed {
+	var out []simulated.Listed
 	for _, r := range rows {
 		if r.Name != name {
 			out = append(out, r)
@@ -341,8 +341,8 @@
 	w.lists = append(w.lists, restart{n.Name, n.Started()})
 	w.mu.Unlock()
 	hall, kind := w.where(i)
-	w.list(ctx, func(rows []standin.Listed) []standin.Listed {
-		return append(without(rows, n.Name), standin.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: hall, Kind: kind,
+	w.list(ctx, func(rows []simulated.Listed) []simulated.Listed {
+		return append(without(rows, n.Name), simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: hall, Kind: kind,
 			Started: n.Started()})
 	})
 	return nil
@@ -575,7 +575,7 @@
 }
 
 // classOf is the class of a group as the module knows it.
-func (w *world) classOf(g int) choice.Class {
+func (w *world) classOf(g int) policy.Class {
 	cfg := w.hosts[0].cfg
 	for i, c := range cfg.Settings.Classes {
 		if c.Name == w.script.Clients[g].Class {
@@ -588,11 +588,11 @@
 			return c
 		}
 	}
-	return choice.Class{}
+	return policy.Class{}
 }
 
 // addPauses adds a dispatcher's histogram of the loop's pauses at changes of the settings.
-func addPauses(sum [][2]float64, d *dispatcher.Dispatcher) [][2]float64 {
+func addPauses(sum [][2]float64, d *server.Dispatcher) [][2]float64 {
 	families, err := d.Registry().Gather()
 	if err != nil {
 		return sum
--- a/day/script.go
+++ b/scenario/script.go
@@ -1,7 +1,7 @@
-// Package day plays a scripted day on loopback: stand-in nodes and control service, real dispatchers, real Flight SQL
+// Package scenario plays a scripted day on loopback: stand-in nodes and control service, real dispatchers, real Flight SQL
 // clients, faults at their times. The seven rules are judged afterwards from what passed the sockets: the clients'
 // tallies against the nodes', never from the dispatchers' own counters.
-package day
+package scenario
 
 import (
 	"fmt"
--- a/day/transactions.go
+++ b/scenario/transactions.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/status"
 
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // Tx is one transaction as its client saw it.
@@ -219,6 +219,6 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*w.hosts[0].cfg.File.Sessions.Idle.D()+5*time.Second)
 	defer cancel()
 	for _, n := range w.nodes {
-		n.Await(ctx, func([]standin.Seen) bool { return n.Transactions() == 0 })
+		n.Await(ctx, func([]simulated.Seen) bool { return n.Transactions() == 0 })
 	}
 }
--- a/dispatcher/admin.go
+++ b/server/admin.go
@@ -1,4 +1,4 @@
-package dispatcher
+package server
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 )
 
 // Admin is the operators' side of a dispatcher: HTTP with JSON on a Unix socket that only its owner may open.
-// cmd/emberctl speaks it.
+// cmd/dispatcherctl speaks it.
 
 // ConfigState is the answer of GET /config.
 type ConfigState struct {
--- a/dispatcher/bench_test.go
+++ b/server/bench_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"embershunt/control"
 	"embershunt/control/stream"
 	"embershunt/internal/flightwire"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // byteProxy passes every call on to one node, unopened: the least that anything between a client and a node can do.
@@ -204,7 +204,7 @@
 // BenchmarkTenVersions compares a load under which ten versions of the settings come into force with the same load under
 // which none does, in turn: shares of queries served, and how much the 99th percentile differs.
 func BenchmarkTenVersions(b *testing.B) {
-	c := standin.NewControl("nodes")
+	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		b.Fatal(err)
 	}
--- a/dispatcher/clients_test.go
+++ b/server/clients_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -25,12 +25,12 @@
 	"google.golang.org/grpc/status"
 
 	"embershunt/internal/flightwire"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 const long = "SELECT 1 /* work_ms=3000 */"
 
-func anyCancelled(s []standin.Seen) bool {
+func anyCancelled(s []simulated.Seen) bool {
 	for _, x := range s {
 		if x.Cancelled {
 			return true
@@ -41,7 +41,7 @@
 
 // A client that goes away leaves no work behind.
 func TestClientsThatGoAway(t *testing.T) {
-	started := func(s []standin.Seen) bool { return len(s) > 0 }
+	started := func(s []simulated.Seen) bool { return len(s) > 0 }
 	cases := []struct {
 		name string
 		away func(r *rig, cancel func())
@@ -437,7 +437,7 @@
 		_, err := r.query(ctx, "SELECT 1 /* work_ms=400 */")
 		done <- final(err)
 	}()
-	if err := r.nodes[0].Await(ctx, func(s []standin.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+r.d.Address(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -479,7 +479,7 @@
 			done <- err
 		}()
 	}
-	if err := r.nodes[0].Await(ctx, func(s []standin.Seen) bool { return len(s) >= 5 }); err != nil {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) >= 5 }); err != nil {
 		t.Fatal(err)
 	}
 	for r.heldQueries() < 10 { // one that has not come yet would wait for the next dispatcher: these clients wait for a connection
@@ -493,7 +493,7 @@
 	r.cancel()
 	<-r.ended
 	r.ended <- nil // for the clean-up
-	if err := r.nodes[0].Await(ctx, func(s []standin.Seen) bool {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool {
 		for _, x := range s {
 			if !x.Cancelled && !x.Ran {
 				return false
--- a/dispatcher/control_test.go
+++ b/server/control_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"embershunt/control"
 	"embershunt/control/configv1"
 	"embershunt/control/stream"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // settings is a whole set; change may spoil it.
@@ -39,7 +39,7 @@
 }
 
 // until waits for something that dispatchers do at a control service.
-func until(t testing.TB, c *standin.Control, what string, good func() bool) {
+func until(t testing.TB, c *simulated.Control, what string, good func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -59,15 +59,15 @@
 }
 
 // seenBy waits until a node has seen so many attempts, and returns it.
-func (r *rig) seenBy(statement string) *standin.Node {
+func (r *rig) seenBy(statement string) *simulated.Node {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
-	first := make(chan *standin.Node, len(r.nodes))
+	first := make(chan *simulated.Node, len(r.nodes))
 	for _, n := range r.nodes {
 		go func() {
-			if n.Await(ctx, func(s []standin.Seen) bool {
-				return slices.ContainsFunc(s, func(s standin.Seen) bool { return s.Statement == statement })
+			if n.Await(ctx, func(s []simulated.Seen) bool {
+				return slices.ContainsFunc(s, func(s simulated.Seen) bool { return s.Statement == statement })
 			}) == nil {
 				first <- n
 			}
@@ -82,14 +82,14 @@
 	}
 }
 
-func controlled(t testing.TB, c *standin.Control, nodes int, more string) *rig {
+func controlled(t testing.TB, c *simulated.Control, nodes int, more string) *rig {
 	return newRigWith(t, nodes, func(string) string { return "{}" }, fmt.Sprintf(`, "control": {"address": %q, "cluster": "nodes",
 		"reconnect_most": "300ms" %s}`, c.Address(), more))
 }
 
-func listed(r *rig) (rows []standin.Listed) {
+func listed(r *rig) (rows []simulated.Listed) {
 	for _, n := range r.nodes {
-		rows = append(rows, standin.Listed{Name: n.Name, Address: n.Address})
+		rows = append(rows, simulated.Listed{Name: n.Name, Address: n.Address})
 	}
 	return rows
 }
@@ -99,7 +99,7 @@
 func TestStreamedSettings(t *testing.T) {
 	for _, variant := range []string{"false", "true"} {
 		t.Run("delta="+variant, func(t *testing.T) {
-			c := standin.NewControl("nodes")
+			c := simulated.NewControl("nodes")
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
 			}
--- a/dispatcher/controller.go
+++ b/server/controller.go
@@ -1,4 +1,4 @@
-package dispatcher
+package server
 
 import (
 	"context"
--- a/dispatcher/dispatcher.go
+++ b/server/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatcher puts one dispatcher together: loop, fleet, front, health, metrics. It wires and it stops things in
+// Package server puts one dispatcher together: loop, fleet, front, health, metrics. It wires and it stops things in
 // order; it decides nothing.
-package dispatcher
+package server
 
 import (
 	"context"
@@ -21,14 +21,14 @@
 	healthpb "google.golang.org/grpc/health/grpc_health_v1"
 	"google.golang.org/grpc/keepalive"
 
+	"embershunt/backend"
 	"embershunt/config"
 	"embershunt/control"
 	"embershunt/control/stream"
 	"embershunt/dispatch"
-	"embershunt/fleet"
-	"embershunt/front"
-	"embershunt/front/clickhouse"
-	"embershunt/front/flightsql"
+	"embershunt/frontend"
+	"embershunt/frontend/clickhouse"
+	"embershunt/frontend/flightsql"
 	"embershunt/internal/seal"
 	"embershunt/session"
 )
@@ -39,9 +39,9 @@
 	log      *slog.Logger
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
-	fleet    *fleet.Fleet
-	desk     *front.Desk
-	sessions *front.Sessions
+	fleet    *backend.Fleet
+	desk     *frontend.Desk
+	sessions *frontend.Sessions
 	front    *flightsql.Front
 	native   *clickhouse.Front
 	natives  net.Listener
@@ -90,7 +90,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	d.fleet = fleet.New(fleet.Options{Log: d.log, Clock: d.clock, ConnectTimeout: f.Sending.Connect.D(),
+	d.fleet = backend.New(backend.Options{Log: d.log, Clock: d.clock, ConnectTimeout: f.Sending.Connect.D(),
 		DrainGrace: time.Duration(cfg.Settings.DrainGrace) * time.Microsecond, MaxFrame: f.Sending.MaxFrame, NativeUser: f.Sending.NativeUser, NativePassword: f.Sending.NativePass})
 	observer := newObserver(d.log, d.registry, o.Tracer, cfg)
 	core, err := dispatch.NewCore(o.Seed, cfg.Settings, d.fleet, observer)
@@ -103,7 +103,7 @@
 	}
 	d.loop = dispatch.NewLoop(core, d.clock)
 	d.fleet.Bind(d.loop)
-	var auth front.Authenticator = flightsql.AnyUser{}
+	var auth frontend.Authenticator = flightsql.AnyUser{}
 	if !f.AnyUser {
 		hashes := map[string]string{}
 		for _, u := range f.Users {
@@ -112,9 +112,9 @@
 		auth = flightsql.NewUsers(hashes)
 	}
 	r := &f.Front
-	d.desk = front.NewDesk(d.loop, d.clock, tables(cfg, 0))
+	d.desk = frontend.NewDesk(d.loop, d.clock, tables(cfg, 0))
 	e := &f.Sessions
-	d.sessions = front.NewSessions(d.desk, d.clock, session.Limits{All: e.Most, PerTenant: e.PerTenant, PerNode: e.PerNode,
+	d.sessions = frontend.NewSessions(d.desk, d.clock, session.Limits{All: e.Most, PerTenant: e.PerTenant, PerNode: e.PerNode,
 		Idle: e.Idle.D().Microseconds(), Age: e.Age.D().Microseconds(), Spread: e.Spread.D().Microseconds(), Keep: e.Keep.D().Microseconds(),
 		Grace: max(f.Limits.DrainGrace.D()-sessionMargin, 0).Microseconds()}, d.fleet)
 	d.fleet.OnNodes(d.sessions.SetNodes)
@@ -162,9 +162,9 @@
 const sessionMargin = 100 * time.Millisecond
 
 // tables are what a configuration tells the front.
-func tables(cfg *config.Config, version uint64) front.Tables {
+func tables(cfg *config.Config, version uint64) frontend.Tables {
 	r := &cfg.File.Front
-	t := front.Tables{Version: version, Classes: &cfg.Classes, Deadlines: make([]time.Duration, len(cfg.Settings.Classes)),
+	t := frontend.Tables{Version: version, Classes: &cfg.Classes, Deadlines: make([]time.Duration, len(cfg.Settings.Classes)),
 		WayBack: r.WayBack.D(), TicketLife: r.TicketLife.D(), PreparedLife: r.PreparedLife.D(), BearerLife: r.BearerLife.D(),
 		MaxStatement: r.MaxStatement, MaxParams: r.MaxParams}
 	for i, c := range cfg.Settings.Classes {
@@ -188,10 +188,10 @@
 func (d *Dispatcher) Native() *clickhouse.Front { return d.native }
 
 // Sessions are those whose state one node holds.
-func (d *Dispatcher) Sessions() *front.Sessions { return d.sessions }
+func (d *Dispatcher) Sessions() *frontend.Sessions { return d.sessions }
 
 // Fleet is the dispatcher's view of the query nodes.
-func (d *Dispatcher) Fleet() *fleet.Fleet { return d.fleet }
+func (d *Dispatcher) Fleet() *backend.Fleet { return d.fleet }
 
 // Registry has the dispatcher's metrics.
 func (d *Dispatcher) Registry() *prometheus.Registry { return d.registry }
--- a/dispatcher/dispatcher_test.go
+++ b/server/dispatcher_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -17,17 +17,17 @@
 	"google.golang.org/grpc/status"
 
 	"embershunt/config"
-	"embershunt/dispatcher"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/server"
+	"embershunt/simulated"
 )
 
 // rig is a dispatcher with stand-in nodes on loopback.
 type rig struct {
 	t      testing.TB
 	cfg    *config.Config
-	d      *dispatcher.Dispatcher
-	nodes  []*standin.Node
+	d      *server.Dispatcher
+	nodes  []*simulated.Node
 	client *flightsql.Client
 	ended  chan error
 	cancel context.CancelFunc
@@ -59,7 +59,7 @@
 	}
 	var rows []string
 	for i := range nodes {
-		n := standin.NewNode(fmt.Sprintf("node-%d", i), standin.Model{Cores: cores}, uint64(i))
+		n := simulated.NewNode(fmt.Sprintf("node-%d", i), simulated.Model{Cores: cores}, uint64(i))
 		if err := n.Start("127.0.0.1:0", false); err != nil {
 			t.Fatal(err)
 		}
@@ -94,7 +94,7 @@
 		<-r.ended // of the one before
 	}
 	var err error
-	if r.d, err = dispatcher.New(r.cfg, dispatcher.Options{Seed: 7}); err != nil {
+	if r.d, err = server.New(r.cfg, server.Options{Seed: 7}); err != nil {
 		r.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(r.t.Context())
--- a/dispatcher/insert_test.go
+++ b/server/insert_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	clickhouse "github.com/ClickHouse/clickhouse-go/v2"
 
 	"embershunt/internal/native"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // insertNative sends so many blocks of rows.
@@ -198,21 +198,21 @@
 	const statement = "INSERT INTO events (id, name) VALUES"
 	cases := []struct {
 		name  string
-		fault standin.Faults
+		fault simulated.Faults
 		token string
 		want  string
 		nodes int // that got the rows
 	}{
-		{"answer lost, with a token", standin.Faults{Lost: true}, "t1", "", 2},
-		{"answer lost, without one", standin.Faults{Lost: true}, "", "ATTEMPT_FAILED", 1},
-		{"silent before it took a row", standin.Faults{Hang: true}, "", "", 1},
-		{"turned away", standin.Faults{Full: true}, "", "", 2},
+		{"answer lost, with a token", simulated.Faults{Lost: true}, "t1", "", 2},
+		{"answer lost, without one", simulated.Faults{Lost: true}, "", "ATTEMPT_FAILED", 1},
+		{"silent before it took a row", simulated.Faults{Hang: true}, "", "", 1},
+		{"turned away", simulated.Faults{Full: true}, "", "", 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRigWith(t, 2, func(rows string) string { return `{"list": [` + rows + `]}` },
 				`, "limits": {"attempts": 3}`)
-			tokens := standin.NewTokens(time.Minute)
+			tokens := simulated.NewTokens(time.Minute)
 			for _, n := range r.nodes {
 				n.Share(tokens)
 			}
@@ -225,7 +225,7 @@
 			for range 20 { // until the faulty node was the first one
 				before := [2]int{}
 				for i, n := range r.nodes {
-					n.Set(standin.Faults{})
+					n.Set(simulated.Faults{})
 					before[i] = len(n.Seen())
 				}
 				r.nodes[0].Set(c.fault)
@@ -276,12 +276,12 @@
 				return `{"list": [` + strings.Join(parts, "},") + `]}`
 			}, `, "halls": ["a", "b"], "limits": {"attempts": 3}`, fmt.Sprintf(`{"name": "load", "aim": "3s", "late_worth": 0.5,
 				"deadline": "4s", "updates": "keyed", "window": "1m", "group": %q},`, group))
-			all := standin.NewTokens(time.Minute)
+			all := simulated.NewTokens(time.Minute)
 			for _, n := range r.nodes {
 				if n.Share(all); group == "hall" {
-					n.Share(standin.NewTokens(time.Minute))
+					n.Share(simulated.NewTokens(time.Minute))
 				}
-				n.Set(standin.Faults{Lost: true})
+				n.Set(simulated.Faults{Lost: true})
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
@@ -294,7 +294,7 @@
 			first := r.seenBy(statement)
 			for _, n := range r.nodes {
 				if n != first {
-					n.Set(standin.Faults{})
+					n.Set(simulated.Faults{})
 				}
 			}
 			err := <-done
--- a/dispatcher/many_test.go
+++ b/server/many_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -16,28 +16,28 @@
 	"embershunt/config"
 	"embershunt/control"
 	"embershunt/control/stream"
-	"embershunt/dispatcher"
-	"embershunt/standin"
+	"embershunt/server"
+	"embershunt/simulated"
 )
 
 var many = flag.Int("many", 8, "dispatchers in TestManyDispatchers; 140 is the size that is written down")
 
 // Many dispatchers on one control service: every state and reply is right, at each version and with the service gone.
 func TestManyDispatchers(t *testing.T) {
-	c := standin.NewControl("nodes")
+	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	node := standin.NewNode("node-0", standin.Model{}, 1)
+	node := simulated.NewNode("node-0", simulated.Model{}, 1)
 	if err := node.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
 	defer node.Die()
-	c.Set([]standin.Listed{{Name: "node-0", Address: node.Address}}, "")
+	c.Set([]simulated.Listed{{Name: "node-0", Address: node.Address}}, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	var all []*dispatcher.Dispatcher
+	var all []*server.Dispatcher
 	ended := make(chan error, *many)
 	folder := t.TempDir()
 	for i := range *many {
@@ -48,7 +48,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d, err := dispatcher.New(cfg, dispatcher.Options{Seed: rand.Uint64()})
+		d, err := server.New(cfg, server.Options{Seed: rand.Uint64()})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 		}
 		return len(refused) == *many
 	})
-	c.Set([]standin.Listed{{Name: "node-0", Address: node.Address}}, "")
+	c.Set([]simulated.Listed{{Name: "node-0", Address: node.Address}}, "")
 	t.Logf("%d bytes of resources sent in all, %d a dispatcher", c.Bytes(), c.Bytes() / *many)
 	c.Stop()
 	for _, d := range all {
--- a/dispatcher/native_test.go
+++ b/server/native_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/ClickHouse/ch-go/proto"
 	clickhouse "github.com/ClickHouse/clickhouse-go/v2"
 
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 func (r *rig) native(t testing.TB, user string) *ch.Client {
@@ -71,17 +71,17 @@
 func TestNativeFaults(t *testing.T) {
 	cases := []struct {
 		name     string
-		fault    standin.Faults
+		fault    simulated.Faults
 		all      bool
 		deadline string
 		want     string
 	}{
-		{"one turns all away", standin.Faults{Full: true}, false, "4", ""},
-		{"one fails fast", standin.Faults{Fail: 1}, false, "4", ""},
-		{"all cut within a block", standin.Faults{CutRow: 100}, true, "4", "failed (ANSWER_BROKEN"},
-		{"all stall within the answer", standin.Faults{StallRow: 100}, true, "0.8", "failed (DEADLINE"},
-		{"all silent", standin.Faults{Hang: true}, true, "0.8", "failed (ATTEMPT_FAILED"},
-		{"all full", standin.Faults{Full: true}, true, "0.8", "refused (OVERLOADED"},
+		{"one turns all away", simulated.Faults{Full: true}, false, "4", ""},
+		{"one fails fast", simulated.Faults{Fail: 1}, false, "4", ""},
+		{"all cut within a block", simulated.Faults{CutRow: 100}, true, "4", "failed (ANSWER_BROKEN"},
+		{"all stall within the answer", simulated.Faults{StallRow: 100}, true, "0.8", "failed (DEADLINE"},
+		{"all silent", simulated.Faults{Hang: true}, true, "0.8", "failed (ATTEMPT_FAILED"},
+		{"all full", simulated.Faults{Full: true}, true, "0.8", "refused (OVERLOADED"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 		_, err := selectNative(ctx, c, "SELECT 1 /* work_ms=3000 */")
 		done <- err
 	}()
-	if err := r.nodes[0].Await(t.Context(), func(s []standin.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
--- a/dispatcher/nativebench_test.go
+++ b/server/nativebench_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
--- a/dispatcher/nodes_test.go
+++ b/server/nodes_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // seen is all that the nodes saw of a statement.
-func (r *rig) seen(statement string) (out []standin.Seen) {
+func (r *rig) seen(statement string) (out []simulated.Seen) {
 	for _, n := range r.nodes {
 		for _, s := range n.Seen() {
 			if s.Statement == statement {
@@ -29,14 +29,14 @@
 // What a client hears when nodes fail in each of their ways, and that an effect does not happen twice.
 func TestWaysInWhichNodesFail(t *testing.T) {
 	const read, write = "SELECT 1 /* rows=4000 */", "INSERT INTO t VALUES (1) /* rows=1 work_ms=5 */"
-	all := func(f standin.Faults) func(*rig) {
+	all := func(f simulated.Faults) func(*rig) {
 		return func(r *rig) {
 			for _, n := range r.nodes {
 				n.Set(f)
 			}
 		}
 	}
-	first := func(f standin.Faults) func(*rig) { return func(r *rig) { r.nodes[0].Set(f) } }
+	first := func(f simulated.Faults) func(*rig) { return func(r *rig) { r.nodes[0].Set(f) } }
 	cases := []struct {
 		name      string
 		fault     func(*rig)
@@ -46,23 +46,23 @@
 		within    time.Duration
 		ran       int // most runs
 	}{
-		{"all silent", all(standin.Faults{Hang: true}), read, 900 * time.Millisecond,
+		{"all silent", all(simulated.Faults{Hang: true}), read, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED", "refused OVERLOADED"}, 900 * time.Millisecond, 0},
-		{"one silent before its first frame", first(standin.Faults{Hang: true}), read, 4 * time.Second,
+		{"one silent before its first frame", first(simulated.Faults{Hang: true}), read, 4 * time.Second,
 			[]string{"served"}, 4 * time.Second, 1},
-		{"all stall after the first frame", all(standin.Faults{StallRow: 100}), read, time.Second,
+		{"all stall after the first frame", all(simulated.Faults{StallRow: 100}), read, time.Second,
 			[]string{"failed DEADLINE"}, time.Second, 1},
-		{"all cut the stream", all(standin.Faults{CutRow: 100}), read, 4 * time.Second,
+		{"all cut the stream", all(simulated.Faults{CutRow: 100}), read, 4 * time.Second,
 			[]string{"failed ANSWER_BROKEN"}, 2 * time.Second, 1},
-		{"one fails fast", first(standin.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"one turns all away", first(standin.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
+		{"one fails fast", first(simulated.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
+		{"one turns all away", first(simulated.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
 			4 * time.Second, 1},
 		{"one is dead", func(r *rig) { r.nodes[0].Die() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"an update whose answer is lost", all(standin.Faults{Lost: true}), write, 900 * time.Millisecond,
+		{"an update whose answer is lost", all(simulated.Faults{Lost: true}), write, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED"}, 900 * time.Millisecond, 1},
-		{"an update that fails", all(standin.Faults{Fail: 1}), write, 4 * time.Second,
+		{"an update that fails", all(simulated.Faults{Fail: 1}), write, 4 * time.Second,
 			[]string{"failed ATTEMPT_FAILED"}, time.Second, 0},
-		{"all turn all away", all(standin.Faults{Full: true}), write, 900 * time.Millisecond,
+		{"all turn all away", all(simulated.Faults{Full: true}), write, 900 * time.Millisecond,
 			[]string{"refused OVERLOADED"}, 900 * time.Millisecond, 0},
 		{"a statement that nodes turn down", nil, "SELECT /* fail=no_such_table */ 1", 4 * time.Second,
 			[]string{"failed STATEMENT"}, time.Second, 0},
@@ -118,11 +118,11 @@
 					done <- final(err)
 				}()
 			}
-			if err := r.nodes[0].Await(t.Context(), func(s []standin.Seen) bool { return len(s) >= 4 }); err != nil {
+			if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) >= 4 }); err != nil {
 				t.Fatal(err)
 			}
 			told := time.Now()
-			r.list(func(_ int, n *nodelist.Node) { n.State = choice.Draining })
+			r.list(func(_ int, n *nodelist.Node) { n.State = policy.Draining })
 			finals := map[string]int{}
 			for range n {
 				finals[<-done]++
@@ -150,13 +150,13 @@
 		}
 	})
 	t.Run("later, then malformed, then back", func(t *testing.T) {
-		c := standin.NewControl("nodes")
+		c := simulated.NewControl("nodes")
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		defer c.Stop()
 		r := newRigWith(t, 2, func(string) string { return `{"eds": {"address": "` + c.Address() + `", "cluster": "nodes"}}` }, "")
-		rows := []standin.Listed{{Name: "node-0", Address: r.nodes[0].Address}}
+		rows := []simulated.Listed{{Name: "node-0", Address: r.nodes[0].Address}}
 		c.Set(rows, "")
 		served := func(what string) {
 			t.Helper()
@@ -176,7 +176,7 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		c.Set([]standin.Listed{{Name: "node-1", Address: r.nodes[1].Address}}, "")
+		c.Set([]simulated.Listed{{Name: "node-1", Address: r.nodes[1].Address}}, "")
 		for begin := time.Now(); len(r.nodes[1].Seen()) == 0; {
 			served("while the new list comes")
 			if time.Since(begin) > 10*time.Second {
@@ -301,12 +301,12 @@
 		_, err := r.query(t.Context(), "SELECT 1 /* work_ms=400 */")
 		done <- err
 	}()
-	if err := r.nodes[0].Await(t.Context(), func(s []standin.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	id := r.nodes[0].Seen()[0].Query
 	r.d.Fleet().Terms(id, 64, 3)
-	if err := r.nodes[0].Await(t.Context(), func([]standin.Seen) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func([]simulated.Seen) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
 		t.Fatal(err)
 	}
 	if len(done) > 0 {
--- a/dispatcher/observe.go
+++ b/server/observe.go
@@ -1,4 +1,4 @@
-package dispatcher
+package server
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/trace"
 
-	"embershunt/choice"
+	"embershunt/backend"
 	"embershunt/config"
 	"embershunt/dispatch"
-	"embershunt/fleet"
-	"embershunt/front"
-	"embershunt/front/clickhouse"
+	"embershunt/frontend"
+	"embershunt/frontend/clickhouse"
 	"embershunt/permit"
+	"embershunt/policy"
 )
 
 // observer turns what the loop does into metrics, log lines and spans. All but the collectors' own locks is used by
@@ -49,9 +49,9 @@
 	decision trace.Span
 }
 
-var codeNames = map[choice.Code]string{choice.OK: "ok", choice.Failed: "failed", choice.Full: "full",
-	choice.TimedOut: "timed_out", choice.Refused: "refused", choice.Reset: "reset", choice.Cancelled: "cancelled",
-	choice.Moot: "moot"}
+var codeNames = map[policy.Code]string{policy.OK: "ok", policy.Failed: "failed", policy.Full: "full",
+	policy.TimedOut: "timed_out", policy.Refused: "refused", policy.Reset: "reset", policy.Cancelled: "cancelled",
+	policy.Moot: "moot"}
 
 func newObserver(log *slog.Logger, r *prometheus.Registry, t trace.Tracer, cfg *config.Config) *observer {
 	o := &observer{log: log, registry: r, tracer: t, spans: map[string]*querySpans{}}
@@ -93,7 +93,7 @@
 }
 
 // watch adds the figures that others keep.
-func (o *observer) watch(desk *front.Desk, f *fleet.Fleet, n *clickhouse.Front, insertsHeld int) {
+func (o *observer) watch(desk *frontend.Desk, f *backend.Fleet, n *clickhouse.Front, insertsHeld int) {
 	o.registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "queries_unruled_total",
 			Help: "Queries that no rule and no hint gave a class."}, func() float64 { return float64(desk.Unruled()) }),
@@ -131,7 +131,7 @@
 }
 
 // watchSessions adds the figures of sessions.
-func (o *observer) watchSessions(s *front.Sessions, most int) {
+func (o *observer) watchSessions(s *frontend.Sessions, most int) {
 	o.registry.MustRegister(
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "embershunt", Name: "sessions_held",
 			Help: "Sessions whose state a node holds, those that begin and end among them."},
@@ -219,7 +219,7 @@
 }
 
 // Changed implements dispatch.Observer.
-func (o *observer) Changed(version uint64, s choice.Settings) {
+func (o *observer) Changed(version uint64, s policy.Settings) {
 	o.classes = nil
 	for _, c := range s.Classes {
 		o.classes = append(o.classes, c.Name)
--- a/dispatcher/platform.go
+++ b/server/platform.go
@@ -1,4 +1,4 @@
-package dispatcher
+package server
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/choice"
+	"embershunt/backend"
 	"embershunt/config"
 	"embershunt/dispatch"
-	"embershunt/fleet"
-	"embershunt/front"
-	"embershunt/front/postgres"
+	"embershunt/frontend"
+	"embershunt/frontend/postgres"
 	"embershunt/nodelist"
 	"embershunt/nodelist/resolver"
 	"embershunt/peers"
+	"embershunt/policy"
 )
 
 // Platform is a dispatcher on the platform's protocol. Every other front, listener, recording and store is off in it. Run it
@@ -29,7 +29,7 @@
 	log      *slog.Logger
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
-	fleet    *fleet.Fleet
+	fleet    *backend.Fleet
 	front    *postgres.Front
 	listener *net.TCPListener
 	peers    *peers.Peers // nil: the settings allow none
@@ -74,9 +74,9 @@
 	}
 	p := &Platform{log: log.With("dispatcher", cfg.Name), clock: dispatch.NewClock(), drain: make(chan struct{}),
 		tally: newTally(log)}
-	span := func(us choice.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
+	span := func(us policy.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
 	nodes := int(float64(cfg.Sockets-ownSockets) * nodesPart)
-	p.fleet = fleet.New(fleet.Options{Log: p.log, Clock: p.clock, ConnectTimeout: span(cfg.OnSockets.ConnectTimeout),
+	p.fleet = backend.New(backend.Options{Log: p.log, Clock: p.clock, ConnectTimeout: span(cfg.OnSockets.ConnectTimeout),
 		LinesMost: nodes, LinesShared: cfg.OnSockets.StreamsPerConn, LinesIdle: span(cfg.OnSockets.ConnIdle) / 2,
 		DrainGrace: span(cfg.Settings.DrainGrace)})
 	settings := cfg.Settings
@@ -89,7 +89,7 @@
 	}
 	p.loop = dispatch.NewLoop(core, p.clock)
 	p.fleet.Bind(p.loop)
-	desk := front.NewDesk(p.loop, p.clock, front.Tables{})
+	desk := frontend.NewDesk(p.loop, p.clock, frontend.Tables{})
 	p.front = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings, MostSessions: cfg.Sockets - ownSockets - nodes,
 		Idle: span(cfg.OnSockets.ConnIdle)}, desk)
 	every := min(max(span(cfg.Settings.DrainGrace)/askParts, askLeast), askMost)
@@ -184,4 +184,4 @@
 // toLoop passes on what needs no ledger.
 type toLoop struct{ *dispatch.Loop }
 
-func (l toLoop) Told(ev choice.Event) { l.Post(dispatch.Told{Event: ev}) }
+func (l toLoop) Told(ev policy.Event) { l.Post(dispatch.Told{Event: ev}) }
--- a/dispatcher/platform_test.go
+++ b/server/platform_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"bufio"
@@ -14,19 +14,19 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/config"
-	"embershunt/dispatcher"
 	"embershunt/internal/pgwire"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/server"
+	"embershunt/simulated"
 )
 
 // platform is a dispatcher on the platform's protocol between stand-ins.
 type platform struct {
 	t     *testing.T
-	d     *dispatcher.Platform
-	names *standin.NameService
+	d     *server.Platform
+	names *simulated.NameService
 	cfg   *config.Platform
 	file  string
 	ended chan error
@@ -45,7 +45,7 @@
 
 func newPlatform(t *testing.T, nodes ...nodelist.Node) *platform {
 	t.Helper()
-	names, err := standin.NewNameService(platformNames)
+	names, err := simulated.NewNameService(platformNames)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 	if p.cfg, err = config.LoadPlatform(p.file); err != nil {
 		t.Fatal(err)
 	}
-	if p.d, err = dispatcher.NewPlatform(p.cfg, nil); err != nil {
+	if p.d, err = server.NewPlatform(p.cfg, nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -152,14 +152,14 @@
 }
 
 // lineNode answers every query with its own name, in two pages.
-func lineNode(t *testing.T, id string) (*standin.LineNode, nodelist.Node) {
+func lineNode(t *testing.T, id string) (*simulated.LineNode, nodelist.Node) {
 	t.Helper()
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		switch cmd.Verb {
 		case "GET":
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
 		case "PAGE":
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
 		}
 	})
 	if err != nil {
@@ -185,7 +185,7 @@
 	if got, err := c.ask("lookup", "SELECT 1"); got != "Ts-1;end;C" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	var gets []standin.LineCommand
+	var gets []simulated.LineCommand
 	closed := 0
 	for _, cmd := range node.Commands() {
 		if cmd.Verb == "GET" {
@@ -230,7 +230,7 @@
 		t.Fatalf("%s never answers", want)
 	}
 	answeredBy("s-1;")
-	row1.State = choice.Draining
+	row1.State = policy.Draining
 	p.names.Set(2, []nodelist.Node{row1, row2})
 	answeredBy("s-2;")
 	before := len(node1.Commands())
@@ -240,13 +240,13 @@
 	if len(node1.Commands()) != before {
 		t.Error("a node that drains got something new")
 	}
-	other, err := standin.NewNameService(platformNames)
+	other, err := simulated.NewNameService(platformNames)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
 	row3 := row1
-	row3.ID, row3.State = "s-3", choice.Healthy // in place of s-1, at its address
+	row3.ID, row3.State = "s-3", policy.Healthy // in place of s-1, at its address
 	other.Set(3, []nodelist.Node{row3})
 	if err := os.WriteFile(p.file, []byte(`{"listen":`), 0o600); err != nil {
 		t.Fatal(err)
@@ -264,12 +264,12 @@
 // was taken gets its answer, and the dispatcher ends.
 func TestPlatformDrains(t *testing.T) {
 	release := make(chan struct{})
-	node, err := standin.NewLineNode("", func(c net.Conn, cmd standin.LineCommand) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb == "GET" {
 			if strings.Contains(cmd.Text, "slow") {
 				<-release
 			}
-			fmt.Fprint(c, standin.LineAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
+			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
 		}
 	})
 	if err != nil {
--- a/dispatcher/rawnode_test.go
+++ b/server/rawnode_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"bufio"
@@ -18,10 +18,10 @@
 
 	"github.com/ClickHouse/ch-go"
 
-	"embershunt/choice"
 	"embershunt/internal/native"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // rawNode is a node of the native protocol that a test plays byte by byte.
@@ -138,7 +138,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			raw := startRawNode(t, native.Newest, func(w io.Writer) { w.Write(c.answer) }, c.hold)
-			good := standin.NewNode("good", standin.Model{}, 1)
+			good := simulated.NewNode("good", simulated.Model{}, 1)
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
@@ -222,7 +222,7 @@
 		client, node int
 	}{{"an old client", native.Oldest, 0}, {"old nodes", 0, native.Oldest}, {"both old", 54453, 54450}} {
 		t.Run(c.name, func(t *testing.T) {
-			old := standin.NewNode("old", standin.Model{}, 1)
+			old := simulated.NewNode("old", simulated.Model{}, 1)
 			old.Revision = c.node
 			if err := old.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
@@ -379,7 +379,7 @@
 	set := func(drains bool) {
 		rows := []nodelist.Node{{ID: "node-1", Address: r.nodes[1].Address, Native: r.nodes[1].Native}}
 		if drains {
-			rows = append(rows, nodelist.Node{ID: "node-0", Address: r.nodes[0].Address, Native: r.nodes[0].Native, State: choice.Draining})
+			rows = append(rows, nodelist.Node{ID: "node-0", Address: r.nodes[0].Address, Native: r.nodes[0].Native, State: policy.Draining})
 		}
 		if err := r.d.Fleet().SetNodes(rows); err != nil {
 			t.Fatal(err)
@@ -397,7 +397,7 @@
 	ask()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if r.nodes[0].Await(ctx, func([]standin.Seen) bool { return r.nodes[0].NativeConns() == 0 }) != nil {
+	if r.nodes[0].Await(ctx, func([]simulated.Seen) bool { return r.nodes[0].NativeConns() == 0 }) != nil {
 		t.Errorf("%d connections to the node that left", r.nodes[0].NativeConns())
 	}
 }
--- a/dispatcher/recording_test.go
+++ b/server/recording_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"sync"
 	"testing"
 
-	"embershunt/choice"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 	"embershunt/trace"
 )
 
@@ -16,7 +16,7 @@
 func TestDecisionsAreRecordedAndReplayed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "decisions")
 	r := newRig(t, 3, fmt.Sprintf(`, "log": {"decisions": %q}`, file))
-	r.nodes[0].Set(standin.Faults{Fail: 0.5})
+	r.nodes[0].Set(simulated.Faults{Fail: 0.5})
 	var group sync.WaitGroup
 	for range 20 {
 		group.Add(1)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep, err := trace.Replay(src, func(seed uint64, s choice.Settings) (trace.Module, error) { return choice.New(seed, s) })
+	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) { return policy.New(seed, s) })
 	if err != nil || rep.Differ != 0 || rep.Damage != nil || rep.Dropped != 0 || rep.Events < 800 || rep.Actions < 400 {
 		t.Errorf("%+v, %v", rep, err)
 	}
--- a/dispatcher/service_test.go
+++ b/server/service_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"embershunt/control"
 	"embershunt/control/configv1"
 	"embershunt/control/stream"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // byHand is a control service that a test plays response by response.
@@ -136,7 +136,7 @@
 		*testing.T
 		*byHand
 		r     *rig
-		relay *standin.Relay
+		relay *simulated.Relay
 		nodes func(draining string) *anypb.Any // the list, with one node draining
 	}
 	cases := []struct {
@@ -265,7 +265,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := playByHand(t)
-			relay, err := standin.NewRelay(h.address)
+			relay, err := simulated.NewRelay(h.address)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -277,7 +277,7 @@
 				for i := range rows {
 					rows[i].Draining = rows[i].Name == draining
 				}
-				a, err := anypb.New(standin.Assignment("nodes", rows))
+				a, err := anypb.New(simulated.Assignment("nodes", rows))
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/dispatcher/store_test.go
+++ b/server/store_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -10,12 +10,12 @@
 
 	"embershunt/control"
 	"embershunt/control/stream"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // storing is a dispatcher of one node that keeps the sets it takes in a file.
-func storing(t *testing.T) (c *standin.Control, r *rig, file string) {
-	c = standin.NewControl("nodes")
+func storing(t *testing.T) (c *simulated.Control, r *rig, file string) {
+	c = simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/dispatcher/tally.go
+++ b/server/tally.go
@@ -1,4 +1,4 @@
-package dispatcher
+package server
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"sync/atomic"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/dispatch"
 	"embershunt/internal/lineproto"
+	"embershunt/policy"
 )
 
 // tally counts what the loop does where no metrics are served: nothing in it grows with ids, connections or nodes.
@@ -18,7 +18,7 @@
 	log     *slog.Logger
 	taken   atomic.Int64
 	finals  [dispatch.Failed + 1]atomic.Int64
-	codes   [choice.Moot + 1]atomic.Int64
+	codes   [policy.Moot + 1]atomic.Int64
 	sent    atomic.Int64
 	further atomic.Int64
 	faults  atomic.Int64
@@ -79,7 +79,7 @@
 }
 
 // Changed implements dispatch.Observer.
-func (t *tally) Changed(uint64, choice.Settings) {}
+func (t *tally) Changed(uint64, policy.Settings) {}
 
 // Paused implements dispatch.Observer.
 func (t *tally) Paused(dispatch.Micros) {}
@@ -110,7 +110,7 @@
 			"faults", t.faults.Load(), "sessions", open, "turned_away", away, "unreadable", unreadable,
 			"node_connections", p.fleet.LinesOpen(), "list_failures", p.resolver.Failures()}
 		for code := range t.codes {
-			args = append(args, "ended_"+codeNames[choice.Code(code)], t.codes[code].Load())
+			args = append(args, "ended_"+codeNames[policy.Code(code)], t.codes[code].Load())
 		}
 		if p.peers != nil {
 			sent, heard, dropped := p.peers.Counts()
--- a/dispatcher/temporary_test.go
+++ b/server/temporary_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 
 	"github.com/ClickHouse/ch-go"
 
-	"embershunt/choice"
 	"embershunt/internal/native"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // run asks one statement and returns its Exception, if there is one.
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
-		if n.Await(ctx, func([]standin.Seen) bool { return n.Temporary() == 0 }) != nil {
+		if n.Await(ctx, func([]simulated.Seen) bool { return n.Temporary() == 0 }) != nil {
 			r.t.Errorf("%s still has %d temporary tables", n.Name, n.Temporary())
 		}
 	}
@@ -104,7 +104,7 @@
 			for i, n := range r.nodes {
 				row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
 				if i == at {
-					row.State = choice.Draining
+					row.State = policy.Draining
 				}
 				rows = append(rows, row)
 			}
--- a/dispatcher/transaction_test.go
+++ b/server/transaction_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -19,14 +19,14 @@
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 
-	"embershunt/choice"
 	"embershunt/control"
 	"embershunt/control/configv1"
 	"embershunt/control/stream"
-	"embershunt/dispatcher"
 	"embershunt/internal/flightwire"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/server"
+	"embershunt/simulated"
 )
 
 // told is what a session's failure says: reason, and whether a commit is known not to have run.
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
-		if n.Await(ctx, func([]standin.Seen) bool { return n.Transactions() == 0 }) != nil {
+		if n.Await(ctx, func([]simulated.Seen) bool { return n.Transactions() == 0 }) != nil {
 			r.t.Errorf("%s still holds %d transactions", n.Name, n.Transactions())
 		}
 		for s, k := range n.Tally().Commits {
@@ -144,7 +144,7 @@
 	drains := func(r *rig, who int) func(i int, n *nodelist.Node) {
 		return func(i int, n *nodelist.Node) {
 			if i == who {
-				n.State = choice.Draining
+				n.State = policy.Draining
 			}
 		}
 	}
@@ -178,7 +178,7 @@
 			}
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.nodes[at].Await(ctx, func([]standin.Seen) bool { return r.nodes[at].Transactions() == 0 }) // it is rolled back
+			r.nodes[at].Await(ctx, func([]simulated.Seen) bool { return r.nodes[at].Transactions() == 0 }) // it is rolled back
 			return tx.Commit(r.t.Context())
 		}, "NODE_DRAINED", "known not to have run", 0},
 		{"a drain, and a commit within the grace", "", func(r *rig, tx *flightsql.Txn, at int) error {
@@ -200,7 +200,7 @@
 			return err
 		}, "NODE_GONE", "known not to have run", 0},
 		{"the commit's answer is lost", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Set(standin.Faults{Lost: true})
+			r.nodes[at].Set(simulated.Faults{Lost: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), time.Second)
 			defer cancel()
 			id := tx.ID()
@@ -211,17 +211,17 @@
 			return err
 		}, "COMMIT_UNKNOWN", "unknown", 1},
 		{"the node hangs with a statement out", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Set(standin.Faults{Hang: true})
+			r.nodes[at].Set(simulated.Faults{Hang: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), 500*time.Millisecond)
 			defer cancel()
 			_, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)")
-			r.nodes[at].Set(standin.Faults{})
+			r.nodes[at].Set(simulated.Faults{})
 			return err
 		}, "STATE_UNKNOWN", "known not to have run", 0},
 		{"idle for too long", `, "sessions": {"idle": "200ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.nodes[at].Await(ctx, func([]standin.Seen) bool { return r.nodes[at].Transactions() == 0 })
+			r.nodes[at].Await(ctx, func([]simulated.Seen) bool { return r.nodes[at].Transactions() == 0 })
 			return tx.Commit(r.t.Context())
 		}, "SESSION_IDLE", "known not to have run", 0},
 		{"committed twice by its client", "", func(r *rig, tx *flightsql.Txn, at int) error {
@@ -258,7 +258,7 @@
 				t.Errorf("%d statements were committed, want %d", n, c.effect)
 			}
 			for _, n := range r.nodes {
-				n.Set(standin.Faults{})
+				n.Set(simulated.Faults{})
 			}
 			r.settled()
 			if m := r.misplaced(); len(m) > 0 {
@@ -396,7 +396,7 @@
 	}
 	t.Run("a drain while BEGIN is out", func(t *testing.T) {
 		r := newRig(t, 1, `, "limits": {"drain_grace": "300ms"}`)
-		r.nodes[0].Set(standin.Faults{Hang: true})
+		r.nodes[0].Set(simulated.Faults{Hang: true})
 		done := make(chan error, 1)
 		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 		defer cancel()
@@ -407,11 +407,11 @@
 		for _, held, _ := r.d.Sessions().Status(); held == 0 && len(done) == 0; _, held, _ = r.d.Sessions().Status() {
 			runtime.Gosched()
 		}
-		rows(r, func(_ int, n *nodelist.Node) bool { n.State = choice.Draining; return true })
+		rows(r, func(_ int, n *nodelist.Node) bool { n.State = policy.Draining; return true })
 		if err := <-done; err == nil {
 			t.Error("begun")
 		}
-		r.nodes[0].Set(standin.Faults{})
+		r.nodes[0].Set(simulated.Faults{})
 		r.settled()
 	})
 	t.Run("the client vanishes", func(t *testing.T) {
@@ -432,7 +432,7 @@
 		if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (1)"); err != nil {
 			t.Fatal(err)
 		}
-		d, err := dispatcher.New(r.cfg, dispatcher.Options{Seed: 8})
+		d, err := server.New(r.cfg, server.Options{Seed: 8})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -483,7 +483,7 @@
 		}
 	})
 	t.Run("its class ends in the settings", func(t *testing.T) {
-		c := standin.NewControl("nodes")
+		c := simulated.NewControl("nodes")
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
--- a/dispatcher/warm_test.go
+++ b/server/warm_test.go
@@ -1,4 +1,4 @@
-package dispatcher_test
+package server_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"embershunt/choice"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 	"embershunt/trace"
 )
 
@@ -62,8 +62,8 @@
 		t.Fatal(err)
 	}
 	warm := false
-	rep, err := trace.Replay(src, func(seed uint64, s choice.Settings) (trace.Module, error) {
-		g, err := choice.New(seed, s)
+	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) {
+		g, err := policy.New(seed, s)
 		return &recalls{g, &warm}, err
 	})
 	if err != nil || rep.Differ != 0 || rep.Damage != nil || !warm {
@@ -78,12 +78,12 @@
 
 // recalls tells that something was recalled.
 type recalls struct {
-	*choice.Gateway
+	*policy.Gateway
 	done *bool
 }
 
 // Recall implements what a replay asks for.
-func (g *recalls) Recall(l choice.Learned, fresh bool) error {
+func (g *recalls) Recall(l policy.Learned, fresh bool) error {
 	*g.done = len(l.Classes) > 0 && l.Classes[0].Fit[0] > 0 && fresh
 	return g.Gateway.Recall(l, fresh)
 }
@@ -99,7 +99,7 @@
 				more = fmt.Sprintf(`, "log": {"learned": %q, "learned_every": "50ms"}`, filepath.Join(b.TempDir(), "learned"))
 			}
 			r := newRig(b, 3, more)
-			r.nodes[0].Set(standin.Faults{Slow: 4})
+			r.nodes[0].Set(simulated.Faults{Slow: 4})
 			load := func(length time.Duration) (good, all int) {
 				var mu sync.Mutex
 				var group sync.WaitGroup
--- a/session/session.go
+++ b/session/session.go
@@ -8,11 +8,11 @@
 	"fmt"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 )
 
 // Micros is a point in time or a span, in microseconds of the caller's clock.
-type Micros = choice.Micros
+type Micros = policy.Micros
 
 // Limits bound sessions. Zero values of counts mean no limit, those of spans that the rule does not apply.
 type Limits struct {
--- a/standin/machine.go
+++ b/simulated/machine.go
@@ -1,6 +1,6 @@
-// Package standin has stand-ins for what a dispatcher meets: query nodes that speak Flight SQL, a node list, clients.
+// Package simulated has stand-ins for what a dispatcher meets: query nodes that speak Flight SQL, a node list, clients.
 // They are written from the public specifications; their costs are a model, not a measurement of any engine.
-package standin
+package simulated
 
 import (
 	"math"
--- a/standin/names.go
+++ b/simulated/names.go
@@ -1,4 +1,4 @@
-package standin
+package simulated
 
 import (
 	"encoding/binary"
@@ -11,8 +11,8 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // NameService answers questions for the node list over UDP, as the platform's does.
@@ -129,7 +129,7 @@
 	target := func(n nodelist.Node) string { return n.ID + "." + names.Halls[n.Hall] + ".hosts." }
 	for _, n := range nodes {
 		priority, port := uint16(0), netip.MustParseAddrPort(n.Lines).Port()
-		if n.State == choice.Draining {
+		if n.State == policy.Draining {
 			priority = 1
 		}
 		a.record(nodelist.Service, 33, func() {
--- a/standin/relay.go
+++ b/simulated/relay.go
@@ -1,4 +1,4 @@
-package standin
+package simulated
 
 import (
 	"errors"
--- a/soak/client.go
+++ b/soak/client.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/internal/pgwire"
+	"embershunt/policy"
 )
 
 // answer is what came back for one command, up to ReadyForQuery.
@@ -259,7 +259,7 @@
 	for range count {
 		q := &Request{ID: fmt.Sprintf("%016x", c.rng.Uint64()), Dispatcher: c.d.number, Start: c.d.current(), Class: class, Patience: patience}
 		nonce := ""
-		if class.Effect == choice.Keyed {
+		if class.Effect == policy.Keyed {
 			q.Key = q.ID + "k"
 			nonce = ",nonce=" + q.Key
 		}
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -9,13 +9,13 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // Options are the size of a run.
 type Options struct {
-	Program     string // path of emberdispatch
+	Program     string // path of dispatcher
 	Folder      string // for files and logs
 	Seed        uint64
 	Dispatchers int
@@ -114,7 +114,7 @@
 	c.nodes = slices.Clone(c.nodes)
 	for i := range c.nodes {
 		if c.nodes[i].ID == id {
-			c.nodes[i].State = choice.Draining
+			c.nodes[i].State = policy.Draining
 		}
 	}
 	c.mu.Unlock()
@@ -139,7 +139,7 @@
 // Healthy are the names of the servers that the list calls ready.
 func (c *Cluster) Healthy() (ids []string) {
 	for _, n := range c.list() {
-		if n.State == choice.Healthy {
+		if n.State == policy.Healthy {
 			ids = append(ids, n.ID)
 		}
 	}
--- a/soak/drain_test.go
+++ b/soak/drain_test.go
@@ -21,8 +21,8 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = filepath.Join(folder, "emberdispatch")
-	if out, err := exec.Command("go", "build", "-o", program, "embershunt/cmd/emberdispatch").CombinedOutput(); err != nil {
+	program = filepath.Join(folder, "dispatcher")
+	if out, err := exec.Command("go", "build", "-o", program, "embershunt/cmd/dispatcher").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		os.Exit(1)
 	}
--- a/soak/names.go
+++ b/soak/names.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/net/dns/dnsmessage"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/policy"
+	"embershunt/simulated"
 )
 
 // NameFaults are what a name service does amiss. The zero value answers at once.
@@ -178,7 +178,7 @@
 
 // told notes that a version has been told: from now on the dispatcher is notified of what drains or is gone by it. s.mu is held.
 func (s *NameService) told(v version, at time.Duration) {
-	listed := map[string]choice.EngineState{}
+	listed := map[string]policy.EngineState{}
 	for _, n := range v.nodes {
 		listed[n.ID] = n.State
 	}
@@ -188,7 +188,7 @@
 		}
 		for _, n := range earlier.nodes {
 			state, is := listed[n.ID]
-			if (!is || state != choice.Healthy) && !s.noticed[n.ID] {
+			if (!is || state != policy.Healthy) && !s.noticed[n.ID] {
 				s.noticed[n.ID] = true
 				s.record.addNotice(Notice{s.dispatcher, s.start, n.ID, at})
 			}
@@ -225,16 +225,16 @@
 	if s.rng.Float64() < f.Twice {
 		copies = 2
 	}
-	message := standin.ListAnswer(id, uint32(v.number), v.nodes, names)
+	message := simulated.ListAnswer(id, uint32(v.number), v.nodes, names)
 	if s.rng.Float64() < f.Earlier && len(s.earlier) > 0 {
 		old := s.earlier[s.rng.IntN(len(s.earlier))]
-		message, spoilt = standin.ListAnswer(id, uint32(old.number), old.nodes, names), true
+		message, spoilt = simulated.ListAnswer(id, uint32(old.number), old.nodes, names), true
 	} else if s.rng.Float64() < f.OldRows && len(s.versions) > 1 {
-		message, spoilt = standin.ListAnswer(id, uint32(v.number), s.versions[len(s.versions)-2].nodes, names), true
+		message, spoilt = simulated.ListAnswer(id, uint32(v.number), s.versions[len(s.versions)-2].nodes, names), true
 	} else if spoilt {
 		message = s.spoil(message, id)
 	} else if f.BadRow {
-		message = standin.ListAnswer(id, uint32(v.number), append([]nodelist.Node{unreadable}, v.nodes...), unreadableNames)
+		message = simulated.ListAnswer(id, uint32(v.number), append([]nodelist.Node{unreadable}, v.nodes...), unreadableNames)
 	}
 	send := func() {
 		s.mu.Lock()
@@ -268,7 +268,7 @@
 		message[0] ^= 0x55
 	default:
 		oldest := s.versions[0]
-		return standin.ListAnswer(id, uint32(oldest.number), oldest.nodes, names)
+		return simulated.ListAnswer(id, uint32(oldest.number), oldest.nodes, names)
 	}
 	return message
 }
--- a/soak/server.go
+++ b/soak/server.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"embershunt/nodelist"
-	"embershunt/standin"
+	"embershunt/simulated"
 )
 
 // ServerFaults are what a query node does amiss. Shares are of requests or connections. The zero value serves well.
@@ -87,7 +87,7 @@
 	s.mu.Lock()
 	s.closed = true
 	for c := range s.open {
-		standin.ResetConn(c)
+		simulated.ResetConn(c)
 	}
 	s.mu.Unlock()
 }
@@ -151,7 +151,7 @@
 	defer c.close()
 	f := s.now()
 	if s.chance(f.ResetNew) {
-		standin.ResetConn(conn)
+		simulated.ResetConn(conn)
 		return
 	}
 	opened := s.record.now()
@@ -222,7 +222,7 @@
 		c.end(words[1])
 	case "PAGE":
 		if len(words) == 3 {
-			c.say(standin.LineAnswer(words[1], "page", "index="+words[2], words[1]+"\tpage\t"+words[2]+"\n"))
+			c.say(simulated.LineAnswer(words[1], "page", "index="+words[2], words[1]+"\tpage\t"+words[2]+"\n"))
 		}
 	}
 	return true
@@ -290,12 +290,12 @@
 		after(time.Hour, func() {})
 	case c.s.chance(f.Full):
 		record.change(func() { a.Full = true })
-		after(0, func() { finish(standin.LineAnswer(id, "full", "", "")) })
+		after(0, func() { finish(simulated.LineAnswer(id, "full", "", "")) })
 	case c.s.chance(f.Failing):
 		if c.s.chance(0.5) {
 			ran()
 		}
-		after(0, func() { finish(standin.LineAnswer(id, "failed", "", "")) })
+		after(0, func() { finish(simulated.LineAnswer(id, "failed", "", "")) })
 	case c.s.chance(f.LostAnswer):
 		ran()
 		after(time.Hour, func() {})
@@ -304,7 +304,7 @@
 			ran()
 		}
 		record.change(func() { a.Over = record.now() })
-		standin.ResetConn(c.conn)
+		simulated.ResetConn(c.conn)
 		return false
 	case c.s.chance(f.Garbled):
 		ran()
@@ -323,7 +323,7 @@
 			pages = 3
 		}
 		after(took, func() {
-			finish(strings.Repeat(standin.LineAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies))
+			finish(strings.Repeat(simulated.LineAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies))
 		})
 	}
 	return true
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"time"
 
-	"embershunt/choice"
 	"embershunt/nodelist"
+	"embershunt/policy"
 )
 
 // Class is a request class of a run.
 type Class struct {
 	Name     string
-	Effect   choice.Effect
+	Effect   policy.Effect
 	Deadline time.Duration
 	Window   time.Duration // of a keyed class: how long nodes remember a key
 	Work     time.Duration // mean time at a node
@@ -19,9 +19,9 @@
 
 // classes are those of every run. Their deadlines are short, so that many restarts fit into one.
 var classes = []*Class{
-	{Name: "lookup", Effect: choice.Safe, Deadline: 1500 * time.Millisecond, Work: 20 * time.Millisecond},
-	{Name: "load", Effect: choice.Keyed, Deadline: 2500 * time.Millisecond, Window: 1200 * time.Millisecond, Work: 60 * time.Millisecond},
-	{Name: "booking", Effect: choice.Unsafe, Deadline: 2000 * time.Millisecond, Work: 30 * time.Millisecond},
+	{Name: "lookup", Effect: policy.Safe, Deadline: 1500 * time.Millisecond, Work: 20 * time.Millisecond},
+	{Name: "load", Effect: policy.Keyed, Deadline: 2500 * time.Millisecond, Window: 1200 * time.Millisecond, Work: 60 * time.Millisecond},
+	{Name: "booking", Effect: policy.Unsafe, Deadline: 2000 * time.Millisecond, Work: 30 * time.Millisecond},
 }
 
 // Limits of every run, as its settings tell them.
@@ -44,7 +44,7 @@
 	return longest + 700*time.Millisecond
 }
 
-var effectNames = map[choice.Effect]string{choice.Safe: "retryable", choice.Keyed: "dedup", choice.Unsafe: "fragile"}
+var effectNames = map[policy.Effect]string{policy.Safe: "retryable", policy.Keyed: "dedup", policy.Unsafe: "fragile"}
 
 var names = nodelist.Names{Halls: []string{"west"}, Kinds: []string{"std"}}
 
@@ -59,7 +59,7 @@
 func (c configuration) marshal() ([]byte, error) {
 	type object = map[string]any
 	var targets []object
-	states := map[choice.EngineState]string{choice.Healthy: "active", choice.Draining: "leaving"}
+	states := map[policy.EngineState]string{policy.Healthy: "active", policy.Draining: "leaving"}
 	for _, n := range c.nodes {
 		targets = append(targets, object{"uid": n.ID, "endpoint": n.Lines, "az": "west", "model": "std", "pod_group": 0,
 			"state": states[n.State], "capacity_hint": n.Weight, "boot_ms": 0})
--- a/trace/golden_test.go
+++ b/trace/golden_test.go
@@ -8,7 +8,7 @@
 	"os"
 	"testing"
 
-	"embershunt/choice"
+	"embershunt/policy"
 	"embershunt/trace/tracev1"
 )
 
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		report, err := Replay(source, func(seed uint64, s choice.Settings) (Module, error) { return choice.New(seed, s) })
+		report, err := Replay(source, func(seed uint64, s policy.Settings) (Module, error) { return policy.New(seed, s) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,7 @@
 			continue
 		}
 		stored := begin.Begin.GetSettings()
-		var settings choice.Settings
+		var settings policy.Settings
 		decoder := json.NewDecoder(bytes.NewReader(stored))
 		decoder.DisallowUnknownFields()
 		if err := decoder.Decode(&settings); err != nil {
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"embershunt/choice"
+	"embershunt/policy"
 	"embershunt/trace/tracev1"
 )
 
@@ -32,22 +32,22 @@
 
 type began struct {
 	seed     uint64
-	settings choice.Settings
-	at       choice.Micros
+	settings policy.Settings
+	at       policy.Micros
 	wall     time.Time
-	learned  *choice.Learned
+	learned  *policy.Learned
 	fresh    bool
 }
 
 type stepped struct {
-	at      choice.Micros
-	events  []choice.Event
-	actions []choice.Action
+	at      policy.Micros
+	events  []policy.Event
+	actions []policy.Action
 }
 
 type changed struct {
-	at               choice.Micros
-	settings         choice.Settings
+	at               policy.Micros
+	settings         policy.Settings
 	classes, tenants []int
 }
 
@@ -60,17 +60,17 @@
 }
 
 // Began implements dispatch.Recorder.
-func (r *Recorder) Began(now choice.Micros, seed uint64, s choice.Settings, l *choice.Learned, fresh bool) {
+func (r *Recorder) Began(now policy.Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool) {
 	r.put(began{seed, s, now, time.Now(), l, fresh})
 }
 
 // Stepped implements dispatch.Recorder; it keeps copies of the slices.
-func (r *Recorder) Stepped(now choice.Micros, events []choice.Event, actions []choice.Action) {
+func (r *Recorder) Stepped(now policy.Micros, events []policy.Event, actions []policy.Action) {
 	r.put(stepped{now, slices.Clone(events), slices.Clone(actions)})
 }
 
 // Changed implements dispatch.Recorder.
-func (r *Recorder) Changed(now choice.Micros, s choice.Settings, classes, tenants []int) {
+func (r *Recorder) Changed(now policy.Micros, s policy.Settings, classes, tenants []int) {
 	r.put(changed{now, s, slices.Clone(classes), slices.Clone(tenants)})
 }
 
@@ -85,7 +85,7 @@
 func (r *Recorder) Run(stop <-chan struct{}, w *Writer, most int64) error {
 	t := time.NewTicker(flushEvery)
 	defer t.Stop()
-	var last choice.Micros
+	var last policy.Micros
 	told := uint64(0)
 	write := func(v any) error {
 		if n := r.drops.Load(); n > told { // before what comes after them
@@ -129,8 +129,8 @@
 }
 
 // record is what stands in the file; times are told from the record before.
-func (r *Recorder) record(v any, last *choice.Micros) (*tracev1.Record, error) {
-	since := func(at choice.Micros) int64 {
+func (r *Recorder) record(v any, last *policy.Micros) (*tracev1.Record, error) {
+	since := func(at policy.Micros) int64 {
 		d := at - *last
 		*last = at
 		return d
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -8,14 +8,14 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"embershunt/choice"
+	"embershunt/policy"
 	"embershunt/trace/tracev1"
 )
 
-// Module is what is replayed: *choice.Gateway is one.
+// Module is what is replayed: *policy.Gateway is one.
 type Module interface {
-	Step(now choice.Micros, events []choice.Event) []choice.Action
-	Change(s choice.Settings, classes, tenants []int) error
+	Step(now policy.Micros, events []policy.Event) []policy.Action
+	Change(s policy.Settings, classes, tenants []int) error
 }
 
 // Source gives records until io.EOF; *Reader is one.
@@ -26,7 +26,7 @@
 // Difference is a step that was decided differently.
 type Difference struct {
 	Step     int
-	At       choice.Micros
+	At       policy.Micros
 	Was, Now string // the first action that differs; "" where there is none
 }
 
@@ -43,10 +43,10 @@
 
 // Replay feeds what a module was told to another one and compares what it decides. Its error is the module's that make
 // returned, or a Change that it would not take.
-func Replay(src Source, make func(seed uint64, s choice.Settings) (Module, error)) (*Report, error) {
+func Replay(src Source, make func(seed uint64, s policy.Settings) (Module, error)) (*Report, error) {
 	rep := &Report{ByKind: map[string]int{}}
 	var m Module
-	var now choice.Micros
+	var now policy.Micros
 	for {
 		r, err := src.Next()
 		if errors.Is(err, io.EOF) {
@@ -58,7 +58,7 @@
 		}
 		switch w := r.GetWhat().(type) {
 		case *tracev1.Record_Begin:
-			var s choice.Settings
+			var s policy.Settings
 			if err := json.Unmarshal(w.Begin.GetSettings(), &s); err != nil {
 				return rep, fmt.Errorf("settings of a begin: %w", err)
 			}
@@ -66,12 +66,12 @@
 				return rep, err
 			}
 			if text := w.Begin.GetLearned(); len(text) > 0 {
-				var l choice.Learned
+				var l policy.Learned
 				if err := json.Unmarshal(text, &l); err != nil {
 					return rep, fmt.Errorf("what a begin had learned: %w", err)
 				}
 				if r, ok := m.(interface {
-					Recall(choice.Learned, bool) error
+					Recall(policy.Learned, bool) error
 				}); ok {
 					if err := r.Recall(l, w.Begin.GetFresh()); err != nil {
 						return rep, err
@@ -88,7 +88,7 @@
 			if m == nil {
 				continue
 			}
-			var s choice.Settings
+			var s policy.Settings
 			if err := json.Unmarshal(w.Change.GetSettings(), &s); err != nil {
 				return rep, fmt.Errorf("settings of a change: %w", err)
 			}
@@ -114,8 +114,8 @@
 	return out
 }
 
-func (rep *Report) step(m Module, now choice.Micros, s *tracev1.Step) {
-	var events []choice.Event
+func (rep *Report) step(m Module, now policy.Micros, s *tracev1.Step) {
+	var events []policy.Event
 	for _, ev := range s.GetEvents() {
 		if e := eventIn(ev); e != nil {
 			events = append(events, e)
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -8,33 +8,33 @@
 	"math/rand/v2"
 	"testing"
 
-	"embershunt/choice"
+	"embershunt/policy"
 	"embershunt/trace/tracev1"
 )
 
-func settings() choice.Settings {
-	return choice.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, GrantsCount: true, PriorityCount: true, MaxGrantShare: 0.5,
-		ColdFrom: 0.3, ColdFor: 1e7, FallMultiple: 2, FallFor: 2e6, DrainGrace: 1e6, Kinds: []choice.Kind{{Cores: 8, MemoryMB: 16000}},
-		Classes: []choice.Class{{Name: "a", Worth: 1, Aim: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", Worth: 10, LateWorth: 0.4, Aim: 3e6, Deadline: 15e6, Threads: 4}}}
+func settings() policy.Settings {
+	return policy.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, GrantsCount: true, PriorityCount: true, MaxGrantShare: 0.5,
+		ColdFrom: 0.3, ColdFor: 1e7, FallMultiple: 2, FallFor: 2e6, DrainGrace: 1e6, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16000}},
+		Classes: []policy.Class{{Name: "a", Worth: 1, Aim: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", Worth: 10, LateWorth: 0.4, Aim: 3e6, Deadline: 15e6, Threads: 4}}}
 }
 
 // play runs a module through a day of chance with the recorder listening.
 func play(t testing.TB, r *Recorder, steps int, seed uint64) {
 	s := settings()
-	g, err := choice.New(seed, s)
+	g, err := policy.New(seed, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
-	now := choice.Micros(1e8)
+	now := policy.Micros(1e8)
 	r.Began(now, seed, s, nil, false)
-	step := func(events ...choice.Event) []choice.Action {
+	step := func(events ...policy.Event) []policy.Action {
 		acts := g.Step(now, events)
 		r.Stepped(now, events, acts)
 		return acts
 	}
-	rows := []choice.Engine{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 9e7}}
-	step(choice.Engines{Whole: true, Rows: rows})
+	rows := []policy.Engine{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 9e7}}
+	step(policy.Engines{Whole: true, Rows: rows})
 	tries := map[string]int{}
 	for i := range steps {
 		now += int64(rng.IntN(20000))
@@ -45,13 +45,13 @@
 			}
 			r.Changed(now, s, []int{0, 1}, nil)
 		}
-		acts := step(choice.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Due: now + 4e6}, choice.Alarm{})
+		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Due: now + 4e6}, policy.Alarm{})
 		for len(acts) > 0 {
-			var events []choice.Event
+			var events []policy.Event
 			for _, a := range acts {
-				if a, ok := a.(choice.Send); ok {
-					events = append(events, choice.Outcome{ID: a.ID, Attempt: tries[a.ID], Engine: a.Engine, Code: choice.Code(rng.IntN(3) / 2), Over: true,
-						Took: int64(rng.IntN(90000)), Load: &choice.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
+				if a, ok := a.(policy.Send); ok {
+					events = append(events, policy.Outcome{ID: a.ID, Attempt: tries[a.ID], Engine: a.Engine, Code: policy.Code(rng.IntN(3) / 2), Over: true,
+						Took: int64(rng.IntN(90000)), Load: &policy.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
 					tries[a.ID]++
 				}
 			}
@@ -84,16 +84,16 @@
 	return b.Bytes()
 }
 
-func replay(t testing.TB, file []byte, change func(*choice.Settings)) *Report {
+func replay(t testing.TB, file []byte, change func(*policy.Settings)) *Report {
 	src, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
-	rep, err := Replay(src, func(seed uint64, s choice.Settings) (Module, error) {
+	rep, err := Replay(src, func(seed uint64, s policy.Settings) (Module, error) {
 		if change != nil {
 			change(&s)
 		}
-		return choice.New(seed, s)
+		return policy.New(seed, s)
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		t.Errorf("%+v", rep)
 	}
 	t.Logf("%d steps, %d events, %d actions in %d bytes", rep.Steps, rep.Events, rep.Actions, len(file))
-	rep = replay(t, file, func(s *choice.Settings) { s.GrantsCount, s.PriorityCount = false, false })
+	rep = replay(t, file, func(s *policy.Settings) { s.GrantsCount, s.PriorityCount = false, false })
 	if rep.First == nil || rep.Differ == 0 || rep.ByKind["-Terms"] == 0 {
 		t.Errorf("without terms: %+v", rep)
 	}
