--- a/backend/attempt.go
+++ b/backend/attempt.go
@@ -75,7 +75,7 @@
 	f.drains.sent(a.Node)
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	t := &attempt{f: f, a: a, begun: time.Now(), cancel: cancel, open: make(chan struct{})}
-	wait := time.Duration(a.Until-f.clock.Now()) * time.Microsecond
+	wait := time.Duration(a.Deadline-f.clock.Now()) * time.Microsecond
 	t.timer = time.AfterFunc(wait, func() { cancel(errTimedOut) })
 	t.carrier = t.carrierOf()
 	f.mu.Lock()
@@ -97,7 +97,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.attempts[id] {
-		if t.a.N == n {
+		if t.a.Number == n {
 			return t
 		}
 	}
@@ -115,8 +115,8 @@
 	}
 }
 
-// Open implements dispatch.Fleet: from now on the query's deadline alone counts, which the ledger keeps.
-func (f *Fleet) Open(id string, n int) {
+// ForwardResponse implements dispatch.Fleet: from now on the query's deadline alone counts, which the ledger keeps.
+func (f *Fleet) ForwardResponse(id string, n int) {
 	if t := f.attempt(id, n); t != nil {
 		t.timer.Stop()
 		close(t.open)
@@ -132,10 +132,10 @@
 }
 
 // run makes the attempt and tells how it ended.
-func (t *attempt) run(ctx context.Context, c carrier) dispatch.Ended {
+func (t *attempt) run(ctx context.Context, c carrier) dispatch.AttemptEnded {
 	result, err := t.use(ctx, c)
-	ev := dispatch.Ended{ID: t.a.Query.ID, N: t.a.N, Took: time.Since(t.begun).Microseconds(), Load: t.load,
-		WorkUs: t.workUs, NeedMB: t.needMB, Result: result, Err: err}
+	ev := dispatch.AttemptEnded{ID: t.a.Query.ID, Number: t.a.Number, Latency: time.Since(t.begun).Microseconds(), Load: t.load,
+		WorkMicros: t.workUs, NeededMB: t.needMB, Result: result, Err: err}
 	ev.Code, ev.Rejected = t.code(ctx, c, err)
 	return ev
 }
@@ -157,15 +157,15 @@
 	case err == nil:
 		return policy.OK, false
 	case t.notRun:
-		return policy.Full, false
-	case errors.Is(err, session.ErrMissing): // the node's word, as it were: another one has nothing of it either
+		return policy.Rejected, false
+	case errors.Is(err, session.ErrStateMissing): // the node's word, as it were: another one has nothing of it either
 		return policy.Failed, true
 	case errors.Is(err, errNotConnected), errors.Is(err, errUnknownNode), errors.Is(err, errOtherWork):
-		return policy.Refused, false
+		return policy.ConnectionRefused, false
 	case errors.Is(err, errUnsent), errors.Is(err, errLocal): // whatever ended it: it proves nothing of the node
-		return policy.Moot, false
+		return policy.NeverSent, false
 	case errors.Is(cause, errTimedOut) && t.unsent:
-		return policy.Refused, false
+		return policy.ConnectionRefused, false
 	case errors.Is(cause, errTimedOut):
 		return policy.TimedOut, false
 	case cause != nil: // called off, or the fleet closes
@@ -176,7 +176,7 @@
 
 // mayFlow asks the loop to let the answer through, and waits for its word.
 func (t *attempt) mayFlow(ctx context.Context) error {
-	t.f.post.Post(dispatch.Begun{ID: t.a.Query.ID, N: t.a.N})
+	t.f.post.Post(dispatch.ResponseReady{ID: t.a.Query.ID, Number: t.a.Number})
 	select {
 	case <-t.open:
 		return nil
--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -21,19 +21,19 @@
 
 // Options are the fleet's settings; zero values mean the defaults.
 type Options struct {
-	Log            *slog.Logger
-	Clock          dispatch.Clock
-	ConnectTimeout time.Duration     // a connection that is not up by then is refused; default 250 ms
-	ProbeTimeout   time.Duration     // default 500 ms
-	MaxFrame       int               // most bytes of one message from a node; default 16 MiB
-	Dial           []grpc.DialOption // credentials; default: plain text
-	NativeUser     string            // for the native protocol
-	NativePassword string
-	Headers        []string      // key and value in turn, sent with every call
-	LinesMost      int           // connections held to nodes that speak lines, all together; default 256
-	LinesShared    int           // attempts that share one of them where there are no more; default 100
-	LinesIdle      time.Duration // one without an attempt is closed after this; default 10 s
-	DrainGrace     time.Duration // nothing new begins at a node so long after it was told to drain
+	Log                 *slog.Logger
+	Clock               dispatch.Clock
+	ConnectTimeout      time.Duration     // a connection that is not up by then is refused; default 250 ms
+	ProbeTimeout        time.Duration     // default 500 ms
+	MaxFrame            int               // most bytes of one message from a node; default 16 MiB
+	Dial                []grpc.DialOption // credentials; default: plain text
+	NativeUser          string            // for the native protocol
+	NativePassword      string
+	Headers             []string      // key and value in turn, sent with every call
+	MaxPlatformConns    int           // connections held to nodes that speak lines, all together; default 256
+	MaxAttemptsPerConn  int           // attempts that share one of them where there are no more; default 100
+	PlatformIdleTimeout time.Duration // one without an attempt is closed after this; default 10 s
+	DrainGrace          time.Duration // nothing new begins at a node so long after it was told to drain
 }
 
 // Poster takes what the fleet has seen; *dispatch.Loop is one.
@@ -41,7 +41,7 @@
 
 type poster struct{ Poster }
 
-func (p poster) Told(ev policy.Event) { p.Post(dispatch.Told{Event: ev}) }
+func (p poster) Notify(ev policy.Event) { p.Post(dispatch.PolicyEvent{Event: ev}) }
 
 // Fleet implements dispatch.Fleet over gRPC.
 type Fleet struct {
@@ -81,14 +81,14 @@
 	if o.ProbeTimeout == 0 {
 		o.ProbeTimeout = 500 * time.Millisecond
 	}
-	if o.LinesMost == 0 {
-		o.LinesMost = 256
+	if o.MaxPlatformConns == 0 {
+		o.MaxPlatformConns = 256
 	}
-	if o.LinesShared == 0 {
-		o.LinesShared = 100
+	if o.MaxAttemptsPerConn == 0 {
+		o.MaxAttemptsPerConn = 100
 	}
-	if o.LinesIdle == 0 {
-		o.LinesIdle = 10 * time.Second
+	if o.PlatformIdleTimeout == 0 {
+		o.PlatformIdleTimeout = 10 * time.Second
 	}
 	if o.MaxFrame == 0 {
 		o.MaxFrame = 16 << 20
@@ -115,22 +115,22 @@
 // OnNodes sets who is told of each node list that comes into force; it must not block.
 func (f *Fleet) OnNodes(told func([]nodelist.Node)) { f.onNodes = told }
 
-// Watch implements dispatch.Fleet. The watch is kept by the list's source; asking again renews it.
-func (f *Fleet) Watch() { f.Fetch() }
+// WatchEndpoints implements dispatch.Fleet. The watch is kept by the list's source; asking again renews it.
+func (f *Fleet) WatchEndpoints() { f.FetchEndpoints() }
 
-// Fetch implements dispatch.Fleet.
-func (f *Fleet) Fetch() {
+// FetchEndpoints implements dispatch.Fleet.
+func (f *Fleet) FetchEndpoints() {
 	if f.refetch != nil {
 		f.refetch()
 	}
 }
 
-// OnTell sets what carries messages to other dispatchers; it must not block. Without one they stay off, and the module is
+// OnGossip sets what carries messages to other dispatchers; it must not block. Without one they stay off, and the module is
 // told so (CanTell).
-func (f *Fleet) OnTell(tell func(peer int, data []byte)) { f.tell = tell }
+func (f *Fleet) OnGossip(tell func(peer int, data []byte)) { f.tell = tell }
 
-// Tell implements dispatch.Fleet.
-func (f *Fleet) Tell(peer int, data []byte) {
+// SendGossip implements dispatch.Fleet.
+func (f *Fleet) SendGossip(peer int, data []byte) {
 	if f.tell != nil {
 		f.tell(peer, data)
 	}
--- a/backend/flight.go
+++ b/backend/flight.go
@@ -57,8 +57,8 @@
 	handle []byte // of a prepared statement made on the node; nil: none
 }
 
-// Terms implements dispatch.Fleet.
-func (f *Fleet) Terms(id string, memoryMB float64, priority int) {
+// SetResources implements dispatch.Fleet.
+func (f *Fleet) SetResources(id string, memoryMB float64, priority int) {
 	body := flightwire.AppendBytes(nil, 1, id)
 	body = flightwire.AppendVarint(body, 2, uint64(priority)+1)
 	body = flightwire.AppendVarint(body, 3, uint64(max(0, memoryMB)))
@@ -93,12 +93,12 @@
 // ended implements carrier.
 func (t *flightAttempt) ended(err error) (code policy.Code, rejected bool) {
 	if !t.fate.written.Load() {
-		return policy.Refused, false
+		return policy.ConnectionRefused, false
 	}
 	s, ok := status.FromError(err)
 	if !ok || !t.fate.trailer.Load() {
 		if ok && s.Code() == codes.Unavailable || errors.Is(err, io.ErrUnexpectedEOF) {
-			return policy.Reset, false
+			return policy.ConnectionReset, false
 		}
 		return policy.Failed, false
 	}
@@ -156,8 +156,8 @@
 
 // headers are the call headers of the attempt, the same at each of its calls.
 func (t *flightAttempt) headers() metadata.MD {
-	md := metadata.MD{flightwire.HeaderQuery: {t.a.Query.ID}, flightwire.HeaderAttempt: {strconv.Itoa(t.a.N)}}
-	if t.a.HasTerms {
+	md := metadata.MD{flightwire.HeaderQuery: {t.a.Query.ID}, flightwire.HeaderAttempt: {strconv.Itoa(t.a.Number)}}
+	if t.a.HasResources {
 		md[flightwire.HeaderPriority] = []string{strconv.Itoa(t.a.Priority)}
 		if t.a.MemoryMB > 0 {
 			md[flightwire.HeaderMemory] = []string{strconv.FormatFloat(t.a.MemoryMB, 'f', 0, 64)}
--- a/backend/lines.go
+++ b/backend/lines.go
@@ -91,8 +91,8 @@
 		return 0, errUnsent
 	}
 	q := *t.call
-	q.TTL = (int64(t.a.Until-t.f.clock.Now()) + 999) / 1000
-	if t.a.HasTerms {
+	q.TTL = (int64(t.a.Deadline-t.f.clock.Now()) + 999) / 1000
+	if t.a.HasResources {
 		q.MemoryMB, q.Priority = int64(t.a.MemoryMB), t.a.Priority
 	}
 	written, err = c.put(q.Append(make([]byte, 0, len(q.Text)+200)), beginWithin)
@@ -193,8 +193,8 @@
 	case lineproto.News:
 		t.notes++
 		if p, ok := linesNote(a.Field("why"), a.Field("datum")); ok {
-			p.ID, p.Attempt, p.Engine = t.a.Query.ID, t.a.N, t.a.Node
-			t.f.post.Told(p)
+			p.ID, p.Attempt, p.Endpoint = t.a.Query.ID, t.a.Number, t.a.Node
+			t.f.post.Notify(p)
 		}
 		return nil
 	case lineproto.Full:
@@ -222,13 +222,13 @@
 	var form *lineproto.FormatError
 	switch {
 	case errors.Is(err, errNodeFull):
-		return policy.Full, false
+		return policy.Rejected, false
 	case errors.Is(err, errNodeMoot), errors.Is(err, errNoRoom): // no fault of the node
-		return policy.Moot, false
+		return policy.NeverSent, false
 	case errors.Is(err, errNodeFailed), errors.As(err, &form):
 		return policy.Failed, false
 	}
-	return policy.Reset, false
+	return policy.ConnectionReset, false
 }
 
 // after implements carrier.
--- a/backend/lines_pool.go
+++ b/backend/lines_pool.go
@@ -46,7 +46,7 @@
 		return c, nil
 	}
 	if !f.reserveLines() {
-		if c := p.share(t, f.opt.LinesShared); c != nil {
+		if c := p.share(t, f.opt.MaxAttemptsPerConn); c != nil {
 			return c, nil
 		}
 		return nil, errNoRoom
@@ -87,7 +87,7 @@
 // reserveLines books a descriptor; idle connections to other nodes make room.
 func (f *Fleet) reserveLines() bool {
 	for range 2 {
-		if f.linesOpen.Add(1) <= int64(f.opt.LinesMost) {
+		if f.linesOpen.Add(1) <= int64(f.opt.MaxPlatformConns) {
 			return true
 		}
 		f.linesOpen.Add(-1)
@@ -209,7 +209,7 @@
 	c.worn = c.worn || silent || len(c.given) >= givenMost
 	worn := c.worn
 	if idle {
-		c.conn.SetReadDeadline(time.Now().Add(c.f.opt.LinesIdle))
+		c.conn.SetReadDeadline(time.Now().Add(c.f.opt.PlatformIdleTimeout))
 	}
 	c.mu.Unlock()
 	if idle && (worn || !c.pool.keep(c)) {
--- a/backend/lines_probe.go
+++ b/backend/lines_probe.go
@@ -13,33 +13,33 @@
 	ctx, cancel := context.WithTimeout(ctx, f.opt.ConnectTimeout)
 	defer cancel()
 	if !f.reserveLines() { // a probe holds a descriptor like any attempt
-		return policy.Moot
+		return policy.NeverSent
 	}
 	defer f.linesOpen.Add(-1)
 	conn, err := f.dialLines(ctx, n.lines.address)
 	if isLocal(err) {
-		return policy.Moot
+		return policy.NeverSent
 	}
 	if err != nil {
-		return policy.Refused
+		return policy.ConnectionRefused
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	if _, err := conn.Write(lineproto.AppendPing(nil, "ping")); err != nil {
-		return policy.Reset
+		return policy.ConnectionReset
 	}
 	a, err := lineproto.NewReader(conn).Read()
 	switch {
 	case ctx.Err() != nil:
 		return policy.TimedOut
 	case err != nil:
-		return policy.Reset
+		return policy.ConnectionReset
 	case a.Word != lineproto.Well || a.ID != "ping":
 		return policy.Failed
 	}
 	return policy.OK
 }
 
-// LinesOpen counts the connections to nodes that speak lines.
-func (f *Fleet) LinesOpen() int64 { return f.linesOpen.Load() }
+// PlatformConns counts the connections to nodes that speak lines.
+func (f *Fleet) PlatformConns() int64 { return f.linesOpen.Load() }
--- a/backend/lines_report.go
+++ b/backend/lines_report.go
@@ -45,13 +45,13 @@
 	p.Value = v
 	switch {
 	case why == "p":
-		p.Kind = policy.ShareDone
+		p.Kind = policy.FractionDone
 	case why == "s":
-		p.Kind = policy.Spills
+		p.Kind = policy.MemorySpilled
 	case why == "w" && v == 2:
-		p.Kind = policy.WaitsLoad
+		p.Kind = policy.WaitingForTables
 	case why == "w":
-		p.Kind = policy.WaitsMemory
+		p.Kind = policy.WaitingForMemory
 	default:
 		return p, false
 	}
--- a/backend/lines_test.go
+++ b/backend/lines_test.go
@@ -37,7 +37,7 @@
 	t.Cleanup(func() { f.Close() })
 	var nodes []nodelist.Node
 	for i, a := range addresses {
-		nodes = append(nodes, nodelist.Node{ID: fmt.Sprintf("n%d", i), Lines: a})
+		nodes = append(nodes, nodelist.Node{ID: fmt.Sprintf("n%d", i), Platform: a})
 	}
 	if err := f.SetNodes(nodes); err != nil {
 		t.Fatal(err)
@@ -47,11 +47,11 @@
 
 func (f *lineFleet) send(id string, n int, node string, within time.Duration) {
 	now := f.clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Due: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
-		Text: "SELECT 1", Priority: -1}}, N: n, Node: node, Until: now + within.Microseconds(), Before: f.before})
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
+		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + within.Microseconds(), StartBefore: f.before})
 }
 
-func (f *lineFleet) end() dispatch.Ended {
+func (f *lineFleet) end() dispatch.AttemptEnded {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
 	defer cancel()
@@ -61,9 +61,9 @@
 			f.t.Fatal("no end in 5 s")
 		case ev := <-f.tape.events:
 			switch ev := ev.(type) {
-			case dispatch.Ended:
+			case dispatch.AttemptEnded:
 				return ev
-			case dispatch.Told:
+			case dispatch.PolicyEvent:
 				if p, ok := ev.Event.(policy.Progress); ok {
 					f.notes = append(f.notes, p)
 				}
@@ -125,8 +125,8 @@
 		}, policy.OK, "a|b|c;p|1|;p|2|;"},
 		{"a second copy and an answer to nobody before it", raw(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
 			simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
-		{"full", say("full", "", ""), policy.Full, ""},
-		{"moot", say("moot", "", ""), policy.Moot, ""},
+		{"full", say("full", "", ""), policy.Rejected, ""},
+		{"moot", say("moot", "", ""), policy.NeverSent, ""},
 		{"failed", say("failed", "", "what went wrong"), policy.Failed, ""},
 		{"a page that its node has lost", paged(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
 		{"a page beyond the last", paged(func(int) string { return whole(7) }), policy.Failed, ""},
@@ -142,8 +142,8 @@
 		{"cut short", func(c net.Conn, cmd simulated.LineCommand) {
 			fmt.Fprintf(c, "%s data total=1 6\r\na\tb", cmd.ID)
 			c.Close()
-		}, policy.Reset, ""},
-		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.Reset, ""},
+		}, policy.ConnectionReset, ""},
+		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
 		{"never", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
 		{"a whole page and then nothing", paged(func(int) string { return "" }), policy.TimedOut, ""},
 	}
@@ -197,17 +197,17 @@
 		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
 	}
 	f.send("c", 0, "gone", time.Second)
-	if end := f.end(); end.Code != policy.Refused {
+	if end := f.end(); end.Code != policy.ConnectionRefused {
 		t.Errorf("a node that is not listed: code %d", end.Code)
 	}
 	node.Close()
 	broken = 0
 	f.send("d", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.Refused && end.Code != policy.Reset {
+	if end := f.end(); end.Code != policy.ConnectionRefused && end.Code != policy.ConnectionReset {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
 	}
 	f.send("e", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.Refused {
+	if end := f.end(); end.Code != policy.ConnectionRefused {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
 	}
 	if node, err = simulated.NewLineNode(address, serve); err != nil {
@@ -237,8 +237,8 @@
 		if within == 5*time.Second {
 			f.Cancel("q-id", 0)
 		}
-		if end := f.end(); end.Code != policy.Moot {
-			t.Errorf("over within %v: code %d (%v), want %d", within, end.Code, end.Err, policy.Moot)
+		if end := f.end(); end.Code != policy.NeverSent {
+			t.Errorf("over within %v: code %d (%v), want %d", within, end.Code, end.Err, policy.NeverSent)
 		}
 	}
 }
@@ -259,12 +259,12 @@
 			c.f.SetNodes(c.rows)
 		},
 		"the window is over": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.Before {
+			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.StartBefore {
 				time.Sleep(time.Millisecond)
 			}
 		},
 		"the time is up": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.Until {
+			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.Deadline {
 				time.Sleep(time.Millisecond)
 			}
 		},
@@ -280,8 +280,8 @@
 					t.Fatal(err)
 				}
 				defer node.Close()
-				f := newLineFleet(t, Options{LinesMost: 1}, node.Address())
-				c := &crossing{f, []nodelist.Node{{ID: "n0", Lines: node.Address()}}}
+				f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address())
+				c := &crossing{f, []nodelist.Node{{ID: "n0", Platform: node.Address()}}}
 				arrived, release := make(chan struct{}), func() {}
 				within := 3 * time.Second
 				if name == "the window is over" {
@@ -320,8 +320,8 @@
 				for end.ID == "q-before" { // ends with its node
 					end = f.end()
 				}
-				if end.Code != policy.Moot {
-					t.Errorf("code %d (%v), want %d", end.Code, end.Err, policy.Moot)
+				if end.Code != policy.NeverSent {
+					t.Errorf("code %d (%v), want %d", end.Code, end.Err, policy.NeverSent)
 				}
 				for _, cmd := range node.Commands() {
 					if cmd.ID == "id" {
@@ -378,7 +378,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{LinesMost: 1}, node.Address())
+	f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address())
 	f.send("id", 0, "n0", 5*time.Second)
 	for len(node.Commands()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -413,17 +413,17 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	f := newLineFleet(t, Options{LinesMost: 1}, node.Address(), other.Address())
+	f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address(), other.Address())
 	dialled := make(chan int64, 1)
 	f.dialLines = func(ctx context.Context, address string) (net.Conn, error) {
-		dialled <- f.LinesOpen()
+		dialled <- f.PlatformConns()
 		return dialTCP(ctx, address)
 	}
-	f.Probe("n0")
+	f.HealthCheck("n0")
 	if n := <-dialled; n != 1 {
 		t.Errorf("%d connections counted while a probe connects, want 1", n)
 	}
-	for f.LinesOpen() > 0 {
+	for f.PlatformConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range 20 { // each has to take the other node's idle connection
@@ -447,7 +447,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{LinesMost: 2, LinesShared: 2}, node.Address())
+	f := newLineFleet(t, Options{MaxPlatformConns: 2, MaxAttemptsPerConn: 2}, node.Address())
 	for i := range 4 {
 		id := fmt.Sprintf("r%d", i)
 		if i == 3 {
@@ -463,7 +463,7 @@
 		t.Errorf("%d connections for 4 attempts, want 2", node.Accepted())
 	}
 	f.send("more", 0, "n0", 3*time.Second)
-	if end := f.end(); end.Code != policy.Moot {
+	if end := f.end(); end.Code != policy.NeverSent {
 		t.Errorf("no room on any connection: code %d (%v)", end.Code, end.Err)
 	}
 }
@@ -525,17 +525,17 @@
 	f := newLineFleet(t, Options{}, node.Address())
 	f.send("a", 0, "n0", time.Second)
 	f.end()
-	want := []policy.Progress{{ID: "q-a", Engine: "n0", Kind: policy.ShareDone, Value: 0.5}, {ID: "q-a", Engine: "n0", Kind: policy.WaitsLoad, Value: 2}}
+	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5}, {ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
 	if fmt.Sprint(f.notes) != fmt.Sprint(want) {
 		t.Errorf("notes %v, want %v", f.notes, want)
 	}
-	f.SetNodes([]nodelist.Node{{ID: "n1", Lines: node.Address()}})
+	f.SetNodes([]nodelist.Node{{ID: "n1", Platform: node.Address()}})
 	f.send("b", 0, "n1", time.Second)
 	if f.end(); node.Accepted() != 2 {
 		t.Errorf("%d connections, want one for each node", node.Accepted())
 	}
 	f.SetNodes(nil)
-	for f.LinesOpen() > 0 { // readers see the end of their connections
+	for f.PlatformConns() > 0 { // readers see the end of their connections
 		time.Sleep(time.Millisecond)
 	}
 	if f.nodes["n0"] != nil || f.nodes["n1"] != nil || len(f.attempts) > 0 {
--- a/backend/list.go
+++ b/backend/list.go
@@ -16,14 +16,14 @@
 		f.ListFailed(err)
 		return err
 	}
-	event := policy.Engines{Whole: true}
+	event := policy.EndpointUpdate{Complete: true}
 	now := f.clock.Now()
 	f.mu.Lock()
 	listed := map[string]bool{}
 	for _, n := range nodes {
 		listed[n.ID] = true
-		event.Rows = append(event.Rows, policy.Engine{ID: n.ID, Zone: n.Hall, Kind: n.Kind, Cell: n.Cell,
-			State: n.State, Weight: n.Weight, Started: f.place(n), Speaks: n.Speaks()})
+		event.Endpoints = append(event.Endpoints, policy.Endpoint{ID: n.ID, Zone: n.Zone, Kind: n.Kind, PlacementGroup: n.PlacementGroup,
+			State: n.State, Weight: n.Weight, Started: f.place(n), Protocols: n.Protocols()})
 		f.drains.notice(n.ID, n.State != policy.Healthy)
 	}
 	var idle []*node
@@ -43,7 +43,7 @@
 	for _, n := range idle {
 		n.close()
 	}
-	f.post.Told(event)
+	f.post.Notify(event)
 	if f.onNodes != nil {
 		f.onNodes(nodes)
 	}
@@ -54,7 +54,7 @@
 func (f *Fleet) ListFailed(err error) {
 	f.log.Warn("node list failed; the last good one holds", "error", err)
 	f.listFailures.Add(1)
-	f.post.Told(policy.Engines{Failed: true})
+	f.post.Notify(policy.EndpointUpdate{Failed: true})
 }
 
 // place books a node and tells its start by the dispatcher's clock; f.mu is held.
@@ -66,7 +66,7 @@
 	} else {
 		at = f.startOf(row)
 	}
-	if n != nil && n.address == row.Address && n.native == row.Native && n.lines.address == row.Lines {
+	if n != nil && n.address == row.Address && n.native == row.Native && n.lines.address == row.Platform {
 		n.gone, n.started, n.startedAt = false, row.Started, at
 		n.notice(f.clock.Now(), row.State == policy.Healthy)
 		return at
@@ -79,7 +79,7 @@
 		}
 	}
 	n = &node{id: row.ID, address: row.Address, native: row.Native, started: row.Started, startedAt: at,
-		lines: linesPool{address: row.Lines}}
+		lines: linesPool{address: row.Platform}}
 	n.notice(f.clock.Now(), row.State == policy.Healthy)
 	f.nodes[row.ID] = n
 	return at
--- a/backend/load.go
+++ b/backend/load.go
@@ -42,15 +42,15 @@
 	return l
 }
 
-// Probe implements dispatch.Fleet: a health check (grpc.health.v1), whose trailers carry the load report; a Ping where a
+// HealthCheck implements dispatch.Fleet: a health check (grpc.health.v1), whose trailers carry the load report; a Ping where a
 // node speaks the native protocol alone.
-func (f *Fleet) Probe(id string) {
+func (f *Fleet) HealthCheck(id string) {
 	f.group.Go(func() error {
 		begun := time.Now()
-		ev := policy.Probed{Engine: id}
+		ev := policy.HealthCheckResult{Endpoint: id}
 		ev.Code, ev.Load = f.probe(id)
-		ev.Took = time.Since(begun).Microseconds()
-		f.post.Told(ev)
+		ev.Latency = time.Since(begun).Microseconds()
+		f.post.Notify(ev)
 		return nil
 	})
 }
@@ -58,7 +58,7 @@
 func (f *Fleet) probe(id string) (policy.Code, *policy.Load) {
 	n := f.use(id)
 	if n == nil {
-		return policy.Refused, nil
+		return policy.ConnectionRefused, nil
 	}
 	defer f.release(n)
 	ctx, cancel := context.WithTimeout(f.ctx, f.opt.ProbeTimeout)
@@ -71,7 +71,7 @@
 	}
 	conn, err := n.ready(ctx, &f.opt)
 	if err != nil {
-		return policy.Refused, nil
+		return policy.ConnectionRefused, nil
 	}
 	var trailer metadata.MD
 	answer, err := healthpb.NewHealthClient(conn).Check(ctx, &healthpb.HealthCheckRequest{}, grpc.Trailer(&trailer))
--- a/backend/native.go
+++ b/backend/native.go
@@ -139,7 +139,7 @@
 	}
 	c, err := n.nativeReady(ctx, o, key)
 	if err != nil {
-		return policy.Refused
+		return policy.ConnectionRefused
 	}
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	c.w.Write([]byte{native.ClientPing})
@@ -184,7 +184,7 @@
 		return
 	}
 	t.share.told = now
-	t.f.post.Post(dispatch.Told{Event: policy.Progress{ID: t.a.Query.ID, Attempt: t.a.N, Engine: t.a.Node, Kind: policy.ShareDone,
+	t.f.post.Post(dispatch.PolicyEvent{Event: policy.Progress{ID: t.a.Query.ID, Attempt: t.a.Number, Endpoint: t.a.Node, Kind: policy.FractionDone,
 		Value: float64(t.share.read) / float64(t.share.total)}})
 }
 
@@ -202,8 +202,8 @@
 func (t *nativeAttempt) try(ctx context.Context, n *node) (any, error) {
 	key := nativeKey{t.call.Revision, t.call.Database}
 	c := t.f.takeSession(t.call.Session, n, key)
-	if c == nil && t.a.Query.Only != "" && t.call.Session != "" {
-		return nil, session.ErrMissing
+	if c == nil && t.a.Query.StickyTo != "" && t.call.Session != "" {
+		return nil, session.ErrStateMissing
 	}
 	if c == nil {
 		var err error
@@ -294,7 +294,7 @@
 // query is what goes to the node: the client's, with the module's terms as settings.
 func (t *nativeAttempt) query() native.Query {
 	q := t.call.Query
-	q.ID = t.a.Query.ID + "-" + strconv.Itoa(t.a.N)
+	q.ID = t.a.Query.ID + "-" + strconv.Itoa(t.a.Number)
 	q.Settings = append([]native.Setting(nil), q.Settings...)
 	set := func(name, value string) {
 		for i := range q.Settings {
@@ -305,7 +305,7 @@
 		}
 		q.Settings = append(q.Settings, native.Setting{Name: name, Value: value})
 	}
-	if t.a.HasTerms {
+	if t.a.HasResources {
 		// 1 is the most urgent there, 0 means none; the module's 3 is its most urgent.
 		set("priority", strconv.Itoa(4-t.a.Priority))
 		if t.a.MemoryMB > 0 {
@@ -471,21 +471,21 @@
 	var form *native.FormatError
 	switch {
 	case errors.As(err, &e) && e.Code == tooManyQueries:
-		return policy.Full, false
+		return policy.Rejected, false
 	case errors.As(err, &e) && !nodeTroubles[e.Code]:
 		return policy.Failed, true
 	case t.unsent:
-		return policy.Refused, false
+		return policy.ConnectionRefused, false
 	case errors.As(err, &e):
 		return policy.Failed, false
 	case errors.As(err, &form):
 		return policy.Failed, false
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return policy.Reset, false
+		return policy.ConnectionReset, false
 	}
 	var op *net.OpError
 	if errors.As(err, &op) {
-		return policy.Reset, false
+		return policy.ConnectionReset, false
 	}
 	return policy.Failed, false
 }
--- a/backend/native_test.go
+++ b/backend/native_test.go
@@ -25,7 +25,7 @@
 func (s *taker) Pass([]byte, bool) error { return nil }
 
 // play sends one attempt to one node and returns what was seen of it, up to its end.
-func play(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.Ended) {
+func play(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.AttemptEnded) {
 	t.Helper()
 	clock := dispatch.NewClock()
 	f := New(Options{Clock: clock, ConnectTimeout: 200 * time.Millisecond})
@@ -39,7 +39,7 @@
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
 	call.Tables = native.EndOfData()
 	now := clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Due: now + 1e7}, Node: "n", Until: now + until.Microseconds()})
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Deadline: now + 1e7}, Node: "n", Deadline: now + until.Microseconds()})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	for {
@@ -48,11 +48,11 @@
 			t.Fatal("no end in 5 s")
 		case ev := <-tp.events:
 			switch ev := ev.(type) {
-			case dispatch.Begun:
-				f.Open(ev.ID, ev.N)
-			case dispatch.Ended:
+			case dispatch.ResponseReady:
+				f.ForwardResponse(ev.ID, ev.Number)
+			case dispatch.AttemptEnded:
 				return notes, ev
-			case dispatch.Told:
+			case dispatch.PolicyEvent:
 				if p, ok := ev.Event.(policy.Progress); ok {
 					notes = append(notes, p)
 				}
@@ -75,15 +75,15 @@
 		rejected bool
 	}{
 		{"an answer", simulated.Faults{}, false, "SELECT 1 /* rows=10 */", nil, policy.OK, false},
-		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.Refused, false},
-		{"turned away", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Full, false},
+		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.ConnectionRefused, false},
+		{"turned away", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
 		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
 		{"a wrong statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
 		{"silent", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
 		{"an update without an answer", simulated.Faults{Lost: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
-		{"a cut answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.Reset, false},
+		{"a cut answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
 		{"rows taken", simulated.Faults{}, false, insert, rows, policy.OK, false},
-		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.Refused, false},
+		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
 		{"rows taken and no answer", simulated.Faults{Lost: true}, false, insert, rows, policy.TimedOut, false},
 		{"rows taken and failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
 	}
@@ -101,8 +101,8 @@
 			_, end := play(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
 			if c.text == insert && c.fault.Hang { // told well before the attempt's own time-out would have been
 				_, end = play(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
-				if end.Took > 2e6 {
-					t.Errorf("told after %d us", end.Took)
+				if end.Latency > 2e6 {
+					t.Errorf("told after %d us", end.Latency)
 				}
 			}
 			if end.Code != c.code || end.Rejected != c.rejected {
@@ -120,14 +120,14 @@
 	}
 	defer n.Die()
 	notes, end := play(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
-	if end.Code != policy.OK || end.WorkUs != 600000 || end.NeedMB != 50 {
-		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkUs, end.NeedMB)
+	if end.Code != policy.OK || end.WorkMicros != 600000 || end.NeededMB != 50 {
+		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkMicros, end.NeededMB)
 	}
 	if len(notes) < 3 || len(notes) > 8 {
 		t.Errorf("%d notes, want one each 100 ms", len(notes))
 	}
 	for i, p := range notes {
-		if p.ID != "q" || p.Engine != "n" || p.Kind != policy.ShareDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < notes[i-1].Value {
+		if p.ID != "q" || p.Endpoint != "n" || p.Kind != policy.FractionDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < notes[i-1].Value {
 			t.Errorf("note %d: %+v", i, p)
 		}
 	}
@@ -160,7 +160,7 @@
 	}()
 	large := make([]byte, 32<<20)
 	_, end := play(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
-	if end.Code != policy.Reset {
+	if end.Code != policy.ConnectionReset {
 		t.Errorf("code %d, want that the connection broke (%v)", end.Code, end.Err)
 	}
 }
@@ -177,13 +177,13 @@
 		if err := f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started}}); err != nil {
 			t.Fatal(err)
 		}
-		seen[(<-tp.events).(dispatch.Told).Event.(policy.Engines).Rows[0].Started] = true
+		seen[(<-tp.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started] = true
 	}
 	if len(seen) != 1 {
 		t.Errorf("one start, told as %d", len(seen))
 	}
 	f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started.Add(time.Second)}})
-	if at := (<-tp.events).(dispatch.Told).Event.(policy.Engines).Rows[0].Started; seen[at] {
+	if at := (<-tp.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started; seen[at] {
 		t.Error("another start is told as the old one")
 	}
 }
--- a/backend/permit_test.go
+++ b/backend/permit_test.go
@@ -18,9 +18,9 @@
 
 // An error of this machine at a connect tells nothing of the node and proves that nothing ran; a refused connection is the node's.
 func TestLocalConnectErrors(t *testing.T) {
-	for errno, want := range map[syscall.Errno]policy.Code{syscall.EMFILE: policy.Moot, syscall.ENFILE: policy.Moot, syscall.ENOBUFS: policy.Moot,
-		syscall.EADDRNOTAVAIL: policy.Moot, syscall.ENETUNREACH: policy.Moot, syscall.ECONNREFUSED: policy.Refused,
-		syscall.EHOSTUNREACH: policy.Refused, syscall.ETIMEDOUT: policy.Refused} {
+	for errno, want := range map[syscall.Errno]policy.Code{syscall.EMFILE: policy.NeverSent, syscall.ENFILE: policy.NeverSent, syscall.ENOBUFS: policy.NeverSent,
+		syscall.EADDRNOTAVAIL: policy.NeverSent, syscall.ENETUNREACH: policy.NeverSent, syscall.ECONNREFUSED: policy.ConnectionRefused,
+		syscall.EHOSTUNREACH: policy.ConnectionRefused, syscall.ETIMEDOUT: policy.ConnectionRefused} {
 		f := newLineFleet(t, Options{}, "127.0.0.1:1")
 		f.dialLines = func(context.Context, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
@@ -29,7 +29,7 @@
 		if end := f.end(); end.Code != want {
 			t.Errorf("%v: code %d (%v), want %d", errno, end.Code, end.Err, want)
 		}
-		if n := f.LinesOpen(); n != 0 {
+		if n := f.PlatformConns(); n != 0 {
 			t.Errorf("%v: %d connections on the books", errno, n)
 		}
 	}
@@ -51,15 +51,15 @@
 	if end := f.end(); end.Code != policy.OK || len(f.Audit().Counts()) != 0 {
 		t.Fatalf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
-	f.SetNodes([]nodelist.Node{{ID: "n0", Lines: node.Address(), State: policy.Draining}})
+	f.SetNodes([]nodelist.Node{{ID: "n0", Platform: node.Address(), State: policy.Draining}})
 	f.send("two", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.Moot || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
+	if end := f.end(); end.Code != policy.NeverSent || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
 		t.Errorf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
 	n := f.use("n0")
 	defer f.release(n)
 	a := &attempt{f: f.Fleet}
-	a.a.Query, a.a.Until = &dispatch.Query{ID: "q"}, f.clock.Now()+1e6
+	a.a.Query, a.a.Deadline = &dispatch.Query{ID: "q"}, f.clock.Now()+1e6
 	n.notified.Store(f.clock.Now() - 1e6)
 	if a.begunAt(n); f.Audit().Violated(permit.Draining) != 1 {
 		t.Errorf("counts %v", f.Audit().Counts())
@@ -70,8 +70,8 @@
 func TestStartsAreBoundedByTheListsBefore(t *testing.T) {
 	f := newLineFleet(t, Options{}, "127.0.0.1:1")
 	listed := f.clock.Now()
-	rows := []nodelist.Node{{ID: "n0", Lines: "127.0.0.1:1"}, {ID: "old", Lines: "127.0.0.1:2", Started: time.Now().Add(-time.Hour)},
-		{ID: "early", Lines: "127.0.0.1:3", Started: time.Now().Add(time.Hour)}, {ID: "true", Lines: "127.0.0.1:4", Started: time.Now().Add(-time.Second)}}
+	rows := []nodelist.Node{{ID: "n0", Platform: "127.0.0.1:1"}, {ID: "old", Platform: "127.0.0.1:2", Started: time.Now().Add(-time.Hour)},
+		{ID: "early", Platform: "127.0.0.1:3", Started: time.Now().Add(time.Hour)}, {ID: "true", Platform: "127.0.0.1:4", Started: time.Now().Add(-time.Second)}}
 	if err := f.SetNodes(rows); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -86,7 +86,7 @@
 		}
 		s.read()
 		s.scrape(ctx)
-		s.control.Locked(func() { s.rollout.Look(s.now()) })
+		s.control.Locked(func() { s.rollout.Advance(s.now()) })
 		s.back()
 		if t := s.table(); t != last {
 			fmt.Println(t)
@@ -210,7 +210,7 @@
 		if n.State == "gone" {
 			continue
 		}
-		row := simulated.Listed{Name: n.Name, Address: n.Address, Hall: n.Hall, Kind: n.Kind, Draining: n.State == "draining"}
+		row := simulated.Listed{Name: n.Name, Address: n.Address, Hall: n.Zone, Kind: n.Kind, Draining: n.State == "draining"}
 		if n.Started != "" {
 			at, err := time.Parse(time.RFC3339Nano, n.Started)
 			if err != nil {
@@ -232,7 +232,7 @@
 		fmt.Fprintln(&b, s.rollout.State())
 		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
 		fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
-		for _, x := range s.rollout.Standings() {
+		for _, x := range s.rollout.Statuses() {
 			fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", x.Dispatcher, x.Number, x.Refused, x.Reason)
 		}
 		w.Flush()
--- a/config/config.go
+++ b/config/config.go
@@ -19,8 +19,8 @@
 // File is a configuration as it is written. docs/operators.md describes each field.
 type File struct {
 	Name     string   `json:"name"`
-	Halls    []string `json:"halls"`
-	Hall     string   `json:"hall"`
+	Zones    []string `json:"halls"`
+	Zone     string   `json:"hall"`
 	Peers    int      `json:"dispatchers"` // that share the fleet, this one included
 	Number   int      `json:"number"`      // of this one among them, from 0
 	Listen   Listen   `json:"listen"`
@@ -71,31 +71,31 @@
 
 // Control is a control service that streams the node list and the settings: classes, tenants, limits, rules.
 type Control struct {
-	Address     string   `json:"address"`
-	Cluster     string   `json:"cluster"` // name of the node list
-	Delta       bool     `json:"delta"`   // the incremental variant of xDS
-	Store       string   `json:"store"`   // file that keeps the versions taken; empty: none outlives the process
-	Keep        int      `json:"keep"`    // how many of them
-	Floor       float64  `json:"floor"`   // least share of the healthy nodes that a list may leave at once
-	FloorCount  int      `json:"floor_count"`
-	RelistAfter Duration `json:"relist_after"`  // a drained node without a new start is believed healthy after this
-	Shorter     bool     `json:"allow_shorter"` // of graces, rests and budgets, whatever is out
-	Reconnect   Duration `json:"reconnect_most"`
-	OperatorKey string   `json:"operator_key"` // Ed25519, hex; who holds the other half may override; empty: nobody
+	Address      string   `json:"address"`
+	Cluster      string   `json:"cluster"` // name of the node list
+	Delta        bool     `json:"delta"`   // the incremental variant of xDS
+	Store        string   `json:"store"`   // file that keeps the versions taken; empty: none outlives the process
+	KeepVersions int      `json:"keep"`    // how many of them
+	Floor        float64  `json:"floor"`   // least share of the healthy nodes that a list may leave at once
+	FloorCount   int      `json:"floor_count"`
+	RelistAfter  Duration `json:"relist_after"`  // a drained node without a new start is believed healthy after this
+	Shorter      bool     `json:"allow_shorter"` // of graces, rests and budgets, whatever is out
+	Reconnect    Duration `json:"reconnect_most"`
+	OperatorKey  string   `json:"operator_key"` // Ed25519, hex; who holds the other half may override; empty: nobody
 }
 
 // Node is one row of a list in a file.
 type Node struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"` // of Flight SQL
-	Native  string  `json:"native"`  // of the ClickHouse native protocol
-	Hall    string  `json:"hall"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`    // healthy, draining or gone; empty: healthy
-	Started string  `json:"started"`  // RFC 3339; empty: long ago
-	DrainAt string  `json:"drain_at"` // RFC 3339, when a drain is announced for; empty: none
-	Weight  float64 `json:"weight"`
+	Name           string  `json:"name"`
+	Address        string  `json:"address"` // of Flight SQL
+	Native         string  `json:"native"`  // of the ClickHouse native protocol
+	Zone           string  `json:"hall"`
+	Kind           string  `json:"kind"`
+	PlacementGroup int     `json:"cell"`
+	State          string  `json:"state"`    // healthy, draining or gone; empty: healthy
+	Started        string  `json:"started"`  // RFC 3339; empty: long ago
+	DrainAt        string  `json:"drain_at"` // RFC 3339, when a drain is announced for; empty: none
+	Weight         float64 `json:"weight"`
 }
 
 // Kind is one kind of machine.
@@ -107,98 +107,98 @@
 
 // Class is one class of queries.
 type Class struct {
-	Name       string   `json:"name"`
-	Worth      float64  `json:"worth"`
-	LateWorth  float64  `json:"late_worth"`
-	Aim        Duration `json:"aim"`
-	AimStretch float64  `json:"aim_stretch"`
-	Deadline   Duration `json:"deadline"`
-	Threads    int      `json:"threads"`
-	Effect     string   `json:"effect"`  // of what only reads: safe, keyed or unsafe; empty: safe
-	Updates    string   `json:"updates"` // of what writes; empty: unsafe
-	Group      string   `json:"group"`   // all, hall or cell: nodes that drop repeats of a keyed query
-	Window     Duration `json:"window"`  // how long they remember it
-	InTurn     bool     `json:"in_turn"`
-	Halls      []string `json:"halls"`
-	Kinds      []string `json:"kinds"`
-	Loads      bool     `json:"loads"`
-	Waits      bool     `json:"waits"`
+	Name             string   `json:"name"`
+	PriorityWeight   float64  `json:"worth"`
+	LateWeight       float64  `json:"late_worth"`
+	LatencyObjective Duration `json:"aim"`
+	ObjectiveStretch float64  `json:"aim_stretch"`
+	Deadline         Duration `json:"deadline"`
+	Threads          int      `json:"threads"`
+	Effect           string   `json:"effect"`  // of what only reads: safe, keyed or unsafe; empty: safe
+	Updates          string   `json:"updates"` // of what writes; empty: unsafe
+	DedupScope       string   `json:"group"`   // all, hall or cell: nodes that drop repeats of a keyed query
+	DedupWindow      Duration `json:"window"`  // how long they remember it
+	Ordered          bool     `json:"in_turn"`
+	Zones            []string `json:"halls"`
+	Kinds            []string `json:"kinds"`
+	LocksTables      bool     `json:"loads"`
+	WaitsForTables   bool     `json:"waits"`
 }
 
 // Tenant has a share of the service.
 type Tenant struct {
-	Name      string  `json:"name"`
-	PerSecond float64 `json:"per_second"`
+	Name  string  `json:"name"`
+	Quota float64 `json:"per_second"`
 }
 
 // Limits bound what the dispatcher does. Zero values mean the defaults, which configcheck prints.
 type Limits struct {
-	Attempts       int      `json:"attempts"`
-	Held           int      `json:"held"`
-	ComeBack       Duration `json:"come_back"`
-	SecondCopies   bool     `json:"second_copies"`
-	DrainGrace     Duration `json:"drain_grace"`
-	TurnRest       Duration `json:"turn_rest"`
-	BudgetFree     float64  `json:"budget_free"`
-	BudgetShare    float64  `json:"budget_share"`
-	BudgetSpan     Duration `json:"budget_span"` // 0: no budget
-	ColdFrom       float64  `json:"cold_from"`
-	ColdFor        Duration `json:"cold_for"`
-	ColdMultiple   float64  `json:"cold_multiple"`
-	ColdSpan       Duration `json:"cold_span"`
-	OverShareWorth float64  `json:"over_share_worth"`
+	Attempts          int      `json:"attempts"`
+	MaxInFlight       int      `json:"held"`
+	MaxRetryAfter     Duration `json:"come_back"`
+	Hedging           bool     `json:"second_copies"`
+	DrainGrace        Duration `json:"drain_grace"`
+	OrderingGap       Duration `json:"turn_rest"`
+	RetryBudgetFloor  float64  `json:"budget_free"`
+	RetryBudgetRatio  float64  `json:"budget_share"`
+	RetryBudgetWindow Duration `json:"budget_span"` // 0: no budget
+	SlowStartFloor    float64  `json:"cold_from"`
+	SlowStartDuration Duration `json:"cold_for"`
+	OverloadMultiple  float64  `json:"cold_multiple"`
+	OverloadDuration  Duration `json:"cold_span"`
+	OverQuotaWeight   float64  `json:"over_share_worth"`
 }
 
 // Sending says what nodes heed.
 type Sending struct {
-	Grants      bool     `json:"grants"`
-	GrantShare  float64  `json:"grant_share"`
-	Priorities  bool     `json:"priorities"`
-	Probes      bool     `json:"probes"`
-	Shortage    string   `json:"shortage"` // queue, trim or swap
-	Connect     Duration `json:"connect_timeout"`
-	MaxFrame    int      `json:"max_frame_bytes"`
-	PassHeaders []string `json:"pass_headers"`
-	NativeUser  string   `json:"native_user"` // towards nodes, for the native protocol
-	NativePass  string   `json:"native_password"`
+	Grants       bool     `json:"grants"`
+	GrantShare   float64  `json:"grant_share"`
+	Priorities   bool     `json:"priorities"`
+	HealthChecks bool     `json:"probes"`
+	Shortage     string   `json:"shortage"` // queue, trim or swap
+	Connect      Duration `json:"connect_timeout"`
+	MaxFrame     int      `json:"max_frame_bytes"`
+	PassHeaders  []string `json:"pass_headers"`
+	NativeUser   string   `json:"native_user"` // towards nodes, for the native protocol
+	NativePass   string   `json:"native_password"`
 }
 
 // Front bounds what clients may do.
 type Front struct {
-	WayBack      Duration `json:"way_back"`
-	TicketLife   Duration `json:"ticket_life"`
-	PreparedLife Duration `json:"prepared_life"`
-	BearerLife   Duration `json:"bearer_life"`
-	SchemaLife   Duration `json:"schema_life"`
-	SchemaMost   int      `json:"schema_most"`
-	MaxStatement int      `json:"max_statement_bytes"`
-	MaxParams    int      `json:"max_parameter_bytes"`
-	InsertMost   int      `json:"max_insert_bytes"`  // rows and external tables of one native query
-	InsertsHeld  int      `json:"held_insert_bytes"` // of all of them together, until they have their answers
+	ResponseMargin         Duration `json:"way_back"`
+	TicketLife             Duration `json:"ticket_life"`
+	PreparedLife           Duration `json:"prepared_life"`
+	BearerLife             Duration `json:"bearer_life"`
+	SchemaLife             Duration `json:"schema_life"`
+	MaxSchemas             int      `json:"schema_most"`
+	MaxStatement           int      `json:"max_statement_bytes"`
+	MaxParams              int      `json:"max_parameter_bytes"`
+	MaxInsertBytes         int      `json:"max_insert_bytes"`  // rows and external tables of one native query
+	MaxBufferedInsertBytes int      `json:"held_insert_bytes"` // of all of them together, until they have their answers
 }
 
 // Sessions bounds what has its state on one node: transactions.
 type Sessions struct {
-	Most      int      `json:"most"`
-	PerTenant int      `json:"per_tenant"` // 0: no limit of its own
-	PerNode   int      `json:"per_node"`   // of this dispatcher; 0: no limit of its own
-	Idle      Duration `json:"idle"`       // without a statement: rolled back
-	Age       Duration `json:"age"`        // since its begin: rolled back; its token is valid for so long
-	Spread    Duration `json:"spread"`     // clients of a lost node are told to come back over this time
-	Keep      Duration `json:"keep"`       // how long an ended one is remembered, to tell its client why
+	Max         int      `json:"most"`
+	PerTenant   int      `json:"per_tenant"` // 0: no limit of its own
+	PerNode     int      `json:"per_node"`   // of this dispatcher; 0: no limit of its own
+	Idle        Duration `json:"idle"`       // without a statement: rolled back
+	Age         Duration `json:"age"`        // since its begin: rolled back; its token is valid for so long
+	RetrySpread Duration `json:"spread"`     // clients of a lost node are told to come back over this time
+	Retention   Duration `json:"keep"`       // how long an ended one is remembered, to tell its client why
 }
 
 // Log says what is logged.
 type Log struct {
 	Level  string `json:"level"`  // debug, info, warn or error
 	Format string `json:"format"` // json or console
-	// Decisions is the file that all decisions are recorded in, for decisionreplay; empty: none. It ends at DecisionsMost bytes.
-	Decisions     string `json:"decisions"`
-	DecisionsMost int    `json:"decisions_most_bytes"`
-	// Learned is the file that what the module has learned is kept in for the next start, each LearnedEvery; empty: none.
-	Learned      string   `json:"learned"`
-	LearnedEvery Duration `json:"learned_every"`
-	Traces       string   `json:"traces"` // file that spans are appended to, as JSON; empty: none
+	// Decisions is the file that all decisions are recorded in, for decisionreplay; empty: none. It ends at MaxDecisionBytes bytes.
+	Decisions        string `json:"decisions"`
+	MaxDecisionBytes int    `json:"decisions_most_bytes"`
+	// Learned is the file that what the module has learned is kept in for the next start, each LearnedInterval; empty: none.
+	Learned         string   `json:"learned"`
+	LearnedInterval Duration `json:"learned_every"`
+	Traces          string   `json:"traces"` // file that spans are appended to, as JSON; empty: none
 }
 
 // Rule gives traits to queries that meet all of its conditions.
@@ -268,10 +268,10 @@
 
 func (f *File) defaults() {
 	or(&f.Name, "dispatcher")
-	if len(f.Halls) == 0 {
-		f.Halls = []string{"hall"}
+	if len(f.Zones) == 0 {
+		f.Zones = []string{"hall"}
 	}
-	or(&f.Hall, f.Halls[0])
+	or(&f.Zone, f.Zones[0])
 	or(&f.Peers, 1)
 	or(&f.Listen.FlightSQL, "127.0.0.1:32010")
 	if len(f.Classes) > 0 {
@@ -281,45 +281,45 @@
 		c := &f.Classes[i]
 		or(&c.Effect, "safe")
 		or(&c.Updates, "unsafe")
-		or(&c.Group, "all")
+		or(&c.DedupScope, "all")
 		or(&c.Threads, 1)
-		or(&c.Worth, 1)
+		or(&c.PriorityWeight, 1)
 	}
 	l := &f.Limits
 	or(&l.Attempts, 3)
-	or(&l.Held, 20000)
-	or(&l.ComeBack, Duration(2*time.Second))
+	or(&l.MaxInFlight, 20000)
+	or(&l.MaxRetryAfter, Duration(2*time.Second))
 	or(&l.DrainGrace, Duration(2*time.Second))
-	or(&l.TurnRest, Duration(time.Second))
-	or(&l.ColdFrom, 0.34)
-	or(&l.ColdFor, Duration(15*time.Second))
-	or(&l.ColdMultiple, 2)
-	or(&l.ColdSpan, Duration(2*time.Second))
-	or(&l.OverShareWorth, 0.05)
+	or(&l.OrderingGap, Duration(time.Second))
+	or(&l.SlowStartFloor, 0.34)
+	or(&l.SlowStartDuration, Duration(15*time.Second))
+	or(&l.OverloadMultiple, 2)
+	or(&l.OverloadDuration, Duration(2*time.Second))
+	or(&l.OverQuotaWeight, 0.05)
 	s := &f.Sending
 	or(&s.GrantShare, 0.4)
 	or(&s.Shortage, "trim")
 	or(&s.Connect, Duration(250*time.Millisecond))
 	or(&s.MaxFrame, 16<<20)
 	r := &f.Front
-	or(&r.WayBack, Duration(10*time.Millisecond))
+	or(&r.ResponseMargin, Duration(10*time.Millisecond))
 	or(&r.TicketLife, Duration(10*time.Minute))
 	or(&r.PreparedLife, Duration(24*time.Hour))
 	or(&r.BearerLife, Duration(time.Hour))
 	or(&r.SchemaLife, Duration(5*time.Minute))
-	or(&r.SchemaMost, 4096)
+	or(&r.MaxSchemas, 4096)
 	or(&r.MaxStatement, 2<<20)
 	or(&r.MaxParams, 256<<10)
-	or(&r.InsertMost, 64<<20)
+	or(&r.MaxInsertBytes, 64<<20)
 	e := &f.Sessions
-	or(&e.Most, 100000)
+	or(&e.Max, 100000)
 	or(&e.Idle, Duration(5*time.Minute))
 	or(&e.Age, Duration(time.Hour))
-	or(&e.Spread, Duration(5*time.Second))
-	or(&e.Keep, Duration(time.Minute))
-	or(&r.InsertsHeld, 512<<20)
+	or(&e.RetrySpread, Duration(5*time.Second))
+	or(&e.Retention, Duration(time.Minute))
+	or(&r.MaxBufferedInsertBytes, 512<<20)
 	if k := f.Control; k != nil {
-		or(&k.Keep, 10)
+		or(&k.KeepVersions, 10)
 		or(&k.Floor, 0.5)
 		or(&k.FloorCount, 1)
 		or(&k.RelistAfter, Duration(time.Minute))
@@ -327,8 +327,8 @@
 	}
 	or(&f.Log.Level, "info")
 	or(&f.Log.Format, "json")
-	or(&f.Log.DecisionsMost, 1<<30)
-	or(&f.Log.LearnedEvery, Duration(5*time.Second))
+	or(&f.Log.MaxDecisionBytes, 1<<30)
+	or(&f.Log.LearnedInterval, Duration(5*time.Second))
 }
 
 // Effective is the configuration with all defaults, as JSON.
@@ -341,10 +341,10 @@
 const KeyedSuffix = " (keyed)"
 
 var (
-	effects   = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
-	groups    = map[string]policy.Group{"all": policy.GroupAll, "hall": policy.GroupZone, "cell": policy.GroupCell}
-	shortages = map[string]policy.Shortage{"queue": policy.ShortQueue, "trim": policy.ShortTrim,
-		"swap": policy.ShortSwap}
+	effects   = map[string]policy.Effect{"safe": policy.Idempotent, "keyed": policy.IdempotentByKey, "unsafe": policy.NonIdempotent}
+	groups    = map[string]policy.DedupScope{"all": policy.DedupFleet, "hall": policy.DedupZone, "cell": policy.DedupPlacementGroup}
+	shortages = map[string]policy.Shortage{"queue": policy.ShortageQueues, "trim": policy.ShortageTrims,
+		"swap": policy.ShortageSwaps}
 )
 
 // check validates what the types alone cannot say and derives what the module is told.
@@ -396,8 +396,8 @@
 		}
 		return r
 	}
-	unique("halls", f.Halls)
-	hall := index("hall", f.Hall, f.Halls)
+	unique("halls", f.Zones)
+	hall := index("hall", f.Zone, f.Zones)
 	within("dispatchers", float64(f.Peers), 1, 10000)
 	within("number", float64(f.Number), 0, float64(max(f.Peers, 1)-1))
 	address("listen.flightsql", f.Listen.FlightSQL, false)
@@ -426,34 +426,34 @@
 
 	s := &c.Settings
 	l, send := &f.Limits, &f.Sending
-	*s = policy.Settings{Zone: max(hall, 0), Me: f.Number, Peers: f.Peers, OverShareWorth: l.OverShareWorth,
-		MaxAttempts: l.Attempts, MaxHeld: l.Held, MaxComeBack: l.ComeBack.D().Microseconds(), CanCancel: true,
-		CanProbe: send.Probes, SecondCopies: l.SecondCopies, ReportsByAnswer: true, ReportsByProbe: send.Probes,
-		GrantsCount: send.Grants, PriorityCount: send.Priorities, MaxGrantShare: send.GrantShare,
-		Shortage: shortages[send.Shortage], ColdFrom: l.ColdFrom, ColdFor: l.ColdFor.D().Microseconds(),
-		FallMultiple: l.ColdMultiple, FallFor: l.ColdSpan.D().Microseconds(),
-		DrainGrace: l.DrainGrace.D().Microseconds(), TurnGap: l.TurnRest.D().Microseconds(),
-		BudgetFree: l.BudgetFree, BudgetShare: l.BudgetShare, BudgetSpan: l.BudgetSpan.D().Microseconds()}
+	*s = policy.Settings{Zone: max(hall, 0), PeerIndex: f.Number, Peers: f.Peers, OverQuotaWeight: l.OverQuotaWeight,
+		MaxAttempts: l.Attempts, MaxInFlight: l.MaxInFlight, MaxRetryAfter: l.MaxRetryAfter.D().Microseconds(), CanCancel: true,
+		CanHealthCheck: send.HealthChecks, AllowHedging: l.Hedging, ReportsByAnswer: true, ReportsByHealthCheck: send.HealthChecks,
+		HonorsGrants: send.Grants, HonorsPriority: send.Priorities, MaxGrantShare: send.GrantShare,
+		Shortage: shortages[send.Shortage], SlowStartFloor: l.SlowStartFloor, SlowStartDuration: l.SlowStartDuration.D().Microseconds(),
+		OverloadMultiple: l.OverloadMultiple, OverloadDuration: l.OverloadDuration.D().Microseconds(),
+		DrainGrace: l.DrainGrace.D().Microseconds(), OrderingGap: l.OrderingGap.D().Microseconds(),
+		RetryBudgetFloor: l.RetryBudgetFloor, RetryBudgetRatio: l.RetryBudgetRatio, RetryBudgetWindow: l.RetryBudgetWindow.D().Microseconds()}
 	if _, ok := shortages[send.Shortage]; !ok {
 		d.wrong("sending.shortage", quoted(send.Shortage), "queue, trim, swap")
 	}
 	within("limits.attempts", float64(l.Attempts), 1, 16)
-	within("limits.held", float64(l.Held), 1, 1e6)
-	within("limits.over_share_worth", l.OverShareWorth, 0, 1)
-	within("limits.budget_free", l.BudgetFree, 0, 1e6)
-	within("limits.budget_share", l.BudgetShare, 0, 100)
-	within("limits.cold_from", l.ColdFrom, 0.01, 1)
-	within("limits.cold_multiple", l.ColdMultiple, 0.1, 100)
+	within("limits.held", float64(l.MaxInFlight), 1, 1e6)
+	within("limits.over_share_worth", l.OverQuotaWeight, 0, 1)
+	within("limits.budget_free", l.RetryBudgetFloor, 0, 1e6)
+	within("limits.budget_share", l.RetryBudgetRatio, 0, 100)
+	within("limits.cold_from", l.SlowStartFloor, 0.01, 1)
+	within("limits.cold_multiple", l.OverloadMultiple, 0.1, 100)
 	within("sending.grant_share", send.GrantShare, 0.01, 1)
 	within("sending.max_frame_bytes", float64(send.MaxFrame), 64<<10, 1<<30)
-	span("limits.come_back", l.ComeBack, 0, time.Hour)
+	span("limits.come_back", l.MaxRetryAfter, 0, time.Hour)
 	span("limits.drain_grace", l.DrainGrace, 50*time.Millisecond, time.Hour)
-	span("limits.turn_rest", l.TurnRest, 0, time.Hour)
-	span("limits.budget_span", l.BudgetSpan, 0, time.Hour)
-	span("limits.cold_for", l.ColdFor, 0, time.Hour)
-	span("limits.cold_span", l.ColdSpan, time.Millisecond, time.Hour)
+	span("limits.turn_rest", l.OrderingGap, 0, time.Hour)
+	span("limits.budget_span", l.RetryBudgetWindow, 0, time.Hour)
+	span("limits.cold_for", l.SlowStartDuration, 0, time.Hour)
+	span("limits.cold_span", l.OverloadDuration, time.Millisecond, time.Hour)
 	span("sending.connect_timeout", send.Connect, time.Millisecond, time.Minute)
-	span("front.way_back", f.Front.WayBack, 0, 10*time.Second)
+	span("front.way_back", f.Front.ResponseMargin, 0, 10*time.Second)
 	for path, v := range map[string]Duration{"front.ticket_life": f.Front.TicketLife,
 		"front.prepared_life": f.Front.PreparedLife, "front.bearer_life": f.Front.BearerLife,
 		"front.schema_life": f.Front.SchemaLife} {
@@ -461,16 +461,16 @@
 	}
 	within("front.max_statement_bytes", float64(f.Front.MaxStatement), 1024, 64<<20)
 	within("front.max_parameter_bytes", float64(f.Front.MaxParams), 1024, 64<<20)
-	within("sessions.most", float64(f.Sessions.Most), 1, 1e7)
+	within("sessions.most", float64(f.Sessions.Max), 1, 1e7)
 	within("sessions.per_tenant", float64(f.Sessions.PerTenant), 0, 1e7)
 	within("sessions.per_node", float64(f.Sessions.PerNode), 0, 1e7)
 	span("sessions.idle", f.Sessions.Idle, 10*time.Millisecond, 24*time.Hour)
 	span("sessions.age", f.Sessions.Age, 10*time.Millisecond, 24*time.Hour)
-	span("sessions.spread", f.Sessions.Spread, 0, time.Hour)
-	span("sessions.keep", f.Sessions.Keep, 0, time.Hour)
-	within("front.max_insert_bytes", float64(f.Front.InsertMost), 1<<10, 1<<40)
-	within("front.held_insert_bytes", float64(f.Front.InsertsHeld), float64(f.Front.InsertMost), 1<<40)
-	within("front.schema_most", float64(f.Front.SchemaMost), 1, 1e6)
+	span("sessions.spread", f.Sessions.RetrySpread, 0, time.Hour)
+	span("sessions.keep", f.Sessions.Retention, 0, time.Hour)
+	within("front.max_insert_bytes", float64(f.Front.MaxInsertBytes), 1<<10, 1<<40)
+	within("front.held_insert_bytes", float64(f.Front.MaxBufferedInsertBytes), float64(f.Front.MaxInsertBytes), 1<<40)
+	within("front.schema_most", float64(f.Front.MaxSchemas), 1, 1e6)
 	index("log.level", f.Log.Level, []string{"debug", "info", "warn", "error"})
 	index("log.format", f.Log.Format, []string{"json", "console"})
 
@@ -487,8 +487,8 @@
 	}
 	for i, t := range f.Tenants {
 		c.Classes.Tenants = append(c.Classes.Tenants, t.Name)
-		within(fmt.Sprintf("tenants[%d].per_second", i), t.PerSecond, 0, 1e9)
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Allowance: t.PerSecond})
+		within(fmt.Sprintf("tenants[%d].per_second", i), t.Quota, 0, 1e9)
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Quota})
 	}
 	unique("tenants", c.Classes.Tenants)
 	var updates []policy.Class // what writes is a class of its own, where its effect differs
@@ -497,30 +497,30 @@
 		k := &f.Classes[i]
 		c.Classes.Classes = append(c.Classes.Classes, k.Name)
 		span(at+".deadline", k.Deadline, time.Millisecond, 24*time.Hour)
-		span(at+".aim", k.Aim, time.Millisecond, 24*time.Hour)
-		span(at+".window", k.Window, 0, 24*time.Hour)
-		within(at+".worth", k.Worth, 0, 1e9)
-		within(at+".late_worth", k.LateWorth, 0, 1)
-		within(at+".aim_stretch", k.AimStretch, 0, 1000)
+		span(at+".aim", k.LatencyObjective, time.Millisecond, 24*time.Hour)
+		span(at+".window", k.DedupWindow, 0, 24*time.Hour)
+		within(at+".worth", k.PriorityWeight, 0, 1e9)
+		within(at+".late_worth", k.LateWeight, 0, 1)
+		within(at+".aim_stretch", k.ObjectiveStretch, 0, 1000)
 		within(at+".threads", float64(k.Threads), 1, 10000)
-		m := policy.Class{Name: k.Name, Worth: k.Worth, LateWorth: k.LateWorth, Aim: k.Aim.D().Microseconds(),
-			AimStretch: k.AimStretch, Deadline: k.Deadline.D().Microseconds(), Threads: k.Threads, Loads: k.Loads,
-			Waits: k.Waits, InTurn: k.InTurn, Window: k.Window.D().Microseconds()}
+		m := policy.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LateWeight: k.LateWeight, LatencyObjective: k.LatencyObjective.D().Microseconds(),
+			ObjectiveStretch: k.ObjectiveStretch, Deadline: k.Deadline.D().Microseconds(), Threads: k.Threads, LocksTables: k.LocksTables,
+			WaitsForTables: k.WaitsForTables, Ordered: k.Ordered, DedupWindow: k.DedupWindow.D().Microseconds()}
 		for _, e := range []struct{ field, name string }{{".effect", k.Effect}, {".updates", k.Updates}} {
 			if _, ok := effects[e.name]; !ok {
 				d.wrong(at+e.field, quoted(e.name), "safe, keyed, unsafe")
 			}
-			if e.name == "keyed" && k.Window == 0 {
+			if e.name == "keyed" && k.DedupWindow == 0 {
 				d.wrong(at+".window", "none", "how long nodes remember a key, since the class is keyed")
 			}
 		}
-		g, ok := groups[k.Group]
+		g, ok := groups[k.DedupScope]
 		if !ok {
-			d.wrong(at+".group", quoted(k.Group), "all, hall, cell")
+			d.wrong(at+".group", quoted(k.DedupScope), "all, hall, cell")
 		}
-		m.Effect, m.Group = effects[k.Effect], g
-		for j, h := range k.Halls {
-			m.Zones = append(m.Zones, index(fmt.Sprintf("%s.halls[%d]", at, j), h, f.Halls))
+		m.Effect, m.DedupScope = effects[k.Effect], g
+		for j, h := range k.Zones {
+			m.Zones = append(m.Zones, index(fmt.Sprintf("%s.halls[%d]", at, j), h, f.Zones))
 		}
 		for j, n := range k.Kinds {
 			m.Kinds = append(m.Kinds, index(fmt.Sprintf("%s.kinds[%d]", at, j), n, kinds))
@@ -535,9 +535,9 @@
 		c.Classes.Keyed = append(c.Classes.Keyed, -1)
 		if k.Updates == "keyed" {
 			c.Classes.Keyed[i] = c.Classes.Updates[i]
-		} else if k.Updates == "unsafe" && k.Window > 0 { // nodes remember tokens
+		} else if k.Updates == "unsafe" && k.DedupWindow > 0 { // nodes remember tokens
 			c.Classes.Keyed[i] = len(f.Classes) + len(updates)
-			m.Name, m.Effect = k.Name+KeyedSuffix, policy.Keyed
+			m.Name, m.Effect = k.Name+KeyedSuffix, policy.IdempotentByKey
 			updates = append(updates, m)
 		}
 	}
@@ -606,8 +606,8 @@
 		if k.Cluster == "" {
 			d.wrong("control.cluster", "none", "the name of the node list to watch")
 		}
-		if k.Floor < 0 || k.Floor > 1 || k.FloorCount < 0 || k.Keep < 2 || k.Keep > 1000 {
-			d.wrong("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.Keep),
+		if k.Floor < 0 || k.Floor > 1 || k.FloorCount < 0 || k.KeepVersions < 2 || k.KeepVersions > 1000 {
+			d.wrong("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.KeepVersions),
 				"floor 0 to 1, floor_count 0 or more, keep 2 to 1000")
 		}
 		if b, err := hex.DecodeString(k.OperatorKey); err != nil || len(b) != 0 && len(b) != 32 {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("read again it differs:\n%s\n%s", text, more)
 	}
 	// What writes is a class of its own, unsafe unless the class says otherwise.
-	if s := c.Settings.Classes; len(s) != 2 || s[0].Effect != policy.Safe || s[1].Effect != policy.Unsafe || c.Classes.Updates[0] != 1 {
+	if s := c.Settings.Classes; len(s) != 2 || s[0].Effect != policy.Idempotent || s[1].Effect != policy.NonIdempotent || c.Classes.Updates[0] != 1 {
 		t.Errorf("classes %+v, updates %v", s, c.Classes.Updates)
 	}
 }
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -8,8 +8,8 @@
 	"embershunt/policy"
 )
 
-var states = map[string]policy.EngineState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
-	"gone": policy.Gone}
+var states = map[string]policy.EndpointState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
+	"gone": policy.Removed}
 
 // checkRows validates rows of a node list.
 func (c *Config) checkRows(d *decoder, path string, rows []Node) {
@@ -23,7 +23,7 @@
 
 // row turns a row into what the fleet knows.
 func (c *Config) row(n *Node) (nodelist.Node, error) {
-	out := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, Cell: n.Cell, Weight: n.Weight}
+	out := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, PlacementGroup: n.PlacementGroup, Weight: n.Weight}
 	state, ok := states[n.State]
 	if !ok {
 		return out, fmt.Errorf("state %q of node %q: allowed are healthy, draining, gone", n.State, n.Name)
@@ -46,7 +46,7 @@
 		*at.into = t
 	}
 	var err error
-	if out.Hall, err = c.Names().Hall(n.Hall); err == nil {
+	if out.Zone, err = c.Names().Zone(n.Zone); err == nil {
 		out.Kind, err = c.Names().Kind(n.Kind)
 	}
 	return out, err
@@ -54,7 +54,7 @@
 
 // Names are the halls and kinds that rows of a node list may name.
 func (c *Config) Names() nodelist.Names {
-	names := nodelist.Names{Halls: c.File.Halls}
+	names := nodelist.Names{Zones: c.File.Zones}
 	for _, k := range c.File.Kinds {
 		names.Kinds = append(names.Kinds, k.Name)
 	}
--- a/config/platform.go
+++ b/config/platform.go
@@ -15,19 +15,19 @@
 
 // Platform is what the platform tells a dispatcher.
 type Platform struct {
-	Name       string
-	Listen     string
-	Seed       uint64
-	Cores      float64 // processors, also parts of one
-	MemoryMB   float64
-	Sockets    int // descriptors
-	PeerListen string
-	Peers      []string
-	Resolver   string
-	Known      nodelist.Numbered
-	Names      nodelist.Names
-	Settings   policy.Settings
-	OnSockets  wire.Sockets
+	Name         string
+	Listen       string
+	Seed         uint64
+	Cores        float64 // processors, also parts of one
+	MemoryMB     float64
+	Sockets      int // descriptors
+	PeerListen   string
+	Peers        []string
+	Resolver     string
+	Initial      nodelist.Numbered
+	Names        nodelist.Names
+	Settings     policy.Settings
+	SocketLimits wire.SocketLimits
 }
 
 // platformFile is the form of the file; keys that it lacks here are skipped.
@@ -47,8 +47,8 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// LeastSockets is the least number of descriptors a dispatcher can be run with.
-const LeastSockets = 64
+// MinSockets is the least number of descriptors a dispatcher can be run with.
+const MinSockets = 64
 
 // LoadPlatform reads and checks the platform's file as a whole.
 func LoadPlatform(path string) (*Platform, error) {
@@ -93,19 +93,19 @@
 		return nil, fmt.Errorf("limits.cores: found %v; allowed: above 0", p.Cores)
 	case !(p.MemoryMB > 0):
 		return nil, fmt.Errorf("limits.memory_mb: found %v; allowed: above 0", p.MemoryMB)
-	case p.Sockets < LeastSockets:
-		return nil, fmt.Errorf("limits.sockets: found %d; allowed: %d and more", p.Sockets, LeastSockets)
+	case p.Sockets < MinSockets:
+		return nil, fmt.Errorf("limits.sockets: found %d; allowed: %d and more", p.Sockets, MinSockets)
 	}
 	s, sockets, err := wire.Settings(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.Settings, p.OnSockets = *s, sockets
-	p.Names = nodelist.Names{Halls: sockets.Zones, Kinds: sockets.Models}
+	p.Settings, p.SocketLimits = *s, sockets
+	p.Names = nodelist.Names{Zones: sockets.Zones, Kinds: sockets.Models}
 	if _, err := policy.New(p.Seed, *s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if s.CanTell {
+	if s.CanGossip {
 		if err := address("peer_listen", f.PeerListen); err != nil {
 			return nil, err
 		}
@@ -118,7 +118,7 @@
 			}
 		}
 	}
-	if p.Known, err = nodelist.ParseKnown(f.Known, p.Names); err != nil {
+	if p.Initial, err = nodelist.ParseInitial(f.Known, p.Names); err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	return p, nil
--- a/control/control.go
+++ b/control/control.go
@@ -49,12 +49,12 @@
 	Fronts         *configv1.Fronts
 }
 
-// Known is what the dispatcher knows at the moment of a decision.
-type Known struct {
-	InFlight map[string]int // queries without a final answer, by class
-	Further  int            // further attempts made within the budget's span
-	Taken    int            // queries taken within it
-	Resting  bool           // an order key rests, or may
+// Live is what the dispatcher knows at the moment of a decision.
+type LiveState struct {
+	InFlight        map[string]int // queries without a final answer, by class
+	Retries         int            // further attempts made within the budget's span
+	Received        int            // queries taken within it
+	OrderKeyResting bool           // an order key rests, or may
 }
 
 // Event is what happened.
@@ -70,7 +70,7 @@
 		Message proto.Message   // of the settings' kinds
 		Nodes   []nodelist.Node // of Nodes
 		Bad     error
-		Known   Known
+		Live    LiveState
 	}
 	// Stored is the end of a Store.
 	Stored struct {
@@ -90,8 +90,8 @@
 	Pin struct{ On bool }
 	// RollBack asks for an earlier set, which the caller has read from the store.
 	RollBack struct {
-		Set   Set
-		Known Known
+		Set  Set
+		Live LiveState
 	}
 )
 
@@ -182,7 +182,7 @@
 	back    bool                  // the set that moves is a roll back: nobody waits for a reply
 	pinned  bool
 	pass    map[uint64]bool // numbers that an operator lets pass
-	latest  Known           // as of the last offer
+	latest  LiveState       // as of the last offer
 	last    []string        // reasons of the last refusal
 	nodes   nodes
 }
@@ -275,7 +275,7 @@
 // offered takes one resource of the settings. The newest of a kind is all that counts: one before it that has no reply
 // is passed over, as xDS allows.
 func (m *Module) offered(ev Offered) {
-	m.latest = ev.Known
+	m.latest = ev.Live
 	o := &offer{version: ev.Version, nonce: ev.Nonce, message: ev.Message, bad: ev.Bad}
 	if o.bad == nil {
 		o.set, o.bad = setOf(ev.Kind, ev.Message)
@@ -476,7 +476,7 @@
 		m.log("roll back to set %d refused: set %d is on its way", ev.Set.Number, m.moving.Number)
 		return
 	}
-	cfg, reasons := m.check(ev.Set, ev.Known)
+	cfg, reasons := m.check(ev.Set, ev.Live)
 	if len(reasons) > 0 {
 		m.last = reasons
 		m.log("roll back to set %d refused: %s", ev.Set.Number, strings.Join(reasons, "; "))
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -41,9 +41,9 @@
 }
 
 // offer plays a whole set; it returns what the last event brought.
-func offerSet(m *Module, now Micros, s Set, k Known) (out []Action) {
+func offerSet(m *Module, now Micros, s Set, k LiveState) (out []Action) {
 	for i, p := range s.Parts() {
-		out = append(out, m.Step(now, Offered{Kind: Kind(i), Version: fmt.Sprint(s.Number), Nonce: fmt.Sprintf("n%d", i), Message: p, Known: k})...)
+		out = append(out, m.Step(now, Offered{Kind: Kind(i), Version: fmt.Sprint(s.Number), Nonce: fmt.Sprintf("n%d", i), Message: p, Live: k})...)
 	}
 	return out
 }
@@ -78,7 +78,7 @@
 // take brings a set into force.
 func take(t *testing.T, m *Module, now Micros, s Set) {
 	t.Helper()
-	if got := said(offerSet(m, now, s, Known{})); got != fmt.Sprint("store ", s.Number) {
+	if got := said(offerSet(m, now, s, LiveState{})); got != fmt.Sprint("store ", s.Number) {
 		t.Fatalf("offered set %d: %s (%v)", s.Number, got, m.last)
 	}
 	if got := said(m.Step(now, Stored{Number: s.Number})); got != fmt.Sprint("apply ", s.Number) {
@@ -92,16 +92,16 @@
 func TestStoreThenApplyThenAcknowledge(t *testing.T) {
 	m := New(DefaultBounds(), local(), Set{})
 	take(t, m, 0, version(1, nil))
-	if got := said(offerSet(m, 1, version(1, nil), Known{})); got != acks {
+	if got := said(offerSet(m, 1, version(1, nil), LiveState{})); got != acks {
 		t.Errorf("the same again: %s", got)
 	}
-	if got := said(offerSet(m, 2, version(1, func(s *Set) { s.Limits.Attempts = 2 }), Known{})); got != strings.Replace(acks, "ack limits", "nack limits", 1) ||
+	if got := said(offerSet(m, 2, version(1, func(s *Set) { s.Limits.Attempts = 2 }), LiveState{})); got != strings.Replace(acks, "ack limits", "nack limits", 1) ||
 		!strings.Contains(m.last[0], "two services disagree") {
 		t.Errorf("the same number, another content: %s, %v", got, m.last)
 	}
 	// While one is stored a newer one comes, then a newer still: the newest is next, the one between is passed over.
-	offerSet(m, 3, version(2, nil), Known{})
-	if got := said(offerSet(m, 4, version(3, nil), Known{})) + said(offerSet(m, 5, version(4, nil), Known{})); got != "" {
+	offerSet(m, 3, version(2, nil), LiveState{})
+	if got := said(offerSet(m, 4, version(3, nil), LiveState{})) + said(offerSet(m, 5, version(4, nil), LiveState{})); got != "" {
 		t.Errorf("while another moves: %s", got)
 	}
 	m.Step(6, Stored{Number: 2})
@@ -112,22 +112,22 @@
 	if got := said(m.Step(8, Stored{4, errors.New("disk full")})); got != nacks || m.force.Number != 2 {
 		t.Errorf("disk full: %s, set %d", got, m.force.Number)
 	}
-	offerSet(m, 9, version(5, nil), Known{})
+	offerSet(m, 9, version(5, nil), LiveState{})
 	m.Step(10, Stored{Number: 5})
 	if got := said(m.Step(11, Applied{5, errors.New("no")})); got != "forget 5; "+nacks || m.force.Number != 2 {
 		t.Errorf("cannot be put in force: %s, set %d", got, m.force.Number)
 	}
 	// The stream is lost while one moves: nobody waits for a reply; offered again it is in force.
-	offerSet(m, 12, version(6, nil), Known{})
+	offerSet(m, 12, version(6, nil), LiveState{})
 	m.Step(13, Lost{})
 	m.Step(14, Stored{Number: 6})
 	if got := said(m.Step(15, Applied{Number: 6})); got != "" || m.force.Number != 6 {
 		t.Errorf("after the loss: %s, set %d", got, m.force.Number)
 	}
-	if got := said(offerSet(m, 16, version(6, nil), Known{})); got != acks {
+	if got := said(offerSet(m, 16, version(6, nil), LiveState{})); got != acks {
 		t.Errorf("offered again: %s", got)
 	}
-	if got := said(offerSet(m, 17, version(3, nil), Known{})); got != nacks || !strings.Contains(m.last[0], "older than 6") {
+	if got := said(offerSet(m, 17, version(3, nil), LiveState{})); got != nacks || !strings.Contains(m.last[0], "older than 6") {
 		t.Errorf("going back: %s, %v", got, m.last)
 	}
 }
@@ -136,25 +136,25 @@
 	cases := []struct {
 		name   string
 		spoil  func(*Set)
-		known  Known
+		known  LiveState
 		drain  Micros // told so long ago; 0: none
 		reason string
 		pass   bool // an override lets it pass
 	}{
-		{"a class without a deadline", func(s *Set) { s.Classes.Classes[0].DeadlineUs = 0 }, Known{}, 0, "reference: classes[0].deadline", false},
+		{"a class without a deadline", func(s *Set) { s.Classes.Classes[0].DeadlineUs = 0 }, LiveState{}, 0, "reference: classes[0].deadline", false},
 		{"a rule that names no class", func(s *Set) {
 			s.Classification.Rules = []*configv1.Rule{{Name: "r", Class: "nobody"}}
-		}, Known{}, 0, `reference: rules[0].class: found "nobody", allowed: lookup, report`, false},
-		{"an effect that is none", func(s *Set) { s.Classes.Classes[0].Effect = "maybe" }, Known{}, 0, "classes[0].effect", false},
-		{"a statement longer than the transport takes", func(s *Set) { s.Fronts.MaxStatementBytes = 60 << 20 }, Known{}, 0, "fixed: max_statement_bytes", false},
-		{"a kind that moves", func(s *Set) { s.Limits.Kinds = []*configv1.Kind{{Name: "new", Cores: 4}, {Name: "k", Cores: 8}} }, Known{}, 0, "fixed: kinds", false},
+		}, LiveState{}, 0, `reference: rules[0].class: found "nobody", allowed: lookup, report`, false},
+		{"an effect that is none", func(s *Set) { s.Classes.Classes[0].Effect = "maybe" }, LiveState{}, 0, "classes[0].effect", false},
+		{"a statement longer than the transport takes", func(s *Set) { s.Fronts.MaxStatementBytes = 60 << 20 }, LiveState{}, 0, "fixed: max_statement_bytes", false},
+		{"a kind that moves", func(s *Set) { s.Limits.Kinds = []*configv1.Kind{{Name: "new", Cores: 4}, {Name: "k", Cores: 8}} }, LiveState{}, 0, "fixed: kinds", false},
 		{"a class that ends with queries in flight", func(s *Set) { s.Classes.Classes = s.Classes.Classes[:1] },
-			Known{InFlight: map[string]int{"report": 3}}, 0, `class_ends: class "report" would end with 3 queries`, true},
+			LiveState{InFlight: map[string]int{"report": 3}}, 0, `class_ends: class "report" would end with 3 queries`, true},
 		{"a class that ends with updates in flight", func(s *Set) { s.Classes.Classes = s.Classes.Classes[:1] },
-			Known{InFlight: map[string]int{"report (updates)": 1}}, 0, `class_ends`, true},
-		{"a grace that ends early", func(s *Set) { s.Limits.DrainGraceUs = 5e5 }, Known{}, second, "grace: drain_grace would fall", true},
-		{"a rest that ends early", func(s *Set) { s.Limits.TurnRestUs = 1e5 }, Known{Resting: true}, 0, "grace: turn_rest", true},
-		{"a budget that is overdrawn", func(s *Set) { s.Limits.BudgetFree = 1 }, Known{Further: 4, Taken: 10}, 0, "budget: 4 further attempts", true},
+			LiveState{InFlight: map[string]int{"report (updates)": 1}}, 0, `class_ends`, true},
+		{"a grace that ends early", func(s *Set) { s.Limits.DrainGraceUs = 5e5 }, LiveState{}, second, "grace: drain_grace would fall", true},
+		{"a rest that ends early", func(s *Set) { s.Limits.TurnRestUs = 1e5 }, LiveState{OrderKeyResting: true}, 0, "grace: turn_rest", true},
+		{"a budget that is overdrawn", func(s *Set) { s.Limits.BudgetFree = 1 }, LiveState{Retries: 4, Received: 10}, 0, "budget: 4 further attempts", true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -199,7 +199,7 @@
 
 func TestNodeListsThatAreRefused(t *testing.T) {
 	born, later := time.Unix(1000, 0), time.Unix(2000, 0)
-	row := func(id, address string, state policy.EngineState, started time.Time) nodelist.Node {
+	row := func(id, address string, state policy.EndpointState, started time.Time) nodelist.Node {
 		return nodelist.Node{ID: id, Address: address, State: state, Started: started}
 	}
 	ok, drains := policy.Healthy, policy.Draining
@@ -266,7 +266,7 @@
 	}
 	m.Step(3, Stored{Number: 1})
 	m.Step(4, Applied{Number: 1})
-	if got := said(offerSet(m, 5, version(3, nil), Known{})); got != nacks || !strings.Contains(m.last[0], "pinned") || m.force.Number != 1 {
+	if got := said(offerSet(m, 5, version(3, nil), LiveState{})); got != nacks || !strings.Contains(m.last[0], "pinned") || m.force.Number != 1 {
 		t.Errorf("while pinned: %s, %v", got, m.last)
 	}
 	m.Step(6, Pin{false})
@@ -370,7 +370,7 @@
 // What a file holds comes through a set unchanged.
 func TestFilePartsComeBack(t *testing.T) {
 	f := local()
-	f.Classes[0].Halls, f.Classes[0].InTurn, f.Tenants = []string{"hall"}, true, []config.Tenant{{Name: "a", PerSecond: 3}}
+	f.Classes[0].Zones, f.Classes[0].Ordered, f.Tenants = []string{"hall"}, true, []config.Tenant{{Name: "a", Quota: 3}}
 	f.Rules = []config.Rule{{Name: "r", User: "x", Class: "report", Cost: config.Duration(time.Second), Key: "user"}}
 	parts := FileParts{Classes: f.Classes, Default: f.Default, Tenants: f.Tenants, Limits: f.Limits, Kinds: f.Kinds, Rules: f.Rules, Front: f.Front}
 	got := merge(f, parts.Set(3))
@@ -411,16 +411,16 @@
 	for _, d := range first {
 		r.Replied(second, d, 2, "")
 	}
-	if r.Look(5*second) || len(offered(r)) != len(first) {
+	if r.Advance(5*second) || len(offered(r)) != len(first) {
 		t.Error("it went on before its time")
 	}
-	if !r.Look(11*second) || len(offered(r)) <= 2*len(first) {
+	if !r.Advance(11*second) || len(offered(r)) <= 2*len(first) {
 		t.Errorf("the second stage has %d", len(offered(r)))
 	}
 	for _, d := range offered(r) {
 		r.Replied(12*second, d, 2, "")
 	}
-	r.Look(23 * second)
+	r.Advance(23 * second)
 	if len(offered(r)) != n {
 		t.Errorf("the last stage has %d: %s", len(offered(r)), r.State())
 	}
--- a/control/judge.go
+++ b/control/judge.go
@@ -26,7 +26,7 @@
 
 // check judges a whole set: form and references by the configuration's own rules, then what is fixed at start, then
 // harm. It returns all reasons, each with the name of its check.
-func (m *Module) check(set Set, k Known) (*config.Config, []string) {
+func (m *Module) check(set Set, k LiveState) (*config.Config, []string) {
 	file := merge(m.local, set)
 	cfg, err := config.FromFile(file)
 	if err != nil {
@@ -70,7 +70,7 @@
 }
 
 // harm are the checks for what is valid in form and would hurt now.
-func (m *Module) harm(cfg *config.Config, k Known) (reasons []string) {
+func (m *Module) harm(cfg *config.Config, k LiveState) (reasons []string) {
 	for _, name := range classNames(m.file) { // no setting lets this pass: the module itself does not end such a class
 		if n := k.InFlight[name]; n > 0 && !slices.Contains(settingNames(cfg), name) {
 			reasons = append(reasons, fmt.Sprintf("class_ends: class %q would end with %d queries in flight", name, n))
@@ -84,14 +84,14 @@
 		reasons = append(reasons, fmt.Sprintf("grace: drain_grace would fall from %v to %v while a node is in its grace, told "+
 			"%v ago", old.DrainGrace.D(), next.DrainGrace.D(), time.Duration(age)*time.Microsecond))
 	}
-	if k.Resting && next.TurnRest < old.TurnRest {
+	if k.OrderKeyResting && next.OrderingGap < old.OrderingGap {
 		reasons = append(reasons, fmt.Sprintf("grace: turn_rest would fall from %v to %v while order keys rest",
-			old.TurnRest.D(), next.TurnRest.D()))
+			old.OrderingGap.D(), next.OrderingGap.D()))
 	}
-	allowed := func(l config.Limits) float64 { return l.BudgetFree + l.BudgetShare*float64(k.Taken) }
-	if next.BudgetSpan > 0 && float64(k.Further) > allowed(next) && (old.BudgetSpan == 0 || allowed(next) < allowed(old) ||
-		next.BudgetSpan > old.BudgetSpan) {
-		reasons = append(reasons, fmt.Sprintf("budget: %d further attempts are out, the new budget would allow %.1f", k.Further,
+	allowed := func(l config.Limits) float64 { return l.RetryBudgetFloor + l.RetryBudgetRatio*float64(k.Received) }
+	if next.RetryBudgetWindow > 0 && float64(k.Retries) > allowed(next) && (old.RetryBudgetWindow == 0 || allowed(next) < allowed(old) ||
+		next.RetryBudgetWindow > old.RetryBudgetWindow) {
+		reasons = append(reasons, fmt.Sprintf("budget: %d further attempts are out, the new budget would allow %.1f", k.Retries,
 			allowed(next)))
 	}
 	return reasons
@@ -123,22 +123,22 @@
 	f := local
 	f.Classes, f.Default = nil, s.Classes.GetDefaultClass()
 	for _, c := range s.Classes.GetClasses() {
-		f.Classes = append(f.Classes, config.Class{Name: c.GetName(), Worth: c.GetWorth(), LateWorth: c.GetLateWorth(),
-			Aim: span(c.GetAimUs()), AimStretch: c.GetAimStretch(), Deadline: span(c.GetDeadlineUs()),
-			Threads: int(c.GetThreads()), Effect: c.GetEffect(), Updates: c.GetUpdates(), Group: c.GetGroup(),
-			Window: span(c.GetWindowUs()), InTurn: c.GetInTurn(), Halls: c.GetHalls(), Kinds: c.GetKinds(),
-			Loads: c.GetLoads(), Waits: c.GetWaits()})
+		f.Classes = append(f.Classes, config.Class{Name: c.GetName(), PriorityWeight: c.GetWorth(), LateWeight: c.GetLateWorth(),
+			LatencyObjective: span(c.GetAimUs()), ObjectiveStretch: c.GetAimStretch(), Deadline: span(c.GetDeadlineUs()),
+			Threads: int(c.GetThreads()), Effect: c.GetEffect(), Updates: c.GetUpdates(), DedupScope: c.GetGroup(),
+			DedupWindow: span(c.GetWindowUs()), Ordered: c.GetInTurn(), Zones: c.GetHalls(), Kinds: c.GetKinds(),
+			LocksTables: c.GetLoads(), WaitsForTables: c.GetWaits()})
 	}
 	f.Tenants = nil
 	for _, t := range s.Tenants.GetTenants() {
-		f.Tenants = append(f.Tenants, config.Tenant{Name: t.GetName(), PerSecond: t.GetPerSecond()})
+		f.Tenants = append(f.Tenants, config.Tenant{Name: t.GetName(), Quota: t.GetPerSecond()})
 	}
 	l := s.Limits
-	f.Limits = config.Limits{Attempts: int(l.GetAttempts()), Held: int(l.GetHeld()), ComeBack: span(l.GetComeBackUs()),
-		SecondCopies: l.GetSecondCopies(), DrainGrace: span(l.GetDrainGraceUs()), TurnRest: span(l.GetTurnRestUs()),
-		BudgetFree: l.GetBudgetFree(), BudgetShare: l.GetBudgetShare(), BudgetSpan: span(l.GetBudgetSpanUs()),
-		ColdFrom: l.GetColdFrom(), ColdFor: span(l.GetColdForUs()), ColdMultiple: l.GetColdMultiple(),
-		ColdSpan: span(l.GetColdSpanUs()), OverShareWorth: l.GetOverShareWorth()}
+	f.Limits = config.Limits{Attempts: int(l.GetAttempts()), MaxInFlight: int(l.GetHeld()), MaxRetryAfter: span(l.GetComeBackUs()),
+		Hedging: l.GetSecondCopies(), DrainGrace: span(l.GetDrainGraceUs()), OrderingGap: span(l.GetTurnRestUs()),
+		RetryBudgetFloor: l.GetBudgetFree(), RetryBudgetRatio: l.GetBudgetShare(), RetryBudgetWindow: span(l.GetBudgetSpanUs()),
+		SlowStartFloor: l.GetColdFrom(), SlowStartDuration: span(l.GetColdForUs()), OverloadMultiple: l.GetColdMultiple(),
+		OverloadDuration: span(l.GetColdSpanUs()), OverQuotaWeight: l.GetOverShareWorth()}
 	if n := int(l.GetDispatchers()); n > 0 {
 		f.Peers = n
 		f.Number = min(f.Number, n-1)
@@ -150,7 +150,7 @@
 		}
 	}
 	r := s.Fronts
-	given(&f.Front.WayBack, span(r.GetWayBackUs())) // what is left out stays the file's
+	given(&f.Front.ResponseMargin, span(r.GetWayBackUs())) // what is left out stays the file's
 	given(&f.Front.TicketLife, span(r.GetTicketLifeUs()))
 	given(&f.Front.PreparedLife, span(r.GetPreparedLifeUs()))
 	given(&f.Front.BearerLife, span(r.GetBearerLifeUs()))
--- a/control/parts.go
+++ b/control/parts.go
@@ -28,22 +28,22 @@
 	s := Set{Number: n, Classes: &configv1.Classes{Set: n, DefaultClass: f.Default}, Tenants: &configv1.Tenants{Set: n},
 		Classification: &configv1.Classification{Set: n, NoHints: f.NoHints}}
 	for _, c := range f.Classes {
-		s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth,
-			AimUs: us(c.Aim), AimStretch: c.AimStretch, DeadlineUs: us(c.Deadline), Threads: int32(c.Threads), Effect: c.Effect,
-			Updates: c.Updates, Group: c.Group, WindowUs: us(c.Window), InTurn: c.InTurn, Halls: c.Halls, Kinds: c.Kinds,
-			Loads: c.Loads, Waits: c.Waits})
+		s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: c.Name, Worth: c.PriorityWeight, LateWorth: c.LateWeight,
+			AimUs: us(c.LatencyObjective), AimStretch: c.ObjectiveStretch, DeadlineUs: us(c.Deadline), Threads: int32(c.Threads), Effect: c.Effect,
+			Updates: c.Updates, Group: c.DedupScope, WindowUs: us(c.DedupWindow), InTurn: c.Ordered, Halls: c.Zones, Kinds: c.Kinds,
+			Loads: c.LocksTables, Waits: c.WaitsForTables})
 	}
 	for _, t := range f.Tenants {
-		s.Tenants.Tenants = append(s.Tenants.Tenants, &configv1.Tenant{Name: t.Name, PerSecond: t.PerSecond})
+		s.Tenants.Tenants = append(s.Tenants.Tenants, &configv1.Tenant{Name: t.Name, PerSecond: t.Quota})
 	}
-	s.Fronts = &configv1.Fronts{Set: n, WayBackUs: us(f.Front.WayBack), TicketLifeUs: us(f.Front.TicketLife),
+	s.Fronts = &configv1.Fronts{Set: n, WayBackUs: us(f.Front.ResponseMargin), TicketLifeUs: us(f.Front.TicketLife),
 		PreparedLifeUs: us(f.Front.PreparedLife), BearerLifeUs: us(f.Front.BearerLife),
 		MaxStatementBytes: int32(f.Front.MaxStatement), MaxParameterBytes: int32(f.Front.MaxParams)}
 	l := f.Limits
-	s.Limits = &configv1.Limits{Set: n, Attempts: int32(l.Attempts), Held: int32(l.Held), ComeBackUs: us(l.ComeBack),
-		SecondCopies: l.SecondCopies, DrainGraceUs: us(l.DrainGrace), TurnRestUs: us(l.TurnRest), BudgetFree: l.BudgetFree,
-		BudgetShare: l.BudgetShare, BudgetSpanUs: us(l.BudgetSpan), ColdFrom: l.ColdFrom, ColdForUs: us(l.ColdFor),
-		ColdMultiple: l.ColdMultiple, ColdSpanUs: us(l.ColdSpan), OverShareWorth: l.OverShareWorth, Dispatchers: int32(f.Dispatchers)}
+	s.Limits = &configv1.Limits{Set: n, Attempts: int32(l.Attempts), Held: int32(l.MaxInFlight), ComeBackUs: us(l.MaxRetryAfter),
+		SecondCopies: l.Hedging, DrainGraceUs: us(l.DrainGrace), TurnRestUs: us(l.OrderingGap), BudgetFree: l.RetryBudgetFloor,
+		BudgetShare: l.RetryBudgetRatio, BudgetSpanUs: us(l.RetryBudgetWindow), ColdFrom: l.SlowStartFloor, ColdForUs: us(l.SlowStartDuration),
+		ColdMultiple: l.OverloadMultiple, ColdSpanUs: us(l.OverloadDuration), OverShareWorth: l.OverQuotaWeight, Dispatchers: int32(f.Dispatchers)}
 	for _, k := range f.Kinds {
 		s.Limits.Kinds = append(s.Limits.Kinds, &configv1.Kind{Name: k.Name, Cores: int32(k.Cores), MemoryMb: k.MemoryMB})
 	}
--- a/control/rollout.go
+++ b/control/rollout.go
@@ -23,7 +23,7 @@
 	since       Micros // when the stage was whole
 	halted      string
 	back        uint64 // number under which the old set's content is offered to those that took the new one; 0: none
-	seen        map[string]*Standing
+	seen        map[string]*DispatcherStatus
 	service     map[string]*service
 }
 
@@ -33,8 +33,8 @@
 	base          [2]float64
 }
 
-// Standing is what one dispatcher said last.
-type Standing struct {
+// DispatcherStatus is what one dispatcher said last.
+type DispatcherStatus struct {
 	Dispatcher string
 	Number     uint64 // last acknowledged; 0: none yet
 	Refused    uint64 // last refused since; 0: none
@@ -47,7 +47,7 @@
 		stages = append(slices.Clone(stages), 1)
 	}
 	return &Rollout{Stages: stages, Hold: hold, Refusal: refusal, old: number, target: number, stage: len(stages) - 1,
-		seen: map[string]*Standing{}, service: map[string]*service{}}
+		seen: map[string]*DispatcherStatus{}, service: map[string]*service{}}
 }
 
 // Begin starts to roll a set out; what was in all hands before is what a halt goes back to.
@@ -102,7 +102,7 @@
 // the same ones at every version.
 func (r *Rollout) Offer(dispatcher string) uint64 {
 	if r.seen[dispatcher] == nil {
-		r.seen[dispatcher] = &Standing{Dispatcher: dispatcher}
+		r.seen[dispatcher] = &DispatcherStatus{Dispatcher: dispatcher}
 	}
 	switch {
 	case r.halted != "" && r.seen[dispatcher].Number >= r.target: // dispatchers do not go back in numbers
@@ -143,11 +143,11 @@
 	} else {
 		s.Refused, s.Reason = number, reason
 	}
-	r.Look(now)
+	r.Advance(now)
 }
 
-// Look moves the rollout on or halts it; changed tells that Offer may answer otherwise now.
-func (r *Rollout) Look(now Micros) (changed bool) {
+// Advance moves the rollout on or halts it; changed tells that Offer may answer otherwise now.
+func (r *Rollout) Advance(now Micros) (changed bool) {
 	if r.halted != "" || r.done() {
 		return false
 	}
@@ -218,9 +218,9 @@
 	return fmt.Sprintf("set %d goes to %.0f%% of the dispatchers", r.target, 100*r.Stages[r.stage])
 }
 
-// Standings are all dispatchers seen, by name.
-func (r *Rollout) Standings() []Standing {
-	var out []Standing
+// Statuses are all dispatchers seen, by name.
+func (r *Rollout) Statuses() []DispatcherStatus {
+	var out []DispatcherStatus
 	for _, name := range slices.Sorted(maps.Keys(r.seen)) {
 		out = append(out, *r.seen[name])
 	}
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -170,7 +170,7 @@
 	f.Add(0, typeURLs[control.Classes], mustMarshal(&configv1.Classes{Set: 1, Classes: []*configv1.Class{{Name: "c", AimUs: 1, DeadlineUs: 2}}}))
 	f.Fuzz(func(t *testing.T, kind int, url string, value []byte) {
 		k := control.Kind(((kind % 6) + 6) % 6)
-		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Halls: []string{"h"}, Kinds: []string{"k"}}}, &tape{})
+		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Zones: []string{"h"}, Kinds: []string{"k"}}}, &tape{})
 		ev := control.Offered{Kind: k, Version: "1", Nonce: "1"}
 		s.read(k, []*anypb.Any{{TypeUrl: url, Value: value}}, &ev)
 		if ev.Bad == nil && k != control.Nodes && ev.Message == nil {
--- a/dispatch/change.go
+++ b/dispatch/change.go
@@ -102,7 +102,7 @@
 		}
 	}
 	c.numbers.add(ch.Version, ch.Settings)
-	c.most, c.classes = ch.Settings.MaxHeld, ch.Settings.Classes
+	c.most, c.classes = ch.Settings.MaxInFlight, ch.Settings.Classes
 	c.observe.Changed(ch.Version, ch.Settings)
 	return nil
 }
@@ -129,8 +129,8 @@
 	return out
 }
 
-// Out tells what of the rules' counts is out (policy.Gateway.Out).
-func (c *Core) Out() (further, taken int, resting bool) { return c.gateway.Out() }
+// Outstanding tells what of the rules' counts is out (policy.Gateway.Out).
+func (c *Core) Outstanding() (further, taken int, resting bool) { return c.gateway.Outstanding() }
 
 // Version is that of the settings in force.
 func (c *Core) Version() uint64 { return c.numbers.version }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -39,20 +39,20 @@
 type decider interface {
 	Step(now Micros, events []policy.Event) []policy.Action
 	Change(s policy.Settings, classes, tenants []int) error
-	Out() (further, taken int, resting bool)
+	Outstanding() (further, taken int, resting bool)
 }
 
 // Observer sees what happened, for metrics, logs and traces. It is called from the loop and must not block.
 type Observer interface {
-	Taken(q *Query)
-	Answered(q *Query, v Verdict, took Micros)
+	QueryReceived(q *Query)
+	Answered(q *Query, v Outcome, took Micros)
 	Sent(a Attempt)
-	Ended(q *Query, node string, ev Ended)
+	AttemptEnded(q *Query, node string, ev AttemptEnded)
 	Fault(Fault)
 	Changed(version uint64, s policy.Settings)
 	Paused(d Micros) // how long a step with a change of the settings held the loop
-	Note(text string)
-	Stepped(events, actions, held int)
+	LogLine(text string)
+	StepCompleted(events, actions, held int)
 }
 
 // NewCore returns a Core, or the module's word on the setting that cannot be used. The events of a Core depend on
@@ -62,29 +62,29 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Core{seed: seed, settings: s, gateway: g, fleet: f, observe: o, classes: s.Classes, most: s.MaxHeld, books: ledger{entries: map[string]*entry{}},
+	return &Core{seed: seed, settings: s, gateway: g, fleet: f, observe: o, classes: s.Classes, most: s.MaxInFlight, books: ledger{entries: map[string]*entry{}},
 		numbers: newNumbering(s)}, nil
 }
 
 // Recorder is told all that the module is told and decides, in order. It must not block and must copy what it keeps.
 type Recorder interface {
-	// Began tells what the module was made of; l is what it began with, nil where that is nothing.
-	Began(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool)
-	Stepped(now Micros, events []policy.Event, actions []policy.Action)
+	// Started tells what the module was made of; l is what it began with, nil where that is nothing.
+	Started(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool)
+	StepCompleted(now Micros, events []policy.Event, actions []policy.Action)
 	Changed(now Micros, s policy.Settings, classes, tenants []int)
 }
 
 // Record has a recorder told of everything from now on; call it before the first Step.
 func (c *Core) Record(now Micros, r Recorder) {
 	c.recorder = r
-	r.Began(now, c.seed, c.settings, c.learned, c.fresh)
+	r.Started(now, c.seed, c.settings, c.learned, c.fresh)
 }
 
-// Held is the number of queries that have no final answer yet.
-func (c *Core) Held() int { return len(c.books.due) }
+// PayloadReservation is the number of queries that have no final answer yet.
+func (c *Core) Pending() int { return len(c.books.due) }
 
-// Booked is the number of queries on the books: those held and those with attempts that have not ended.
-func (c *Core) Booked() int { return len(c.books.entries) }
+// Tracked is the number of queries on the books: those held and those with attempts that have not ended.
+func (c *Core) Tracked() int { return len(c.books.entries) }
 
 // Drain makes the core refuse whatever comes from now on.
 func (c *Core) Drain() { c.draining = true }
@@ -92,8 +92,8 @@
 // Next is the time of the next Step that is needed even if nothing comes in; ok is false where there is none.
 func (c *Core) Next() (at Micros, ok bool) {
 	at, ok = c.wakeAt, c.woken
-	if len(c.books.due) > 0 && (!ok || c.books.due[0].q.Due < at) {
-		at, ok = c.books.due[0].q.Due, true
+	if len(c.books.due) > 0 && (!ok || c.books.due[0].q.Deadline < at) {
+		at, ok = c.books.due[0].q.Deadline, true
 	}
 	return at, ok
 }
@@ -117,8 +117,8 @@
 			err = &PanicError{p, debug.Stack()}
 			c.FailAll(now, ReasonInternal)
 			for _, ev := range events[min(c.at+1, len(events)):] { // those that had not come to the books
-				if t, ok := ev.(Taken); ok {
-					t.Query.Client.Answer(Verdict{Final: Failed, Reason: ReasonInternal})
+				if t, ok := ev.(QueryReceived); ok {
+					t.Query.Client.Answer(Outcome{Kind: Failed, Reason: ReasonInternal})
 				}
 			}
 		}
@@ -133,8 +133,8 @@
 			ch.Done(c.change(now, ch))
 			continue
 		}
-		if look, ok := ev.(Look); ok {
-			look.At(c)
+		if look, ok := ev.(Inspect); ok {
+			look.Func(c)
 			continue
 		}
 		c.translate(now, ev)
@@ -143,7 +143,7 @@
 		c.expire(now, e)
 	}
 	if c.woken && now >= c.wakeAt {
-		c.events = append(c.events, policy.Alarm{})
+		c.events = append(c.events, policy.TimerFired{})
 		c.woken = false
 	}
 	c.at = len(events)
@@ -158,7 +158,7 @@
 	for first := true; first || len(c.events) > 0; first = false {
 		out := c.gateway.Step(now, c.events)
 		if c.recorder != nil {
-			c.recorder.Stepped(now, c.events, out)
+			c.recorder.StepCompleted(now, c.events, out)
 		}
 		c.actions += len(out)
 		c.extra = c.extra[:0]
@@ -174,25 +174,25 @@
 		c.observe.Fault(f)
 	}
 	c.books.faults = c.books.faults[:0]
-	c.observe.Stepped(events, actions, c.Held())
+	c.observe.StepCompleted(events, actions, c.Pending())
 }
 
 // translate turns one event into what the module is told.
 func (c *Core) translate(now Micros, ev Event) {
 	switch ev := ev.(type) {
-	case Taken:
+	case QueryReceived:
 		c.take(now, ev.Query)
-	case Left:
+	case ClientDisconnected:
 		if e := c.books.entries[ev.ID]; e != nil && e.final == 0 {
 			e.mark(now, "client left", -1, -1)
-			c.events = append(c.events, policy.Left{ID: ev.ID})
-			c.answer(now, e, Verdict{Final: Failed, Reason: ReasonGone})
+			c.events = append(c.events, policy.ClientDisconnected{ID: ev.ID})
+			c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonClientDisconnected})
 		}
-	case Begun:
+	case ResponseReady:
 		c.begun(now, ev)
-	case Ended:
+	case AttemptEnded:
 		c.ended(now, ev)
-	case Told:
+	case PolicyEvent:
 		c.events = append(c.events, ev.Event)
 	default:
 		panic(fmt.Sprintf("dispatch: unknown event %T", ev))
@@ -200,75 +200,75 @@
 }
 
 func (c *Core) take(now Micros, q *Query) {
-	switch why := (permit.Intake{Stopping: c.draining, Held: c.Held(), Most: c.most}).Start(); {
+	switch why := (permit.Intake{Stopping: c.draining, InFlight: c.Pending(), MaxInFlight: c.most}).Start(); {
 	case why == permit.Stopping:
 		c.turnAway(now, q, ReasonDraining)
 	case why == permit.Full:
 		c.turnAway(now, q, ReasonFull)
 	case !c.numbers.renumber(q):
-		c.turnAway(now, q, ReasonClassGone)
+		c.turnAway(now, q, ReasonClassRemoved)
 	default:
 		if c.books.take(now, q) == nil {
-			q.Client.Answer(Verdict{Final: Failed, Reason: ReasonInternal})
+			q.Client.Answer(Outcome{Kind: Failed, Reason: ReasonInternal})
 			return
 		}
-		c.observe.Taken(q)
+		c.observe.QueryReceived(q)
 		c.events = append(c.events, policy.Request{ID: q.ID, Class: q.Class, Tenant: q.Tenant, Cost: q.Cost,
-			MemoryMB: q.MemoryMB, Tables: q.Tables, Key: q.Key, HasKey: q.HasKey, Retry: q.Retry, Due: q.Due, Protocol: q.Protocol, Only: q.Only})
+			MemoryMB: q.MemoryMB, TableGroup: q.TableGroup, OrderKey: q.OrderKey, HasOrderKey: q.HasOrderKey, ClientRetry: q.ClientRetry, Deadline: q.Deadline, Protocol: q.Protocol, StickyTo: q.StickyTo})
 	}
 }
 
 // turnAway refuses a query that was never on the books: nothing was sent for it.
 func (c *Core) turnAway(now Micros, q *Query, why Reason) {
-	v := Verdict{Final: Refused, Reason: why}
+	v := Outcome{Kind: Shed, Reason: why}
 	q.Client.Answer(v)
 	c.observe.Answered(q, v, 0)
 }
 
 // begun lets one answer flow to the client: that of the first attempt to have one, and no other.
-func (c *Core) begun(now Micros, ev Begun) {
+func (c *Core) begun(now Micros, ev ResponseReady) {
 	e := c.books.entries[ev.ID]
-	if e == nil || ev.N < 0 || ev.N >= len(e.attempts) || e.attempts[ev.N].ended {
+	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) || e.attempts[ev.Number].ended {
 		c.books.fault(FaultLateOutcome, ev.ID, e)
 		return
 	}
-	if e.final != 0 || e.opened >= 0 || e.attempts[ev.N].cancelled {
-		c.cancel(now, e, ev.N)
+	if e.final != 0 || e.opened >= 0 || e.attempts[ev.Number].cancelled {
+		c.cancel(now, e, ev.Number)
 		return
 	}
-	e.opened = ev.N
-	e.mark(now, "first frame of", ev.N, -1)
-	c.events = append(c.events, policy.First{ID: ev.ID, Attempt: ev.N})
-	c.fleet.Open(ev.ID, ev.N)
+	e.opened = ev.Number
+	e.mark(now, "first frame of", ev.Number, -1)
+	c.events = append(c.events, policy.StreamStarted{ID: ev.ID, Attempt: ev.Number})
+	c.fleet.ForwardResponse(ev.ID, ev.Number)
 	for n := range e.attempts { // their answers cannot be used any more
-		if n != ev.N {
+		if n != ev.Number {
 			c.cancel(now, e, n)
 		}
 	}
 }
 
-func (c *Core) ended(now Micros, ev Ended) {
+func (c *Core) ended(now Micros, ev AttemptEnded) {
 	e := c.books.ended(now, ev)
 	if e == nil {
 		return
 	}
-	node := e.attempts[ev.N].node
-	c.observe.Ended(e.q, node, ev)
-	broken := e.opened == ev.N && ev.Code != policy.OK
+	node := e.attempts[ev.Number].node
+	c.observe.AttemptEnded(e.q, node, ev)
+	broken := e.opened == ev.Number && ev.Code != policy.OK
 	code := ev.Code
 	if ev.Rejected { // over without blame: the module learns nothing from it
 		code = policy.Cancelled
 	}
-	c.events = append(c.events, policy.Outcome{ID: ev.ID, Attempt: ev.N, Engine: node, Code: code,
-		Over: e.final != 0 || over(ev, broken), Took: ev.Took, Load: ev.Load,
-		WorkUs: ev.WorkUs, NeedMB: ev.NeedMB})
+	c.events = append(c.events, policy.AttemptResult{ID: ev.ID, Attempt: ev.Number, Endpoint: node, Code: code,
+		Final: e.final != 0 || over(ev, broken), Latency: ev.Latency, Load: ev.Load,
+		WorkMicros: ev.WorkMicros, NeededMB: ev.NeededMB})
 	if e.final == 0 && over(ev, broken) {
-		v := Verdict{Final: Served, Result: ev.Result, Cause: ev.Err}
+		v := Outcome{Kind: Served, Result: ev.Result, Cause: ev.Err}
 		switch {
 		case ev.Rejected:
-			v.Final, v.Reason = Failed, ReasonStatement
+			v.Kind, v.Reason = Failed, ReasonStatement
 		case broken:
-			v.Final, v.Reason = Failed, ReasonBroken
+			v.Kind, v.Reason = Failed, ReasonBroken
 		}
 		c.answer(now, e, v)
 		return
@@ -282,16 +282,16 @@
 	if e.opened < 0 {
 		c.books.fault(FaultForgotten, e.q.ID, e)
 	}
-	c.events = append(c.events, policy.Left{ID: e.q.ID})
-	c.answer(now, e, Verdict{Final: Failed, Reason: ReasonDeadline})
+	c.events = append(c.events, policy.ClientDisconnected{ID: e.q.ID})
+	c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonDeadline})
 }
 
 // answer gives the final answer and calls off what is still out.
-func (c *Core) answer(now Micros, e *entry, v Verdict) {
+func (c *Core) answer(now Micros, e *entry, v Outcome) {
 	if v.Attempts = len(e.attempts); v.Attempts > 0 {
 		v.Node = e.attempts[v.Attempts-1].node
 	}
-	if v.Cause == nil && v.Final != Served {
+	if v.Cause == nil && v.Kind != Served {
 		v.Cause = e.last.Err
 	}
 	if !c.books.answer(now, e, v) {
@@ -316,37 +316,37 @@
 	switch a := a.(type) {
 	case policy.Send:
 		c.send(now, a)
-	case policy.Terms:
+	case policy.Resources:
 		if e := c.entry(a.ID); e != nil {
-			e.terms = Attempt{MemoryMB: a.MemoryMB, Priority: a.Priority, HasTerms: true}
+			e.terms = Attempt{MemoryMB: a.MemoryMB, Priority: a.Priority, HasResources: true}
 			if e.out > 0 {
-				c.fleet.Terms(a.ID, a.MemoryMB, a.Priority)
+				c.fleet.SetResources(a.ID, a.MemoryMB, a.Priority)
 			}
 		}
 	case policy.Cancel:
 		if e := c.books.entries[a.ID]; e != nil && a.Attempt >= 0 && a.Attempt < len(e.attempts) {
 			c.cancel(now, e, a.Attempt)
 		}
-	case policy.Refuse:
+	case policy.Shed:
 		if e := c.entry(a.ID); e != nil {
-			c.answer(now, e, Verdict{Final: Refused, Reason: ReasonOverload, ComeBack: a.ComeBack})
+			c.answer(now, e, Outcome{Kind: Shed, Reason: ReasonOverload, RetryAfter: a.RetryAfter})
 		}
 	case policy.Fail:
 		if e := c.entry(a.ID); e != nil {
-			c.answer(now, e, Verdict{Final: Failed, Reason: ReasonAttempt})
+			c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonAttempt})
 		}
-	case policy.Probe:
-		c.fleet.Probe(a.Engine)
-	case policy.Wake:
+	case policy.HealthCheck:
+		c.fleet.HealthCheck(a.Endpoint)
+	case policy.SetTimer:
 		c.wakeAt, c.woken = now+a.After, true
-	case policy.Tell:
-		c.fleet.Tell(a.To, a.Data)
-	case policy.Watch:
-		c.fleet.Watch()
-	case policy.Fetch:
-		c.fleet.Fetch()
-	case policy.Note:
-		c.observe.Note(a.Text)
+	case policy.SendGossip:
+		c.fleet.SendGossip(a.To, a.Data)
+	case policy.WatchEndpoints:
+		c.fleet.WatchEndpoints()
+	case policy.FetchEndpoints:
+		c.fleet.FetchEndpoints()
+	case policy.LogLine:
+		c.observe.LogLine(a.Text)
 	default:
 		panic(fmt.Sprintf("dispatch: unknown action %T", a))
 	}
@@ -372,23 +372,23 @@
 
 func (c *Core) send(now Micros, s policy.Send) {
 	if n, ok := c.books.late(s.ID); ok { // it was decided before the module heard of the end: its books are closed too
-		c.extra = append(c.extra, policy.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine, Code: policy.Moot, Over: true})
+		c.extra = append(c.extra, policy.AttemptResult{ID: s.ID, Attempt: n, Endpoint: s.Endpoint, Code: policy.NeverSent, Final: true})
 		return
 	}
 	e := c.entry(s.ID)
 	if e == nil {
 		return
 	}
-	n, ok := c.books.send(now, e, s.Engine, c.class(e.q))
+	n, ok := c.books.send(now, e, s.Endpoint, c.class(e.q))
 	if !ok { // the module numbers it all the same, and is told that it never left
-		c.extra = append(c.extra, policy.Outcome{ID: s.ID, Attempt: n, Engine: s.Engine,
-			Code: policy.Moot, Over: e.final != 0})
+		c.extra = append(c.extra, policy.AttemptResult{ID: s.ID, Attempt: n, Endpoint: s.Endpoint,
+			Code: policy.NeverSent, Final: e.final != 0})
 		return
 	}
-	a := Attempt{Query: e.q, N: n, Node: s.Engine, Until: e.q.Due, Before: s.Before, MemoryMB: e.terms.MemoryMB,
-		Priority: e.terms.Priority, HasTerms: e.terms.HasTerms}
+	a := Attempt{Query: e.q, Number: n, Node: s.Endpoint, Deadline: e.q.Deadline, StartBefore: s.StartBefore, MemoryMB: e.terms.MemoryMB,
+		Priority: e.terms.Priority, HasResources: e.terms.HasResources}
 	if s.Timeout > 0 {
-		a.Until = min(a.Until, now+s.Timeout)
+		a.Deadline = min(a.Deadline, now+s.Timeout)
 	}
 	c.observe.Sent(a)
 	c.fleet.Send(a)
@@ -397,7 +397,7 @@
 // FailAll gives every query held the same failed answer, in the order of their deadlines.
 func (c *Core) FailAll(now Micros, why Reason) {
 	for len(c.books.due) > 0 {
-		c.answer(now, c.books.due[0], Verdict{Final: Failed, Reason: why})
+		c.answer(now, c.books.due[0], Outcome{Kind: Failed, Reason: why})
 	}
 	c.report(0, 0)
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -31,8 +31,8 @@
 // Change takes everything.
 func (s *scripted) Change(policy.Settings, []int, []int) error { return nil }
 
-// Out has nothing out.
-func (s *scripted) Out() (int, int, bool) { return 0, 0, false }
+// Outstanding has nothing out.
+func (s *scripted) Outstanding() (int, int, bool) { return 0, 0, false }
 
 // tape is a fleet, an observer and a client that write down what they are asked.
 type tape struct {
@@ -44,26 +44,26 @@
 func (t *tape) put(format string, args ...any) {
 	t.lines = append(t.lines, fmt.Sprintf(format, args...))
 }
-func (t *tape) Send(a Attempt)                    { t.put("send %s/%d %s", a.Query.ID, a.N, a.Node) }
-func (t *tape) Open(id string, n int)             { t.put("open %s/%d", id, n) }
-func (t *tape) Cancel(id string, n int)           { t.put("cancel %s/%d", id, n) }
-func (t *tape) Terms(id string, _ float64, p int) { t.put("terms %s %d", id, p) }
-func (t *tape) Probe(node string)                 { t.put("probe %s", node) }
-func (t *tape) Watch()                            {}
-func (t *tape) Fetch()                            {}
-func (t *tape) Tell(int, []byte)                  {}
-func (t *tape) Taken(*Query)                      {}
-func (t *tape) Answered(*Query, Verdict, Micros)  {}
-func (t *tape) Sent(Attempt)                      {}
-func (t *tape) Ended(*Query, string, Ended)       {}
-func (t *tape) Fault(f Fault)                     { t.faults = append(t.faults, f.Kind) }
-func (t *tape) Changed(uint64, policy.Settings)   {}
-func (t *tape) Paused(Micros)                     {}
-func (t *tape) Note(string)                       {}
-func (t *tape) Stepped(events, actions, held int) {}
-func (t *tape) client(id string) clientTape       { return clientTape{t, id} }
+func (t *tape) Send(a Attempt)                            { t.put("send %s/%d %s", a.Query.ID, a.Number, a.Node) }
+func (t *tape) ForwardResponse(id string, n int)          { t.put("open %s/%d", id, n) }
+func (t *tape) Cancel(id string, n int)                   { t.put("cancel %s/%d", id, n) }
+func (t *tape) SetResources(id string, _ float64, p int)  { t.put("terms %s %d", id, p) }
+func (t *tape) HealthCheck(node string)                   { t.put("probe %s", node) }
+func (t *tape) WatchEndpoints()                           {}
+func (t *tape) FetchEndpoints()                           {}
+func (t *tape) SendGossip(int, []byte)                    {}
+func (t *tape) QueryReceived(*Query)                      {}
+func (t *tape) Answered(*Query, Outcome, Micros)          {}
+func (t *tape) Sent(Attempt)                              {}
+func (t *tape) AttemptEnded(*Query, string, AttemptEnded) {}
+func (t *tape) Fault(f Fault)                             { t.faults = append(t.faults, f.Kind) }
+func (t *tape) Changed(uint64, policy.Settings)           {}
+func (t *tape) Paused(Micros)                             {}
+func (t *tape) LogLine(string)                            {}
+func (t *tape) StepCompleted(events, actions, held int)   {}
+func (t *tape) client(id string) clientTape               { return clientTape{t, id} }
 func (t *tape) query(id string, due Micros) *Query {
-	return &Query{ID: id, Due: due, Client: t.client(id)}
+	return &Query{ID: id, Deadline: due, Client: t.client(id)}
 }
 
 type clientTape struct {
@@ -71,8 +71,8 @@
 	id string
 }
 
-func (c clientTape) Answer(v Verdict) {
-	c.t.put("answer %s %s %s", c.id, v.Final, v.Reason)
+func (c clientTape) Answer(v Outcome) {
+	c.t.put("answer %s %s %s", c.id, v.Kind, v.Reason)
 }
 
 func newTestCore(s *scripted, t *tape) *Core {
@@ -86,22 +86,22 @@
 	c := newTestCore(s, tp)
 	s.say = func(now Micros, events []policy.Event) []policy.Action {
 		if _, ok := events[0].(policy.Request); ok {
-			return []policy.Action{policy.Terms{ID: "q"}, policy.Send{ID: "q", Engine: "n1"}}
+			return []policy.Action{policy.Resources{ID: "q"}, policy.Send{ID: "q", Endpoint: "n1"}}
 		}
 		return nil
 	}
-	if err := c.Step(1*ms, []Event{Taken{tp.query("q", 50*ms)}, Left{"q"}}); err != nil {
+	if err := c.Step(1*ms, []Event{QueryReceived{tp.query("q", 50*ms)}, ClientDisconnected{"q"}}); err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Outcome{ID: "q", Engine: "n1", Code: policy.Moot, Over: true}
+	want := policy.AttemptResult{ID: "q", Endpoint: "n1", Code: policy.NeverSent, Final: true}
 	if last := s.told[len(s.told)-1]; last != want {
 		t.Errorf("the module is told %+v, want %+v", last, want)
 	}
-	if len(tp.faults) > 0 || len(tp.lines) != 1 || c.Booked() != 0 {
-		t.Errorf("faults %v, done %v, booked %d", tp.faults, tp.lines, c.Booked())
+	if len(tp.faults) > 0 || len(tp.lines) != 1 || c.Tracked() != 0 {
+		t.Errorf("faults %v, done %v, booked %d", tp.faults, tp.lines, c.Tracked())
 	}
-	s.say = func(Micros, []policy.Event) []policy.Action { return []policy.Action{policy.Refuse{ID: "r"}} }
-	c.Step(2*ms, []Event{Taken{tp.query("r", 50*ms)}, Left{"r"}}) // given up in the step in which its client left
+	s.say = func(Micros, []policy.Event) []policy.Action { return []policy.Action{policy.Shed{ID: "r"}} }
+	c.Step(2*ms, []Event{QueryReceived{tp.query("r", 50*ms)}, ClientDisconnected{"r"}}) // given up in the step in which its client left
 	if len(tp.faults) > 0 || len(tp.lines) != 2 {
 		t.Errorf("faults %v, done %v", tp.faults, tp.lines)
 	}
@@ -111,19 +111,19 @@
 }
 
 // effectOf is the effect of the cases whose class is not safe to repeat.
-var effectOf = map[string]policy.Effect{"a repeat of what may have run is withheld": policy.Unsafe,
-	"a second copy of what is out is withheld": policy.Unsafe, "what never ran is sent again": policy.Unsafe}
+var effectOf = map[string]policy.Effect{"a repeat of what may have run is withheld": policy.NonIdempotent,
+	"a second copy of what is out is withheld": policy.NonIdempotent, "what never ran is sent again": policy.NonIdempotent}
 
 // What the ledger lets through and what it withholds, whatever the module says.
 func TestLedgerGivesOneAnswer(t *testing.T) {
-	send := policy.Send{ID: "q", Engine: "n1"}
-	send2 := policy.Send{ID: "q", Engine: "n2"}
+	send := policy.Send{ID: "q", Endpoint: "n1"}
+	send2 := policy.Send{ID: "q", Endpoint: "n2"}
 	type step struct {
 		at  Micros
 		in  []Event
 		say []policy.Action
 	}
-	ended := func(n int, c policy.Code) Event { return Ended{ID: "q", N: n, Code: c} }
+	ended := func(n int, c policy.Code) Event { return AttemptEnded{ID: "q", Number: n, Code: c} }
 	cases := []struct {
 		name   string
 		steps  []step
@@ -133,10 +133,10 @@
 		{"served by a clean end", []step{{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, nil}},
 			"send q/0 n1; answer q served ", nil},
 		{"a second answer is withheld", []step{
-			{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, []policy.Action{policy.Refuse{ID: "q"}}}},
+			{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, []policy.Action{policy.Shed{ID: "q"}}}},
 			"send q/0 n1; answer q served ", []FaultKind{FaultUnknown}},
 		{"a second answer while an attempt is out", []step{
-			{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, policy.Refuse{ID: "q"}}}},
+			{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, policy.Shed{ID: "q"}}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultDoubleAnswer}},
 		{"nothing leaves after the answer", []step{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, send2}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultLateSend}},
@@ -148,32 +148,32 @@
 			{5, []Event{ended(0, policy.Failed), ended(0, policy.Failed)}, nil}},
 			"send q/0 n1", []FaultKind{FaultDoubleEnd}},
 		{"an end that nobody waits for", []step{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
-		{"an id that comes twice", []step{{5, []Event{Taken{&Query{ID: "q", Client: clientTape{&tape{}, "q"}}}}, nil}},
+		{"an id that comes twice", []step{{5, []Event{QueryReceived{&Query{ID: "q", Client: clientTape{&tape{}, "q"}}}}, nil}},
 			"", []FaultKind{FaultDoubleID}},
 		{"the first to begin has the client", []step{{0, nil, []policy.Action{send, send2}},
-			{5, []Event{Begun{"q", 1}, Begun{"q", 0}}, nil}, {9, []Event{ended(0, policy.Cancelled)}, nil},
+			{5, []Event{ResponseReady{"q", 1}, ResponseReady{"q", 0}}, nil}, {9, []Event{ended(0, policy.Cancelled)}, nil},
 			{12, []Event{ended(1, policy.OK)}, nil}},
 			"send q/0 n1; send q/1 n2; open q/1; cancel q/0; answer q served ", nil},
 		{"no further attempt once an answer flows", []step{{0, nil, []policy.Action{send}},
-			{5, []Event{Begun{"q", 0}}, []policy.Action{send2}}}, "send q/0 n1; open q/0", []FaultKind{FaultLateSend}},
+			{5, []Event{ResponseReady{"q", 0}}, []policy.Action{send2}}}, "send q/0 n1; open q/0", []FaultKind{FaultLateSend}},
 		{"a repeat of what may have run is withheld", []step{{0, nil, []policy.Action{send}},
-			{5, []Event{ended(0, policy.Reset)}, []policy.Action{send2}}}, "send q/0 n1", []FaultKind{FaultForbidden}},
+			{5, []Event{ended(0, policy.ConnectionReset)}, []policy.Action{send2}}}, "send q/0 n1", []FaultKind{FaultForbidden}},
 		{"a second copy of what is out is withheld", []step{{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
 			"send q/0 n1", []FaultKind{FaultForbidden}},
 		{"what never ran is sent again", []step{{0, nil, []policy.Action{send}},
-			{5, []Event{ended(0, policy.Full)}, []policy.Action{send2}}}, "send q/0 n1; send q/1 n2", nil},
-		{"a broken stream is failed at once", []step{{0, nil, []policy.Action{send}}, {5, []Event{Begun{"q", 0}}, nil},
-			{9, []Event{ended(0, policy.Reset)}, nil}}, "send q/0 n1; open q/0; answer q failed ANSWER_BROKEN", nil},
+			{5, []Event{ended(0, policy.Rejected)}, []policy.Action{send2}}}, "send q/0 n1; send q/1 n2", nil},
+		{"a broken stream is failed at once", []step{{0, nil, []policy.Action{send}}, {5, []Event{ResponseReady{"q", 0}}, nil},
+			{9, []Event{ended(0, policy.ConnectionReset)}, nil}}, "send q/0 n1; open q/0; answer q failed ANSWER_BROKEN", nil},
 		{"a stalled stream is cut off at the deadline, no fault", []step{{0, nil, []policy.Action{send}},
-			{5, []Event{Begun{"q", 0}}, nil}, {100 * ms, nil, nil}},
+			{5, []Event{ResponseReady{"q", 0}}, nil}, {100 * ms, nil, nil}},
 			"send q/0 n1; open q/0; answer q failed DEADLINE; cancel q/0", nil},
 		{"a statement that a node turns down is over", []step{{0, nil, []policy.Action{send}},
-			{5, []Event{Ended{ID: "q", Code: policy.Failed, Rejected: true}}, nil}},
+			{5, []Event{AttemptEnded{ID: "q", Code: policy.Failed, Rejected: true}}, nil}},
 			"send q/0 n1; answer q failed STATEMENT", nil},
-		{"a client that left", []step{{0, nil, []policy.Action{send}}, {5, []Event{Left{"q"}}, nil}},
+		{"a client that left", []step{{0, nil, []policy.Action{send}}, {5, []Event{ClientDisconnected{"q"}}, nil}},
 			"send q/0 n1; answer q failed CLIENT_GONE; cancel q/0", nil},
 		{"a begin after the answer is called off, once", []step{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}}},
-			{5, []Event{Begun{"q", 0}}, nil}},
+			{5, []Event{ResponseReady{"q", 0}}, nil}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", nil},
 	}
 	for _, c := range cases {
@@ -181,7 +181,7 @@
 			log, s := &tape{}, &scripted{}
 			core := newTestCore(s, log)
 			core.classes = []policy.Class{{Effect: effectOf[c.name]}}
-			first := []Event{Taken{log.query("q", 100*ms)}}
+			first := []Event{QueryReceived{log.query("q", 100*ms)}}
 			for i, st := range c.steps {
 				s.say = func(Micros, []policy.Event) []policy.Action {
 					out := st.say
@@ -209,7 +209,7 @@
 func TestAPanicFailsAllThatIsHeldAndEndsTheCore(t *testing.T) {
 	log, s := &tape{}, &scripted{}
 	core := newTestCore(s, log)
-	if err := core.Step(0, []Event{Taken{log.query("a", 9*ms)}, Taken{log.query("b", 5*ms)}}); err != nil {
+	if err := core.Step(0, []Event{QueryReceived{log.query("a", 9*ms)}, QueryReceived{log.query("b", 5*ms)}}); err != nil {
 		t.Fatal(err)
 	}
 	s.say = func(Micros, []policy.Event) []policy.Action { panic("no such class") }
@@ -221,13 +221,13 @@
 	if got := strings.Join(log.lines, "; "); got != "answer b failed DISPATCHER_FAULT; answer a failed DISPATCHER_FAULT" {
 		t.Error(got)
 	}
-	if core.Held() != 0 {
-		t.Errorf("%d still held", core.Held())
+	if core.Pending() != 0 {
+		t.Errorf("%d still held", core.Pending())
 	}
 	// One that stood behind a change in the same step had not come to the books: it is answered too.
 	log, s = &tape{}, &scripted{say: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
 	core = newTestCore(s, log)
-	core.Step(0, []Event{Taken{log.query("c", 9*ms)}, Change{Version: 1, Done: func(error) {}}, Taken{log.query("d", 9*ms)}})
+	core.Step(0, []Event{QueryReceived{log.query("c", 9*ms)}, Change{Version: 1, Done: func(error) {}}, QueryReceived{log.query("d", 9*ms)}})
 	if got := strings.Join(log.lines, "; "); got != "answer c failed DISPATCHER_FAULT; answer d failed DISPATCHER_FAULT" {
 		t.Error(got)
 	}
@@ -237,9 +237,9 @@
 	log, s := &tape{}, &scripted{}
 	core := newTestCore(s, log)
 	core.most = 1
-	core.Step(0, []Event{Taken{log.query("a", 9*ms)}, Taken{log.query("b", 9*ms)}})
+	core.Step(0, []Event{QueryReceived{log.query("a", 9*ms)}, QueryReceived{log.query("b", 9*ms)}})
 	core.Drain()
-	core.Step(1, []Event{Taken{log.query("c", 9*ms)}})
+	core.Step(1, []Event{QueryReceived{log.query("c", 9*ms)}})
 	if got := strings.Join(log.lines, "; "); got != "answer b refused DISPATCHER_FULL; answer c refused DISPATCHER_STOPS" {
 		t.Error(got)
 	}
@@ -260,22 +260,22 @@
 			for range rapid.IntRange(0, 3).Draw(r, "actions") {
 				switch id := pick(); rapid.IntRange(0, 5).Draw(r, "action") {
 				case 0, 1:
-					out = append(out, policy.Send{ID: id, Engine: "n"})
+					out = append(out, policy.Send{ID: id, Endpoint: "n"})
 				case 2:
-					out = append(out, policy.Refuse{ID: id})
+					out = append(out, policy.Shed{ID: id})
 				case 3:
 					out = append(out, policy.Fail{ID: id})
 				case 4:
 					out = append(out, policy.Cancel{ID: id, Attempt: rapid.IntRange(0, 3).Draw(r, "n")})
 				case 5:
-					out = append(out, policy.Terms{ID: id, Priority: 1})
+					out = append(out, policy.Resources{ID: id, Priority: 1})
 				}
 			}
 			return out
 		}
 		now := Micros(0)
 		for i, id := range ids {
-			core.Step(now, []Event{Taken{log.query(id, Micros(10+10*i)*ms)}})
+			core.Step(now, []Event{QueryReceived{log.query(id, Micros(10+10*i)*ms)}})
 		}
 		for range rapid.IntRange(0, 20).Draw(r, "steps") {
 			now += Micros(rapid.IntRange(0, 5).Draw(r, "after")) * ms
@@ -284,11 +284,11 @@
 				id, n := pick(), rapid.IntRange(0, 3).Draw(r, "n")
 				switch rapid.IntRange(0, 3).Draw(r, "event") {
 				case 0:
-					in = append(in, Begun{id, n})
+					in = append(in, ResponseReady{id, n})
 				case 1, 2:
-					in = append(in, Ended{ID: id, N: n, Code: policy.Code(rapid.IntRange(0, 7).Draw(r, "code"))})
+					in = append(in, AttemptEnded{ID: id, Number: n, Code: policy.Code(rapid.IntRange(0, 7).Draw(r, "code"))})
 				case 3:
-					in = append(in, Left{id})
+					in = append(in, ClientDisconnected{id})
 				}
 			}
 			if err := core.Step(now, in); err != nil {
@@ -319,28 +319,28 @@
 	for _, nodes := range []int{8, 34, 76} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
 			log := &quiet{}
-			core, err := NewCore(1, policy.Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, PriorityCount: true,
+			core, err := NewCore(1, policy.Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, HonorsPriority: true,
 				ReportsByAnswer: true, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16384}},
-				Classes: []policy.Class{{Name: "lookup", Worth: 1, Aim: 750 * ms, Deadline: 4000 * ms}}}, log, log)
+				Classes: []policy.Class{{Name: "lookup", PriorityWeight: 1, LatencyObjective: 750 * ms, Deadline: 4000 * ms}}}, log, log)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
-			rows := make([]policy.Engine, nodes)
+			rows := make([]policy.Endpoint, nodes)
 			for i := range rows {
 				rows[i].ID = fmt.Sprintf("node-%d", i)
 			}
-			core.Step(now, []Event{Told{policy.Engines{Whole: true, Rows: rows}}})
+			core.Step(now, []Event{PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: rows}}})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				id := fmt.Sprintf("q%d", i)
 				log.node = ""
-				core.Step(now, []Event{Taken{&Query{ID: id, Cost: 20 * ms, Due: now + 4000*ms, Client: log}}})
+				core.Step(now, []Event{QueryReceived{&Query{ID: id, Cost: 20 * ms, Deadline: now + 4000*ms, Client: log}}})
 				now += 100
-				core.Step(now, []Event{Begun{id, 0}})
+				core.Step(now, []Event{ResponseReady{id, 0}})
 				now += 100
-				core.Step(now, []Event{Ended{ID: id, Code: policy.OK, Took: 200, Load: &policy.Load{Util: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}}})
+				core.Step(now, []Event{AttemptEnded{ID: id, Code: policy.OK, Latency: 200, Load: &policy.Load{Util: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}}})
 				now += 800
 			}
 			if log.served != b.N {
@@ -357,12 +357,12 @@
 	served int
 }
 
-func (q *quiet) Send(a Attempt)             { q.node = a.Node }
-func (q *quiet) Open(string, int)           {}
-func (q *quiet) Cancel(string, int)         {}
-func (q *quiet) Terms(string, float64, int) {}
-func (q *quiet) Answer(v Verdict) {
-	if v.Final == Served {
+func (q *quiet) Send(a Attempt)                    { q.node = a.Node }
+func (q *quiet) ForwardResponse(string, int)       {}
+func (q *quiet) Cancel(string, int)                {}
+func (q *quiet) SetResources(string, float64, int) {}
+func (q *quiet) Answer(v Outcome) {
+	if v.Kind == Served {
 		q.served++
 	}
 }
@@ -373,7 +373,7 @@
 	settings := func(classes ...string) policy.Settings {
 		s := policy.Settings{Peers: 1, MaxAttempts: 1, Kinds: []policy.Kind{{Cores: 8}}}
 		for _, c := range classes {
-			s.Classes = append(s.Classes, policy.Class{Name: c, Worth: 1, Aim: 500 * ms, Deadline: 1000 * ms})
+			s.Classes = append(s.Classes, policy.Class{Name: c, PriorityWeight: 1, LatencyObjective: 500 * ms, Deadline: 1000 * ms})
 		}
 		return s
 	}
@@ -388,22 +388,22 @@
 	query := func(id string, version uint64, class int) Event {
 		q := log.query(id, 2000*ms)
 		q.Version, q.Class, q.Cost = version, class, ms
-		return Taken{q}
+		return QueryReceived{q}
 	}
 	now := Micros(1e9)
 	step := func(in ...Event) {
 		t.Helper()
 		now += ms
 		for _, e := range in {
-			if q, ok := e.(Taken); ok {
-				q.Query.Due += now
+			if q, ok := e.(QueryReceived); ok {
+				q.Query.Deadline += now
 			}
 		}
 		if err := core.Step(now, in); err != nil {
 			t.Fatal(err)
 		}
 	}
-	step(Told{policy.Engines{Whole: true, Rows: []policy.Engine{{ID: "n"}}}}, query("a", 0, 1))
+	step(PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "n"}}}}, query("a", 0, 1))
 	step(change(1, settings("report", "load")), query("b", 0, 0), query("c", 0, 1), query("d", 1, 1))
 	if got := core.InFlight(); got["report"] != 2 || got["load"] != 1 {
 		t.Errorf("in flight: %v", got)
@@ -412,7 +412,7 @@
 	if errs[0] != nil || errs[1] == nil || errs[2] == nil {
 		t.Errorf("the changes ended with %v; want taken, refused for its queries in flight, refused for its number", errs)
 	}
-	step(Ended{ID: "a", Code: policy.OK}, Ended{ID: "c", Code: policy.OK}, change(3, settings("load")))
+	step(AttemptEnded{ID: "a", Code: policy.OK}, AttemptEnded{ID: "c", Code: policy.OK}, change(3, settings("load")))
 	if errs[3] != nil {
 		t.Errorf("with nothing of the class in flight: %v", errs[3])
 	}
@@ -428,18 +428,18 @@
 		b.Run(fmt.Sprintf("inflight=%d", n), func(b *testing.B) {
 			log := &quiet{}
 			s := policy.Settings{Peers: 1, MaxAttempts: 3, Kinds: []policy.Kind{{Cores: 100000}}, Classes: []policy.Class{
-				{Name: "lookup", Worth: 1, Aim: 60e6, Deadline: 60e6}, {Name: "report", Worth: 1, Aim: 60e6, Deadline: 60e6}}}
+				{Name: "lookup", PriorityWeight: 1, LatencyObjective: 60e6, Deadline: 60e6}, {Name: "report", PriorityWeight: 1, LatencyObjective: 60e6, Deadline: 60e6}}}
 			core, err := NewCore(1, s, log, log)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
-			core.Step(now, []Event{Told{policy.Engines{Whole: true, Rows: []policy.Engine{{ID: "n"}}}}})
+			core.Step(now, []Event{PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "n"}}}}})
 			for i := range n {
-				core.Step(now, []Event{Taken{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Due: now + 60e6, Client: log}}})
+				core.Step(now, []Event{QueryReceived{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Deadline: now + 60e6, Client: log}}})
 			}
-			if core.Held() != n {
-				b.Fatalf("%d held", core.Held())
+			if core.Pending() != n {
+				b.Fatalf("%d held", core.Pending())
 			}
 			version := uint64(0)
 			for b.Loop() {
--- a/dispatch/holding.go
+++ b/dispatch/holding.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Holding keeps account of the data that clients bring before their queries can be sent, such as the rows of an INSERT, and
+// PayloadBudget keeps account of the data that clients bring before their queries can be sent, such as the rows of an INSERT, and
 // decides whose may be held: so many bytes for one query, so many in all. It is pure; its owner locks it.
-type Holding struct {
+type PayloadBudget struct {
 	each, most int64
 	bar        int64 // at this much a query that has brought nothing yet is turned away, so that those under way can end
 	held       int64
@@ -13,8 +13,8 @@
 	turned     [2]uint64
 }
 
-// Held is what one query holds.
-type Held struct {
+// PayloadReservation is what one query holds.
+type PayloadReservation struct {
 	bytes int64
 	since Micros
 }
@@ -25,20 +25,20 @@
 // spanPart is the weight of the newest query in the mean time that data is held.
 const spanPart = 0.1
 
-// NewHolding returns an account of nothing.
-func NewHolding(each, most int64) *Holding {
-	return &Holding{each: each, most: most, bar: int64(newcomersShare * float64(most))}
+// NewPayloadBudget returns an account of nothing.
+func NewPayloadBudget(each, most int64) *PayloadBudget {
+	return &PayloadBudget{each: each, most: most, bar: int64(newcomersShare * float64(most))}
 }
 
-// RoomError tells why data is not held.
-type RoomError struct {
-	Large    bool   // the query alone brings too much: coming back does not help
-	Held     int64  // bytes it would hold, or all do
-	Allowed  int64  // bytes
-	ComeBack Micros // not Large: when room is expected
+// CapacityError tells why data is not held.
+type CapacityError struct {
+	Large      bool   // the query alone brings too much: coming back does not help
+	Held       int64  // bytes it would hold, or all do
+	Allowed    int64  // bytes
+	RetryAfter Micros // not Large: when room is expected
 }
 
-func (e *RoomError) Error() string {
+func (e *CapacityError) Error() string {
 	if e.Large {
 		return fmt.Sprintf("%d bytes of data with one query, allowed are %d", e.Held, e.Allowed)
 	}
@@ -46,10 +46,10 @@
 }
 
 // Grow lets a query hold n bytes more, or tells why not.
-func (h *Holding) Grow(now Micros, q *Held, n int64) error {
+func (h *PayloadBudget) Grow(now Micros, q *PayloadReservation, n int64) error {
 	if q.bytes+n > h.each {
 		h.turned[0]++
-		return &RoomError{Large: true, Held: q.bytes + n, Allowed: h.each}
+		return &CapacityError{Large: true, Held: q.bytes + n, Allowed: h.each}
 	}
 	room := h.most
 	if q.bytes == 0 && h.held > 0 {
@@ -57,7 +57,7 @@
 	}
 	if h.held+n > room {
 		h.turned[1]++
-		return &RoomError{Held: h.held, Allowed: h.most, ComeBack: h.comeBack(h.held + n - room)}
+		return &CapacityError{Held: h.held, Allowed: h.most, RetryAfter: h.comeBack(h.held + n - room)}
 	}
 	if q.bytes == 0 {
 		q.since = now
@@ -70,12 +70,12 @@
 
 // comeBack is when so many bytes will be free, if data goes on to be held for as long as it was: each holder has half of
 // its time before it on average, and the bytes come free evenly.
-func (h *Holding) comeBack(short int64) Micros {
+func (h *PayloadBudget) comeBack(short int64) Micros {
 	return Micros(float64(h.span) * min(float64(short)/float64(max(h.held, 1)), 1))
 }
 
 // Release gives back what a query holds.
-func (h *Holding) Release(now Micros, q *Held) {
+func (h *PayloadBudget) Release(now Micros, q *PayloadReservation) {
 	if q.bytes == 0 {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // Bytes is what is held in all.
-func (h *Holding) Bytes() int64 { return h.held }
+func (h *PayloadBudget) Bytes() int64 { return h.held }
 
 // Turned counts what was turned away: queries that alone bring too much, and those for which there was no room.
-func (h *Holding) Turned() (large, full uint64) { return h.turned[0], h.turned[1] }
+func (h *PayloadBudget) Turned() (large, full uint64) { return h.turned[0], h.turned[1] }
--- a/dispatch/holding_test.go
+++ b/dispatch/holding_test.go
@@ -11,9 +11,9 @@
 func TestHolding(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		const each, most = 100, 400
-		h := NewHolding(each, most)
+		h := NewPayloadBudget(each, most)
 		var now Micros
-		queries := make([]Held, 12)
+		queries := make([]PayloadReservation, 12)
 		model := map[int]int64{}
 		for range rapid.IntRange(1, 200).Draw(r, "steps") {
 			now += int64(rapid.IntRange(0, 50).Draw(r, "time"))
@@ -24,7 +24,7 @@
 			} else {
 				n := int64(rapid.IntRange(1, 60).Draw(r, "bytes"))
 				err := h.Grow(now, &queries[i], n)
-				var room *RoomError
+				var room *CapacityError
 				all := int64(0)
 				for _, v := range model {
 					all += v
@@ -38,7 +38,7 @@
 					if err != nil {
 						r.Fatalf("%d of %d held, %d more: %v", all, most, n, err)
 					}
-				case !errors.As(err, &room) || room.Large || room.ComeBack < 0:
+				case !errors.As(err, &room) || room.Large || room.RetryAfter < 0:
 					r.Fatalf("%d of %d held, %d more: %v", all, most, n, err)
 				}
 				if err == nil {
@@ -64,18 +64,18 @@
 
 // Data that is held for a second comes free evenly: who finds a tenth too little room comes back after a tenth of it.
 func TestHoldingTellsWhenRoomIsExpected(t *testing.T) {
-	h := NewHolding(1000, 1000)
+	h := NewPayloadBudget(1000, 1000)
 	for i := range 50 {
-		var q Held
+		var q PayloadReservation
 		h.Grow(int64(i)*2e6, &q, 100)
 		h.Release(int64(i)*2e6+1e6, &q)
 	}
-	var held, next Held
+	var held, next PayloadReservation
 	if err := h.Grow(0, &held, 750); err != nil {
 		t.Fatal(err)
 	}
-	var room *RoomError
-	if err := h.Grow(0, &next, 75); !errors.As(err, &room) || room.ComeBack < 99e3 || room.ComeBack > 101e3 {
+	var room *CapacityError
+	if err := h.Grow(0, &next, 75); !errors.As(err, &room) || room.RetryAfter < 99e3 || room.RetryAfter > 101e3 {
 		t.Errorf("%+v", room)
 	}
 }
--- a/dispatch/learned_golden_test.go
+++ b/dispatch/learned_golden_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var stored Warm
+	var stored LearnedState
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&stored); err != nil {
@@ -25,18 +25,18 @@
 	if again, err := json.Marshal(stored); err != nil || !bytes.Equal(again, text) {
 		t.Errorf("written as\n%s, %v\nbefore it was\n%s", again, err, text)
 	}
-	if stored.Format != WarmFormat || stored.Build != "(devel)" || !stored.At.Equal(time.Unix(1796233283, 519498897)) {
+	if stored.Format != LearnedFormat || stored.Build != "(devel)" || !stored.At.Equal(time.Unix(1796233283, 519498897)) {
 		t.Errorf("format %d, build %q, at %v", stored.Format, stored.Build, stored.At)
 	}
 	learned := stored.Learned
-	if learned.Version != policy.LearnedVersion || len(learned.Classes) != 6 || len(learned.Engines) != 4 {
-		t.Fatalf("version %d, %d classes, %d nodes", learned.Version, len(learned.Classes), len(learned.Engines))
+	if learned.Version != policy.LearnedVersion || len(learned.Classes) != 6 || len(learned.Endpoints) != 4 {
+		t.Fatalf("version %d, %d classes, %d nodes", learned.Version, len(learned.Classes), len(learned.Endpoints))
 	}
-	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.Heft != (policy.Running{V: 0.021161601402126105, N: 178}) ||
-		lookup.Stray != 0.1278793493089433 || lookup.Taken != 178 || lookup.Fit[0] != 156 {
+	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.UsualWork != (policy.Running{Value: 0.021161601402126105, Count: 178}) ||
+		lookup.Dispersion != 0.1278793493089433 || lookup.Received != 178 || lookup.Fit[0] != 156 {
 		t.Errorf("class lookup: %+v", lookup)
 	}
-	if learned.Fleet.Rate != 34.769253542181175 || learned.Fleet.Room != 1.5 || learned.Engines[1].Slow != -0.41304050641078605 {
-		t.Errorf("fleet %+v, second node %+v", learned.Fleet, learned.Engines[1])
+	if learned.Fleet.Rate != 34.769253542181175 || learned.Fleet.Capacity != 1.5 || learned.Endpoints[1].Slow != -0.41304050641078605 {
+		t.Errorf("fleet %+v, second node %+v", learned.Fleet, learned.Endpoints[1])
 	}
 }
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -17,10 +17,10 @@
 	attempts []attempt
 	out      int // attempts that have not ended
 	opened   int // number of the attempt whose answer flows to the client; -1: none
-	final    Final
+	final    OutcomeKind
 	answered Micros
-	terms    Attempt // MemoryMB, Priority and HasTerms of the next send
-	last     Ended   // the last attempt that ended
+	terms    Attempt      // MemoryMB, Priority and HasResources of the next send
+	last     AttemptEnded // the last attempt that ended
 	history  []mark
 	due      int // place in the heap; -1: not in it
 }
@@ -134,13 +134,13 @@
 }
 
 // answer gives the final answer, once; it tells whether this was it.
-func (l *ledger) answer(now Micros, e *entry, v Verdict) bool {
+func (l *ledger) answer(now Micros, e *entry, v Outcome) bool {
 	if e.final != 0 {
 		l.fault(FaultDoubleAnswer, e.q.ID, e)
 		return false
 	}
-	e.final, e.answered = v.Final, now
-	e.mark(now, "answered", -1, int(v.Final))
+	e.final, e.answered = v.Kind, now
+	e.mark(now, "answered", -1, int(v.Kind))
 	heap.Remove(&l.due, e.due)
 	e.q.Client.Answer(v)
 	l.settle(e)
@@ -170,8 +170,8 @@
 }
 
 // repeating is what is known of a query of which another attempt would be sent; class is that of the settings in force.
-func (e *entry) repeating(now Micros, class policy.Class) permit.Repeating {
-	r := permit.Repeating{Now: now, Due: e.q.Due, Answered: e.final != 0 || e.opened >= 0, Effect: class.Effect, Window: class.Window}
+func (e *entry) repeating(now Micros, class policy.Class) permit.Retrying {
+	r := permit.Retrying{Now: now, Deadline: e.q.Deadline, Answered: e.final != 0 || e.opened >= 0, Effect: class.Effect, DedupWindow: class.DedupWindow}
 	for _, a := range e.attempts {
 		r.Earlier = append(r.Earlier, permit.Attempt{Sent: a.sent, Ended: a.ended, Code: a.code})
 	}
@@ -181,13 +181,13 @@
 // send books an attempt; false where it must not leave.
 func (l *ledger) send(now Micros, e *entry, node string, class policy.Class) (n int, ok bool) {
 	n = len(e.attempts)
-	if why := e.repeating(now, class).Repeat(); why != permit.Permitted {
+	if why := e.repeating(now, class).Retry(); why != permit.Permitted {
 		kind := FaultLateSend
-		if why == permit.MayHaveRun || why == permit.Window {
+		if why == permit.MayHaveRun || why == permit.DedupWindow {
 			kind = FaultForbidden
 		}
 		l.fault(kind, e.q.ID, e)
-		e.attempts = append(e.attempts, attempt{node: node, sent: now, ended: true, code: policy.Moot}) // the module numbers it too
+		e.attempts = append(e.attempts, attempt{node: node, sent: now, ended: true, code: policy.NeverSent}) // the module numbers it too
 		return n, false
 	}
 	e.attempts = append(e.attempts, attempt{node: node, sent: now})
@@ -197,13 +197,13 @@
 }
 
 // ended books the end of an attempt; nil where it is none that is out.
-func (l *ledger) ended(now Micros, ev Ended) *entry {
+func (l *ledger) ended(now Micros, ev AttemptEnded) *entry {
 	e := l.entries[ev.ID]
-	if e == nil || ev.N < 0 || ev.N >= len(e.attempts) {
+	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) {
 		l.fault(FaultLateOutcome, ev.ID, e)
 		return nil
 	}
-	a := &e.attempts[ev.N]
+	a := &e.attempts[ev.Number]
 	if a.ended {
 		l.fault(FaultDoubleEnd, ev.ID, e)
 		return nil
@@ -211,13 +211,13 @@
 	a.ended, a.code = true, ev.Code
 	e.out--
 	e.last = ev
-	e.mark(now, "ended", ev.N, int(ev.Code))
+	e.mark(now, "ended", ev.Number, int(ev.Code))
 	return e
 }
 
 // overdue is a query whose deadline has come without a final answer; nil if there is none.
 func (l *ledger) overdue(now Micros) *entry {
-	if len(l.due) > 0 && l.due[0].q.Due <= now {
+	if len(l.due) > 0 && l.due[0].q.Deadline <= now {
 		return l.due[0]
 	}
 	return nil
@@ -227,7 +227,7 @@
 type dueHeap []*entry
 
 func (h dueHeap) Len() int           { return len(h) }
-func (h dueHeap) Less(i, j int) bool { return h[i].q.Due < h[j].q.Due }
+func (h dueHeap) Less(i, j int) bool { return h[i].q.Deadline < h[j].q.Deadline }
 func (h dueHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].due, h[j].due = i, j
@@ -250,6 +250,6 @@
 }
 
 // over tells that a query ends with this attempt; broken tells that its answer had begun.
-func over(ev Ended, broken bool) bool {
+func over(ev AttemptEnded, broken bool) bool {
 	return ev.Code == policy.OK || ev.Rejected || broken
 }
--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -66,7 +66,7 @@
 // Post hands an event over. It does not block. A query that finds the intake full or the loop ended is
 // refused at once; other events are never turned away while the loop runs.
 func (l *Loop) Post(ev Event) {
-	taken, isTaken := ev.(Taken)
+	taken, isTaken := ev.(QueryReceived)
 	l.mu.Lock()
 	if l.stopped || isTaken && l.takes >= l.most {
 		why := ReasonFull
@@ -75,7 +75,7 @@
 		}
 		l.mu.Unlock()
 		if isTaken {
-			taken.Query.Client.Answer(Verdict{Final: Refused, Reason: why})
+			taken.Query.Client.Answer(Outcome{Kind: Shed, Reason: why})
 		}
 		return
 	}
@@ -113,8 +113,8 @@
 	l.pending = nil
 	l.mu.Unlock()
 	for _, ev := range rest {
-		if t, ok := ev.(Taken); ok {
-			t.Query.Client.Answer(Verdict{Final: Refused, Reason: ReasonDraining})
+		if t, ok := ev.(QueryReceived); ok {
+			t.Query.Client.Answer(Outcome{Kind: Shed, Reason: ReasonDraining})
 		}
 	}
 	return err
@@ -143,7 +143,7 @@
 		}
 		clear(events)
 		l.spare = events[:0]
-		if drain && l.core.Booked() == 0 && !l.waiting() {
+		if drain && l.core.Tracked() == 0 && !l.waiting() {
 			return nil
 		}
 	}
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -11,41 +11,41 @@
 
 // Query is one client's query as a front hands it over.
 type Query struct {
-	ID       string // never used twice by this dispatcher
-	Version  uint64 // of the settings by which Class and Tenant are numbered
-	Class    int    // index in policy.Settings.Classes
-	Tenant   int    // index in policy.Settings.Tenants
-	Cost     Micros // estimated work of all threads; 0: unknown
-	MemoryMB float64
-	Tables   int64 // group of tables it reads or writes
-	Key      int64 // order, where HasKey
-	HasKey   bool
-	Retry    bool   // a client's marked repeat
-	Protocol uint8  // bit of nodelist.Speaks that a node must have
-	Only     string // the node that holds its session's state; "": none
-	Due      Micros // the final answer is owed by then
-	Work     any    // what a node is to do; known to the front and the fleet alone
-	Client   Client
+	ID          string // never used twice by this dispatcher
+	Version     uint64 // of the settings by which Class and Tenant are numbered
+	Class       int    // index in policy.Settings.Classes
+	Tenant      int    // index in policy.Settings.Tenants
+	Cost        Micros // estimated work of all threads; 0: unknown
+	MemoryMB    float64
+	TableGroup  int64 // group of tables it reads or writes
+	OrderKey    int64 // order, where HasOrderKey
+	HasOrderKey bool
+	ClientRetry bool   // a client's marked repeat
+	Protocol    uint8  // bit of nodelist.Speaks that a node must have
+	StickyTo    string // the node that holds its session's state; "": none
+	Deadline    Micros // the final answer is owed by then
+	Work        any    // what a node is to do; known to the front and the fleet alone
+	Client      Client
 }
 
 // Client receives the final answer of one query, once. Answer must not block and may be called from the loop.
-type Client interface{ Answer(Verdict) }
+type Client interface{ Answer(Outcome) }
 
-// Final is the kind of a final answer.
-type Final uint8
+// Kind is the kind of a final answer.
+type OutcomeKind uint8
 
 // The final answers. Refused tells that trying again does no harm; Failed promises nothing.
 const (
-	Served Final = iota + 1
-	Refused
+	Served OutcomeKind = iota + 1
+	Shed
 	Failed
 )
 
-func (f Final) String() string {
+func (f OutcomeKind) String() string {
 	switch f {
 	case Served:
 		return "served"
-	case Refused:
+	case Shed:
 		return "refused"
 	case Failed:
 		return "failed"
@@ -58,56 +58,56 @@
 
 // The reasons.
 const (
-	ReasonNone      Reason = ""
-	ReasonOverload  Reason = "OVERLOADED"         // the module gave it up: no room in time, or not worth its work
-	ReasonFull      Reason = "DISPATCHER_FULL"    // as many queries are held as settings allow
-	ReasonClassGone Reason = "CLASS_GONE"         // its class left the configuration while it was on its way
-	ReasonDraining  Reason = "DISPATCHER_STOPS"   // the dispatcher takes nothing new
-	ReasonAttempt   Reason = "ATTEMPT_FAILED"     // an attempt may have run and no other is allowed
-	ReasonBroken    Reason = "ANSWER_BROKEN"      // the answer had begun and its node went silent or broke off
-	ReasonDeadline  Reason = "DEADLINE"           // the deadline came first
-	ReasonStatement Reason = "STATEMENT"          // the node says that the statement is wrong
-	ReasonInternal  Reason = "DISPATCHER_FAULT"   // the dispatcher itself failed
-	ReasonGone      Reason = "CLIENT_GONE"        // nobody is there to read an answer
-	ReasonStopped   Reason = "DISPATCHER_STOPPED" // stopped before the answer was in
+	ReasonNone               Reason = ""
+	ReasonOverload           Reason = "OVERLOADED"         // the module gave it up: no room in time, or not worth its work
+	ReasonFull               Reason = "DISPATCHER_FULL"    // as many queries are held as settings allow
+	ReasonClassRemoved       Reason = "CLASS_GONE"         // its class left the configuration while it was on its way
+	ReasonDraining           Reason = "DISPATCHER_STOPS"   // the dispatcher takes nothing new
+	ReasonAttempt            Reason = "ATTEMPT_FAILED"     // an attempt may have run and no other is allowed
+	ReasonBroken             Reason = "ANSWER_BROKEN"      // the answer had begun and its node went silent or broke off
+	ReasonDeadline           Reason = "DEADLINE"           // the deadline came first
+	ReasonStatement          Reason = "STATEMENT"          // the node says that the statement is wrong
+	ReasonInternal           Reason = "DISPATCHER_FAULT"   // the dispatcher itself failed
+	ReasonClientDisconnected Reason = "CLIENT_GONE"        // nobody is there to read an answer
+	ReasonStopped            Reason = "DISPATCHER_STOPPED" // stopped before the answer was in
 )
 
-// Verdict is a final answer.
-type Verdict struct {
-	Final    Final
-	Reason   Reason
-	ComeBack Micros // Refused: not before this much time has gone; 0: no advice
-	Result   any    // Served: what the fleet returned, where it was not streamed
-	Cause    error  // the last attempt's error, where there was one
-	Attempts int
-	Node     string // of the last attempt
+// Outcome is a final answer.
+type Outcome struct {
+	Kind       OutcomeKind
+	Reason     Reason
+	RetryAfter Micros // Refused: not before this much time has gone; 0: no advice
+	Result     any    // Served: what the fleet returned, where it was not streamed
+	Cause      error  // the last attempt's error, where there was one
+	Attempts   int
+	Node       string // of the last attempt
 }
 
 // Attempt is one send of a query to a node.
 type Attempt struct {
-	Query    *Query
-	N        int // from 0
-	Node     string
-	Until    Micros // the attempt's time-out; never after Query.Due
-	Before   Micros // it must not begin at a node later than this; 0: until Until
-	MemoryMB float64
-	Priority int  // 0 to 3
-	HasTerms bool // MemoryMB and Priority were set by the module
+	Query        *Query
+	Number       int // from 0
+	Node         string
+	Deadline     Micros // the attempt's time-out; never after Query.Due
+	StartBefore  Micros // it must not begin at a node later than this; 0: until Until
+	MemoryMB     float64
+	Priority     int  // 0 to 3
+	HasResources bool // MemoryMB and Priority were set by the module
 }
 
 // Fleet carries the module's actions out. No method blocks. Every Send ends in exactly one Ended event, also after
 // Cancel and also where nothing was sent.
 type Fleet interface {
 	Send(Attempt)
-	// Open lets the answer of an attempt that has Begun flow to its client.
-	Open(id string, n int)
+	// ForwardResponse lets the answer of an attempt that has Begun flow to its client.
+	ForwardResponse(id string, n int)
 	Cancel(id string, n int)
-	// Terms changes what runs: for every attempt of the query that is out.
-	Terms(id string, memoryMB float64, priority int)
-	Probe(node string)
-	Watch()
-	Fetch()
-	Tell(peer int, data []byte)
+	// SetResources changes what runs: for every attempt of the query that is out.
+	SetResources(id string, memoryMB float64, priority int)
+	HealthCheck(node string)
+	WatchEndpoints()
+	FetchEndpoints()
+	SendGossip(peer int, data []byte)
 }
 
 // Event is what comes in: Taken from a front, the rest from the fleet or the clock.
@@ -115,44 +115,44 @@
 
 // The events.
 type (
-	// Taken hands over a query; from now on one final answer is owed.
-	Taken struct{ Query *Query }
-	// Left tells that the client is gone: it cancelled, or its connection broke.
-	Left struct{ ID string }
-	// Begun tells that an attempt has its first frame ready and waits for Open or Cancel.
-	Begun struct {
-		ID string
-		N  int
+	// QueryReceived hands over a query; from now on one final answer is owed.
+	QueryReceived struct{ Query *Query }
+	// ClientDisconnected tells that the client is gone: it cancelled, or its connection broke.
+	ClientDisconnected struct{ ID string }
+	// ResponseReady tells that an attempt has its first frame ready and waits for Open or Cancel.
+	ResponseReady struct {
+		ID     string
+		Number int
 	}
-	// Ended is the end of an attempt.
-	Ended struct {
-		ID       string
-		N        int
-		Code     policy.Code
-		Rejected bool // the node's word that the statement is wrong: an answer, no fault of the node
-		Took     Micros
-		Load     *policy.Load
-		WorkUs   Micros  // processor time of all threads, where the node tells; else 0
-		NeedMB   float64 // most memory, where the node tells; else 0
-		Result   any
-		Err      error
+	// AttemptEnded is the end of an attempt.
+	AttemptEnded struct {
+		ID         string
+		Number     int
+		Code       policy.Code
+		Rejected   bool // the node's word that the statement is wrong: an answer, no fault of the node
+		Latency    Micros
+		Load       *policy.Load
+		WorkMicros Micros  // processor time of all threads, where the node tells; else 0
+		NeededMB   float64 // most memory, where the node tells; else 0
+		Result     any
+		Err        error
 	}
-	// Told passes on what needs no ledger: policy.Engines, Probed, Progress and Heard.
-	Told struct{ Event policy.Event }
+	// PolicyEvent passes on what needs no ledger: policy.Engines, Probed, Progress and Heard.
+	PolicyEvent struct{ Event policy.Event }
 	// Change puts new settings in force between two steps, whole or not at all. Done gets exactly one value.
 	Change struct {
 		Version  uint64
 		Settings policy.Settings
 		Done     func(error)
 	}
-	// Look lets the loop look at the core between two events; At must neither block nor change anything.
-	Look struct{ At func(*Core) }
+	// Inspect lets the loop look at the core between two events; At must neither block nor change anything.
+	Inspect struct{ Func func(*Core) }
 )
 
-func (Taken) isEvent()  {}
-func (Left) isEvent()   {}
-func (Begun) isEvent()  {}
-func (Ended) isEvent()  {}
-func (Told) isEvent()   {}
-func (Change) isEvent() {}
-func (Look) isEvent()   {}
+func (QueryReceived) isEvent()      {}
+func (ClientDisconnected) isEvent() {}
+func (ResponseReady) isEvent()      {}
+func (AttemptEnded) isEvent()       {}
+func (PolicyEvent) isEvent()        {}
+func (Change) isEvent()             {}
+func (Inspect) isEvent()            {}
--- a/dispatch/warm.go
+++ b/dispatch/warm.go
@@ -8,41 +8,41 @@
 	"embershunt/policy"
 )
 
-// Warm is what a dispatcher writes down of what its module has learned, so that it may start warm. Starts of nodes are in
+// LearnedState is what a dispatcher writes down of what its module has learned, so that it may start warm. Starts of nodes are in
 // wall time, since a clock ends with its process.
-type Warm struct {
+type LearnedState struct {
 	Format  int            `json:"format"`
 	Build   string         `json:"build"` // of the module that learned it
 	At      time.Time      `json:"at"`
 	Learned policy.Learned `json:"learned"`
 }
 
-// WarmFormat is the form of Warm.
-const WarmFormat = 1
+// LearnedFormat is the form of Warm.
+const LearnedFormat = 1
 
 // Ages up to which what was learned is taken in.
 const (
-	// WarmClasses: what queries cost, by class, changes over days; a dispatcher that was away for longer starts cold.
-	WarmClasses = 24 * time.Hour
-	// WarmFleet: prices, waits and the state of nodes hold for seconds; what is older would mislead more than nothing does.
-	WarmFleet = 30 * time.Second
+	// MaxClassAge: what queries cost, by class, changes over days; a dispatcher that was away for longer starts cold.
+	MaxClassAge = 24 * time.Hour
+	// MaxFleetAge: prices, waits and the state of nodes hold for seconds; what is older would mislead more than nothing does.
+	MaxFleetAge = 30 * time.Second
 )
 
-// Carry tells what of it is to be taken in: everything, what was learned of classes alone, or nothing, and why.
-func (w *Warm) Carry(now time.Time, build string) (classes, fleet bool, why string) {
+// Usable tells what of it is to be taken in: everything, what was learned of classes alone, or nothing, and why.
+func (w *LearnedState) Usable(now time.Time, build string) (classes, fleet bool, why string) {
 	age := now.Sub(w.At)
 	switch {
-	case w.Format != WarmFormat:
-		return false, false, fmt.Sprintf("format %d, allowed is %d", w.Format, WarmFormat)
+	case w.Format != LearnedFormat:
+		return false, false, fmt.Sprintf("format %d, allowed is %d", w.Format, LearnedFormat)
 	case w.Learned.Version != policy.LearnedVersion:
 		return false, false, fmt.Sprintf("version %d of what was learned, allowed is %d", w.Learned.Version, policy.LearnedVersion)
 	case w.Build != build:
 		return false, false, fmt.Sprintf("of build %q, this is %q", w.Build, build)
 	case age < -time.Minute:
 		return false, false, "it is from the future: a clock was wrong"
-	case age > WarmClasses:
-		return false, false, fmt.Sprintf("%v old, allowed are %v", age.Round(time.Second), WarmClasses)
-	case age > WarmFleet:
+	case age > MaxClassAge:
+		return false, false, fmt.Sprintf("%v old, allowed are %v", age.Round(time.Second), MaxClassAge)
+	case age > MaxFleetAge:
 		return true, false, fmt.Sprintf("%v old: classes alone", age.Round(time.Second))
 	}
 	return true, true, fmt.Sprintf("%v old: all of it", age.Round(time.Millisecond))
@@ -51,7 +51,7 @@
 // learner is a module that can tell and take what it has learned.
 type learner interface {
 	Learned() policy.Learned
-	Recall(l policy.Learned, fresh bool) error
+	Restore(l policy.Learned, fresh bool) error
 }
 
 var errNoLearner = errors.New("dispatch: this module keeps nothing of what it learns")
@@ -66,14 +66,14 @@
 	return shifted(m.Learned(), epoch.UnixMicro()), nil
 }
 
-// Recall hands on what was learned before, ahead of the first Step and of Record.
-func (c *Core) Recall(l policy.Learned, fleet bool, epoch time.Time) error {
+// Restore hands on what was learned before, ahead of the first Step and of Record.
+func (c *Core) Restore(l policy.Learned, fleet bool, epoch time.Time) error {
 	m, ok := c.gateway.(learner)
 	if !ok {
 		return errNoLearner
 	}
 	l = shifted(l, -epoch.UnixMicro())
-	err := m.Recall(l, fleet)
+	err := m.Restore(l, fleet)
 	if err == nil {
 		c.learned, c.fresh = &l, fleet
 	}
@@ -81,13 +81,13 @@
 }
 
 func shifted(l policy.Learned, by Micros) policy.Learned {
-	engines := make([]policy.LearnedEngine, len(l.Engines))
-	for i, e := range l.Engines {
+	engines := make([]policy.LearnedEndpoint, len(l.Endpoints))
+	for i, e := range l.Endpoints {
 		if e.Started != 0 {
 			e.Started += by
 		}
 		engines[i] = e
 	}
-	l.Engines = engines
+	l.Endpoints = engines
 	return l
 }
--- a/frontend/clickhouse/clickhouse.go
+++ b/frontend/clickhouse/clickhouse.go
@@ -43,7 +43,7 @@
 // Front serves the protocol on a listener.
 type Front struct {
 	opt     Options
-	desk    *frontend.Desk
+	desk    *frontend.Intake
 	store   store
 	samples *frontend.Cache
 
@@ -53,7 +53,7 @@
 }
 
 // New returns a front that hands its queries over at a desk.
-func New(o Options, d *frontend.Desk) *Front {
+func New(o Options, d *frontend.Intake) *Front {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
@@ -79,7 +79,7 @@
 		o.SampleMost = 4096
 	}
 	return &Front{opt: o, desk: d, conns: map[net.Conn]bool{}, left: make(chan struct{}), samples: frontend.NewCache(o.SampleMost, o.SampleLife),
-		store: store{books: dispatch.NewHolding(int64(o.InsertMost), int64(o.InsertsHeld)), begin: time.Now()}}
+		store: store{books: dispatch.NewPayloadBudget(int64(o.InsertMost), int64(o.InsertsHeld)), begin: time.Now()}}
 }
 
 // Serve takes connections until ctx ends or the listener fails, and returns when all of them are closed.
@@ -174,7 +174,7 @@
 	reading  bool      // there is one
 	group    errgroup.Group
 	patience *time.Timer
-	held     dispatch.Held // of the present query's rows and tables; the store's lock guards it
+	held     dispatch.PayloadReservation // of the present query's rows and tables; the store's lock guards it
 
 	mu      sync.Mutex // of what is written
 	spoke   bool       // the last word may have been an Exception of the front's own
@@ -375,13 +375,13 @@
 
 // refuseFor answers what could not be read, or not be held.
 func (s *client) refuseFor(err error) {
-	var room *dispatch.RoomError
+	var room *dispatch.CapacityError
 	switch {
 	case errors.As(err, &room) && room.Large:
 		s.refuse(241, "refused (QUERY_TOO_LARGE): "+room.Error()) // MEMORY_LIMIT_EXCEEDED
 	case errors.As(err, &room):
 		s.refuse(202, fmt.Sprintf("refused (%s): %v; trying again does no harm, come back in %d ms", dispatch.ReasonFull, room,
-			max(room.ComeBack/1000, 50)))
+			max(room.RetryAfter/1000, 50)))
 	default:
 		s.refuse(101, err.Error())
 	}
@@ -395,12 +395,12 @@
 	for _, set := range q.Settings {
 		settings[set.Name] = set.Value
 	}
-	c := frontend.Call{Speaks: nodelist.ClickHouse, Work: &native.Call{Query: q, Revision: s.revision, Database: s.hello.Database,
+	c := frontend.Call{Protocol: nodelist.ClickHouse, Work: &native.Call{Query: q, Revision: s.revision, Database: s.hello.Database,
 		Tables: st.tables, Sink: s}}
 	c.Facts = classify.Facts{User: s.hello.User, Statement: q.Text, Command: "native.Query", Token: settings["insert_deduplication_token"],
 		Header: func(string) string { return "" }, Option: func(name string) string { return settings[name] }}
-	c.Left = time.Duration(positive(settings["max_execution_time"]) * float64(time.Second))
-	c.MB = positive(settings["max_memory_usage"]) / 1e6
+	c.Remaining = time.Duration(positive(settings["max_execution_time"]) * float64(time.Second))
+	c.MemoryMB = positive(settings["max_memory_usage"]) / 1e6
 	return c
 }
 
@@ -445,16 +445,16 @@
 const watchAfter = 2 * time.Millisecond
 
 // ask hands a call over and waits for its final answer; meanwhile it heeds what the client sends.
-func (s *client) ask(ctx context.Context, call frontend.Call) (v dispatch.Verdict, how ending, err error) {
+func (s *client) ask(ctx context.Context, call frontend.Call) (v dispatch.Outcome, how ending, err error) {
 	if use := s.life.use(call); use != nil {
 		return s.askPinned(ctx, call, use)
 	}
-	asked, err := s.front.desk.Begin(call)
+	asked, err := s.front.desk.Submit(call)
 	if err != nil {
 		return v, answered, err
 	}
-	off := func(how ending, err error) (dispatch.Verdict, ending, error) {
-		asked.Leave()
+	off := func(how ending, err error) (dispatch.Outcome, ending, error) {
+		asked.Disconnect()
 		return <-asked.Done, how, err
 	}
 	if s.patience == nil {
@@ -488,7 +488,7 @@
 }
 
 // close writes the end of an answer. An error ends the connection.
-func (s *client) close(v dispatch.Verdict, how ending, err error) error {
+func (s *client) close(v dispatch.Outcome, how ending, err error) error {
 	switch {
 	case how == gone:
 		return err
@@ -533,12 +533,12 @@
 }
 
 // finish writes the final answer.
-func (s *client) finish(v dispatch.Verdict) error {
+func (s *client) finish(v dispatch.Outcome) error {
 	s.end()
 	if s.partial {
 		return errPartial
 	}
-	if v.Final == dispatch.Served {
+	if v.Kind == dispatch.Served {
 		whole, _ := v.Result.([]byte) // what was not streamed
 		return s.write(append(whole, native.ServerEndOfStream))
 	}
@@ -546,20 +546,20 @@
 }
 
 // codes of final answers (ErrorCodes.cpp of ClickHouse; docs/operators.md has the table).
-var codes = map[dispatch.Reason]int32{dispatch.ReasonOverload: 202, dispatch.ReasonFull: 202, dispatch.ReasonClassGone: 203,
+var codes = map[dispatch.Reason]int32{dispatch.ReasonOverload: 202, dispatch.ReasonFull: 202, dispatch.ReasonClassRemoved: 203,
 	dispatch.ReasonDraining: 203, dispatch.ReasonAttempt: 1001, dispatch.ReasonBroken: 210, dispatch.ReasonDeadline: 159,
-	dispatch.ReasonInternal: 1002, dispatch.ReasonGone: 394, dispatch.ReasonStopped: 236}
+	dispatch.ReasonInternal: 1002, dispatch.ReasonClientDisconnected: 394, dispatch.ReasonStopped: 236}
 
-func exceptionOf(v dispatch.Verdict) *native.Exception {
+func exceptionOf(v dispatch.Outcome) *native.Exception {
 	var own *native.Exception
 	if v.Reason == dispatch.ReasonStatement && errors.As(v.Cause, &own) {
 		return own // the node's own words
 	}
-	text := fmt.Sprintf("DB::Exception: %s (%s, %d attempts)", v.Final, v.Reason, v.Attempts)
-	if v.Final == dispatch.Refused {
+	text := fmt.Sprintf("DB::Exception: %s (%s, %d attempts)", v.Kind, v.Reason, v.Attempts)
+	if v.Kind == dispatch.Shed {
 		text += "; trying again does no harm"
-		if v.ComeBack > 0 {
-			text += fmt.Sprintf(", come back in %d ms", (v.ComeBack+999)/1000)
+		if v.RetryAfter > 0 {
+			text += fmt.Sprintf(", come back in %d ms", (v.RetryAfter+999)/1000)
 		}
 	}
 	if v.Cause != nil {
--- a/frontend/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -68,12 +68,12 @@
 }
 
 // use tells what a statement is to the session; nil where it has none and makes none.
-func (c *connection) use(call frontend.Call) *frontend.Use {
+func (c *connection) use(call frontend.Call) *frontend.Statement {
 	kind, name, _ := classify.OnConnection(call.Facts.Statement)
-	u := &frontend.Use{Kind: session.Plain, ID: c.id, Lasts: true, Reads: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
+	u := &frontend.Statement{Kind: session.Plain, ID: c.id, OutlivesState: true, ReadOnly: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
 	switch {
 	case kind == classify.LeavesTable:
-		u.Kind, u.Name = session.Make, name
+		u.Kind, u.Name = session.CreateState, name
 		if c.id == "" {
 			c.id = frontend.NewSessionID()
 			u.ID = c.id
@@ -81,20 +81,20 @@
 	case len(c.tables) == 0:
 		return nil
 	case kind == classify.DropsTable && c.tables[name]:
-		u.Kind, u.Name = session.Drop, name
+		u.Kind, u.Name = session.DropState, name
 	}
 	return u
 }
 
 // served takes in what a statement has left.
-func (c *connection) served(u *frontend.Use) {
+func (c *connection) served(u *frontend.Statement) {
 	switch u.Kind {
-	case session.Make:
+	case session.CreateState:
 		if c.tables == nil {
 			c.tables = map[string]bool{}
 		}
 		c.tables[u.Name] = true
-	case session.Drop:
+	case session.DropState:
 		if delete(c.tables, u.Name); len(c.tables) == 0 {
 			c.id = ""
 		}
@@ -139,7 +139,7 @@
 }
 
 // askPinned is ask for a statement of a session.
-func (s *client) askPinned(ctx context.Context, call frontend.Call, u *frontend.Use) (v dispatch.Verdict, how ending, err error) {
+func (s *client) askPinned(ctx context.Context, call frontend.Call, u *frontend.Statement) (v dispatch.Outcome, how ending, err error) {
 	if s.front.opt.Sessions == nil {
 		return v, answered, errors.New("temporary tables are not served here")
 	}
@@ -147,18 +147,18 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
-		v   dispatch.Verdict
+		v   dispatch.Outcome
 		err error
 	}
 	done := make(chan answer, 1)
 	var group errgroup.Group
 	defer group.Wait()
 	group.Go(func() error {
-		v, _, err := s.front.opt.Sessions.Ask(ctx, call, *u)
+		v, _, err := s.front.opt.Sessions.Execute(ctx, call, *u)
 		done <- answer{v, err}
 		return nil
 	})
-	end := func(how ending, err error) (dispatch.Verdict, ending, error) {
+	end := func(how ending, err error) (dispatch.Outcome, ending, error) {
 		cancel()
 		return (<-done).v, how, err
 	}
@@ -169,9 +169,9 @@
 			var ended *frontend.SessionError
 			if errors.As(a.err, &ended) && (ended.State == session.Lost || ended.State == session.Expired || ended.State == session.Ending) {
 				s.life.lost()
-			} else if a.err == nil && a.v.Final == dispatch.Served {
+			} else if a.err == nil && a.v.Kind == dispatch.Served {
 				s.life.served(u)
-			} else if u.Kind == session.Make && len(s.life.tables) == 0 {
+			} else if u.Kind == session.CreateState && len(s.life.tables) == 0 {
 				s.life.lost()
 			}
 			return a.v, answered, a.err
@@ -198,17 +198,17 @@
 		return
 	}
 	code, final := int32(236), "failed" // ABORTED
-	switch ended.Why {
-	case session.WhyMany, session.WhyTables:
+	switch ended.Reason {
+	case session.ReasonTooManySessions, session.ReasonTooManyTables:
 		code, final = 202, "refused"
-	case session.WhyEarly:
+	case session.ReasonNodesUnknown:
 		code, final = 203, "refused"
-	case session.WhyBusy, session.WhyNothing, session.WhyOpen:
+	case session.ReasonBusy, session.ReasonNoTransaction, session.ReasonTransactionOpen:
 		code, final = 36, "refused"
 	}
-	text := fmt.Sprintf("%s (%s)%s", final, ended.Why, strings.TrimPrefix(ended.Error(), string(ended.Why)))
-	if ended.ComeBack > 0 {
-		text += fmt.Sprintf(", come back in %d ms", ended.ComeBack.Milliseconds()+1)
+	text := fmt.Sprintf("%s (%s)%s", final, ended.Reason, strings.TrimPrefix(ended.Error(), string(ended.Reason)))
+	if ended.RetryAfter > 0 {
+		text += fmt.Sprintf(", come back in %d ms", ended.RetryAfter.Milliseconds()+1)
 	}
 	s.refuse(code, text)
 }
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -18,19 +18,19 @@
 // store holds what clients bring with their queries, as far as the books allow.
 type store struct {
 	mu    sync.Mutex
-	books *dispatch.Holding
+	books *dispatch.PayloadBudget
 	begin time.Time
 }
 
 func (s *store) now() dispatch.Micros { return time.Since(s.begin).Microseconds() }
 
-func (s *store) grow(h *dispatch.Held, n int) error {
+func (s *store) grow(h *dispatch.PayloadReservation, n int) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.books.Grow(s.now(), h, int64(n))
 }
 
-func (s *store) release(h *dispatch.Held) {
+func (s *store) release(h *dispatch.PayloadReservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.books.Release(s.now(), h)
@@ -51,7 +51,7 @@
 func (s *client) insert(ctx context.Context, call frontend.Call) error {
 	left, err := s.front.desk.Deadline(call)
 	if err != nil {
-		return s.close(dispatch.Verdict{}, answered, err)
+		return s.close(dispatch.Outcome{}, answered, err)
 	}
 	due := time.Now().Add(left)
 	work := call.Work.(*native.Call)
@@ -63,7 +63,7 @@
 		ask := call
 		ask.Work, ask.Facts.Harmless = &first, true
 		v, how, err := s.ask(ctx, ask)
-		if how != answered || err != nil || v.Final != dispatch.Served {
+		if how != answered || err != nil || v.Kind != dispatch.Served {
 			return s.close(v, how, err)
 		}
 		sample = v.Result.([]byte)
@@ -74,9 +74,9 @@
 	}
 	how, err := s.collect(ctx, work, due)
 	if how != answered {
-		return s.close(dispatch.Verdict{}, how, err)
+		return s.close(dispatch.Outcome{}, how, err)
 	}
-	call.Left = max(time.Until(due), time.Millisecond)
+	call.Remaining = max(time.Until(due), time.Millisecond)
 	v, how, err := s.ask(ctx, call)
 	if v.Reason == dispatch.ReasonStatement { // perhaps the table has other columns by now
 		s.front.samples.Drop(key)
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -54,7 +54,7 @@
 // Front serves the protocol on a gRPC server made with ServerOptions.
 type Front struct {
 	opt     Options
-	desk    *frontend.Desk
+	desk    *frontend.Intake
 	schemas *frontend.Cache
 
 	mu      sync.Mutex
@@ -62,7 +62,7 @@
 }
 
 // New returns a front that hands its queries over at a desk.
-func New(o Options, d *frontend.Desk) *Front {
+func New(o Options, d *frontend.Intake) *Front {
 	o.defaults()
 	return &Front{opt: o, desk: d, schemas: frontend.NewCache(o.SchemaMost, o.SchemaLife), running: map[string]map[string]bool{}}
 }
@@ -158,23 +158,23 @@
 	call      *flightwire.Call
 	statement string
 	command   string
-	serial    string           // of the ticket; "" where it has none
-	tx        *frontend.Pinned // the transaction that it belongs to; nil: none
-	use       *frontend.Use    // of what begins and ends one
-	pin       *frontend.Pinned // where a transaction was begun
+	serial    string                  // of the ticket; "" where it has none
+	tx        *frontend.StickySession // the transaction that it belongs to; nil: none
+	use       *frontend.Statement     // of what begins and ends one
+	pin       *frontend.StickySession // where a transaction was begun
 }
 
 // ask hands a query over and waits for its final answer.
-func (f *Front) ask(c *caller, w *work) (dispatch.Verdict, error) {
+func (f *Front) ask(c *caller, w *work) (dispatch.Outcome, error) {
 	if most := f.desk.Tables().MaxStatement; len(w.statement) > most {
-		return dispatch.Verdict{}, status.Errorf(codes.InvalidArgument, "statement of %d bytes, allowed are %d",
+		return dispatch.Outcome{}, status.Errorf(codes.InvalidArgument, "statement of %d bytes, allowed are %d",
 			len(w.statement), most)
 	}
 	f.read(c)
-	call := frontend.Call{Speaks: nodelist.FlightSQL, Work: w.call, Facts: classify.Facts{User: c.user, Header: c.header, Option: c.option,
+	call := frontend.Call{Protocol: nodelist.FlightSQL, Work: w.call, Facts: classify.Facts{User: c.user, Header: c.header, Option: c.option,
 		Statement: w.statement, Command: w.command}}
 	if d, ok := c.ctx.Deadline(); ok {
-		call.Left = max(time.Until(d), 1)
+		call.Remaining = max(time.Until(d), 1)
 	}
 	for _, h := range f.opt.PassHeaders {
 		for _, v := range c.headers.Get(h) {
@@ -182,28 +182,28 @@
 		}
 	}
 	id := ""
-	call.Taken = func(taken string) {
+	call.OnReceived = func(taken string) {
 		id = taken
 		f.enter(w.serial, id)
 	}
 	use := w.use
 	if use == nil && w.tx != nil {
-		use = &frontend.Use{Kind: session.Plain, Reads: classify.IsRead(w.statement), Tied: w.tx}
+		use = &frontend.Statement{Kind: session.Plain, ReadOnly: classify.IsRead(w.statement), Token: w.tx}
 	}
-	var v dispatch.Verdict
+	var v dispatch.Outcome
 	var err error
 	if use == nil {
-		v, err = f.desk.Ask(c.ctx, call)
+		v, err = f.desk.Execute(c.ctx, call)
 	} else {
 		name := use.ID
-		if use.Tied != nil {
-			name = use.Tied.ID
+		if use.Token != nil {
+			name = use.Token.ID
 		}
 		w.call.Headers = append(w.call.Headers, flightwire.HeaderSession, name)
-		use.Notice = func(left time.Duration) {
+		use.OnDraining = func(left time.Duration) {
 			c.stream.SetHeader(metadata.Pairs(flightwire.HeaderDrainsIn, strconv.FormatInt(left.Milliseconds(), 10)))
 		}
-		v, w.pin, err = f.opt.Sessions.Ask(c.ctx, call, *use)
+		v, w.pin, err = f.opt.Sessions.Execute(c.ctx, call, *use)
 	}
 	f.leave(w.serial, id)
 	var ended *frontend.SessionError
@@ -248,7 +248,7 @@
 	}
 	f.mu.Unlock()
 	for _, id := range ids {
-		f.desk.Leave(id)
+		f.desk.Disconnect(id)
 	}
 	return len(ids) > 0
 }
--- a/frontend/flightsql/sealed_test.go
+++ b/frontend/flightsql/sealed_test.go
@@ -28,8 +28,8 @@
 	return sealed{user: "pobocka", text: "SELECT 1", serial: "12345678", params: [][]byte{[]byte("first"), []byte("second")}, tx: []byte("token")}
 }
 
-func storedPin() *frontend.Pinned {
-	return &frontend.Pinned{ID: "transaction", Node: "node-1", Handle: []byte("handle"), Tenant: "tenant",
+func storedPin() *frontend.StickySession {
+	return &frontend.StickySession{ID: "transaction", Node: "node-1", Handle: []byte("handle"), Tenant: "tenant",
 		Started: time.UnixMicro(1_700_000_000_000_001), Since: time.UnixMicro(1_700_000_000_000_002)}
 }
 
--- a/frontend/flightsql/statement.go
+++ b/frontend/flightsql/statement.go
@@ -347,7 +347,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if v.Final != dispatch.Served {
+	if v.Kind != dispatch.Served {
 		return nil, verdictError(v)
 	}
 	b := v.Result.([]byte)
--- a/frontend/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -20,7 +20,7 @@
 // A transaction's id is a sealed token that says where its state is, so that any dispatcher with the same key can go on
 // with it, this one after a restart too (docs/design-session.md).
 
-func sealPin(user string, p *frontend.Pinned) []byte {
+func sealPin(user string, p *frontend.StickySession) []byte {
 	b := flightwire.AppendBytes(nil, 1, user)
 	b = flightwire.AppendBytes(b, 2, p.ID)
 	b = flightwire.AppendBytes(b, 3, p.Node)
@@ -32,12 +32,12 @@
 	return flightwire.AppendVarint(b, 7, uint64(p.Since.UnixMicro()))
 }
 
-func openPin(b []byte) (user string, p *frontend.Pinned, err error) {
+func openPin(b []byte) (user string, p *frontend.StickySession, err error) {
 	fields, varints, err := flightwire.Fields(b)
 	if err != nil {
 		return "", nil, malformed(err)
 	}
-	p = &frontend.Pinned{Since: time.UnixMicro(int64(varints[7]))}
+	p = &frontend.StickySession{Since: time.UnixMicro(int64(varints[7]))}
 	if v := varints[6]; v > 0 {
 		p.Started = time.UnixMicro(int64(v))
 	}
@@ -59,7 +59,7 @@
 }
 
 // transaction opens a transaction's id; nil where a call has none.
-func (f *Front) transaction(c *caller, token []byte) (*frontend.Pinned, error) {
+func (f *Front) transaction(c *caller, token []byte) (*frontend.StickySession, error) {
 	if len(token) == 0 {
 		return nil, nil
 	}
@@ -85,7 +85,7 @@
 }
 
 // statementIn is a statement's command, in the node's transaction where there is one.
-func statementIn(name, text string, tx *frontend.Pinned) []byte {
+func statementIn(name, text string, tx *frontend.StickySession) []byte {
 	body := flightwire.AppendBytes(nil, 1, text)
 	if tx != nil {
 		body = flightwire.AppendBytes(body, 2, tx.Handle)
@@ -103,7 +103,7 @@
 	}
 	w := &work{command: "ActionBeginTransactionRequest", statement: "BEGIN", call: &flightwire.Call{Kind: flightwire.Do,
 		Action: flightwire.Action{Type: "BeginTransaction", Body: flightwire.NewCommand("ActionBeginTransactionRequest", nil)}},
-		use: &frontend.Use{Kind: session.Begin, ID: frontend.NewSessionID(), Handle: handleOf}}
+		use: &frontend.Statement{Kind: session.Begin, ID: frontend.NewSessionID(), Handle: handleOf}}
 	if f.opt.Idle > 0 { // were this dispatcher to vanish, the node ends it a little later than we would have
 		w.call.Headers = append(w.call.Headers, flightwire.HeaderIdle, strconv.FormatInt((f.opt.Idle+f.opt.Idle/2).Milliseconds(), 10))
 	}
@@ -119,7 +119,7 @@
 }
 
 // handleOf is what a node calls the transaction that it began (ActionBeginTransactionResult, field 1).
-func handleOf(v dispatch.Verdict) []byte {
+func handleOf(v dispatch.Outcome) []byte {
 	b, _ := v.Result.([]byte)
 	c, err := flightwire.ParseCommand(b)
 	if err != nil {
@@ -153,12 +153,12 @@
 		kind, text = session.Rollback, "ROLLBACK"
 	}
 	request := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, tx.Handle), 2, end)
-	return f.act(c, &work{command: "ActionEndTransactionRequest", statement: text, use: &frontend.Use{Kind: kind, Tied: tx}},
+	return f.act(c, &work{command: "ActionEndTransactionRequest", statement: text, use: &frontend.Statement{Kind: kind, Token: tx}},
 		"EndTransaction", "ActionEndTransactionRequest", request)
 }
 
 // ended reads the request that ends a transaction or savepoint: field 1 is its token, field 2 how it ends.
-func (f *Front) ended(c *caller, body []byte, name string, open func(*caller, []byte) (*frontend.Pinned, error)) (tx *frontend.Pinned, token []byte, end uint64, err error) {
+func (f *Front) ended(c *caller, body []byte, name string, open func(*caller, []byte) (*frontend.StickySession, error)) (tx *frontend.StickySession, token []byte, end uint64, err error) {
 	if err = named(body, name); err != nil {
 		return nil, nil, 0, err
 	}
@@ -206,7 +206,7 @@
 	}
 	label, _ := flightwire.Field(cmd.Body, 2)
 	request := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, tx.Handle), 2, label)
-	w := &work{command: cmd.Name, statement: "SAVEPOINT", use: &frontend.Use{Kind: session.Plain, Tied: tx}, call: &flightwire.Call{
+	w := &work{command: cmd.Name, statement: "SAVEPOINT", use: &frontend.Statement{Kind: session.Plain, Token: tx}, call: &flightwire.Call{
 		Kind: flightwire.Do, Action: flightwire.Action{Type: "BeginSavepoint", Body: flightwire.NewCommand(cmd.Name, request)}}}
 	v, err := f.ask(c, w)
 	if err == nil {
@@ -223,7 +223,7 @@
 // endSavepoint releases a savepoint or rolls back to it.
 func (f *Front) endSavepoint(c *caller, body []byte) error {
 	var handle []byte
-	tx, _, end, err := f.ended(c, body, "ActionEndSavepointRequest", func(c *caller, token []byte) (*frontend.Pinned, error) {
+	tx, _, end, err := f.ended(c, body, "ActionEndSavepointRequest", func(c *caller, token []byte) (*frontend.StickySession, error) {
 		b, err := f.open(seal.Savepoint, token)
 		if err != nil {
 			return nil, err
@@ -238,31 +238,31 @@
 		return err
 	}
 	request := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, handle), 2, end)
-	return f.act(c, &work{command: "ActionEndSavepointRequest", statement: "ROLLBACK TO", use: &frontend.Use{Kind: session.Plain, Tied: tx}},
+	return f.act(c, &work{command: "ActionEndSavepointRequest", statement: "ROLLBACK TO", use: &frontend.Statement{Kind: session.Plain, Token: tx}},
 		"EndSavepoint", "ActionEndSavepointRequest", request)
 }
 
 // sessionError is the status of a statement that its session turned away or took with it.
 func sessionError(e *frontend.SessionError) error {
 	code, final := codes.Aborted, "failed"
-	switch e.Why {
-	case session.WhyMany, session.WhyTables:
+	switch e.Reason {
+	case session.ReasonTooManySessions, session.ReasonTooManyTables:
 		code, final = codes.ResourceExhausted, "refused"
-	case session.WhyEarly:
+	case session.ReasonNodesUnknown:
 		code, final = codes.Unavailable, "refused"
-	case session.WhyBusy, session.WhyNothing, session.WhyOpen, session.WhyDone:
+	case session.ReasonBusy, session.ReasonNoTransaction, session.ReasonTransactionOpen, session.ReasonTransactionDone:
 		code, final = codes.FailedPrecondition, "refused"
-	case session.WhyClosed:
+	case session.ReasonClosed:
 		code = codes.Canceled
 	}
 	commit := "known not to have run"
 	if !e.CommitKnown() {
 		commit = "unknown"
 	}
-	details := []protoadapt.MessageV1{&errdetails.ErrorInfo{Reason: string(e.Why), Domain: Domain,
+	details := []protoadapt.MessageV1{&errdetails.ErrorInfo{Reason: string(e.Reason), Domain: Domain,
 		Metadata: map[string]string{"final": final, "session": e.State.String(), "commit": commit}}}
-	if e.ComeBack > 0 {
-		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(e.ComeBack)})
+	if e.RetryAfter > 0 {
+		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(e.RetryAfter)})
 	}
 	s, err := status.New(code, final+": "+e.Error()).WithDetails(details...)
 	if err != nil { // the details always marshal
--- a/frontend/front.go
+++ b/frontend/front.go
@@ -23,19 +23,19 @@
 
 // Tables are what changes with the settings.
 type Tables struct {
-	Version      uint64 // of the settings that number the classes
-	Classes      *classify.Table
-	Deadlines    []time.Duration // by class, where a call states none
-	WayBack      time.Duration   // kept of each deadline for the way back, a tenth of it at most
-	TicketLife   time.Duration
-	PreparedLife time.Duration
-	BearerLife   time.Duration
-	MaxStatement int // bytes; may not pass that of the start
-	MaxParams    int // bytes of bound parameters; likewise
+	Version        uint64 // of the settings that number the classes
+	Classes        *classify.Table
+	Deadlines      []time.Duration // by class, where a call states none
+	ResponseMargin time.Duration   // kept of each deadline for the way back, a tenth of it at most
+	TicketLife     time.Duration
+	PreparedLife   time.Duration
+	BearerLife     time.Duration
+	MaxStatement   int // bytes; may not pass that of the start
+	MaxParams      int // bytes of bound parameters; likewise
 }
 
-// Desk hands queries to a dispatcher and waits for their answers; all fronts of a dispatcher share one.
-type Desk struct {
+// Intake hands queries to a dispatcher and waits for their answers; all fronts of a dispatcher share one.
+type Intake struct {
 	post    Poster
 	clock   dispatch.Clock
 	prefix  string
@@ -44,46 +44,46 @@
 	unruled atomic.Int64
 }
 
-// NewDesk returns a desk with its first tables.
-func NewDesk(p Poster, clock dispatch.Clock, t Tables) *Desk {
-	d := &Desk{post: p, clock: clock, prefix: fmt.Sprintf("%08x", rand.Uint32())}
+// NewIntake returns a desk with its first tables.
+func NewIntake(p Poster, clock dispatch.Clock, t Tables) *Intake {
+	d := &Intake{post: p, clock: clock, prefix: fmt.Sprintf("%08x", rand.Uint32())}
 	d.SetTables(t)
 	return d
 }
 
 // SetTables puts other tables in force for the calls that come from now on.
-func (d *Desk) SetTables(t Tables) { d.tables.Store(&t) }
+func (d *Intake) SetTables(t Tables) { d.tables.Store(&t) }
 
 // Tables are those in force.
-func (d *Desk) Tables() *Tables { return d.tables.Load() }
+func (d *Intake) Tables() *Tables { return d.tables.Load() }
 
-// Unruled counts the queries that no rule and no hint gave a class: they fell in the default one.
-func (d *Desk) Unruled() int64 { return d.unruled.Load() }
+// Unclassified counts the queries that no rule and no hint gave a class: they fell in the default one.
+func (d *Intake) Unclassified() int64 { return d.unruled.Load() }
 
-// Leave tells the dispatcher that a query's client is gone.
-func (d *Desk) Leave(id string) { d.post.Post(dispatch.Left{ID: id}) }
+// Disconnect tells the dispatcher that a query's client is gone.
+func (d *Intake) Disconnect(id string) { d.post.Post(dispatch.ClientDisconnected{ID: id}) }
 
 // Call is one query as a front makes it.
 type Call struct {
-	Facts  classify.Facts
-	Traits *classify.Traits // what the protocol itself tells; nil: rules and hints have to
-	Speaks uint8            // protocol, as a bit of nodelist.Speaks
-	Left   time.Duration    // until its deadline; 0: the class's
-	Work   any              // for the fleet
-	Only   string           // the node that holds its session's state; "": none
-	MB     float64          // memory hint of the protocol, where rules and hints give none
-	Taken  func(id string)
+	Facts      classify.Facts
+	Traits     *classify.Traits // what the protocol itself tells; nil: rules and hints have to
+	Protocol   uint8            // protocol, as a bit of nodelist.Speaks
+	Remaining  time.Duration    // until its deadline; 0: the class's
+	Work       any              // for the fleet
+	StickyTo   string           // the node that holds its session's state; "": none
+	MemoryMB   float64          // memory hint of the protocol, where rules and hints give none
+	OnReceived func(id string)
 }
 
-func (c *Call) left(t *Tables, traits classify.Traits) time.Duration {
-	if c.Left > 0 {
-		return c.Left
+func (c *Call) deadline(t *Tables, traits classify.Traits) time.Duration {
+	if c.Remaining > 0 {
+		return c.Remaining
 	}
 	return t.Deadlines[traits.Class]
 }
 
 // Tenant names the tenant that a call is of; "" where its hints cannot be used.
-func (d *Desk) Tenant(c Call) string {
+func (d *Intake) Tenant(c Call) string {
 	t := d.Tables().Classes
 	traits, err := t.Classify(c.Facts)
 	if err != nil || traits.Tenant >= len(t.Tenants) {
@@ -93,30 +93,30 @@
 }
 
 // Deadline is how long a call has from now on. The error is classify's.
-func (d *Desk) Deadline(c Call) (time.Duration, error) {
+func (d *Intake) Deadline(c Call) (time.Duration, error) {
 	tables := d.Tables()
 	traits, err := tables.Classes.Classify(c.Facts)
 	if err != nil {
 		return 0, err
 	}
-	return c.left(tables, traits), nil
+	return c.deadline(tables, traits), nil
 }
 
-// Asked is one query that waits for its final answer.
-type Asked struct {
-	Done chan dispatch.Verdict // gets the final answer, once
-	desk *Desk
+// PendingQuery is one query that waits for its final answer.
+type PendingQuery struct {
+	Done chan dispatch.Outcome // gets the final answer, once
+	desk *Intake
 	id   string
 }
 
 // Answer implements dispatch.Client.
-func (a *Asked) Answer(v dispatch.Verdict) { a.Done <- v }
+func (a *PendingQuery) Answer(v dispatch.Outcome) { a.Done <- v }
 
-// Leave tells that the client is gone; Done gets its word at once.
-func (a *Asked) Leave() { a.desk.Leave(a.id) }
+// Disconnect tells that the client is gone; Done gets its word at once.
+func (a *PendingQuery) Disconnect() { a.desk.Disconnect(a.id) }
 
-// Begin hands a query over. The error is classify's: hints that cannot be used.
-func (d *Desk) Begin(c Call) (a *Asked, err error) {
+// Submit hands a query over. The error is classify's: hints that cannot be used.
+func (d *Intake) Submit(c Call) (a *PendingQuery, err error) {
 	tables := d.Tables()
 	var traits classify.Traits
 	if c.Traits != nil {
@@ -127,34 +127,34 @@
 	if c.Traits == nil && !traits.Hinted && traits.Rule == "" {
 		d.unruled.Add(1)
 	}
-	now, left := d.clock.Now(), c.left(tables, traits)
-	left -= min(tables.WayBack, left/10)
+	now, left := d.clock.Now(), c.deadline(tables, traits)
+	left -= min(tables.ResponseMargin, left/10)
 	if traits.MemoryMB == 0 {
-		traits.MemoryMB = c.MB
+		traits.MemoryMB = c.MemoryMB
 	}
-	a = &Asked{Done: make(chan dispatch.Verdict, 1), desk: d, id: fmt.Sprintf("%s-%d", d.prefix, d.serial.Add(1))}
+	a = &PendingQuery{Done: make(chan dispatch.Outcome, 1), desk: d, id: fmt.Sprintf("%s-%d", d.prefix, d.serial.Add(1))}
 	q := &dispatch.Query{ID: a.id, Version: tables.Version, Class: traits.Class,
-		Tenant: traits.Tenant, Cost: traits.Cost.Microseconds(), MemoryMB: traits.MemoryMB, Tables: traits.Tables,
-		Key: traits.Key, HasKey: traits.HasKey, Retry: traits.Retry, Protocol: c.Speaks, Only: c.Only, Due: now + left.Microseconds(), Work: c.Work, Client: a}
-	if c.Taken != nil {
-		c.Taken(q.ID)
+		Tenant: traits.Tenant, Cost: traits.Cost.Microseconds(), MemoryMB: traits.MemoryMB, TableGroup: traits.Tables,
+		OrderKey: traits.Key, HasOrderKey: traits.HasKey, ClientRetry: traits.Retry, Protocol: c.Protocol, StickyTo: c.StickyTo, Deadline: now + left.Microseconds(), Work: c.Work, Client: a}
+	if c.OnReceived != nil {
+		c.OnReceived(q.ID)
 	}
-	d.post.Post(dispatch.Taken{Query: q})
+	d.post.Post(dispatch.QueryReceived{Query: q})
 	return a, nil
 }
 
-// Ask hands a query over and waits for its final answer. When ctx ends, the client's leaving is passed on and the answer
+// Execute hands a query over and waits for its final answer. When ctx ends, the client's leaving is passed on and the answer
 // comes at once.
-func (d *Desk) Ask(ctx context.Context, c Call) (dispatch.Verdict, error) {
-	a, err := d.Begin(c)
+func (d *Intake) Execute(ctx context.Context, c Call) (dispatch.Outcome, error) {
+	a, err := d.Submit(c)
 	if err != nil {
-		return dispatch.Verdict{}, err
+		return dispatch.Outcome{}, err
 	}
 	select {
 	case v := <-a.Done:
 		return v, nil
 	case <-ctx.Done():
-		a.Leave()
+		a.Disconnect()
 		return <-a.Done, nil
 	}
 }
--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -86,9 +86,9 @@
 
 func serveOn(t *testing.T, wrap func(*net.TCPListener) Listener) *acceptServed {
 	t.Helper()
-	d := &desk{answer: func(*dispatch.Query) (dispatch.Verdict, bool) { return result(0), true }, open: map[string]*dispatch.Query{},
+	d := &desk{answer: func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true }, open: map[string]*dispatch.Query{},
 		left: make(chan string, 100)}
-	s := &served{t: t, desk: d, front: New(Options{Settings: testSettings()}, frontend.NewDesk(d, dispatch.NewClock(), frontend.Tables{}))}
+	s := &served{t: t, desk: d, front: New(Options{Settings: testSettings()}, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 
 // Why sessions ended is counted, once each.
 func TestClosuresAreCounted(t *testing.T) {
-	s := serve(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Verdict, bool) { return result(0), true })
+	s := serve(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true })
 	s.session().Close()
 	s.session().Write([]byte{0xff, 0xff, 0xff, 0xff, 0xff})
 	idle := s.session()
--- a/frontend/postgres/fields.go
+++ b/frontend/postgres/fields.go
@@ -88,7 +88,7 @@
 		}
 	}
 	a.nonce = fields["nonce"]
-	if a.nonce != "" && !lineproto.Token(a.nonce) || a.nonce == "" && class.Effect == policy.Keyed {
+	if a.nonce != "" && !lineproto.Token(a.nonce) || a.nonce == "" && class.Effect == policy.IdempotentByKey {
 		return a, &BadFieldError{"nonce", a.nonce, "a key of 1 to 64 letters and digits, in keyed classes"}
 	}
 	return a, nil
--- a/frontend/postgres/fields_test.go
+++ b/frontend/postgres/fields_test.go
@@ -11,7 +11,7 @@
 
 func testSettings() policy.Settings {
 	return policy.Settings{Peers: 1, Classes: []policy.Class{
-		{Name: "lookup", Worth: 1, Aim: 1e6, Deadline: 3e6}, {Name: "load", Worth: 5, Aim: 3e6, Deadline: 9e6, Effect: policy.Keyed}},
+		{Name: "lookup", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 3e6}, {Name: "load", PriorityWeight: 5, LatencyObjective: 3e6, Deadline: 9e6, Effect: policy.IdempotentByKey}},
 		Kinds: []policy.Kind{{Cores: 8, MemoryMB: 1000}}, Tenants: []policy.Tenant{{Name: "motor"}, {Name: "property"}}}
 }
 
--- a/frontend/postgres/postgres.go
+++ b/frontend/postgres/postgres.go
@@ -36,7 +36,7 @@
 // Front serves sessions.
 type Front struct {
 	opt   Options
-	desk  *frontend.Desk
+	desk  *frontend.Intake
 	group errgroup.Group
 
 	mu       sync.Mutex
@@ -53,7 +53,7 @@
 }
 
 // New returns a front; nothing is served before Serve.
-func New(o Options, d *frontend.Desk) *Front {
+func New(o Options, d *frontend.Intake) *Front {
 	if o.MostSessions == 0 {
 		o.MostSessions = 256
 	}
--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -69,7 +69,7 @@
 	size      int       // bytes of those
 	room      sync.Cond // signalled when commands get fewer
 	lingering bool      // the last word has been written; what still comes is read off
-	query     *frontend.Asked
+	query     *frontend.PendingQuery
 	bad       int // commands in a row that could not be used
 
 	wmu  sync.Mutex
@@ -144,7 +144,7 @@
 func (s *session) connection(ending bool) permit.Connection {
 	c := permit.Connection{Reading: s.reading, Ending: ending}
 	if s.phase == working {
-		c.Owed = 1
+		c.PendingAnswers = 1
 	}
 	return c
 }
@@ -449,7 +449,7 @@
 	q := s.query
 	s.mu.Unlock()
 	if q != nil {
-		q.Leave()
+		q.Disconnect()
 	}
 }
 
@@ -468,7 +468,7 @@
 	}
 	s.mu.Unlock()
 	if q != nil {
-		q.Leave()
+		q.Disconnect()
 	}
 }
 
@@ -490,15 +490,15 @@
 		return s.wrong(codeOpen, fmt.Sprintf("trace %s: the id is open already; allowed is a new one for each request", a.trace))
 	}
 	work := &lineproto.Request{ID: a.trace, Class: s.f.opt.Settings.Classes[a.class].Name, Text: a.text, Priority: -1}
-	if s.f.opt.Settings.Classes[a.class].Effect == policy.Keyed {
+	if s.f.opt.Settings.Classes[a.class].Effect == policy.IdempotentByKey {
 		work.Key = a.nonce
 	}
-	query, err := s.ask(frontend.Call{Traits: a.traits(), Speaks: nodelist.Lines, Left: left, Work: work})
+	query, err := s.ask(frontend.Call{Traits: a.traits(), Protocol: nodelist.Platform, Remaining: left, Work: work})
 	if err != nil {
 		s.f.shut(a.trace)
 		return s.wrong(codeBadField, err.Error())
 	}
-	v := dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonGone}
+	v := dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected}
 	if query != nil {
 		v = <-query.Done
 	}
@@ -510,7 +510,7 @@
 }
 
 // ask hands a query over, unless its client has gone or called it off; nil then.
-func (s *session) ask(c frontend.Call) (*frontend.Asked, error) {
+func (s *session) ask(c frontend.Call) (*frontend.PendingQuery, error) {
 	s.used()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -518,7 +518,7 @@
 	if s.cancelled = (time.Time{}); s.gone || crossed {
 		return nil, nil
 	}
-	q, err := s.f.desk.Begin(c)
+	q, err := s.f.desk.Submit(c)
 	if s.query = q; err == nil {
 		s.bad = 0
 	}
@@ -571,13 +571,13 @@
 }
 
 // encode writes a final answer as messages.
-func encode(v dispatch.Verdict) []byte {
-	switch v.Final {
+func encode(v dispatch.Outcome) []byte {
+	switch v.Kind {
 	case dispatch.Served:
 		if result, ok := v.Result.(*lineproto.Result); ok {
 			return encodeRows(result)
 		}
-		v = dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonInternal}
+		v = dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonInternal}
 		fallthrough
 	case dispatch.Failed:
 		return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error, failedCode(v.Reason), "failed: "+string(v.Reason)))
@@ -586,7 +586,7 @@
 		if v.Reason == dispatch.ReasonDraining {
 			code = codeDraining
 		}
-		if ms := v.ComeBack / 1000; ms > 0 {
+		if ms := v.RetryAfter / 1000; ms > 0 {
 			words += fmt.Sprintf("; pause=%d", ms)
 		}
 		return pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error, code, words))
@@ -595,7 +595,7 @@
 
 func failedCode(r dispatch.Reason) string {
 	switch r {
-	case dispatch.ReasonGone, dispatch.ReasonDeadline:
+	case dispatch.ReasonClientDisconnected, dispatch.ReasonDeadline:
 		return codeCancelled
 	case dispatch.ReasonStopped:
 		return codeStopped
