--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -23,7 +23,7 @@
 
 // desk is what a front posts to: it answers, or keeps queries until a test does.
 type desk struct {
-	answer func(q *dispatch.Query) (dispatch.Verdict, bool)
+	answer func(q *dispatch.Query) (dispatch.Outcome, bool)
 
 	mu   sync.Mutex
 	open map[string]*dispatch.Query
@@ -32,7 +32,7 @@
 
 func (d *desk) Post(ev dispatch.Event) {
 	switch ev := ev.(type) {
-	case dispatch.Taken:
+	case dispatch.QueryReceived:
 		d.mu.Lock()
 		d.open[ev.Query.ID] = ev.Query
 		d.mu.Unlock()
@@ -44,27 +44,27 @@
 				ev.Query.Client.Answer(v)
 			}
 		}
-	case dispatch.Left:
+	case dispatch.ClientDisconnected:
 		d.mu.Lock()
 		q := d.open[ev.ID]
 		delete(d.open, ev.ID)
 		d.mu.Unlock()
 		if q != nil {
-			q.Client.Answer(dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonGone})
+			q.Client.Answer(dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected})
 			d.left <- q.Work.(*lineproto.Request).ID
 		}
 	}
 }
 
 // result is a served answer of so many rows.
-func result(rows int) dispatch.Verdict {
+func result(rows int) dispatch.Outcome {
 	r := &lineproto.Result{}
 	a, err := lineproto.NewReader(strings.NewReader(fmt.Sprintf("a data total=1 %d\r\n%s\r\n", 6*rows, strings.Repeat("x\ty\tz\n", rows)))).Read()
 	if err != nil {
 		panic(err)
 	}
 	r.Add(&a)
-	return dispatch.Verdict{Final: dispatch.Served, Result: r}
+	return dispatch.Outcome{Kind: dispatch.Served, Result: r}
 }
 
 type served struct {
@@ -124,11 +124,11 @@
 	return n, err
 }
 
-func serve(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Verdict, bool)) *served {
+func serve(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool)) *served {
 	t.Helper()
 	d := &desk{answer: answer, open: map[string]*dispatch.Query{}, left: make(chan string, 100)}
 	o.Settings = testSettings()
-	s := &served{t: t, desk: d, front: New(o, frontend.NewDesk(d, dispatch.NewClock(), frontend.Tables{}))}
+	s := &served{t: t, desk: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -226,22 +226,22 @@
 // The final answers as clients see them. None but a refusal wears a code of class 53 or 57P03.
 func TestFinalAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
-		v    dispatch.Verdict
+		v    dispatch.Outcome
 		want string
 	}{
 		"served":        {result(3), "TDDDCZ"},
 		"no rows":       {result(0), "TCZ"},
-		"refused":       {dispatch.Verdict{Final: dispatch.Refused, Reason: dispatch.ReasonOverload, ComeBack: 250700}, "E(53000)(pause 250)Z"},
-		"refused, full": {dispatch.Verdict{Final: dispatch.Refused, Reason: dispatch.ReasonFull}, "E(53000)Z"},
-		"draining":      {dispatch.Verdict{Final: dispatch.Refused, Reason: dispatch.ReasonDraining}, "E(57P03)Z"},
-		"failed":        {dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonAttempt, ComeBack: 5000}, "E(58000)Z"},
-		"deadline":      {dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonDeadline}, "E(57014)Z"},
-		"stopped":       {dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonStopped}, "E(57P01)Z"},
-		"fault":         {dispatch.Verdict{Final: dispatch.Failed, Reason: dispatch.ReasonInternal}, "E(XX000)Z"},
-		"no result":     {dispatch.Verdict{Final: dispatch.Served}, "E(XX000)Z"},
+		"refused":       {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonOverload, RetryAfter: 250700}, "E(53000)(pause 250)Z"},
+		"refused, full": {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonFull}, "E(53000)Z"},
+		"draining":      {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, "E(57P03)Z"},
+		"failed":        {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonAttempt, RetryAfter: 5000}, "E(58000)Z"},
+		"deadline":      {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonDeadline}, "E(57014)Z"},
+		"stopped":       {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonStopped}, "E(57P01)Z"},
+		"fault":         {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonInternal}, "E(XX000)Z"},
+		"no result":     {dispatch.Outcome{Kind: dispatch.Served}, "E(XX000)Z"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, Options{}, func(*dispatch.Query) (dispatch.Verdict, bool) { return c.v, true })
+			s := serve(t, Options{}, func(*dispatch.Query) (dispatch.Outcome, bool) { return c.v, true })
 			cl := s.session()
 			for i := range 2 {
 				cl.Write(ask(i, "SELECT 1"))
@@ -256,9 +256,9 @@
 // The first query may come right behind the start-up message, and anything may come in pieces; ready is told by an answer to
 // the empty query.
 func TestQueriesInPieces(t *testing.T) {
-	s := serve(t, Options{}, func(q *dispatch.Query) (dispatch.Verdict, bool) {
-		if q.Work.(*lineproto.Request).Text != "SELECT 'ü'" || q.Tables != 0 || q.Due <= 0 {
-			return dispatch.Verdict{Final: dispatch.Failed}, true
+	s := serve(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+		if q.Work.(*lineproto.Request).Text != "SELECT 'ü'" || q.TableGroup != 0 || q.Deadline <= 0 {
+			return dispatch.Outcome{Kind: dispatch.Failed}, true
 		}
 		return result(1), true
 	})
@@ -294,7 +294,7 @@
 // Whatever cannot be used gets an error that promises nothing, or a close, and disturbs nobody.
 func TestBadClients(t *testing.T) {
 	const begin = 200 * time.Millisecond
-	s := serve(t, Options{Begin: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Verdict, bool) {
+	s := serve(t, Options{Begin: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		return result(1), q.Work.(*lineproto.Request).Text != "SELECT held"
 	})
 	usual := s.session()
@@ -353,7 +353,7 @@
 
 // Clients that send much at once and go without reading disturb nobody, and nothing of theirs stays.
 func TestAFloodThatGoes(t *testing.T) {
-	s := serve(t, Options{MaxStatement: 4096}, func(*dispatch.Query) (dispatch.Verdict, bool) { return result(1), true })
+	s := serve(t, Options{MaxStatement: 4096}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
 	usual := s.session()
 	var group sync.WaitGroup
 	for i := range 8 {
@@ -469,7 +469,7 @@
 // In a flood of clients that ask once and stay, and of some that bring half a query, who has just connected is not the one to go:
 // a query is on its way there, while an idle client only has to connect again.
 func TestNewcomersAreNotTheFirstToGo(t *testing.T) {
-	s := serve(t, Options{MostSessions: 8, Begin: time.Minute}, func(*dispatch.Query) (dispatch.Verdict, bool) { return result(0), true })
+	s := serve(t, Options{MostSessions: 8, Begin: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true })
 	for i := range 60 {
 		fresh := s.session()
 		for j := range 3 { // each asks once and stays
@@ -492,7 +492,7 @@
 	var mu sync.Mutex
 	out, most, n := 0, 0, 0
 	var s *served
-	s = serve(t, Options{}, func(q *dispatch.Query) (dispatch.Verdict, bool) {
+	s = serve(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		out, n = out+1, n+1
@@ -504,7 +504,7 @@
 			mu.Unlock()
 			q.Client.Answer(result(rows))
 		}()
-		return dispatch.Verdict{}, false
+		return dispatch.Outcome{}, false
 	})
 	c := s.connect()
 	const many = 3 * aheadMost
@@ -593,7 +593,7 @@
 		"end of a drain": func(s *served) bool { s.ending(); <-s.front.parted; return true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, Options{Quiet: time.Millisecond}, func(*dispatch.Query) (dispatch.Verdict, bool) { return result(1), true })
+			s := serve(t, Options{Quiet: time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
 			c := s.session()
 			c.Write(ask(1, "SELECT 1"))
 			c.until('Z')
@@ -665,9 +665,9 @@
 // Resting sessions end without a reset.
 func TestLateComersAtTheEnd(t *testing.T) {
 	stopped := make(chan struct{})
-	s := serve(t, Options{Quiet: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Verdict, bool) {
+	s := serve(t, Options{Quiet: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) {
 		<-stopped
-		return dispatch.Verdict{Final: dispatch.Refused, Reason: dispatch.ReasonDraining}, true
+		return dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, true
 	})
 	resting := s.session()
 	late := s.connect()
@@ -690,7 +690,7 @@
 func TestTheEndDoesNotWaitForAFlood(t *testing.T) {
 	var group sync.WaitGroup
 	var s *served
-	s = serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Verdict, bool) {
+	s = serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		group.Go(func() { // while more is read ahead, as long as any is
 			for i, ahead := 0, false; i < 100 && !ahead; i++ {
 				time.Sleep(time.Millisecond)
@@ -704,7 +704,7 @@
 			}
 			q.Client.Answer(result(1))
 		})
-		return dispatch.Verdict{}, false
+		return dispatch.Outcome{}, false
 	})
 	c := s.session()
 	group.Go(func() { io.Copy(io.Discard, c.r) })
--- a/frontend/postgres/state_test.go
+++ b/frontend/postgres/state_test.go
@@ -16,9 +16,9 @@
 func TestEveryQueryHasOneAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		taken := make(chan *dispatch.Query, 100)
-		s := serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Verdict, bool) {
+		s := serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 			taken <- q
-			return dispatch.Verdict{}, false
+			return dispatch.Outcome{}, false
 		})
 		defer s.stop()
 		c := s.session()
@@ -109,7 +109,7 @@
 
 // Thousands of sessions and ids: nothing is kept of them.
 func TestNothingIsKeptOfSessions(t *testing.T) {
-	s := serve(t, Options{MostSessions: 16}, func(*dispatch.Query) (dispatch.Verdict, bool) { return result(1), true })
+	s := serve(t, Options{MostSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
 	for i := range 2000 {
 		c := s.connect()
 		c.Write(append(append([]byte{}, startupMessage...), ask(i, "SELECT 1")...))
--- a/frontend/sessions.go
+++ b/frontend/sessions.go
@@ -17,7 +17,7 @@
 // Sessions carries out what the session module decides: one lock owns the module; statements wait for their answers
 // outside of it. All fronts of a dispatcher share one.
 type Sessions struct {
-	desk    *Desk
+	desk    *Intake
 	clock   dispatch.Clock
 	release Releaser
 
@@ -37,7 +37,7 @@
 }
 
 // NewSessions returns sessions with their limits.
-func NewSessions(d *Desk, clock dispatch.Clock, l session.Limits, r Releaser) *Sessions {
+func NewSessions(d *Intake, clock dispatch.Clock, l session.Limits, r Releaser) *Sessions {
 	return &Sessions{desk: d, clock: clock, release: r, module: session.New(l), running: map[uint64]chan session.Stop{},
 		handles: map[string][]byte{}, nodes: map[string]time.Time{}, wake: make(chan struct{}, 1)}
 }
@@ -45,8 +45,8 @@
 // NewSessionID is a name that no other session has, whatever dispatcher makes it.
 func NewSessionID() string { return fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()) }
 
-// Pinned is where a session's state is: all that another dispatcher needs to go on with it.
-type Pinned struct {
+// StickySession is where a session's state is: all that another dispatcher needs to go on with it.
+type StickySession struct {
 	ID      string
 	Tenant  string
 	Node    string
@@ -57,114 +57,114 @@
 
 // SessionError tells why a statement was turned away, or called off, for its session's sake.
 type SessionError struct {
-	Why      session.Why
-	State    session.State
-	ComeBack time.Duration
-	Stopped  bool // it was under way
+	Reason     session.Reason
+	State      session.State
+	RetryAfter time.Duration
+	Stopped    bool // it was under way
 }
 
-func (e *SessionError) Error() string { return fmt.Sprintf("%s: %s", e.Why, whyTexts[e.Why]) }
+func (e *SessionError) Error() string { return fmt.Sprintf("%s: %s", e.Reason, whyTexts[e.Reason]) }
 
 // whyTexts are the reasons in words.
-var whyTexts = map[session.Why]string{
-	session.WhyBusy:      "another statement of this session runs",
-	session.WhyMany:      "no room for another session: not begun",
-	session.WhyTables:    "this session has as many temporary tables as allowed",
-	session.WhyNothing:   "no such transaction is open here",
-	session.WhyOpen:      "a transaction is open already",
-	session.WhyEarly:     "this dispatcher has no node list yet",
-	session.WhyDrained:   "its node drains and takes nothing new: the state is lost, begin again",
-	session.WhyGone:      "its node is gone: the state is lost, begin again",
-	session.WhyRestarted: "its node was restarted: the state is lost, begin again",
-	session.WhyBroken:    "what a statement did to its state is not known: the state is lost, begin again",
-	session.WhyMissing:   "its node has nothing of it any more: the state is lost, begin again",
-	session.WhyCommit:    "the commit may have happened or not; it is not repeated",
-	session.WhyIdle:      "it was idle for too long: rolled back",
-	session.WhyOld:       "it was open for too long: rolled back",
-	session.WhyClosed:    "it was closed by its client",
-	session.WhyDone:      "the transaction was committed or rolled back already",
+var whyTexts = map[session.Reason]string{
+	session.ReasonBusy:            "another statement of this session runs",
+	session.ReasonTooManySessions: "no room for another session: not begun",
+	session.ReasonTooManyTables:   "this session has as many temporary tables as allowed",
+	session.ReasonNoTransaction:   "no such transaction is open here",
+	session.ReasonTransactionOpen: "a transaction is open already",
+	session.ReasonNodesUnknown:    "this dispatcher has no node list yet",
+	session.ReasonNodeDrained:     "its node drains and takes nothing new: the state is lost, begin again",
+	session.ReasonNodeRemoved:     "its node is gone: the state is lost, begin again",
+	session.ReasonNodeRestarted:   "its node was restarted: the state is lost, begin again",
+	session.ReasonStateUnknown:    "what a statement did to its state is not known: the state is lost, begin again",
+	session.ReasonStateMissing:    "its node has nothing of it any more: the state is lost, begin again",
+	session.ReasonCommitUnknown:   "the commit may have happened or not; it is not repeated",
+	session.ReasonIdle:            "it was idle for too long: rolled back",
+	session.ReasonTooOld:          "it was open for too long: rolled back",
+	session.ReasonClosed:          "it was closed by its client",
+	session.ReasonTransactionDone: "the transaction was committed or rolled back already",
 }
 
 // CommitKnown tells whether it is sure that nothing of the session was committed by the statement that failed.
-func (e *SessionError) CommitKnown() bool { return e.Why != session.WhyCommit }
+func (e *SessionError) CommitKnown() bool { return e.Reason != session.ReasonCommitUnknown }
 
-// Use is one statement of a session.
-type Use struct {
-	Kind   session.Kind
-	Reads  bool
-	Tied   *Pinned // from the client's token; nil: it has none
-	ID     string  // where it has none
-	Tenant int
-	Name   string                          // of the table, for Make and Drop
-	Lasts  bool                            // the session outlives its state
-	Notice func(left time.Duration)        // told how long the node still takes its work, where that has an end
-	Handle func(v dispatch.Verdict) []byte // of Begin: what the node calls the transaction
+// Statement is one statement of a session.
+type Statement struct {
+	Kind          session.Kind
+	ReadOnly      bool
+	Token         *StickySession // from the client's token; nil: it has none
+	ID            string         // where it has none
+	Tenant        int
+	Name          string                          // of the table, for Make and Drop
+	OutlivesState bool                            // the session outlives its state
+	OnDraining    func(left time.Duration)        // told how long the node still takes its work, where that has an end
+	Handle        func(v dispatch.Outcome) []byte // of Begin: what the node calls the transaction
 }
 
-// Ask hands a statement of a session over and waits for its final answer. A Begin that was served returns the pin.
-func (s *Sessions) Ask(ctx context.Context, c Call, u Use) (v dispatch.Verdict, pin *Pinned, err error) {
+// Execute hands a statement of a session over and waits for its final answer. A Begin that was served returns the pin.
+func (s *Sessions) Execute(ctx context.Context, c Call, u Statement) (v dispatch.Outcome, pin *StickySession, err error) {
 	id := u.ID
-	if u.Tied != nil {
-		id = u.Tied.ID
+	if u.Token != nil {
+		id = u.Token.ID
 	}
 	tenant := s.desk.Tenant(c)
 	s.mu.Lock()
-	if t := u.Tied; t != nil {
+	if t := u.Token; t != nil {
 		tenant = t.Tenant
 		if since := s.clock.Now() - time.Since(t.Since).Microseconds(); s.known(id) == session.Free {
 			s.step(session.Resumed{ID: id, Tenant: t.Tenant, Node: t.Node, Started: t.Started, Since: since, Tx: true})
 		}
-		if s.known(id) == session.Pinned && s.handles[id] == nil {
+		if s.known(id) == session.Sticky && s.handles[id] == nil {
 			s.handles[id] = t.Handle
 		}
 	}
 	s.serial++
 	serial := s.serial
 	var run *session.Run
-	for _, a := range s.step(session.Asked{ID: id, Serial: serial, Tenant: tenant, Kind: u.Kind, Name: u.Name, Reads: u.Reads, Tied: u.Tied != nil, Lasts: u.Lasts}) {
+	for _, a := range s.step(session.StatementReceived{ID: id, Serial: serial, Tenant: tenant, Kind: u.Kind, Name: u.Name, ReadOnly: u.ReadOnly, HasToken: u.Token != nil, OutlivesState: u.OutlivesState}) {
 		switch a := a.(type) {
 		case session.Run:
 			run = &a
-		case session.Refuse:
+		case session.Reject:
 			if a.Serial == serial {
 				s.mu.Unlock()
-				return v, nil, &SessionError{Why: a.Why, State: a.State, ComeBack: time.Duration(a.ComeBack) * time.Microsecond}
+				return v, nil, &SessionError{Reason: a.Reason, State: a.State, RetryAfter: time.Duration(a.RetryAfter) * time.Microsecond}
 			}
 		}
 	}
 	stop := make(chan session.Stop, 1)
 	s.running[serial] = stop
 	s.mu.Unlock()
-	if run.Notice > 0 && u.Notice != nil {
-		u.Notice(time.Duration(run.Notice) * time.Microsecond)
+	if run.DrainsIn > 0 && u.OnDraining != nil {
+		u.OnDraining(time.Duration(run.DrainsIn) * time.Microsecond)
 	}
-	if c.Only = run.Only; u.Tied != nil {
-		c.Only = u.Tied.Node // never elsewhere, whatever the books say
+	if c.StickyTo = run.StickyTo; u.Token != nil {
+		c.StickyTo = u.Token.Node // never elsewhere, whatever the books say
 	}
-	asked, err := s.desk.Begin(c)
+	asked, err := s.desk.Submit(c)
 	var stopped *session.Stop
 	if err == nil {
 		select {
 		case v = <-asked.Done:
 		case <-ctx.Done():
-			asked.Leave()
+			asked.Disconnect()
 			v = <-asked.Done
 		case st := <-stop:
 			stopped = &st
-			asked.Leave()
+			asked.Disconnect()
 			v = <-asked.Done
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, serial)
-	done := session.Done{ID: id, Serial: serial, Node: v.Node, Started: s.nodes[v.Node], Outcome: outcomeOf(v, err)}
+	done := session.StatementEnded{ID: id, Serial: serial, Node: v.Node, Started: s.nodes[v.Node], Outcome: outcomeOf(v, err)}
 	if u.Handle != nil && done.Outcome == session.OK && s.known(id) != session.Lost {
 		s.handles[id] = u.Handle(v)
 	}
 	for _, a := range s.step(done) {
-		if p, ok := a.(session.Pin); ok && p.ID == id {
-			pin = &Pinned{ID: id, Tenant: tenant, Node: p.Node, Started: p.Started, Since: time.Now(), Handle: s.handles[id]}
+		if p, ok := a.(session.Stick); ok && p.ID == id {
+			pin = &StickySession{ID: id, Tenant: tenant, Node: p.Node, Started: p.Started, Since: time.Now(), Handle: s.handles[id]}
 		}
 	}
 	if err != nil {
@@ -173,25 +173,25 @@
 	state, why := s.module.State(id)
 	switch {
 	case stopped != nil:
-		return v, nil, &SessionError{Why: stopped.Why, State: session.Lost, ComeBack: time.Duration(stopped.ComeBack) * time.Microsecond, Stopped: true}
-	case v.Final != dispatch.Served && (state == session.Lost || state == session.Ending) && why != session.WhyDone,
-		u.Kind == session.Begin && pin == nil && v.Final == dispatch.Served:
-		return v, nil, &SessionError{Why: why, State: session.Lost, Stopped: true}
+		return v, nil, &SessionError{Reason: stopped.Reason, State: session.Lost, RetryAfter: time.Duration(stopped.RetryAfter) * time.Microsecond, Stopped: true}
+	case v.Kind != dispatch.Served && (state == session.Lost || state == session.Ending) && why != session.ReasonTransactionDone,
+		u.Kind == session.Begin && pin == nil && v.Kind == dispatch.Served:
+		return v, nil, &SessionError{Reason: why, State: session.Lost, Stopped: true}
 	}
 	return v, pin, nil
 }
 
 // outcomeOf reads a final answer, with care for what may have run.
-func outcomeOf(v dispatch.Verdict, err error) session.Outcome {
+func outcomeOf(v dispatch.Outcome, err error) session.Outcome {
 	switch {
-	case err != nil || v.Attempts == 0 || v.Final == dispatch.Refused:
+	case err != nil || v.Attempts == 0 || v.Kind == dispatch.Shed:
 		return session.NotRun
-	case errors.Is(v.Cause, session.ErrMissing):
-		return session.Missing
-	case v.Final == dispatch.Served:
+	case errors.Is(v.Cause, session.ErrStateMissing):
+		return session.StateMissing
+	case v.Kind == dispatch.Served:
 		return session.OK
 	case v.Reason == dispatch.ReasonStatement:
-		return session.Said
+		return session.NodeError
 	}
 	return session.Unknown
 }
@@ -210,7 +210,7 @@
 	clear(s.nodes)
 	var ev session.Listed
 	for _, n := range list {
-		if n.State == policy.Gone {
+		if n.State == policy.Removed {
 			continue
 		}
 		started := n.Started
@@ -253,7 +253,7 @@
 			if stop := s.running[a.Serial]; stop != nil {
 				stop <- a // there is room: a statement is stopped once
 			}
-		case session.Unpin:
+		case session.Unstick:
 			delete(s.handles, a.ID)
 		case session.Release:
 			id := a.ID
@@ -264,9 +264,9 @@
 			})
 		}
 	}
-	if len(s.handles) > 2*s.module.Held()+100 { // those of sessions that ended without a word of their node
+	if len(s.handles) > 2*s.module.WithState()+100 { // those of sessions that ended without a word of their node
 		for id := range s.handles {
-			if state := s.known(id); state != session.Pinned && state != session.Ending {
+			if state := s.known(id); state != session.Sticky && state != session.Ending {
 				delete(s.handles, id)
 			}
 		}
@@ -294,7 +294,7 @@
 		case <-s.wake:
 		case <-due:
 			s.mu.Lock()
-			s.step(session.Tick{})
+			s.step(session.TimerFired{})
 			s.mu.Unlock()
 		}
 		if stop != nil {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -79,16 +79,16 @@
 }
 
 var (
-	effects = map[string]policy.Effect{"": policy.Safe, "retryable": policy.Safe, "dedup": policy.Keyed,
-		"fragile": policy.Unsafe}
-	groups = map[string]policy.Group{"": policy.GroupAll, "all": policy.GroupAll, "zone": policy.GroupZone,
-		"cell": policy.GroupCell}
-	shortages = map[string]policy.Shortage{"": policy.ShortQueue, "queue": policy.ShortQueue,
-		"trim": policy.ShortTrim, "swap": policy.ShortSwap}
+	effects = map[string]policy.Effect{"": policy.Idempotent, "retryable": policy.Idempotent, "dedup": policy.IdempotentByKey,
+		"fragile": policy.NonIdempotent}
+	groups = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
+		"cell": policy.DedupPlacementGroup}
+	shortages = map[string]policy.Shortage{"": policy.ShortageQueues, "queue": policy.ShortageQueues,
+		"trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 )
 
-// Sockets is what the settings tell those who speak over sockets; the module needs none of it.
-type Sockets struct {
+// SocketLimits is what the settings tell those who speak over sockets; the module needs none of it.
+type SocketLimits struct {
 	Zones, Models  []string // names, in the order of the indexes
 	ConnectTimeout policy.Micros
 	ConnIdle       policy.Micros // connections idle for so long are closed
@@ -96,29 +96,29 @@
 }
 
 // Settings decodes the settings object, for the module and for sockets.
-func Settings(raw json.RawMessage) (*policy.Settings, Sockets, error) {
+func Settings(raw json.RawMessage) (*policy.Settings, SocketLimits, error) {
 	var e env
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, Sockets{}, err
+		return nil, SocketLimits{}, err
 	}
 	s, err := e.settings()
-	return s, Sockets{e.Zones, e.Models, e.Limits.ConnectTimeout, e.Limits.ConnIdleUs,
+	return s, SocketLimits{e.Zones, e.Models, e.Limits.ConnectTimeout, e.Limits.ConnIdleUs,
 		e.Limits.StreamsPerConn}, err
 }
 
 func (e *env) settings() (*policy.Settings, error) {
 	f, l, r := &e.FamilyInfo, &e.Limits, &e.Rules
-	s := &policy.Settings{Zone: e.AZ, Me: e.Me, Peers: e.PeersTotal, OverShareWorth: e.OverShareWorth,
-		CountByWork: e.CountedBy == "work", MaxAttempts: l.SendCap, MaxHeld: l.MostHeld,
-		CanCancel: l.Cancelling, CanProbe: l.Probes, CanTell: l.Peers, SecondCopies: l.SecondCopies,
-		ReportsByAnswer: e.Feedback.How == "piggyback", ReportsByProbe: e.Feedback.How == "pull",
-		AskForList: e.RegistryMode == "subscribe", GrantsCount: f.GrantsCount, PriorityCount: f.TakesPriority,
-		MaxGrantShare: f.MaxGrantShare, ProgressEvery: f.ProgressUs, ColdFrom: r.ColdFrom, ColdFor: r.ColdUs,
-		FallMultiple: r.FallMultiple, FallFor: r.OverloadForUs, DrainGrace: r.StopSendingWithinUs,
-		AnswerSlack: r.GraceToAnswerUs, AskWithin: r.MustAskInUs, TurnGap: r.TurnGapUs,
-		BudgetFree: r.BudgetFree, BudgetShare: r.BudgetShare, BudgetSpan: r.BudgetSpanUs}
+	s := &policy.Settings{Zone: e.AZ, PeerIndex: e.Me, Peers: e.PeersTotal, OverQuotaWeight: e.OverShareWorth,
+		WeightByWork: e.CountedBy == "work", MaxAttempts: l.SendCap, MaxInFlight: l.MostHeld,
+		CanCancel: l.Cancelling, CanHealthCheck: l.Probes, CanGossip: l.Peers, AllowHedging: l.SecondCopies,
+		ReportsByAnswer: e.Feedback.How == "piggyback", ReportsByHealthCheck: e.Feedback.How == "pull",
+		PollEndpoints: e.RegistryMode == "subscribe", HonorsGrants: f.GrantsCount, HonorsPriority: f.TakesPriority,
+		MaxGrantShare: f.MaxGrantShare, ProgressInterval: f.ProgressUs, SlowStartFloor: r.ColdFrom, SlowStartDuration: r.ColdUs,
+		OverloadMultiple: r.FallMultiple, OverloadDuration: r.OverloadForUs, DrainGrace: r.StopSendingWithinUs,
+		AnswerSlack: r.GraceToAnswerUs, MaxPollInterval: r.MustAskInUs, OrderingGap: r.TurnGapUs,
+		RetryBudgetFloor: r.BudgetFree, RetryBudgetRatio: r.BudgetShare, RetryBudgetWindow: r.BudgetSpanUs}
 	if l.RetryAfter {
-		s.MaxComeBack = l.MaxRetryAfterUs
+		s.MaxRetryAfter = l.MaxRetryAfterUs
 	}
 	var ok bool
 	if s.Shortage, ok = shortages[f.OnShortage]; !ok {
@@ -134,23 +134,23 @@
 		return nil, fmt.Errorf("familyInfo.ramOfKindMb: %d entries for %d kinds", len(f.RAMOfKindMb), len(f.KindCores))
 	}
 	for i, c := range e.Classes {
-		d := policy.Class{Name: c.Name, Worth: c.Credit, LateWorth: c.LateWorth, Aim: c.PromiseUs,
-			AimStretch: c.AimStretch, Deadline: c.DeadlineUs, Window: c.WindowUs, InTurn: c.InTurn,
+		d := policy.Class{Name: c.Name, PriorityWeight: c.Credit, LateWeight: c.LateWorth, LatencyObjective: c.PromiseUs,
+			ObjectiveStretch: c.AimStretch, Deadline: c.DeadlineUs, DedupWindow: c.WindowUs, Ordered: c.InTurn,
 			Zones: c.AllowedIn, Kinds: c.ServedOn}
 		if d.Effect, ok = effects[c.Effect]; !ok {
 			return nil, fmt.Errorf("classes[%d].effect: unknown value %q", i, c.Effect)
 		}
-		if d.Group, ok = groups[c.Group]; !ok {
+		if d.DedupScope, ok = groups[c.Group]; !ok {
 			return nil, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
 		}
 		if len(f.Dop) > 0 {
 			d.Threads = f.Dop[i]
 		}
 		if len(f.WritesTables) > 0 {
-			d.Loads = f.WritesTables[i]
+			d.LocksTables = f.WritesTables[i]
 		}
 		if len(f.WaitsForLoads) > 0 {
-			d.Waits = f.WaitsForLoads[i]
+			d.WaitsForTables = f.WaitsForLoads[i]
 		}
 		s.Classes = append(s.Classes, d)
 	}
@@ -162,7 +162,7 @@
 		s.Kinds = append(s.Kinds, k)
 	}
 	for _, t := range e.Customers {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Allowance: t.AllowancePerS})
+		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.AllowancePerS})
 	}
 	return s, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -50,12 +50,12 @@
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]policy.Engine
+	lists map[int][]policy.Endpoint
 }
 
 // NewReader returns a Reader on r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Engine{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Endpoint{}}
 }
 
 func (r *Reader) fail(field string, err error) error {
@@ -152,33 +152,33 @@
 	case "crashNow":
 		item.Stop = true
 	case "view":
-		e := policy.Engines{Whole: f.Mode == "snapshot" || f.Mode == "disk", Failed: f.Mode == "error"}
+		e := policy.EndpointUpdate{Complete: f.Mode == "snapshot" || f.Mode == "disk", Failed: f.Mode == "error"}
 		if !e.Failed {
-			e.Rows = r.lists[f.List]
+			e.Endpoints = r.lists[f.List]
 		}
 		item.Event = e
 	case "accept":
 		item.Event = f.request()
 	case "closedAttempt":
-		o := policy.Outcome{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Code: codes[f.RC],
-			Over: f.Last, Took: f.TimeTakenUs, Load: load(f.Load)}
+		o := policy.AttemptResult{ID: f.TID, Attempt: f.Attempt, Endpoint: f.Node, Code: codes[f.RC],
+			Final: f.Last, Latency: f.TimeTakenUs, Load: load(f.Load)}
 		if f.UsedUp > 0 {
-			o.WorkUs, o.NeedMB = f.UsedUp/4096*1000, float64(f.UsedUp%4096)*4
+			o.WorkMicros, o.NeededMB = f.UsedUp/4096*1000, float64(f.UsedUp%4096)*4
 		}
 		item.Event = o
 	case "checked":
-		item.Event = policy.Probed{Engine: f.Node, Code: codes[f.RC], Took: f.TimeTakenUs, Load: load(f.Load)}
+		item.Event = policy.HealthCheckResult{Endpoint: f.Node, Code: codes[f.RC], Latency: f.TimeTakenUs, Load: load(f.Load)}
 	case "progress":
 		item.Event, ok = f.progress()
 		return item, ok, nil
 	case "ackFirst":
-		item.Event = policy.First{ID: f.TID, Attempt: f.Attempt}
+		item.Event = policy.StreamStarted{ID: f.TID, Attempt: f.Attempt}
 	case "clientGone":
-		item.Event = policy.Left{ID: f.TID}
+		item.Event = policy.ClientDisconnected{ID: f.TID}
 	case "reminder":
-		item.Event = policy.Alarm{}
+		item.Event = policy.TimerFired{}
 	case "neighbourSays":
-		item.Event = policy.Heard{From: f.OriginPeer, Data: f.Contents}
+		item.Event = policy.GossipReceived{From: f.OriginPeer, Data: f.Contents}
 	default:
 		return item, false, nil
 	}
@@ -232,36 +232,36 @@
 )
 
 func (f *frame) request() policy.Request {
-	q := policy.Request{ID: f.TID, Class: f.Type, Tenant: f.UserGroup, MemoryMB: f.RAMMb, Tables: f.SourceSet,
-		Retry: f.Attrs&attrRetry != 0, Due: f.DueUs}
+	q := policy.Request{ID: f.TID, Class: f.Type, Tenant: f.UserGroup, MemoryMB: f.RAMMb, TableGroup: f.SourceSet,
+		ClientRetry: f.Attrs&attrRetry != 0, Deadline: f.DueUs}
 	if f.Attrs&attrCost != 0 {
 		q.Cost = f.CostUs
 	}
 	if f.OrderKey != nil {
-		q.Key, q.HasKey = *f.OrderKey, true
+		q.OrderKey, q.HasOrderKey = *f.OrderKey, true
 	}
 	return q
 }
 
 func (f *frame) progress() (policy.Event, bool) {
-	p := policy.Progress{ID: f.TID, Attempt: f.Attempt, Engine: f.Node, Value: f.X}
+	p := policy.Progress{ID: f.TID, Attempt: f.Attempt, Endpoint: f.Node, Value: f.X}
 	switch {
 	case f.Kind == 1:
-		p.Kind = policy.ShareDone
+		p.Kind = policy.FractionDone
 	case f.Kind == 2:
-		p.Kind = policy.Spills
+		p.Kind = policy.MemorySpilled
 	case f.Kind == 3 && f.X == 2:
-		p.Kind = policy.WaitsLoad
+		p.Kind = policy.WaitingForTables
 	case f.Kind == 3:
-		p.Kind = policy.WaitsMemory
+		p.Kind = policy.WaitingForMemory
 	default:
 		return nil, false
 	}
 	return p, true
 }
 
-var codes = map[int]policy.Code{100: policy.OK, 301: policy.Failed, 302: policy.Full, 303: policy.TimedOut,
-	304: policy.Refused, 305: policy.Reset, 306: policy.Cancelled, 307: policy.Moot}
+var codes = map[int]policy.Code{100: policy.OK, 301: policy.Failed, 302: policy.Rejected, 303: policy.TimedOut,
+	304: policy.ConnectionRefused, 305: policy.ConnectionReset, 306: policy.Cancelled, 307: policy.NeverSent}
 
 func load(m map[string]float64) *policy.Load {
 	if len(m) == 0 {
@@ -277,8 +277,8 @@
 		Memory: get("x0"), Disk: get("x1")}
 }
 
-var states = map[string]policy.EngineState{"healthy": policy.Healthy, "cordoned": policy.Draining,
-	"deregistered": policy.Gone}
+var states = map[string]policy.EndpointState{"healthy": policy.Healthy, "cordoned": policy.Draining,
+	"deregistered": policy.Removed}
 
 func (r *Reader) register(body json.RawMessage) error {
 	var reg struct {
@@ -296,13 +296,13 @@
 	if err := json.Unmarshal(body, &reg); err != nil {
 		return err
 	}
-	rows := make([]policy.Engine, 0, len(reg.RowsIn))
+	rows := make([]policy.Endpoint, 0, len(reg.RowsIn))
 	for i, e := range reg.RowsIn {
 		state, ok := states[e.Condition]
 		if !ok {
 			return fmt.Errorf("rowsIn[%d].condition: unknown value %q", i, e.Condition)
 		}
-		row := policy.Engine{ID: e.Node, Zone: e.AZ, Kind: e.Type, Cell: e.Cohort, State: state, Weight: e.Share}
+		row := policy.Endpoint{ID: e.Node, Zone: e.AZ, Kind: e.Type, PlacementGroup: e.Cohort, State: state, Weight: e.Share}
 		if e.OnlineSinceUs != nil {
 			row.Started = *e.OnlineSinceUs
 		}
@@ -367,8 +367,8 @@
 		if a.Timeout != 0 {
 			w.number(`,"allowForUs":`, a.Timeout)
 		}
-		w.text(`,"node":`, a.Engine)
-	case policy.Terms:
+		w.text(`,"node":`, a.Endpoint)
+	case policy.Resources:
 		w.open("assignTerms", instance)
 		w.text(`,"tid":`, a.ID)
 		w.out.WriteString(`,"workspaceMb":`)
@@ -378,31 +378,31 @@
 		w.open("cancel", instance)
 		w.text(`,"tid":`, a.ID)
 		w.number(`,"attempt":`, int64(a.Attempt))
-	case policy.Refuse:
+	case policy.Shed:
 		w.open("sayNo", instance)
 		w.text(`,"tid":`, a.ID)
-		w.number(`,"notBeforeForUs":`, a.ComeBack)
+		w.number(`,"notBeforeForUs":`, a.RetryAfter)
 	case policy.Fail:
 		w.open("dropRequest", instance)
 		w.text(`,"tid":`, a.ID)
-	case policy.Probe:
+	case policy.HealthCheck:
 		w.open("healthCheck", instance)
-		w.text(`,"node":`, a.Engine)
-	case policy.Wake:
+		w.text(`,"node":`, a.Endpoint)
+	case policy.SetTimer:
 		w.open("setAlarm", instance)
 		w.number(`,"delayUs":`, a.After)
 		w.number(`,"handle":`, 1)
-	case policy.Tell:
+	case policy.SendGossip:
 		w.open("writePeer", instance)
 		text, _ := json.Marshal(a.Data) // bytes always marshal, to base64
 		w.number(`,"dest":`, int64(a.To))
 		w.out.WriteString(`,"contents":` + string(text))
-	case policy.Watch:
+	case policy.WatchEndpoints:
 		w.open("tail", instance)
 		w.out.WriteString(`,"want":true`)
-	case policy.Fetch:
+	case policy.FetchEndpoints:
 		w.open("listAll", instance)
-	case policy.Note:
+	case policy.LogLine:
 		w.open("record", instance)
 		w.text(`,"message":`, a.Text)
 	default:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -45,39 +45,39 @@
 		t.Fatalf("now %d, %d items", b.Now, len(b.Items))
 	}
 	s := b.Items[0].Start
-	if s == nil || b.Items[0].Seed != 1<<64-1 || s.Classes[0].Effect != policy.Keyed || s.Classes[0].Group != policy.GroupCell ||
-		s.Classes[0].Threads != 4 || !s.Classes[0].Loads || s.MaxComeBack != 77 || s.BudgetFree != 3 ||
-		s.Shortage != policy.ShortSwap || s.Kinds[1] != (policy.Kind{Cores: 16, MemoryMB: 2}) {
+	if s == nil || b.Items[0].Seed != 1<<64-1 || s.Classes[0].Effect != policy.IdempotentByKey || s.Classes[0].DedupScope != policy.DedupPlacementGroup ||
+		s.Classes[0].Threads != 4 || !s.Classes[0].LocksTables || s.MaxRetryAfter != 77 || s.RetryBudgetFloor != 3 ||
+		s.Shortage != policy.ShortageSwaps || s.Kinds[1] != (policy.Kind{Cores: 16, MemoryMB: 2}) {
 		t.Fatalf("settings %+v", s)
 	}
-	whole := b.Items[1].Event.(policy.Engines)
-	if !whole.Whole || len(whole.Rows) != 2 || whole.Rows[1].State != policy.Draining || whole.Rows[1].Started != 6100000 ||
-		whole.Rows[0].Cell != 4 {
+	whole := b.Items[1].Event.(policy.EndpointUpdate)
+	if !whole.Complete || len(whole.Endpoints) != 2 || whole.Endpoints[1].State != policy.Draining || whole.Endpoints[1].Started != 6100000 ||
+		whole.Endpoints[0].PlacementGroup != 4 {
 		t.Fatalf("list %+v", whole)
 	}
-	if diff := b.Items[2].Event.(policy.Engines); diff.Whole || len(diff.Rows) != 0 {
+	if diff := b.Items[2].Event.(policy.EndpointUpdate); diff.Complete || len(diff.Endpoints) != 0 {
 		t.Fatalf("a reused list number must hold the later rows: %+v", diff)
 	}
-	if failed := b.Items[3].Event.(policy.Engines); !failed.Failed || failed.Whole {
+	if failed := b.Items[3].Event.(policy.EndpointUpdate); !failed.Failed || failed.Complete {
 		t.Fatalf("failed call %+v", failed)
 	}
-	want := policy.Request{ID: "9683a19b5d3a91c4", Cost: 12000, Tables: 11, MemoryMB: 384.5, Retry: true, Due: 8652250,
-		Key: 4569004829183723, HasKey: true}
+	want := policy.Request{ID: "9683a19b5d3a91c4", Cost: 12000, TableGroup: 11, MemoryMB: 384.5, ClientRetry: true, Deadline: 8652250,
+		OrderKey: 4569004829183723, HasOrderKey: true}
 	if b.Items[4].Event != want {
 		t.Fatalf("request %+v", b.Items[4].Event)
 	}
-	o := b.Items[5].Event.(policy.Outcome)
-	if o.Code != policy.OK || !o.Over || o.WorkUs != 17000 || o.NeedMB != 96*4 ||
+	o := b.Items[5].Event.(policy.AttemptResult)
+	if o.Code != policy.OK || !o.Final || o.WorkMicros != 17000 || o.NeededMB != 96*4 ||
 		*o.Load != (policy.Load{Util: 0.62, InFlight: -1, Queue: 3, Memory: -1, Disk: 1.25}) {
 		t.Fatalf("outcome %+v %+v", o, o.Load)
 	}
-	if p := b.Items[6].Event.(policy.Progress); p.Kind != policy.WaitsLoad {
+	if p := b.Items[6].Event.(policy.Progress); p.Kind != policy.WaitingForTables {
 		t.Fatalf("progress %+v", p)
 	}
-	if p := b.Items[7].Event.(policy.Probed); p.Code != policy.TimedOut || p.Load != nil {
+	if p := b.Items[7].Event.(policy.HealthCheckResult); p.Code != policy.TimedOut || p.Load != nil {
 		t.Fatalf("probe %+v", p)
 	}
-	if h := b.Items[8].Event.(policy.Heard); string(h.Data) != "hi 7" || h.From != 1 {
+	if h := b.Items[8].Event.(policy.GossipReceived); string(h.Data) != "hi 7" || h.From != 1 {
 		t.Fatalf("peer %+v", h)
 	}
 	if !b.Items[11].Stop {
@@ -91,10 +91,10 @@
 func TestWritesAWholeReply(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, a := range []policy.Action{policy.Send{ID: "q", Engine: "node.a", Timeout: 80000}, policy.Send{ID: "q", Engine: "node.a"},
-		policy.Terms{ID: "q", MemoryMB: 640.5, Priority: 2}, policy.Cancel{ID: "q", Attempt: 1}, policy.Refuse{ID: "q", ComeBack: 5},
-		policy.Fail{ID: "q"}, policy.Probe{Engine: "node.a"}, policy.Wake{After: 7}, policy.Tell{To: 3, Data: []byte("hi 7")},
-		policy.Watch{}, policy.Fetch{}, policy.Note{Text: "a \"b\""}} {
+	for _, a := range []policy.Action{policy.Send{ID: "q", Endpoint: "node.a", Timeout: 80000}, policy.Send{ID: "q", Endpoint: "node.a"},
+		policy.Resources{ID: "q", MemoryMB: 640.5, Priority: 2}, policy.Cancel{ID: "q", Attempt: 1}, policy.Shed{ID: "q", RetryAfter: 5},
+		policy.Fail{ID: "q"}, policy.HealthCheck{Endpoint: "node.a"}, policy.SetTimer{After: 7}, policy.SendGossip{To: 3, Data: []byte("hi 7")},
+		policy.WatchEndpoints{}, policy.FetchEndpoints{}, policy.LogLine{Text: "a \"b\""}} {
 		w.Put("dispatcher-3", a)
 	}
 	w.Fault("dispatcher-3", "boom")
--- a/membership/view.go
+++ b/membership/view.go
@@ -192,7 +192,7 @@
 		return
 	}
 	current := v.nodes[at]
-	more := row.State == policy.Healthy && (current.State != policy.Healthy || row.Lines != current.Lines)
+	more := row.State == policy.Healthy && (current.State != policy.Healthy || row.Platform != current.Platform)
 	switch {
 	case !more || v.confirmed(question, row):
 		delete(v.awaiting, row.ID)
@@ -272,11 +272,11 @@
 	owner := map[string]string{}
 	for _, n := range v.nodes {
 		if n.State == policy.Healthy {
-			owner[n.Lines] = n.ID
+			owner[n.Platform] = n.ID
 		}
 	}
 	v.nodes = slices.DeleteFunc(v.nodes, func(n nodelist.Node) bool {
-		by, taken := owner[n.Lines]
+		by, taken := owner[n.Platform]
 		if taken && by != n.ID {
 			v.remove(n)
 		}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		id, later := strings.CutSuffix(id, "+")
-		n := nodelist.Node{ID: id, Lines: "127.0.0.1:" + id}
+		n := nodelist.Node{ID: id, Platform: "127.0.0.1:" + id}
 		if later {
 			n.Started = time.UnixMilli(1700000000000)
 		}
@@ -121,7 +121,7 @@
 func TestAnAddressChangesHands(t *testing.T) {
 	v := New(list(1, "a b"))
 	next := list(2, "b c")
-	next.Nodes[1].Lines = "127.0.0.1:a"
+	next.Nodes[1].Platform = "127.0.0.1:a"
 	for q := range uint64(2) {
 		v.Observe(Answer{q, next})
 		if err := nodelist.Check(v.Nodes()); err != nil {
@@ -132,14 +132,14 @@
 		t.Errorf("in force: %s", show(v))
 	}
 	moved := list(3, "b c")
-	moved.Nodes[0].Lines = "127.0.0.1:elsewhere"
+	moved.Nodes[0].Platform = "127.0.0.1:elsewhere"
 	v.Observe(Answer{7, moved})
 	if show(v) != "b! c!" { // c as well: its address differs from that above
 		t.Errorf("in force: %s", show(v))
 	}
 	v.Observe(Answer{8, moved})
-	if show(v) != "b c" || v.Nodes()[0].Lines != "127.0.0.1:elsewhere" {
-		t.Errorf("in force: %s at %s", show(v), v.Nodes()[0].Lines)
+	if show(v) != "b c" || v.Nodes()[0].Platform != "127.0.0.1:elsewhere" {
+		t.Errorf("in force: %s at %s", show(v), v.Nodes()[0].Platform)
 	}
 }
 
@@ -198,7 +198,7 @@
 func BenchmarkRepeatedAnswer(b *testing.B) {
 	l := nodelist.Numbered{Number: 1}
 	for i := range 3200 {
-		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Lines: fmt.Sprint("127.0.0.1:", i)})
+		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
 	v := New(l)
 	question := uint64(0)
@@ -217,7 +217,7 @@
 func BenchmarkChange(b *testing.B) {
 	l := nodelist.Numbered{Number: 1}
 	for i := range 3200 {
-		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Lines: fmt.Sprint("127.0.0.1:", i)})
+		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
 	v := New(l)
 	question := uint64(0)
--- a/nodelist/changes_test.go
+++ b/nodelist/changes_test.go
@@ -10,7 +10,7 @@
 
 // Changes names what differs between two lists and nothing else.
 func TestChanges(t *testing.T) {
-	row := func(id string, state policy.EngineState) nodelist.Node { return nodelist.Node{ID: id, State: state} }
+	row := func(id string, state policy.EndpointState) nodelist.Node { return nodelist.Node{ID: id, State: state} }
 	before := []nodelist.Node{row("stays", policy.Healthy), row("drains", policy.Healthy), row("leaves", policy.Draining)}
 	after := []nodelist.Node{row("stays", policy.Healthy), row("drains", policy.Draining), row("joins", policy.Healthy)}
 	got := fmt.Sprint(nodelist.Changes(before, after))
--- a/nodelist/eds.go
+++ b/nodelist/eds.go
@@ -22,7 +22,7 @@
 func FromAssignment(c *endpointv3.ClusterLoadAssignment, names Names) ([]Node, error) {
 	nodes := []Node{}
 	for _, l := range c.GetEndpoints() {
-		hall, err := names.Hall(l.GetLocality().GetZone())
+		hall, err := names.Zone(l.GetLocality().GetZone())
 		if err != nil {
 			return nil, err
 		}
@@ -39,7 +39,7 @@
 
 func row(p *endpointv3.LbEndpoint, hall int, names Names) (Node, error) {
 	a := p.GetEndpoint().GetAddress().GetSocketAddress()
-	n := Node{Hall: hall, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
+	n := Node{Zone: hall, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
 		Weight: float64(p.GetLoadBalancingWeight().GetValue())}
 	if a == nil {
 		return n, errors.New("an endpoint without a socket address")
@@ -54,7 +54,7 @@
 	if n.Kind, err = names.Kind(fields["kind"].GetStringValue()); err != nil {
 		return n, fmt.Errorf("node %q: %w", n.ID, err)
 	}
-	n.Cell = int(fields["cell"].GetNumberValue())
+	n.PlacementGroup = int(fields["cell"].GetNumberValue())
 	if at := fields["started"].GetNumberValue(); at > 0 {
 		n.Started = time.UnixMicro(int64(at * 1e6))
 	}
--- a/nodelist/platform.go
+++ b/nodelist/platform.go
@@ -55,10 +55,10 @@
 	} `json:"hosts"`
 }
 
-var knownStates = map[string]policy.EngineState{"active": policy.Healthy, "leaving": policy.Draining, "left": policy.Gone}
+var knownStates = map[string]policy.EndpointState{"active": policy.Healthy, "leaving": policy.Draining, "left": policy.Removed}
 
-// ParseKnown reads the events that a dispatcher starts with into the list that they come to.
-func ParseKnown(raw json.RawMessage, names Names) (Numbered, error) {
+// ParseInitial reads the events that a dispatcher starts with into the list that they come to.
+func ParseInitial(raw json.RawMessage, names Names) (Numbered, error) {
 	var known struct {
 		Pos     int64        `json:"pos"`
 		Entries []knownEvent `json:"entries"`
@@ -74,20 +74,20 @@
 			clear(at)
 		}
 		for j, t := range ev.Hosts.Targets {
-			n := Node{ID: t.UID, Lines: t.Endpoint, Cell: t.PodGroup, Weight: t.Capacity}
+			n := Node{ID: t.UID, Platform: t.Endpoint, PlacementGroup: t.PodGroup, Weight: t.Capacity}
 			place := fmt.Sprintf("entries[%d].hosts.targets[%d]", i, j)
 			var ok bool
 			var err error
 			if n.State, ok = knownStates[t.State]; !ok {
 				return Numbered{}, fmt.Errorf("%s.state: found %q; allowed: active, leaving, left", place, t.State)
 			}
-			if n.Hall, err = names.Hall(t.Zone); err != nil {
+			if n.Zone, err = names.Zone(t.Zone); err != nil {
 				return Numbered{}, fmt.Errorf("%s.az: %w", place, err)
 			}
 			if n.Kind, err = names.Kind(t.Model); err != nil {
 				return Numbered{}, fmt.Errorf("%s.model: %w", place, err)
 			}
-			if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && n.State != policy.Gone {
+			if _, err := netip.ParseAddrPort(t.Endpoint); err != nil && n.State != policy.Removed {
 				return Numbered{}, fmt.Errorf("%s.endpoint: %w", place, err)
 			}
 			if t.BootMs > 0 {
@@ -104,7 +104,7 @@
 	}
 	kept := out.Nodes[:0]
 	for _, n := range out.Nodes {
-		if n.State != policy.Gone {
+		if n.State != policy.Removed {
 			kept = append(kept, n)
 		}
 	}
@@ -128,8 +128,8 @@
 	return b.Finish()
 }
 
-// AnswerMost is the longest answer, in bytes.
-const AnswerMost = 8000
+// MaxAnswerBytes is the longest answer, in bytes.
+const MaxAnswerBytes = 8000
 
 // Errors of answers that are whole but tell nothing.
 var (
@@ -185,22 +185,22 @@
 		target := srv.Target.String()
 		address, has := addresses[target]
 		n, err := record(srv, target, facts[target], names)
-		n.Lines = net.JoinHostPort(address.String(), strconv.Itoa(int(srv.Port)))
+		n.Platform = net.JoinHostPort(address.String(), strconv.Itoa(int(srv.Port)))
 		switch {
 		case err != nil:
 		case !has:
 			err = errors.New("the row has no address")
 		case ids[n.ID]:
 			err = errors.New("the node is listed twice")
-		case owners[n.Lines] != "":
-			err = fmt.Errorf("node %q has the same address %s", owners[n.Lines], n.Lines)
+		case owners[n.Platform] != "":
+			err = fmt.Errorf("node %q has the same address %s", owners[n.Platform], n.Platform)
 		}
 		if err != nil {
 			err = fmt.Errorf("nodelist: %s: %w", target, err)
 			out.Skipped = append(out.Skipped, Skipped{ID: n.ID, Draining: srv.Priority == priorityDraining, Err: err})
 			continue
 		}
-		ids[n.ID], owners[n.Lines] = true, n.ID
+		ids[n.ID], owners[n.Platform] = true, n.ID
 		out.Nodes = append(out.Nodes, n)
 	}
 	if len(out.Nodes) == 0 && len(out.Skipped) > 0 {
@@ -223,7 +223,7 @@
 		return n, errors.New("the name is not that of a node")
 	}
 	n = Node{ID: id, Weight: float64(srv.Weight) / 10}
-	if n.Hall, err = names.Hall(hall); err != nil {
+	if n.Zone, err = names.Zone(hall); err != nil {
 		return n, err
 	}
 	switch srv.Priority {
@@ -241,7 +241,7 @@
 			n.Kind, err = names.Kind(value)
 			seen |= 1
 		case "cell":
-			n.Cell, err = strconv.Atoi(value)
+			n.PlacementGroup, err = strconv.Atoi(value)
 			seen |= 2
 		case "started":
 			var ms int64
--- a/nodelist/platform_test.go
+++ b/nodelist/platform_test.go
@@ -11,7 +11,7 @@
 	"embershunt/simulated"
 )
 
-var names = nodelist.Names{Halls: []string{"west", "east"}, Kinds: []string{"std", "big"}}
+var names = nodelist.Names{Zones: []string{"west", "east"}, Kinds: []string{"std", "big"}}
 
 func TestKnown(t *testing.T) {
 	target := func(uid, endpoint, state string) string {
@@ -24,12 +24,12 @@
 		return json.RawMessage(`{"pos":9,"entries":[` + strings.Join(events, ",") + `]}`)
 	}
 	// b leaves, and c takes its address; a drains.
-	list, err := nodelist.ParseKnown(known(event("8", "true", target("a", "127.0.0.1:1", "active"), target("b", "127.0.0.2:1", "active")),
+	list, err := nodelist.ParseInitial(known(event("8", "true", target("a", "127.0.0.1:1", "active"), target("b", "127.0.0.2:1", "active")),
 		event("9", "false", target("a", "127.0.0.1:1", "leaving"), target("b", "127.0.0.2:1", "left"), target("c", "127.0.0.2:1", "active"))), names)
 	if err != nil || list.Number != 9 || len(list.Nodes) != 2 {
 		t.Fatalf("%+v, %v", list, err)
 	}
-	want := nodelist.Node{ID: "a", Lines: "127.0.0.1:1", Hall: 1, Kind: 1, Cell: 2, State: policy.Draining, Weight: 4, Started: time.UnixMilli(1700000000000)}
+	want := nodelist.Node{ID: "a", Platform: "127.0.0.1:1", Zone: 1, Kind: 1, PlacementGroup: 2, State: policy.Draining, Weight: 4, Started: time.UnixMilli(1700000000000)}
 	if list.Nodes[0] != want || list.Nodes[1].ID != "c" {
 		t.Errorf("%+v", list.Nodes)
 	}
@@ -39,7 +39,7 @@
 		strings.Replace(target("a", "127.0.0.1:1", "active"), "east", "north", 1): "az",
 		strings.Replace(target("a", "127.0.0.1:1", "active"), "big", "huge", 1):   "model",
 	} {
-		if _, err := nodelist.ParseKnown(known(event("1", "true", bad)), names); err == nil || !strings.Contains(err.Error(), "entries[0].hosts.targets[0]."+place) {
+		if _, err := nodelist.ParseInitial(known(event("1", "true", bad)), names); err == nil || !strings.Contains(err.Error(), "entries[0].hosts.targets[0]."+place) {
 			t.Errorf("%s: %v", place, err)
 		}
 	}
@@ -47,8 +47,8 @@
 
 func listed() []nodelist.Node {
 	return []nodelist.Node{
-		{ID: "s-1", Lines: "127.0.0.1:7001", Hall: 1, Kind: 1, Cell: 3, Weight: 4.5, Started: time.UnixMilli(1700000000000)},
-		{ID: "s-2", Lines: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
+		{ID: "s-1", Platform: "127.0.0.1:7001", Zone: 1, Kind: 1, PlacementGroup: 3, Weight: 4.5, Started: time.UnixMilli(1700000000000)},
+		{ID: "s-2", Platform: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
 }
 
 func all(uint16) bool { return true }
@@ -85,7 +85,7 @@
 		"truncated":        {edit(2, msg[2]|2), all},
 		"a failure":        {edit(3, 2), all},
 		"another question": {edit(13, 'x'), all},
-		"no usable row":    {simulated.ListAnswer(7, 42, listed()[:1], nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), all},
+		"no usable row":    {simulated.ListAnswer(7, 42, listed()[:1], nodelist.Names{Zones: []string{"west", "north"}, Kinds: names.Kinds}), all},
 	} {
 		if list, err := nodelist.ParseAnswer(c.msg, c.asked, names); err == nil {
 			t.Errorf("%s: taken as %+v", name, list)
@@ -95,14 +95,14 @@
 
 // One row that cannot be used does not hide what the others say, nor its own drain.
 func TestAnswersWithAnUnusableRow(t *testing.T) {
-	three := append(listed(), nodelist.Node{ID: "s-3", Lines: "127.0.0.2:7002", Weight: 1})
+	three := append(listed(), nodelist.Node{ID: "s-3", Platform: "127.0.0.2:7002", Weight: 1})
 	for name, c := range map[string]struct {
 		msg     []byte
 		skipped string
 		drains  bool
 	}{
-		"an unknown kind":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"std", "odd"}}), "s-1", false},
-		"an unknown zone":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: []string{"west", "north"}, Kinds: names.Kinds}), "s-1", false},
+		"an unknown kind":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: names.Zones, Kinds: []string{"std", "odd"}}), "s-1", false},
+		"an unknown zone":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: []string{"west", "north"}, Kinds: names.Kinds}), "s-1", false},
 		"an address twice":  {simulated.ListAnswer(7, 42, three, names), "s-3", false},
 		"a name twice":      {simulated.ListAnswer(7, 42, append(listed(), listed()[1]), names), "s-2", true},
 		"fewer additionals": {fewer(simulated.ListAnswer(7, 42, listed(), names)), "s-2", true},
@@ -113,7 +113,7 @@
 			t.Errorf("%s: %+v, %v", name, list, err)
 		}
 	}
-	none := simulated.ListAnswer(7, 42, listed(), nodelist.Names{Halls: names.Halls, Kinds: []string{"new", "odd"}})
+	none := simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: names.Zones, Kinds: []string{"new", "odd"}})
 	if list, err := nodelist.ParseAnswer(none, all, names); err == nil {
 		t.Errorf("taken without a usable row: %+v", list)
 	}
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -21,13 +21,13 @@
 
 // Options are a resolver's settings.
 type Options struct {
-	Log      *slog.Logger
-	Address  string // of the name service
-	Names    nodelist.Names
-	Known    nodelist.Numbered     // the list that is known at the start
-	Interval time.Duration         // between two questions
-	Apply    func([]nodelist.Node) // puts a list in force; called by the goroutine of Run
-	Quick    time.Duration         // least time between two questions; 0: quickInterval
+	Log         *slog.Logger
+	Address     string // of the name service
+	Names       nodelist.Names
+	Initial     nodelist.Numbered     // the list that is known at the start
+	Interval    time.Duration         // between two questions
+	Apply       func([]nodelist.Node) // puts a list in force; called by the goroutine of Run
+	MinInterval time.Duration         // least time between two questions; 0: quickInterval
 }
 
 // Bounds of asking.
@@ -97,12 +97,12 @@
 
 // New returns a resolver; nothing is asked before Run.
 func New(o Options) *Resolver {
-	if o.Quick == 0 {
-		o.Quick = min(quickInterval, o.Interval)
+	if o.MinInterval == 0 {
+		o.MinInterval = min(quickInterval, o.Interval)
 	}
 	r := &Resolver{options: o, log: o.Log, address: o.Address, packets: make(chan packet), moved: make(chan struct{}, 1),
-		began: time.Now(), view: membership.New(o.Known), questions: map[uint16]question{}, extra: extraMost}
-	r.stats.version.Store(o.Known.Number)
+		began: time.Now(), view: membership.New(o.Initial), questions: map[uint16]question{}, extra: extraMost}
+	r.stats.version.Store(o.Initial.Number)
 	return r
 }
 
@@ -156,9 +156,9 @@
 	wait := time.Duration(-1)
 	switch {
 	case r.unsure && !r.waiting:
-		wait = r.options.Quick
+		wait = r.options.MinInterval
 	case r.waiting:
-		wait = max(r.options.Quick, 2*r.answerIn)
+		wait = max(r.options.MinInterval, 2*r.answerIn)
 	}
 	if soon := r.askedAt.Add(wait); wait >= 0 && soon.Before(at) {
 		return soon
@@ -218,7 +218,7 @@
 
 // parse reads an answer to a question that is open.
 func (r *Resolver) parse(message []byte) (question, nodelist.Numbered, error) {
-	if len(message) > nodelist.AnswerMost {
+	if len(message) > nodelist.MaxAnswerBytes {
 		return question{}, nodelist.Numbered{}, errTooLong
 	}
 	var q question
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -20,11 +20,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-var names = nodelist.Names{Halls: []string{"west"}, Kinds: []string{"std"}}
+var names = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
 func nodes(ids ...string) (out []nodelist.Node) {
 	for i, id := range ids {
-		out = append(out, nodelist.Node{ID: id, Lines: "127.0.0.1:" + string(rune('1'+i)), Weight: 1})
+		out = append(out, nodelist.Node{ID: id, Platform: "127.0.0.1:" + string(rune('1'+i)), Weight: 1})
 	}
 	return out
 }
@@ -44,7 +44,7 @@
 	a, b := service(t), service(t)
 	told := make(chan string, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
-		Known: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until an answer confirms its end
 				told <- n[0].ID
 			}
@@ -156,7 +156,7 @@
 			var once sync.Once
 			row := nodes("a")
 			r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-				Known: nodelist.Numbered{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
+				Initial: nodelist.Numbered{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
 					if len(n) == 1 && n[0].State == policy.Draining {
 						once.Do(func() { close(drained) })
 					}
@@ -184,7 +184,7 @@
 	var state atomic.Value
 	state.Store("")
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Known: nodelist.Numbered{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			text := ""
 			for _, row := range n {
 				text += fmt.Sprintf("%s:%d ", row.ID, row.State)
@@ -217,7 +217,7 @@
 	s := service(t)
 	heard := make(chan int, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Known: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { heard <- len(n) }})
+		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { heard <- len(n) }})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -243,7 +243,7 @@
 	s := service(t)
 	heard := make(chan time.Time, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Known: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { heard <- time.Now() }})
+		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { heard <- time.Now() }})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -12,11 +12,11 @@
 	"embershunt/policy"
 )
 
-// MessageMost is the longest message, in bytes.
-const MessageMost = 256
+// MaxMessageBytes is the longest message, in bytes.
+const MaxMessageBytes = 256
 
 // Poster takes what was heard.
-type Poster interface{ Told(policy.Event) }
+type Poster interface{ Notify(policy.Event) }
 
 // Peers is the socket to the other dispatchers of a tier.
 type Peers struct {
@@ -47,9 +47,9 @@
 	return p, err
 }
 
-// Tell sends one message to one dispatcher; what cannot be sent is lost, as any datagram may be.
-func (p *Peers) Tell(to int, data []byte) {
-	if to < 0 || to >= len(p.to) || to == p.me || len(data) > MessageMost {
+// Send sends one message to one dispatcher; what cannot be sent is lost, as any datagram may be.
+func (p *Peers) Send(to int, data []byte) {
+	if to < 0 || to >= len(p.to) || to == p.me || len(data) > MaxMessageBytes {
 		p.dropped.Add(1)
 		return
 	}
@@ -70,7 +70,7 @@
 	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
 	defer stop()
 	defer p.conn.Close()
-	buf := make([]byte, MessageMost+1)
+	buf := make([]byte, MaxMessageBytes+1)
 	for {
 		n, sender, err := p.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -80,11 +80,11 @@
 			continue
 		}
 		from, known := p.from[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
-		if !known || from == p.me || n > MessageMost {
+		if !known || from == p.me || n > MaxMessageBytes {
 			p.dropped.Add(1)
 			continue
 		}
 		p.heard.Add(1)
-		post.Told(policy.Heard{From: from, Data: append([]byte(nil), buf[:n]...)})
+		post.Notify(policy.GossipReceived{From: from, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -17,7 +17,7 @@
 
 type heard chan policy.Event
 
-func (h heard) Told(ev policy.Event) { h <- ev }
+func (h heard) Notify(ev policy.Event) { h <- ev }
 
 // Messages pass as they are, a sender is known by its address, and what comes from elsewhere or is too long is dropped.
 func TestMessages(t *testing.T) {
@@ -49,13 +49,13 @@
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("let me in"))
-	all[0].Tell(1, []byte(strings.Repeat("x", 257)))
-	all[0].Tell(0, []byte("to myself"))
-	all[0].Tell(2, []byte("to nobody"))
-	all[0].Tell(1, []byte{0, 255, 10})
+	all[0].Send(1, []byte(strings.Repeat("x", 257)))
+	all[0].Send(0, []byte("to myself"))
+	all[0].Send(2, []byte("to nobody"))
+	all[0].Send(1, []byte{0, 255, 10})
 	select {
 	case ev := <-ears[1]:
-		if h, ok := ev.(policy.Heard); !ok || h.From != 0 || string(h.Data) != "\x00\xff\n" {
+		if h, ok := ev.(policy.GossipReceived); !ok || h.From != 0 || string(h.Data) != "\x00\xff\n" {
 			t.Errorf("heard %+v", ev)
 		}
 	case <-time.After(5 * time.Second):
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -13,17 +13,17 @@
 
 // The reasons.
 const (
-	Permitted  Reason = iota
-	Draining          // the server drains or is gone
-	ClientGone        // nobody waits for the answer
-	Deadline          // the query's time is up
-	Window            // servers may have forgotten the key of an attempt that may have run
-	MayHaveRun        // an earlier attempt may have run, and a repeat would have its effect twice
-	Answered          // the query has its final answer, or one is on its way to the client
-	Stopping          // the dispatcher takes nothing new
-	Full              // as many queries are held as may be
-	Owed              // answers are owed on the connection
-	Reading           // a request is being read on the connection
+	Permitted          Reason = iota
+	Draining                  // the server drains or is gone
+	ClientDisconnected        // nobody waits for the answer
+	Deadline                  // the query's time is up
+	DedupWindow               // servers may have forgotten the key of an attempt that may have run
+	MayHaveRun                // an earlier attempt may have run, and a repeat would have its effect twice
+	Answered                  // the query has its final answer, or one is on its way to the client
+	Stopping                  // the dispatcher takes nothing new
+	Full                      // as many queries are held as may be
+	AnswersPending            // answers are owed on the connection
+	Reading                   // a request is being read on the connection
 	reasons
 )
 
@@ -35,9 +35,9 @@
 
 // Intake is the state that decides whether a query may be taken.
 type Intake struct {
-	Stopping bool
-	Held     int
-	Most     int // 0: no limit
+	Stopping    bool
+	InFlight    int
+	MaxInFlight int // 0: no limit
 }
 
 // Start says whether a query may be taken on.
@@ -45,7 +45,7 @@
 	switch {
 	case i.Stopping:
 		return Stopping
-	case i.Most > 0 && i.Held >= i.Most:
+	case i.MaxInFlight > 0 && i.InFlight >= i.MaxInFlight:
 		return Full
 	}
 	return Permitted
@@ -53,25 +53,25 @@
 
 // Sending is what is known of an attempt at the moment at which its first byte would leave.
 type Sending struct {
-	Now        policy.Micros
-	Until      policy.Micros // the query's deadline, or the attempt's
-	Before     policy.Micros // the end of a keyed query's window; 0: there is none
-	ClientGone bool
-	Notified   policy.Micros // when it was told that the server drains or is gone; 0: it is ready
-	Pinned     bool          // the server holds the state of the query's session
-	Grace      policy.Micros // for pinned queries, after Notified
+	Now                policy.Micros
+	Deadline           policy.Micros // the query's deadline, or the attempt's
+	StartBefore        policy.Micros // the end of a keyed query's window; 0: there is none
+	ClientDisconnected bool
+	Notified           policy.Micros // when it was told that the server drains or is gone; 0: it is ready
+	Sticky             bool          // the server holds the state of the query's session
+	Grace              policy.Micros // for pinned queries, after Notified
 }
 
 // Send says whether an attempt may begin.
 func (s Sending) Send() Reason {
 	switch {
-	case s.ClientGone:
-		return ClientGone
-	case s.Now >= s.Until:
+	case s.ClientDisconnected:
+		return ClientDisconnected
+	case s.Now >= s.Deadline:
 		return Deadline
-	case s.Before > 0 && s.Now >= s.Before:
-		return Window
-	case s.Notified > 0 && !(s.Pinned && s.Now < s.Notified+s.Grace):
+	case s.StartBefore > 0 && s.Now >= s.StartBefore:
+		return DedupWindow
+	case s.Notified > 0 && !(s.Sticky && s.Now < s.Notified+s.Grace):
 		return Draining
 	}
 	return Permitted
@@ -85,12 +85,12 @@
 
 // Sent is what is known of an attempt whose first byte has left.
 type Sent struct {
-	At       policy.Micros // when the first byte had left, at the latest
-	Until    policy.Micros
-	Before   policy.Micros
-	GoneAt   policy.Micros // when the client left; 0: it is there
-	Notified policy.Micros // as in Sending
-	Grace    policy.Micros
+	At             policy.Micros // when the first byte had left, at the latest
+	Deadline       policy.Micros
+	StartBefore    policy.Micros
+	DisconnectedAt policy.Micros // when the client left; 0: it is there
+	Notified       policy.Micros // as in Sending
+	Grace          policy.Micros
 }
 
 // Violation says which rule an attempt has broken; Permitted where it is none.
@@ -98,12 +98,12 @@
 	switch {
 	case s.Notified > 0 && s.At > s.Notified+s.Grace:
 		return Draining
-	case s.GoneAt > 0 && s.At > s.GoneAt+clientSlack:
-		return ClientGone
-	case s.At > s.Until+deadlineSlack:
+	case s.DisconnectedAt > 0 && s.At > s.DisconnectedAt+clientSlack:
+		return ClientDisconnected
+	case s.At > s.Deadline+deadlineSlack:
 		return Deadline
-	case s.Before > 0 && s.At > s.Before+deadlineSlack:
-		return Window
+	case s.StartBefore > 0 && s.At > s.StartBefore+deadlineSlack:
+		return DedupWindow
 	}
 	return Permitted
 }
@@ -117,35 +117,35 @@
 
 // NeverRan tells that an attempt surely had no effect.
 func (a Attempt) NeverRan() bool {
-	return a.Ended && (a.Code == policy.Full || a.Code == policy.Refused || a.Code == policy.Moot)
+	return a.Ended && (a.Code == policy.Rejected || a.Code == policy.ConnectionRefused || a.Code == policy.NeverSent)
 }
 
-// Repeating is what is known of a query of which another attempt would be sent.
-type Repeating struct {
-	Now      policy.Micros
-	Due      policy.Micros
-	Answered bool
-	Effect   policy.Effect
-	Window   policy.Micros // of keyed queries; 0: no limit
-	Earlier  []Attempt
+// Retrying is what is known of a query of which another attempt would be sent.
+type Retrying struct {
+	Now         policy.Micros
+	Deadline    policy.Micros
+	Answered    bool
+	Effect      policy.Effect
+	DedupWindow policy.Micros // of keyed queries; 0: no limit
+	Earlier     []Attempt
 }
 
-// Repeat says whether an attempt may be sent beside or after the earlier ones. That of a query without
+// Retry says whether an attempt may be sent beside or after the earlier ones. That of a query without
 // earlier attempts is its first.
-func (r Repeating) Repeat() Reason {
+func (r Retrying) Retry() Reason {
 	switch {
 	case r.Answered:
 		return Answered
-	case r.Now >= r.Due:
+	case r.Now >= r.Deadline:
 		return Deadline
 	}
 	for _, a := range r.Earlier {
 		switch {
 		case a.NeverRan():
-		case r.Effect == policy.Unsafe:
+		case r.Effect == policy.NonIdempotent:
 			return MayHaveRun
-		case r.Effect == policy.Keyed && r.Window > 0 && r.Now >= a.Sent+r.Window:
-			return Window
+		case r.Effect == policy.IdempotentByKey && r.DedupWindow > 0 && r.Now >= a.Sent+r.DedupWindow:
+			return DedupWindow
 		}
 	}
 	return Permitted
@@ -153,16 +153,16 @@
 
 // Connection is what is known of a client's connection that is to be closed.
 type Connection struct {
-	Owed    int  // answers
-	Reading bool // a request has begun and is not whole
-	Ending  bool // the dispatcher ends: a request that is being read will be refused
+	PendingAnswers int  // answers
+	Reading        bool // a request has begun and is not whole
+	Ending         bool // the dispatcher ends: a request that is being read will be refused
 }
 
 // Close says whether a connection may be closed now.
 func (c Connection) Close() Reason {
 	switch {
-	case c.Owed > 0:
-		return Owed
+	case c.PendingAnswers > 0:
+		return AnswersPending
 	case c.Reading && !c.Ending:
 		return Reading
 	}
--- a/policy/change.go
+++ b/policy/change.go
@@ -84,14 +84,14 @@
 		if f >= 0 {
 			g.tenants[i] = old[f]
 		}
-		g.tenants[i].allowance = g.set.Tenants[i].Allowance
+		g.tenants[i].allowance = g.set.Tenants[i].Quota
 	}
 }
 
 // sameRules tells that an open request may go on under a class's new form: all that is counted on the books is equal.
 func sameRules(a, b Class) bool {
-	return a.Threads == b.Threads && a.Effect == b.Effect && a.Group == b.Group && a.Window == b.Window &&
-		a.InTurn == b.InTurn && a.Loads == b.Loads && a.Waits == b.Waits && reflect.DeepEqual(a.Zones, b.Zones) &&
+	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow &&
+		a.Ordered == b.Ordered && a.LocksTables == b.LocksTables && a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
@@ -120,10 +120,10 @@
 	return to[i]
 }
 
-// Out tells what of the rules' counts is out: further attempts and requests taken within the budget's span, and whether
+// Outstanding tells what of the rules' counts is out: further attempts and requests taken within the budget's span, and whether
 // any order key has an attempt out or rests.
-func (g *Gateway) Out() (further, taken int, resting bool) {
-	since := g.now - g.set.BudgetSpan
+func (g *Gateway) Outstanding() (further, taken int, resting bool) {
+	since := g.now - g.set.RetryBudgetWindow
 	for _, at := range g.further {
 		if at > since {
 			further++
--- a/policy/change_test.go
+++ b/policy/change_test.go
@@ -6,15 +6,15 @@
 )
 
 func changeSettings(classes ...Class) Settings {
-	return Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, BudgetFree: 1, BudgetSpan: 5e6, TurnGap: 1e6, DrainGrace: 1e6,
-		Kinds: []Kind{{Cores: 4, MemoryMB: 1000}}, Classes: classes, Tenants: []Tenant{{Name: "a", Allowance: 5}, {Name: "b", Allowance: 5}}}
+	return Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, RetryBudgetFloor: 1, RetryBudgetWindow: 5e6, OrderingGap: 1e6, DrainGrace: 1e6,
+		Kinds: []Kind{{Cores: 4, MemoryMB: 1000}}, Classes: classes, Tenants: []Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 5}}}
 }
 
 // What is on the books outlives a change of settings: order, budget, drains, threads in flight, what was learned.
 func TestBooksOutliveAChange(t *testing.T) {
-	plain := Class{Name: "plain", Worth: 1, Aim: 1e6, Deadline: 4e6, Threads: 2}
-	turns := Class{Name: "turns", Worth: 1, Aim: 1e6, Deadline: 4e6, InTurn: true}
-	more := Class{Name: "more", Worth: 5, Aim: 1e6, Deadline: 4e6}
+	plain := Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 2}
+	turns := Class{Name: "turns", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Ordered: true}
+	more := Class{Name: "more", PriorityWeight: 5, LatencyObjective: 1e6, Deadline: 4e6}
 	g, err := New(1, changeSettings(plain, turns))
 	if err != nil {
 		t.Fatal(err)
@@ -28,9 +28,9 @@
 		}
 		return out
 	}
-	g.Step(now, []Event{Engines{Whole: true, Rows: []Engine{{ID: "e1"}, {ID: "e2", State: Draining}}}})
+	g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "e1"}, {ID: "e2", State: Draining}}}})
 	request := func(id string, class int) Request {
-		return Request{ID: id, Class: class, Cost: 1e4, Key: 7, HasKey: true, Due: now + 4e6}
+		return Request{ID: id, Class: class, Cost: 1e4, OrderKey: 7, HasOrderKey: true, Deadline: now + 4e6}
 	}
 	if got := sent(g.Step(now, []Event{request("p", 0), request("t1", 1), request("t2", 1)})); !slices.Equal(got, []string{"p", "t1"}) {
 		t.Fatalf("sent %v", got)
@@ -45,18 +45,18 @@
 	if got := sent(g.Step(now+60_000, []Event{request("m", 1)})); !slices.Equal(got, []string{"m"}) {
 		t.Errorf("after the change sent %v: the key must wait for t1, the new class must not", got)
 	}
-	if got := sent(g.Step(now+120_000, []Event{Outcome{ID: "t1", Engine: "e1", Code: OK, Over: true, Took: 10000}})); !slices.Equal(got, []string{"t2"}) {
+	if got := sent(g.Step(now+120_000, []Event{AttemptResult{ID: "t1", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}})); !slices.Equal(got, []string{"t2"}) {
 		t.Errorf("after t1 sent %v, want t2", got)
 	}
 	// A further attempt made after the change counts in the budget that was begun before it.
-	if got := sent(g.Step(now+180_000, []Event{Outcome{ID: "p", Engine: "e1", Code: Full, Took: 10000}})); !slices.Equal(got, []string{"p"}) {
+	if got := sent(g.Step(now+180_000, []Event{AttemptResult{ID: "p", Endpoint: "e1", Code: Rejected, Latency: 10000}})); !slices.Equal(got, []string{"p"}) {
 		t.Errorf("after p was turned away sent %v", got)
 	}
 	if g.inBudget() {
 		t.Error("the budget of one further attempt has room for a second")
 	}
-	g.Step(now+240_000, []Event{Outcome{ID: "p", Attempt: 1, Engine: "e1", Code: OK, Over: true, Took: 10000},
-		Outcome{ID: "t2", Engine: "e1", Code: OK, Over: true, Took: 10000}, Outcome{ID: "m", Engine: "e1", Code: OK, Over: true, Took: 10000}})
+	g.Step(now+240_000, []Event{AttemptResult{ID: "p", Attempt: 1, Endpoint: "e1", Code: OK, Final: true, Latency: 10000},
+		AttemptResult{ID: "t2", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}, AttemptResult{ID: "m", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}})
 	if n := g.ownThreads(); n != 0 {
 		t.Errorf("%v threads are left on the books", n)
 	}
@@ -71,12 +71,12 @@
 }
 
 func TestAChangeThatCannotBeChangesNothing(t *testing.T) {
-	plain := Class{Name: "plain", Worth: 1, Aim: 1e6, Deadline: 4e6}
+	plain := Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}
 	g, err := New(1, changeSettings(plain))
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Step(1e9, []Event{Engines{Whole: true, Rows: []Engine{{ID: "e1"}}}, Request{ID: "q", Due: 1e9 + 4e6}})
+	g.Step(1e9, []Event{EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "e1"}}}, Request{ID: "q", Deadline: 1e9 + 4e6}})
 	fewer := changeSettings(plain)
 	fewer.Kinds = nil
 	for name, c := range map[string]struct {
@@ -101,27 +101,27 @@
 
 // A request stays within its protocol at every attempt, also when no engine that speaks it is left.
 func TestProtocolIsKept(t *testing.T) {
-	g, err := New(1, changeSettings(Class{Name: "plain", Worth: 1, Aim: 1e6, Deadline: 4e6}))
+	g, err := New(1, changeSettings(Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := Micros(1e9)
-	g.Step(now, []Event{Engines{Whole: true, Rows: []Engine{{ID: "both", Speaks: 3}, {ID: "one", Speaks: 1}, {ID: "old"}}}})
+	g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "both", Protocols: 3}, {ID: "one", Protocols: 1}, {ID: "old"}}}})
 	for i := range 50 {
 		id := string(rune('a' + i))
 		now += 1e5
-		for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 1e4, Protocol: 2, Due: now + 4e6}}) {
+		for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 1e4, Protocol: 2, Deadline: now + 4e6}}) {
 			if s, ok := a.(Send); ok {
-				if s.Engine != "both" {
-					t.Fatalf("sent to %s", s.Engine)
+				if s.Endpoint != "both" {
+					t.Fatalf("sent to %s", s.Endpoint)
 				}
-				g.Step(now, []Event{Outcome{ID: id, Engine: s.Engine, Code: OK, Over: true, Took: 1e4}})
+				g.Step(now, []Event{AttemptResult{ID: id, Endpoint: s.Endpoint, Code: OK, Final: true, Latency: 1e4}})
 			}
 		}
 	}
-	for _, a := range g.Step(now, []Event{Engines{Rows: []Engine{{ID: "both", Speaks: 3, State: Draining}}}, Request{ID: "z", Protocol: 2, Due: now + 4e6}}) {
+	for _, a := range g.Step(now, []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: "both", Protocols: 3, State: Draining}}}, Request{ID: "z", Protocol: 2, Deadline: now + 4e6}}) {
 		if s, ok := a.(Send); ok {
-			t.Errorf("sent to %s, which does not speak it", s.Engine)
+			t.Errorf("sent to %s, which does not speak it", s.Endpoint)
 		}
 	}
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -10,13 +10,13 @@
 
 // testSettings is a plain site of two classes, all capabilities allowed.
 func testSettings() Settings {
-	return Settings{Peers: 2, OverShareWorth: 0.1, MaxAttempts: 3, MaxComeBack: 2 * sec, CanCancel: true,
-		SecondCopies: true, ReportsByAnswer: true, GrantsCount: true, PriorityCount: true, MaxGrantShare: 0.5,
-		ColdFrom: 0.3, ColdFor: 10 * sec, FallMultiple: 2, FallFor: 2 * sec, DrainGrace: sec, AnswerSlack: 20000,
+	return Settings{Peers: 2, OverQuotaWeight: 0.1, MaxAttempts: 3, MaxRetryAfter: 2 * sec, CanCancel: true,
+		AllowHedging: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
+		SlowStartFloor: 0.3, SlowStartDuration: 10 * sec, OverloadMultiple: 2, OverloadDuration: 2 * sec, DrainGrace: sec, AnswerSlack: 20000,
 		Kinds: []Kind{{Cores: 8, MemoryMB: 16000}},
 		Classes: []Class{
-			{Name: "light", Worth: 1, Aim: sec, AimStretch: 2, Deadline: 4 * sec, Threads: 1},
-			{Name: "heavy", Worth: 10, LateWorth: 0.4, Aim: 3 * sec, AimStretch: 2, Deadline: 15 * sec, Threads: 4},
+			{Name: "light", PriorityWeight: 1, LatencyObjective: sec, ObjectiveStretch: 2, Deadline: 4 * sec, Threads: 1},
+			{Name: "heavy", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3 * sec, ObjectiveStretch: 2, Deadline: 15 * sec, Threads: 4},
 		}}
 }
 
@@ -35,11 +35,11 @@
 		t.Fatal(err)
 	}
 	b := &bench{t: t, g: g, now: 100 * sec}
-	var rows []Engine
+	var rows []Endpoint
 	for i := range engines {
-		rows = append(rows, Engine{ID: fmt.Sprintf("e%d", i), Cell: i / 2})
+		rows = append(rows, Endpoint{ID: fmt.Sprintf("e%d", i), PlacementGroup: i / 2})
 	}
-	b.step(Engines{Whole: true, Rows: rows})
+	b.step(EndpointUpdate{Complete: true, Endpoints: rows})
 	return b
 }
 
@@ -49,7 +49,7 @@
 	b.ids++
 	c := b.g.set.Classes[class]
 	return Request{ID: fmt.Sprintf("q%d", b.ids), Class: class, Cost: 100000 * Micros(1+class*29), MemoryMB: 100,
-		Due: b.now + c.Deadline}
+		Deadline: b.now + c.Deadline}
 }
 
 // until steps on, a tick at a time, and returns every action on the way.
@@ -79,9 +79,9 @@
 		t.Fatalf("want one send of %s, got %v", q.ID, acts)
 	}
 	b.now += 100000
-	b.step(Outcome{ID: q.ID, Engine: sends[0].Engine, Code: OK, Over: true, Took: 100000})
+	b.step(AttemptResult{ID: q.ID, Endpoint: sends[0].Endpoint, Code: OK, Final: true, Latency: 100000})
 	rest := b.until(b.now + 5*sec)
-	if n := len(only[Send](rest)) + len(only[Fail](rest)) + len(only[Refuse](rest)); n != 0 {
+	if n := len(only[Send](rest)) + len(only[Fail](rest)) + len(only[Shed](rest)); n != 0 {
 		t.Fatalf("%d actions after the final answer", n)
 	}
 }
@@ -95,8 +95,8 @@
 			all = append(all, acts...)
 			for _, s := range only[Send](acts) {
 				if i%3 > 0 {
-					all = append(all, b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: i%3 == 1,
-						Code: Code(i % 3 * 2 % 3), Took: 5000})...)
+					all = append(all, b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: i%3 == 1,
+						Code: Code(i % 3 * 2 % 3), Latency: 5000})...)
 				}
 			}
 			if between != nil {
@@ -118,20 +118,20 @@
 	var out Send
 	for i := range 100 {
 		b.now += sec
-		b.step(Engines{Whole: true, Rows: []Engine{{ID: fmt.Sprintf("new%d", i)}}})
+		b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprintf("new%d", i)}}})
 		for _, s := range only[Send](b.step(b.request(0))) {
 			if i == 50 {
 				out = s
 				continue
 			}
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
-	if out.Engine == "" || len(b.g.byID) != 2 || len(b.g.byKey) != 2 || b.g.byID[out.Engine] == nil {
-		t.Errorf("%d engines on the books, want the one in the list and %q", len(b.g.byID), out.Engine)
+	if out.Endpoint == "" || len(b.g.byID) != 2 || len(b.g.byKey) != 2 || b.g.byID[out.Endpoint] == nil {
+		t.Errorf("%d engines on the books, want the one in the list and %q", len(b.g.byID), out.Endpoint)
 	}
-	b.step(Outcome{ID: out.ID, Engine: out.Engine, Over: true, Took: 100000})
-	if b.step(Engines{Whole: true, Rows: []Engine{{ID: "last"}}}); len(b.g.byID) != 1 {
+	b.step(AttemptResult{ID: out.ID, Endpoint: out.Endpoint, Final: true, Latency: 100000})
+	if b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "last"}}}); len(b.g.byID) != 1 {
 		t.Errorf("%d engines on the books at last", len(b.g.byID))
 	}
 }
@@ -141,12 +141,12 @@
 func TestTakenRequestsAreForgotten(t *testing.T) {
 	for _, span := range []Micros{0, 5 * sec} {
 		s := testSettings()
-		s.BudgetSpan, s.BudgetFree, s.BudgetShare = span, 5, 0.2
+		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = span, 5, 0.2
 		b := newBench(t, s, 2)
 		for range 5000 {
 			b.now += 10000
 			for _, s := range only[Send](b.step(b.request(0))) {
-				b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
 		if most := int(span/10000) + 200; len(b.g.taken) > most {
--- a/policy/door_test.go
+++ b/policy/door_test.go
@@ -11,13 +11,13 @@
 		gaveUp bool
 	}{{"room at the door", 1000, false}, {"nearly full", 40, true}, {"no limit", 0, false}} {
 		s := loadSettings()
-		s.MaxHeld = c.most
+		s.MaxInFlight = c.most
 		b := newBench(t, s, 1)
 		for range 200 { // what is served earns 1 in a tenth of a second
 			b.now += 100000
 			for _, s := range only[Send](b.step(b.request(0))) {
 				b.now += 100000
-				b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
 		var loads []string
@@ -26,12 +26,12 @@
 			loads = append(loads, q.ID)
 			b.step(q)
 		}
-		refused := only[Refuse](b.until(b.now + 2*sec))
+		refused := only[Shed](b.until(b.now + 2*sec))
 		if (len(refused) > 0) != c.gaveUp {
 			t.Errorf("%s: %d of %d loads given up within 2 s", c.name, len(refused), len(loads))
 		}
 		for _, r := range refused {
-			if r.ComeBack <= 0 {
+			if r.RetryAfter <= 0 {
 				t.Errorf("%s: no time to come back", c.name)
 			}
 		}
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -8,7 +8,7 @@
 // An engine that fails at once looks idle; it must get a trickle only, and be
 // trusted again after it mends. The same holds for one that turns all away.
 func TestFastFailuresDoNotAttract(t *testing.T) {
-	for _, code := range []Code{Failed, Full, Refused, Reset} {
+	for _, code := range []Code{Failed, Rejected, ConnectionRefused, ConnectionReset} {
 		b := newBench(t, testSettings(), 4)
 		bad, tries := 0, map[string]int{}
 		play := func(steps int, broken bool) (toBad, all int) {
@@ -16,12 +16,12 @@
 				b.now += 20000
 				for _, s := range only[Send](b.step(b.request(0))) {
 					all++
-					o := Outcome{ID: s.ID, Attempt: tries[s.ID], Engine: s.Engine, Over: true, Took: 100000}
+					o := AttemptResult{ID: s.ID, Attempt: tries[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
 					tries[s.ID]++
-					if s.Engine == "e0" {
+					if s.Endpoint == "e0" {
 						toBad++
 						if broken {
-							o.Code, o.Over, o.Took = code, false, 500
+							o.Code, o.Final, o.Latency = code, false, 500
 						}
 					}
 					b.step(o)
@@ -50,11 +50,11 @@
 		b.now += 20000
 		acts := b.step(b.request(0))
 		for _, c := range only[Cancel](acts) {
-			acts = append(acts, b.step(Outcome{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})...)
+			acts = append(acts, b.step(AttemptResult{ID: c.ID, Attempt: c.Attempt, Code: Cancelled})...)
 		}
 		for _, s := range only[Send](acts) {
-			if s.Engine != "e0" {
-				b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+			if s.Endpoint != "e0" {
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			} else if i > 200 {
 				late++
 			}
@@ -104,7 +104,7 @@
 	b := newBench(t, testSettings(), 2)
 	s := only[Send](b.step(b.request(0)))[0]
 	b.now += 20000
-	b.step(Progress{ID: s.ID, Engine: s.Engine, Kind: ShareDone, Value: 1})
+	b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: FractionDone, Value: 1})
 	for _, e := range b.g.engines {
 		e.heard = b.now + 1 // answers of others keep coming
 	}
@@ -141,11 +141,11 @@
 		for range 50 {
 			b.now += 50000
 			for _, s := range only[Send](b.step(b.request(0))) {
-				b.step(Progress{ID: s.ID, Engine: s.Engine, Kind: ShareDone, Value: 0.5})
+				b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: FractionDone, Value: 0.5})
 				if spill {
-					b.step(Progress{ID: s.ID, Engine: s.Engine, Kind: Spills, Value: 10})
+					b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: MemorySpilled, Value: 10})
 				}
-				b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
 		if after := b.g.classes[0].margin; (after > before) != spill {
@@ -157,18 +157,18 @@
 // Gateways that talk share an engine's room; words that stop are forgotten.
 func TestPeersShareRoomAndAreForgotten(t *testing.T) {
 	s := testSettings()
-	s.CanTell = true
+	s.CanGossip = true
 	a, b := newBench(t, s, 1), newBench(t, s, 1)
-	a.g.set.Me, b.g.set.Me = 0, 1
+	a.g.set.PeerIndex, b.g.set.PeerIndex = 0, 1
 	for range 40 {
 		a.step(a.request(1))
 	}
-	told := only[Tell](a.until(a.now + sec))
+	told := only[SendGossip](a.until(a.now + sec))
 	if len(told) == 0 || len(told[0].Data) > 256 {
 		t.Fatalf("messages %v", told)
 	}
 	b.now = a.now
-	b.step(Heard{From: 0, Data: told[len(told)-1].Data})
+	b.step(GossipReceived{From: 0, Data: told[len(told)-1].Data})
 	there := a.g.engines[0].threads // one query may have gone out since the message
 	if threads, _ := b.g.others(b.g.engines[0]); threads < there-4 || threads > there || threads == 0 {
 		t.Fatalf("heard of %v threads, there are %v", threads, there)
@@ -182,21 +182,21 @@
 // A load holds its group on its engine: queries that wait for it go elsewhere.
 func TestWaitingClassesAvoidLoads(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].Waits, s.Classes[1].Loads, s.Classes[1].Threads = true, true, 1
+	s.Classes[0].WaitsForTables, s.Classes[1].LocksTables, s.Classes[1].Threads = true, true, 1
 	b := newBench(t, s, 4)
 	load := b.request(1)
-	load.Tables = 9
-	at := only[Send](b.step(load))[0].Engine
+	load.TableGroup = 9
+	at := only[Send](b.step(load))[0].Endpoint
 	there := 0
 	for range 12 {
 		b.now += 1000
 		q := b.request(0)
-		q.Tables = 9
+		q.TableGroup = 9
 		for _, s := range only[Send](b.step(q)) {
-			if s.Engine == at {
+			if s.Endpoint == at {
 				there++
 			}
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
 	if there > 3 {
@@ -211,7 +211,7 @@
 	b := newBench(t, set, 1)
 	q := b.request(0)
 	s := only[Send](b.step(q))[0]
-	b.step(Outcome{ID: q.ID, Engine: s.Engine, Over: true, Took: 100000, Load: &Load{Util: 0.2, InFlight: 40}})
+	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000, Load: &Load{Util: 0.2, InFlight: 40}})
 	b.now += 1000
 	if n := len(only[Send](b.step(b.request(1), b.request(1)))); n > 1 {
 		t.Fatalf("%d heavy queries sent to an engine that holds 40", n)
@@ -224,7 +224,7 @@
 	q := b.request(0)
 	q.Cost = 3600 * sec
 	acts := b.step(q)
-	if len(only[Refuse](acts)) != 1 {
+	if len(only[Shed](acts)) != 1 {
 		t.Fatalf("want a refusal at once, got %v", acts)
 	}
 }
--- a/policy/lane_test.go
+++ b/policy/lane_test.go
@@ -5,9 +5,9 @@
 // loadSettings is testSettings with a class that loads groups of tables, which the light class waits for.
 func loadSettings() Settings {
 	s := testSettings()
-	s.Classes[0].Waits = true
-	s.Classes = append(s.Classes, Class{Name: "load", Worth: 5, LateWorth: 0.6, Aim: 3 * sec, AimStretch: 3, Deadline: 25 * sec,
-		Threads: 2, Effect: Keyed, Window: 15 * sec, Loads: true})
+	s.Classes[0].WaitsForTables = true
+	s.Classes = append(s.Classes, Class{Name: "load", PriorityWeight: 5, LateWeight: 0.6, LatencyObjective: 3 * sec, ObjectiveStretch: 3, Deadline: 25 * sec,
+		Threads: 2, Effect: IdempotentByKey, DedupWindow: 15 * sec, LocksTables: true})
 	return s
 }
 
@@ -27,14 +27,14 @@
 		for len(loads) > 0 && loads[0].till <= b.now {
 			s := loads[0].s
 			loads = loads[1:]
-			for _, next := range only[Send](b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 500000})) {
+			for _, next := range only[Send](b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 500000})) {
 				loads = append(loads, out{next, b.now + sec/2})
 			}
 		}
 		q := b.request(0)
-		if q.Tables = tables; i%20 == 0 {
+		if q.TableGroup = tables; i%20 == 0 {
 			q = b.request(2)
-			q.Tables = tables
+			q.TableGroup = tables
 		}
 		for _, s := range only[Send](b.step(q)) {
 			if i%20 == 0 {
@@ -43,17 +43,17 @@
 			}
 			lookups++
 			for _, l := range loads {
-				if l.s.Engine == s.Engine {
+				if l.s.Endpoint == s.Endpoint {
 					stood++
 				}
 			}
 			b.now += 1000
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 		held := map[string]int{}
 		for _, l := range loads {
-			if held[l.s.Engine]++; held[l.s.Engine] > 1 {
-				t.Fatalf("two loads of one group on %s", l.s.Engine)
+			if held[l.s.Endpoint]++; held[l.s.Endpoint] > 1 {
+				t.Fatalf("two loads of one group on %s", l.s.Endpoint)
 			}
 		}
 		most = max(most, len(held))
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -10,52 +10,52 @@
 
 // Learned is what a gateway knows beside what is open: of its classes, of the fleet as a whole and of single engines.
 type Learned struct {
-	Version int             `json:"Version"`
-	Classes []LearnedClass  `json:"Classes"`
-	Fleet   LearnedFleet    `json:"Fleet"`
-	Engines []LearnedEngine `json:"Engines"` // in the order of the list
+	Version   int               `json:"Version"`
+	Classes   []LearnedClass    `json:"Classes"`
+	Fleet     LearnedFleet      `json:"Fleet"`
+	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the list
 }
 
 // Running is a mean or rank with the count behind it.
 type Running struct {
-	V float64 `json:"V"`
-	N float64 `json:"N"`
+	Value float64 `json:"V"`
+	Count float64 `json:"N"`
 }
 
 // LearnedClass is what was learned of one class.
 type LearnedClass struct {
-	Name   string          `json:"Name"`
-	Mean   Running         `json:"Mean"`
-	Heft   Running         `json:"Heft"`
-	Asked  Running         `json:"Asked"`
-	Ratio  Running         `json:"Ratio"`
-	Memory Running         `json:"Memory"`
-	Taken  float64         `json:"Taken"`
-	Stray  float64         `json:"Stray"`
-	StrayN float64         `json:"StrayN"`
-	Margin float64         `json:"Margin"`
-	Fit    [5]float64      `json:"Fit"`
-	Price  [levels]float64 `json:"Price"`
-	Wait   [levels]float64 `json:"Wait"`
+	Name            string          `json:"Name"`
+	Mean            Running         `json:"Mean"`
+	UsualWork       Running         `json:"Heft"`
+	EstimateMedian  Running         `json:"Asked"`
+	Ratio           Running         `json:"Ratio"`
+	Memory          Running         `json:"Memory"`
+	Received        float64         `json:"Taken"`
+	Dispersion      float64         `json:"Stray"`
+	DispersionCount float64         `json:"StrayN"`
+	Margin          float64         `json:"Margin"`
+	Fit             [5]float64      `json:"Fit"`
+	Price           [levels]float64 `json:"Price"`
+	QueueWait       [levels]float64 `json:"Wait"`
 }
 
 // LearnedFleet is what was learned of all engines together and of own traffic.
 type LearnedFleet struct {
-	Stretch  [2]float64 `json:"Stretch"`
-	Threads  float64    `json:"Threads"`
-	Rate     float64    `json:"Rate"`
-	MeanRate float64    `json:"MeanRate"`
-	MB       float64    `json:"MB"`
-	Sent     Running    `json:"Sent"`
-	Took     Running    `json:"Took"`
-	Cost     Running    `json:"Cost"`
-	Crowd    Running    `json:"Crowd"`
-	Room     float64    `json:"Room"`
-	Open     float64    `json:"Open"`
+	WarmthInflation [2]float64 `json:"Stretch"`
+	Threads         float64    `json:"Threads"`
+	Rate            float64    `json:"Rate"`
+	MeanRate        float64    `json:"MeanRate"`
+	GrantMB         float64    `json:"MB"`
+	SentThreads     Running    `json:"Sent"`
+	Latency         Running    `json:"Took"`
+	Cost            Running    `json:"Cost"`
+	Inflation       Running    `json:"Crowd"`
+	Capacity        float64    `json:"Room"`
+	InFlight        float64    `json:"Open"`
 }
 
-// LearnedEngine is what was learned of one engine in its present life.
-type LearnedEngine struct {
+// LearnedEndpoint is what was learned of one engine in its present life.
+type LearnedEndpoint struct {
 	ID      string  `json:"ID"`
 	Started Micros  `json:"Started"`
 	Slow    float64 `json:"Slow"`
@@ -66,53 +66,53 @@
 func (g *Gateway) Learned() Learned {
 	run := func(a average) Running { return Running{a.v, a.n} }
 	rank := func(q quantile) Running { return Running{q.v, q.n} }
-	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{Stretch: g.stretch, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
-		MB: g.meanMB, Sent: run(g.meanSent), Took: run(g.meanTook), Cost: run(g.meanCost), Crowd: rank(g.crowd), Room: g.room, Open: g.meanOpen}}
+	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.stretch, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
+		GrantMB: g.meanMB, SentThreads: run(g.meanSent), Latency: run(g.meanTook), Cost: run(g.meanCost), Inflation: rank(g.crowd), Capacity: g.room, InFlight: g.meanOpen}}
 	for i := range g.classes {
 		c := &g.classes[i]
-		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.mean), Heft: run(c.heft), Asked: rank(c.asked), Ratio: rank(c.ratio),
-			Memory: rank(c.memory), Taken: c.taken, Stray: c.stray, StrayN: c.strayN, Margin: c.margin,
-			Fit: [5]float64{c.fit.n, c.fit.x, c.fit.y, c.fit.xx, c.fit.xy}, Price: c.price, Wait: c.wait})
+		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.mean), UsualWork: run(c.heft), EstimateMedian: rank(c.asked), Ratio: rank(c.ratio),
+			Memory: rank(c.memory), Received: c.taken, Dispersion: c.stray, DispersionCount: c.strayN, Margin: c.margin,
+			Fit: [5]float64{c.fit.n, c.fit.x, c.fit.y, c.fit.xx, c.fit.xy}, Price: c.price, QueueWait: c.wait})
 	}
 	for _, e := range g.engines {
-		l.Engines = append(l.Engines, LearnedEngine{e.ID, e.Started, e.slow, e.faults})
+		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.slow, e.faults})
 	}
 	return l
 }
 
-// Recall takes in what another gateway has learned: of classes of the same name always; prices and waits, the fleet's state
+// Restore takes in what another gateway has learned: of classes of the same name always; prices and waits, the fleet's state
 // and single engines' where fresh says that they still hold. It must come before the first Step.
-func (g *Gateway) Recall(l Learned, fresh bool) error {
+func (g *Gateway) Restore(l Learned, fresh bool) error {
 	if g.begun || g.now != 0 {
 		return fmt.Errorf("policy: what was learned must be recalled before the first step")
 	}
 	if l.Version != LearnedVersion {
 		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
-	run := func(r Running) average { return average{v: r.V, n: r.N} }
-	rank := func(r Running) quantile { return quantile{r.V, r.N} }
+	run := func(r Running) average { return average{v: r.Value, n: r.Count} }
+	rank := func(r Running) quantile { return quantile{r.Value, r.Count} }
 	for _, k := range l.Classes {
 		for i := range g.classes {
 			c := &g.classes[i]
 			if c.Name != k.Name {
 				continue
 			}
-			c.mean, c.heft, c.asked, c.ratio, c.memory = run(k.Mean), run(k.Heft), rank(k.Asked), rank(k.Ratio), rank(k.Memory)
-			c.taken, c.stray, c.strayN, c.margin = k.Taken, k.Stray, k.StrayN, k.Margin
+			c.mean, c.heft, c.asked, c.ratio, c.memory = run(k.Mean), run(k.UsualWork), rank(k.EstimateMedian), rank(k.Ratio), rank(k.Memory)
+			c.taken, c.stray, c.strayN, c.margin = k.Received, k.Dispersion, k.DispersionCount, k.Margin
 			c.fit = fit{k.Fit[0], k.Fit[1], k.Fit[2], k.Fit[3], k.Fit[4]}
 			if fresh {
-				c.price, c.wait = k.Price, k.Wait
+				c.price, c.wait = k.Price, k.QueueWait
 			}
 		}
 	}
 	f := l.Fleet
-	g.stretch, g.meanThreads, g.meanSent, g.meanTook, g.meanCost, g.meanMB = f.Stretch, f.Threads, run(f.Sent), run(f.Took), run(f.Cost), f.MB
+	g.stretch, g.meanThreads, g.meanSent, g.meanTook, g.meanCost, g.meanMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
 	if !fresh {
 		return nil
 	}
-	g.rate, g.meanRate, g.crowd, g.room, g.meanOpen = f.Rate, f.MeanRate, rank(f.Crowd), f.Room, f.Open
-	g.recalled = map[string]LearnedEngine{}
-	for _, e := range l.Engines {
+	g.rate, g.meanRate, g.crowd, g.room, g.meanOpen = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
+	g.recalled = map[string]LearnedEndpoint{}
+	for _, e := range l.Endpoints {
 		g.recalled[e.ID] = e
 	}
 	return nil
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -14,10 +14,10 @@
 		b.now += 20000
 		for _, s := range only[Send](b.step(b.request(i % 2))) {
 			took := Micros(80000)
-			if s.Engine == "e1" {
+			if s.Endpoint == "e1" {
 				took = 400000
 			}
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: took})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: took})
 		}
 	}
 	text, err := json.Marshal(b.g.Learned())
@@ -28,19 +28,19 @@
 	if err := json.Unmarshal(text, &l); err != nil || !reflect.DeepEqual(l, b.g.Learned()) {
 		t.Fatalf("read again it differs: %v", err)
 	}
-	begin := func(l Learned, fresh bool, rows ...Engine) *Gateway {
+	begin := func(l Learned, fresh bool, rows ...Endpoint) *Gateway {
 		t.Helper()
 		g, err := New(9, testSettings())
 		if err == nil {
-			err = g.Recall(l, fresh)
+			err = g.Restore(l, fresh)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Step(1, []Event{Engines{Whole: true, Rows: rows}})
+		g.Step(1, []Event{EndpointUpdate{Complete: true, Endpoints: rows}})
 		return g
 	}
-	rows := []Engine{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 5 * sec}}
+	rows := []Endpoint{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 5 * sec}}
 	warm, stale := begin(l, true, rows...), begin(l, false, rows...)
 	for _, g := range []*Gateway{warm, stale} {
 		if got := g.Learned().Classes[0]; got.Fit != l.Classes[0].Fit || got.Ratio != l.Classes[0].Ratio || got.Mean != l.Classes[0].Mean {
@@ -51,11 +51,11 @@
 	if slow == 0 || warm.byID["e1"].slow != slow || stale.byID["e1"].slow != 0 || warm.byID["e2"].slow != warm.crowd.v {
 		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.byID["e1"].slow, stale.byID["e1"].slow, warm.byID["e2"].slow)
 	}
-	if err := warm.Recall(l, true); err == nil {
+	if err := warm.Restore(l, true); err == nil {
 		t.Error("recalled after the first step")
 	}
 	l.Version++
-	if g, _ := New(9, testSettings()); g.Recall(l, true) == nil {
+	if g, _ := New(9, testSettings()); g.Restore(l, true) == nil {
 		t.Error("another version was taken")
 	}
 }
--- a/policy/network_test.go
+++ b/policy/network_test.go
@@ -23,9 +23,9 @@
 		for len(open) > 0 && open[0].till <= b.now {
 			s := open[0].s
 			open = open[1:]
-			o := Outcome{ID: s.ID, Attempt: tries[s.ID], Engine: s.Engine, Over: true, Took: 100000}
+			o := AttemptResult{ID: s.ID, Attempt: tries[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
 			if tries[s.ID]++; chance.Float64() < 0.2 {
-				o.Code, o.Over = Reset, false
+				o.Code, o.Final = ConnectionReset, false
 			}
 			sends = append(sends, only[Send](b.step(o))...)
 		}
@@ -33,7 +33,7 @@
 			open = append(open, out{s, b.now + 100000})
 		}
 		for _, e := range b.g.engines {
-			if looks++; e.coldSince > 0 && b.now-e.coldSince < b.g.set.ColdFor {
+			if looks++; e.coldSince > 0 && b.now-e.coldSince < b.g.set.SlowStartDuration {
 				cold++
 			}
 			if e.suspect {
@@ -60,7 +60,7 @@
 	}
 	e := b.g.engines[0]
 	for _, s := range sends[:2] {
-		b.step(Outcome{ID: s.ID, Engine: s.Engine, Code: Reset})
+		b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: ConnectionReset})
 	}
 	if e.coldSince != b.now {
 		t.Fatal("two connections broken at once do not make it cold")
@@ -71,7 +71,7 @@
 	if e.lives(late); e.coldSince == 0 {
 		t.Error("an answer to what was sent since takes the cold away")
 	}
-	if b.step(Progress{ID: sends[2].ID, Engine: e.ID, Kind: ShareDone, Value: 0.1}); e.coldSince != 0 {
+	if b.step(Progress{ID: sends[2].ID, Endpoint: e.ID, Kind: FractionDone, Value: 0.1}); e.coldSince != 0 {
 		t.Error("a note on what was sent before leaves it cold")
 	}
 }
--- a/policy/pinned_test.go
+++ b/policy/pinned_test.go
@@ -8,7 +8,9 @@
 // A request whose state one engine holds goes there and nowhere else, while it drains too, as long as the grace allows;
 // where that engine cannot take it any more it is refused at once.
 func TestPinnedRequests(t *testing.T) {
-	drain := func(b *bench, id string, s EngineState) { b.step(Engines{Rows: []Engine{{ID: id, State: s}}}) }
+	drain := func(b *bench, id string, s EndpointState) {
+		b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: s}}})
+	}
 	cases := []struct {
 		name   string
 		before func(b *bench)
@@ -24,7 +26,7 @@
 			drain(b, "e2", Draining)
 			b.now += sec / 2
 		}, "e2", false},
-		{"gone", func(b *bench) { drain(b, "e2", Gone) }, "e2", false},
+		{"gone", func(b *bench) { drain(b, "e2", Removed) }, "e2", false},
 		{"never heard of", func(*bench) {}, "nobody", false},
 	}
 	for _, c := range cases {
@@ -33,17 +35,17 @@
 			c.before(b)
 			for range 20 {
 				q := b.request(0)
-				q.Only = c.only
+				q.StickyTo = c.only
 				acts := b.step(q)
-				sends, refused := only[Send](acts), only[Refuse](acts)
-				if c.sent && (len(sends) != 1 || sends[0].Engine != c.only) || !c.sent && (len(sends) > 0 || len(refused) != 1) {
+				sends, refused := only[Send](acts), only[Shed](acts)
+				if c.sent && (len(sends) != 1 || sends[0].Endpoint != c.only) || !c.sent && (len(sends) > 0 || len(refused) != 1) {
 					t.Fatalf("%v", acts)
 				}
 				for _, s := range sends {
-					b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+					b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 				}
 			}
-			if sends := only[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Engine == "e2" && c.only == "e2" {
+			if sends := only[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Endpoint == "e2" && c.only == "e2" {
 				t.Errorf("one without state: %v", sends)
 			}
 		})
@@ -55,16 +57,16 @@
 	b := newBench(t, testSettings(), 2)
 	for i := range 400 { // far more than e0 bears
 		q := b.request(0)
-		q.ID, q.Only = fmt.Sprintf("pinned%d", i), "e0"
+		q.ID, q.StickyTo = fmt.Sprintf("pinned%d", i), "e0"
 		b.step(q)
 	}
 	sent := 0
 	for range 20 {
 		b.now += 1000
 		for _, s := range only[Send](b.step(b.request(0))) {
-			if s.Engine == "e1" {
+			if s.Endpoint == "e1" {
 				sent++
-				b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 1000})
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
 			}
 		}
 	}
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -110,7 +110,7 @@
 		part: 1 / float64(s.Peers), room: threadsACore}
 	g.tellTo = g.rng.IntN(s.Peers)
 	margin := math.Log(grantMargin)
-	if s.ProgressEvery == 0 {
+	if s.ProgressInterval == 0 {
 		margin = math.Log(blindMargin)
 	}
 	g.begin(margin)
@@ -131,7 +131,7 @@
 			after = Micros(priceEvery * micros)
 		}
 		g.wakeAt = now + after
-		g.do(Wake{After: after})
+		g.do(SetTimer{After: after})
 	}
 	if now >= g.pumpAt {
 		g.pump()
@@ -161,10 +161,10 @@
 	c.heft.add(max(q.est, c.fit.at(float64(r.Cost)/micros, c.asked.v, 1, 1)), meanStep)
 	g.meanCost.add(q.est, meanStep)
 	q.worth = g.worthOf(q)
-	q.aim = g.now + c.Aim + Micros(c.AimStretch*q.est/c.threads*micros)
+	q.aim = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.est/c.threads*micros)
 	g.askCredit = min(askMost, g.askCredit+askShare*min(1, max(askFloor, g.all.busy*g.all.busy)))
 	g.join(q)
-	if q.Only != "" && g.hopeless(q) {
+	if q.StickyTo != "" && g.hopeless(q) {
 		g.giveUp(q)
 		return
 	}
@@ -197,7 +197,7 @@
 	if c.mean.v > 0 {
 		return c.mean.v
 	}
-	return max(float64(c.Aim), 1) / micros / 4 * c.threads
+	return max(float64(c.LatencyObjective), 1) / micros / 4 * c.threads
 }
 
 // service is the learned time of a query, alone and at the usual crowd.
@@ -206,8 +206,8 @@
 // worthOf is what serving the request in time earns. A tenant beyond its share
 // earns less; which of its requests are beyond is not known, so all share it.
 func (g *Gateway) worthOf(q *request) float64 {
-	w := q.class.Worth
-	if g.set.CountByWork {
+	w := q.class.PriorityWeight
+	if g.set.WeightByWork {
 		w *= q.est / q.class.typical()
 	}
 	if q.Tenant < 0 || q.Tenant >= len(g.tenants) {
@@ -222,7 +222,7 @@
 		return w
 	}
 	inside := t.allowance / rate
-	return w * (inside + (1-inside)*g.set.OverShareWorth)
+	return w * (inside + (1-inside)*g.set.OverQuotaWeight)
 }
 
 // cheapest finds the level of least delay cost plus toll, and the net worth there.
@@ -235,7 +235,7 @@
 	for k := range levels {
 		tau := c.wait[k] + c.service(q.est)
 		cost := (c.delayCost()+g.door)*tau + c.price[k]*scale
-		if tau > float64(q.Due-g.now)/micros { // clients that come late or leave early: it would earn nothing
+		if tau > float64(q.Deadline-g.now)/micros { // clients that come late or leave early: it would earn nothing
 			cost += q.worth
 		}
 		if cost < best || cost == best && k == plain {
@@ -248,7 +248,7 @@
 // passes is the free-core pass.
 func (g *Gateway) passes(q *request, e *engine) bool {
 	tau := q.class.wait[q.level] + q.class.service(q.est)
-	if tau > float64(q.Due-g.now)/micros || q.est > passTimes*q.class.typical() || q.worth < g.door*tau {
+	if tau > float64(q.Deadline-g.now)/micros || q.est > passTimes*q.class.typical() || q.worth < g.door*tau {
 		return false
 	}
 	return g.ownThreads()+q.class.threads <= g.shareCores() || e != nil && g.util(e) < passUtil
@@ -358,7 +358,7 @@
 		if g.since(max(e.loadAt, e.probeAt)) > askStale {
 			e.probeAt, e.asked = g.now, true
 			g.askCredit--
-			g.do(Probe{Engine: e.ID})
+			g.do(HealthCheck{Endpoint: e.ID})
 		}
 	}
 }
@@ -370,13 +370,13 @@
 		need = askLight
 	}
 	stale := g.since(max(e.loadAt, e.probeAt)) > askStale
-	return g.set.CanProbe && len(q.attempts) == 0 && g.askCredit >= need && stale
+	return g.set.CanHealthCheck && len(q.attempts) == 0 && g.askCredit >= need && stale
 }
 
 // trusted keeps suspect engines to a trickle of light repeatable queries, unless most look bad.
 func (g *Gateway) trusted(q *request, e *engine) bool {
 	return !e.suspect || g.all.trusted*2 < len(g.engines) ||
-		g.now >= e.trickleAt && len(q.attempts) == 0 && q.class.Effect != Unsafe && q.est <= g.meanCost.v
+		g.now >= e.trickleAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.est <= g.meanCost.v
 }
 
 // weight is an engine's weight in the draw.
@@ -385,13 +385,13 @@
 	if e.Zone == g.set.Zone {
 		w *= homeZone
 	}
-	if slices.Contains(e.warm, q.Tables) {
+	if slices.Contains(e.warm, q.TableGroup) {
 		w *= math.Exp(warmSharp * max(0, g.stretch[0]-g.stretch[1]-warmSlack))
 	}
-	if (q.class.Waits || q.class.Loads) && g.loading(e, q.Tables) {
+	if (q.class.WaitsForTables || q.class.LocksTables) && g.loading(e, q.TableGroup) {
 		w *= heldTables * heldTables
 	}
-	if q.class.Waits && g.lane(q.Tables, e) {
+	if q.class.WaitsForTables && g.lane(q.TableGroup, e) {
 		w *= heldTables
 	}
 	for _, a := range q.attempts { // another try goes elsewhere if it can
@@ -420,7 +420,7 @@
 // ownLoad tells that a load of ours holds a group on an engine, or stands there for it.
 func (e *engine) ownLoad(tables int64) bool {
 	return slices.ContainsFunc(e.open, func(a *attempt) bool {
-		return a.q.class.Loads && a.q.Tables == tables
+		return a.q.class.LocksTables && a.q.TableGroup == tables
 	})
 }
 
@@ -428,8 +428,8 @@
 // are served earn a second when as many are held as may be. It guards against queries that stand still and
 // keep others out.
 func (g *Gateway) doorPrice(held int) float64 {
-	full := float64(held)/max(float64(g.set.MaxHeld), 1) - doorFree
-	if g.set.MaxHeld == 0 || full <= 0 || g.meanStay.v <= 0 {
+	full := float64(held)/max(float64(g.set.MaxInFlight), 1) - doorFree
+	if g.set.MaxInFlight == 0 || full <= 0 || g.meanStay.v <= 0 {
 		return 0
 	}
 	return min(1, full/(1-doorFree)) * g.meanEarned.v / g.meanStay.v
@@ -445,7 +445,7 @@
 // earns is what an answer at a time is worth.
 func (g *Gateway) earns(q *request, at Micros) float64 {
 	if at > q.aim {
-		return q.worth * q.class.LateWorth
+		return q.worth * q.class.LateWeight
 	}
 	return q.worth
 }
@@ -453,16 +453,16 @@
 // allowed keeps placement, drains, the protocol and the groups of keyed requests.
 func (g *Gateway) allowed(q *request, e *engine) bool {
 	c := q.class
-	if q.Only != "" && q.Only != e.ID || q.Protocol&^e.Speaks != 0 ||
-		e.State != Healthy && (q.Only == "" || e.State != Draining || g.now >= e.drainBy) ||
+	if q.StickyTo != "" && q.StickyTo != e.ID || q.Protocol&^e.Protocols != 0 ||
+		e.State != Healthy && (q.StickyTo == "" || e.State != Draining || g.now >= e.drainBy) ||
 		c.Zones != nil && !slices.Contains(c.Zones, e.Zone) ||
 		c.Kinds != nil && !slices.Contains(c.Kinds, e.Kind) {
 		return false
 	}
-	if c.Effect != Keyed || q.ran == nil || c.Group == GroupAll {
+	if c.Effect != IdempotentByKey || q.ran == nil || c.DedupScope == DedupFleet {
 		return true
 	}
-	return c.Group == GroupZone && e.Zone == q.ran.e.Zone || c.Group == GroupCell && e.Cell == q.ran.e.Cell
+	return c.DedupScope == DedupZone && e.Zone == q.ran.e.Zone || c.DedupScope == DedupPlacementGroup && e.PlacementGroup == q.ran.e.PlacementGroup
 }
 
 // hasRoom keeps an engine below the crowd at which all work there slows. A gateway claims
@@ -470,7 +470,7 @@
 // where that is less than one query: all that talk hear of the same room, and would fill it.
 func (g *Gateway) hasRoom(q *request, e *engine) bool {
 	room := g.room * e.cores * g.speed(e)
-	if q.class.Loads && (!g.lane(q.Tables, e) || e.ownLoad(q.Tables)) { // the next would stand behind it
+	if q.class.LocksTables && (!g.lane(q.TableGroup, e) || e.ownLoad(q.TableGroup)) { // the next would stand behind it
 		return false
 	}
 	switch {
@@ -499,7 +499,7 @@
 		}
 	}
 	granted += e.granted
-	short := g.set.Shortage != ShortSwap && e.memory > 0 && granted > 0 && granted+grant > memoryHigh*e.memory
+	short := g.set.Shortage != ShortageSwaps && e.memory > 0 && granted > 0 && granted+grant > memoryHigh*e.memory
 	return !short && (e.threads == 0 && threads < room || e.threads+threads+q.class.threads <= room)
 }
 
@@ -507,10 +507,10 @@
 // class that fills at our part of that rate, never above nothing, and starts by chance
 // below. So the sum over all gateways keeps to the rate, however small each one's part.
 func (g *Gateway) coldRoom(q *request, e *engine) bool {
-	if e.coldSince == 0 || g.set.ColdFor == 0 || g.set.FallMultiple == 0 {
+	if e.coldSince == 0 || g.set.SlowStartDuration == 0 || g.set.OverloadMultiple == 0 {
 		return true
 	}
-	if g.now-e.coldSince >= g.set.ColdFor {
+	if g.now-e.coldSince >= g.set.SlowStartDuration {
 		e.coldSince, e.cold = 0, nil
 		return true
 	}
@@ -530,15 +530,15 @@
 
 // coldRate is the work a second that a cold engine bears from all gateways.
 func (g *Gateway) coldRate(e *engine) float64 {
-	age := float64(g.now-e.coldSince) / float64(g.set.ColdFor)
-	share := g.set.ColdFrom + (1-g.set.ColdFrom)*max(age, 0)*coldStretch
-	return coldSpeed * g.set.FallMultiple * share * fullUtil * e.cores
+	age := float64(g.now-e.coldSince) / float64(g.set.SlowStartDuration)
+	share := g.set.SlowStartFloor + (1-g.set.SlowStartFloor)*max(age, 0)*coldStretch
+	return coldSpeed * g.set.OverloadMultiple * share * fullUtil * e.cores
 }
 
 // coldCharge is what a query counts there: chance brings heavy ones together now and then,
 // so the part of a window that one fills weighs as in Chernoff's bound.
 func (g *Gateway) coldCharge(c *class, rate float64) float64 {
-	window := rate * max(float64(g.set.FallFor), 1) / micros
+	window := rate * max(float64(g.set.OverloadDuration), 1) / micros
 	return window / coldTilt * math.Expm1(coldTilt*max(c.heft.v, c.typical())/window)
 }
 
@@ -548,14 +548,14 @@
 	if q.done || q.streamed || len(q.attempts) >= g.set.MaxAttempts {
 		return false
 	}
-	if c.InTurn && q.HasKey && !g.turns[q.Key].free(q, g.now) {
+	if c.Ordered && q.HasOrderKey && !g.turns[q.OrderKey].free(q, g.now) {
 		return false
 	}
 	if len(q.attempts) == 0 {
 		return true
 	}
-	if q.open > 0 && !g.set.SecondCopies || c.Effect == Unsafe && (q.open > 0 || q.ran != nil) ||
-		c.Effect == Keyed && q.ran != nil && g.now >= q.ran.sent+c.Window {
+	if q.open > 0 && !g.set.AllowHedging || c.Effect == NonIdempotent && (q.open > 0 || q.ran != nil) ||
+		c.Effect == IdempotentByKey && q.ran != nil && g.now >= q.ran.sent+c.DedupWindow {
 		return false
 	}
 	return g.inBudget()
@@ -564,13 +564,13 @@
 // inBudget tells whether one more further attempt is within the retry budget.
 func (g *Gateway) inBudget() bool {
 	s := &g.set
-	if s.BudgetSpan == 0 {
+	if s.RetryBudgetWindow == 0 {
 		return true
 	}
 	slack := Micros(wakeEvery * micros) // both ends of the span are read strictly
-	since := g.now - s.BudgetSpan
+	since := g.now - s.RetryBudgetWindow
 	g.taken, g.further = after(g.taken, since+slack), after(g.further, since-slack-1)
-	return float64(len(g.further)+1) <= s.BudgetFree+s.BudgetShare*float64(len(g.taken))
+	return float64(len(g.further)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.taken))
 }
 
 // send starts an attempt at the cheapest level.
@@ -579,7 +579,7 @@
 	g.unhold(q)
 	q.level, _ = g.cheapest(q)
 	a := &attempt{q: q, n: len(q.attempts), e: e, sent: g.now, level: q.level,
-		quiet: g.util(e) < passUtil, warm: slices.Contains(e.warm, q.Tables)}
+		quiet: g.util(e) < passUtil, warm: slices.Contains(e.warm, q.TableGroup)}
 	a.expect = c.service(q.est) / g.speed(e)
 	a.grant = g.grant(q, e)
 	g.enter(a)
@@ -589,13 +589,13 @@
 	if e.coldSince > 0 {
 		e.store(q.Class, len(g.classes)).left -= g.coldCharge(c, g.coldRate(e))
 	}
-	e.reads(q.Tables, warmKeep)
-	if g.set.GrantsCount || g.set.PriorityCount {
-		g.do(Terms{ID: q.ID, MemoryMB: a.grant, Priority: levels - 1 - q.level})
+	e.reads(q.TableGroup, warmKeep)
+	if g.set.HonorsGrants || g.set.HonorsPriority {
+		g.do(Resources{ID: q.ID, MemoryMB: a.grant, Priority: levels - 1 - q.level})
 	}
-	s := Send{ID: q.ID, Engine: e.ID, Timeout: max(q.Due-g.guard()-g.now, 1)}
-	if c.Effect == Keyed && q.ran != nil {
-		s.Before = q.ran.sent + c.Window
+	s := Send{ID: q.ID, Endpoint: e.ID, Timeout: max(q.Deadline-g.guard()-g.now, 1)}
+	if c.Effect == IdempotentByKey && q.ran != nil {
+		s.StartBefore = q.ran.sent + c.DedupWindow
 	}
 	g.do(s)
 }
@@ -605,7 +605,7 @@
 
 // grant is the memory for one attempt: estimate times learned need.
 func (g *Gateway) grant(q *request, e *engine) float64 {
-	if !g.set.GrantsCount { // the engine's own choice; it takes memory all the same
+	if !g.set.HonorsGrants { // the engine's own choice; it takes memory all the same
 		return engineGrant * q.MemoryMB
 	}
 	if q.MemoryMB <= 0 {
@@ -613,7 +613,7 @@
 	}
 	c := q.class
 	need := math.Exp(c.memory.v + c.fit.slope(firstSlope)*(math.Log(q.MemoryMB)-c.memory.v) + c.margin)
-	if g.set.Shortage == ShortSwap { // what passes the need is not lost to others
+	if g.set.Shortage == ShortageSwaps { // what passes the need is not lost to others
 		need *= swapMargin
 	}
 	if most := g.set.MaxGrantShare * e.memory; most > 0 {
@@ -632,14 +632,14 @@
 	for _, q := range g.byWorth() {
 		if g.hopeless(q) {
 			g.giveUp(q)
-		} else if full[q.Class] && q.Only == "" {
+		} else if full[q.Class] && q.StickyTo == "" {
 			continue
 		} else if !q.admitted {
 			g.admit(q)
 		} else if e := g.pick(q); e != nil {
 			g.send(q, e)
 		}
-		if q.Only == "" && !q.class.Loads { // a queue behind one engine, or for one group, holds nobody else
+		if q.StickyTo == "" && !q.class.LocksTables { // a queue behind one engine, or for one group, holds nobody else
 			full[q.Class] = q.held && g.mayStart(q) && !g.asking(q, askWait)
 		}
 	}
@@ -650,14 +650,14 @@
 	if q.open > 0 {
 		return false
 	}
-	if e := g.byID[q.Only]; q.Only != "" && (e == nil || !g.allowed(q, e)) { // nobody else has its state
+	if e := g.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.allowed(q, e)) { // nobody else has its state
 		return true
 	}
-	if len(q.attempts) >= g.set.MaxAttempts || q.class.Effect == Unsafe && q.ran != nil {
+	if len(q.attempts) >= g.set.MaxAttempts || q.class.Effect == NonIdempotent && q.ran != nil {
 		return true
 	}
-	end := q.Due - g.guard()
-	if q.class.LateWorth == 0 {
+	end := q.Deadline - g.guard()
+	if q.class.LateWeight == 0 {
 		end = min(end, q.aim)
 	}
 	return float64(end-g.now)/micros < q.class.service(q.est)
@@ -666,9 +666,9 @@
 // giveUp answers at once: refused where a client's retry is harmless, else failed.
 func (g *Gateway) giveUp(q *request) {
 	c := q.class
-	if c.Effect == Safe || q.ran == nil && q.open == 0 || c.Effect == Keyed && c.Group == GroupAll {
+	if c.Effect == Idempotent || q.ran == nil && q.open == 0 || c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
 		wait := max(c.wait[q.level], c.service(q.est)) // room may be free when one like it has ended
-		g.do(Refuse{ID: q.ID, ComeBack: min(Micros(wait*micros), g.set.MaxComeBack)})
+		g.do(Shed{ID: q.ID, RetryAfter: min(Micros(wait*micros), g.set.MaxRetryAfter)})
 	} else {
 		g.do(Fail{ID: q.ID})
 	}
@@ -676,7 +676,7 @@
 }
 
 // outcome closes an attempt, learns from it and decides what follows.
-func (g *Gateway) outcome(o Outcome) {
+func (g *Gateway) outcome(o AttemptResult) {
 	q := g.open[o.ID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].closed {
 		return
@@ -687,7 +687,7 @@
 		g.report(a.e, *o.Load, g.now)
 	}
 	g.judge(a, o)
-	if o.Over && !q.done {
+	if o.Final && !q.done {
 		g.end(q)
 	}
 	if q.done && q.open == 0 {
@@ -702,17 +702,17 @@
 }
 
 // judge learns from an outcome: class ratios, waits, the engine's health.
-func (g *Gateway) judge(a *attempt, o Outcome) {
+func (g *Gateway) judge(a *attempt, o AttemptResult) {
 	c, e, fault := a.q.class, a.e, 0.0
 	switch o.Code {
 	case OK:
 		e.trickleAt = g.now // the next trial may follow
-		took := max(float64(o.Took)/micros, 1e-4)
+		took := max(float64(o.Latency)/micros, 1e-4)
 		x := math.Log(took * c.threads / max(a.q.est, 1e-4))
 		c.strayed(x, slowClip, quantStep)
 		clipped, work := max(-slowClip, min(slowClip, x)), 0.0
-		if o.WorkUs > 0 { // it is told: the crowd is known apart from the estimate
-			work = float64(o.WorkUs) / micros
+		if o.WorkMicros > 0 { // it is told: the crowd is known apart from the estimate
+			work = float64(o.WorkMicros) / micros
 			clipped = max(-slowClip, min(slowClip, math.Log(took*c.threads/work)))
 		} else if a.quiet || c.fit.n < baseFirst {
 			work = a.q.est * math.Exp(min(clipped, crowdedPart*g.slack))
@@ -734,23 +734,23 @@
 		}
 		c.wait[a.level] += (wait - c.wait[a.level]) * waitStep
 		c.refreshed[a.level] = true
-	case Full, Failed, Refused, Reset: // turned away is as quick as a fault
+	case Rejected, Failed, ConnectionRefused, ConnectionReset: // turned away is as quick as a fault
 		fault = 1
 	default:
 		return
 	}
 	e.heard, e.unanswered, e.lastFault = g.now, 0, fault > 0
-	if o.Code != Refused && o.Code != Reset {
+	if o.Code != ConnectionRefused && o.Code != ConnectionReset {
 		e.lives(a)
 	}
 	// It may come back cold, before the list tells. One broken connection alone may be an answer lost.
-	if o.Code == Refused || o.Code == Reset && g.since(e.resetAt) < wakeEvery {
+	if o.Code == ConnectionRefused || o.Code == ConnectionReset && g.since(e.resetAt) < wakeEvery {
 		if e.guessed == 0 {
 			e.coldWas = e.coldSince
 		}
 		e.coldSince, e.guessed = g.now, g.now
 	}
-	if o.Code == Reset {
+	if o.Code == ConnectionReset {
 		e.resetAt = g.now
 	}
 	e.faults += (fault - e.faults) * faultStep
@@ -785,8 +785,8 @@
 }
 
 // probed takes a probe's report; what waited for it is chosen at once.
-func (g *Gateway) probed(p Probed) {
-	e := g.byID[p.Engine]
+func (g *Gateway) probed(p HealthCheckResult) {
+	e := g.byID[p.Endpoint]
 	if e == nil {
 		return
 	}
@@ -803,13 +803,13 @@
 	g.tellAt = g.now + Micros(gap*micros)
 	// Each peer in turn, from a place by chance: else all gateways tell the same one.
 	g.tellTo = (g.tellTo + 1 + others) % others
-	g.do(Tell{To: (g.set.Me + 1 + g.tellTo) % g.set.Peers, Data: encode(g.rates(), g.rows(reportFresh))})
+	g.do(SendGossip{To: (g.set.PeerIndex + 1 + g.tellTo) % g.set.Peers, Data: encode(g.rates(), g.rows(reportFresh))})
 }
 
 // heard takes a peer's word. What does not parse is skipped; only what is fresher
 // than our own knowledge counts, and slowness and faults only in part.
-func (g *Gateway) heard(h Heard) {
-	if h.From < 0 || h.From >= g.set.Peers || h.From == g.set.Me {
+func (g *Gateway) heard(h GossipReceived) {
+	if h.From < 0 || h.From >= g.set.Peers || h.From == g.set.PeerIndex {
 		return
 	}
 	rates, rows, ok := decode(h.Data, len(g.tenants)+1)
@@ -880,12 +880,12 @@
 }
 
 // list keeps up with the engine list.
-func (g *Gateway) list(l Engines) {
+func (g *Gateway) list(l EndpointUpdate) {
 	if l.Failed {
 		g.askAt = min(g.askAt, g.now+Micros(askEvery*micros))
 	}
 	g.missing(l)
-	for _, r := range l.Rows {
+	for _, r := range l.Endpoints {
 		e := g.byID[r.ID]
 		if e == nil {
 			e = g.meet(r)
@@ -898,7 +898,7 @@
 		if r.State == Draining && e.State != Draining {
 			e.drainBy = g.now + g.set.DrainGrace - g.guard()
 		}
-		e.Engine = r
+		e.Endpoint = r
 	}
 	g.sortEngines()
 	g.survey(wordFresh, reportFresh, 1)
@@ -914,11 +914,11 @@
 		g.reprice()
 		g.priced = g.now
 	}
-	if g.set.AskForList && g.now >= g.askAt { // a failed call may have ended the subscription
-		g.askAt = g.now + max(g.set.AskWithin/4, Micros(askEvery*micros))
-		g.do(Watch{})
+	if g.set.PollEndpoints && g.now >= g.askAt { // a failed call may have ended the subscription
+		g.askAt = g.now + max(g.set.MaxPollInterval/4, Micros(askEvery*micros))
+		g.do(WatchEndpoints{})
 	}
-	if g.set.CanTell && g.set.Peers > 1 && g.now >= g.tellAt {
+	if g.set.CanGossip && g.set.Peers > 1 && g.now >= g.tellAt {
 		g.tell()
 	}
 	for _, e := range g.engines {
@@ -929,7 +929,7 @@
 		if q.done || q.streamed {
 			continue
 		}
-		if g.now >= q.Due-g.guard() || g.overstays(q) {
+		if g.now >= q.Deadline-g.guard() || g.overstays(q) {
 			g.giveUp(q)
 			continue
 		}
@@ -962,8 +962,8 @@
 
 // owesNotes tells that notes on an attempt have stopped: a hung engine sends none.
 func (g *Gateway) owesNotes(e *engine) bool {
-	return g.set.ProgressEvery > 0 && slices.ContainsFunc(e.open, func(a *attempt) bool {
-		return g.now-max(a.sent, a.notedAt) > Micros(notesMissed*float64(g.set.ProgressEvery))
+	return g.set.ProgressInterval > 0 && slices.ContainsFunc(e.open, func(a *attempt) bool {
+		return g.now-max(a.sent, a.notedAt) > Micros(notesMissed*float64(g.set.ProgressInterval))
 	})
 }
 
@@ -974,7 +974,7 @@
 	age, q, c := g.since(a.sent), a.q, a.q.class
 	lost := a.e.suspect && age > silentFloor && age > silentTimes*a.expect
 	expect := max(q.est/c.threads*math.Exp(max(a.e.slow, g.crowd.v, c.ratio.v, 0)), q.seen)
-	left := float64(q.Due-g.guard()-g.now) / micros
+	left := float64(q.Deadline-g.guard()-g.now) / micros
 	took, bad := age, age > max(silentTimes, math.Exp(strayTimes*c.stray))*expect
 	if a.total > 0 && age <= silentTimes*a.total { // a note that time has proven wrong holds no longer
 		took, bad = a.total, a.total > silentTimes*expect && a.total-age > planGain*expect
@@ -986,7 +986,7 @@
 	if !lost && (!bad || age < planFloor) || a.standing {
 		return
 	}
-	enough := len(q.attempts) >= g.set.MaxAttempts || c.Effect == Unsafe || !g.inBudget()
+	enough := len(q.attempts) >= g.set.MaxAttempts || c.Effect == NonIdempotent || !g.inBudget()
 	if !enough && !q.redo && left >= c.service(q.est) && g.callOff(a) {
 		q.redo = true
 		// It would have taken longer still: else a crowd is learned from its quick answers alone.
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -9,7 +9,7 @@
 func finals(acts []Action, id string) (n int) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case Refuse:
+		case Shed:
 			if a.ID == id {
 				n++
 			}
@@ -39,17 +39,17 @@
 			b := newBench(t, s, tt.engines)
 			q := b.request(0)
 			acts := b.step(q)
-			acts = append(acts, b.until(q.Due)...)
+			acts = append(acts, b.until(q.Deadline)...)
 			if n := finals(acts, q.ID); n != 1 {
 				t.Fatalf("%d final answers before the deadline", n)
 			}
 			if tt.closes {
 				for i := range only[Send](acts) {
-					acts = append(acts, b.step(Outcome{ID: q.ID, Engine: "e0", Attempt: i, Code: Cancelled, Over: true})...)
+					acts = append(acts, b.step(AttemptResult{ID: q.ID, Endpoint: "e0", Attempt: i, Code: Cancelled, Final: true})...)
 				}
 			}
 			sent := len(only[Send](acts))
-			acts = append(acts, b.until(q.Due+5*sec)...)
+			acts = append(acts, b.until(q.Deadline+5*sec)...)
 			if n := finals(acts, q.ID); n != 1 || len(only[Send](acts)) != sent {
 				t.Fatalf("%d final answers, %d sends after the end", n, len(only[Send](acts))-sent)
 			}
@@ -61,25 +61,25 @@
 	for _, tt := range []struct {
 		name   string
 		effect Effect
-		group  Group
+		group  DedupScope
 		code   Code
 		wait   Micros // before the outcome
 		again  int    // further sends wanted
 		refuse bool   // a refusal is allowed
 		stays  bool   // further sends stay in the first one's cell
 	}{
-		{"unsafe, never ran", Unsafe, GroupAll, Refused, 1000, 1, true, false},
-		{"unsafe, may have run", Unsafe, GroupAll, Reset, 1000, 0, false, false},
-		{"keyed in a cell, may have run", Keyed, GroupCell, Reset, 1000, 1, false, true},
-		{"keyed in a cell, forgotten", Keyed, GroupCell, Reset, 3 * sec / 2, 0, false, true},
-		{"keyed everywhere, may have run", Keyed, GroupAll, Reset, 1000, 1, true, false},
-		{"safe, may have run", Safe, GroupAll, Reset, 1000, 1, true, false},
+		{"unsafe, never ran", NonIdempotent, DedupFleet, ConnectionRefused, 1000, 1, true, false},
+		{"unsafe, may have run", NonIdempotent, DedupFleet, ConnectionReset, 1000, 0, false, false},
+		{"keyed in a cell, may have run", IdempotentByKey, DedupPlacementGroup, ConnectionReset, 1000, 1, false, true},
+		{"keyed in a cell, forgotten", IdempotentByKey, DedupPlacementGroup, ConnectionReset, 3 * sec / 2, 0, false, true},
+		{"keyed everywhere, may have run", IdempotentByKey, DedupFleet, ConnectionReset, 1000, 1, true, false},
+		{"safe, may have run", Idempotent, DedupFleet, ConnectionReset, 1000, 1, true, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings()
-			s.Classes[0].Effect, s.Classes[0].Group, s.Classes[0].Window = tt.effect, tt.group, sec
-			s.Classes[0].Aim = 3 * sec
-			s.CanCancel, s.SecondCopies = false, false
+			s.Classes[0].Effect, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = tt.effect, tt.group, sec
+			s.Classes[0].LatencyObjective = 3 * sec
+			s.CanCancel, s.AllowHedging = false, false
 			b := newBench(t, s, 6)
 			for range 12 {
 				b.now += 5 * sec
@@ -95,26 +95,26 @@
 	q := b.request(0)
 	first := only[Send](b.step(q))[0]
 	b.now += wait
-	acts := b.step(Outcome{ID: q.ID, Engine: first.Engine, Code: code})
+	acts := b.step(AttemptResult{ID: q.ID, Endpoint: first.Endpoint, Code: code})
 	acts = append(acts, b.until(b.now+sec/4)...)
 	again := only[Send](acts)
 	if len(again) != wanted {
 		t.Fatalf("%d further sends, want %d", len(again), wanted)
 	}
 	for _, a := range again {
-		if until := a.Before; stays && until != b.g.open[q.ID].ran.sent+b.g.classes[0].Window || !stays && until != 0 && b.g.classes[0].Effect != Keyed {
+		if until := a.StartBefore; stays && until != b.g.open[q.ID].ran.sent+b.g.classes[0].DedupWindow || !stays && until != 0 && b.g.classes[0].Effect != IdempotentByKey {
 			t.Fatalf("another attempt may begin until %d", until)
 		}
-		if stays && b.g.byID[a.Engine].Cell != b.g.byID[first.Engine].Cell {
+		if stays && b.g.byID[a.Endpoint].PlacementGroup != b.g.byID[first.Endpoint].PlacementGroup {
 			t.Fatalf("sent to another cell: %v after %v", a, first)
 		}
 	}
-	acts = append(acts, b.until(q.Due)...)
-	if r := only[Refuse](acts); len(r) > 0 && !refuse {
+	acts = append(acts, b.until(q.Deadline)...)
+	if r := only[Shed](acts); len(r) > 0 && !refuse {
 		t.Fatalf("refused although it may have run: %v", r)
 	}
 	for i := range again { // let the engines be trusted again
-		b.step(Outcome{ID: q.ID, Attempt: 1 + i, Engine: again[i].Engine, Over: true, Took: 100000})
+		b.step(AttemptResult{ID: q.ID, Attempt: 1 + i, Endpoint: again[i].Endpoint, Final: true, Latency: 100000})
 	}
 	for _, e := range b.g.engines {
 		e.faults, e.suspect, e.coldSince = 0, false, 0
@@ -123,34 +123,34 @@
 
 func TestRuleTwoNeverTwoAtOnce(t *testing.T) {
 	s := testSettings()
-	s.SecondCopies, s.CanCancel = false, false
+	s.AllowHedging, s.CanCancel = false, false
 	b := newBench(t, s, 4)
 	q := b.request(1)
-	acts := append(b.step(q), b.until(q.Due+sec)...)
+	acts := append(b.step(q), b.until(q.Deadline+sec)...)
 	if n := len(only[Send](acts)); n != 1 {
 		t.Fatalf("%d attempts out at once", n)
 	}
 }
 
 func TestRuleThreeDrainsAreKept(t *testing.T) {
-	for _, state := range []EngineState{Draining, Gone} {
+	for _, state := range []EndpointState{Draining, Removed} {
 		b := newBench(t, testSettings(), 2)
-		b.step(Engines{Rows: []Engine{{ID: "e0", State: state}}})
+		b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", State: state}}})
 		for range 100 {
 			b.now += 20000
 			for _, s := range only[Send](b.step(b.request(0))) {
-				if s.Engine == "e0" {
+				if s.Endpoint == "e0" {
 					t.Fatalf("sent to an engine in state %d", state)
 				}
 			}
 		}
 	}
 	b := newBench(t, testSettings(), 2)
-	b.step(Engines{Whole: true, Rows: []Engine{{ID: "e1"}}})
+	b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "e1"}}})
 	for range 50 {
 		b.now += 20000
 		for _, s := range only[Send](b.step(b.request(0))) {
-			if s.Engine == "e0" {
+			if s.Endpoint == "e0" {
 				t.Fatal("sent to an engine missing from the whole list")
 			}
 		}
@@ -160,16 +160,16 @@
 func TestRuleFourColdEngineGetsOurPartOnly(t *testing.T) {
 	s := testSettings()
 	b := newBench(t, s, 0)
-	b.step(Engines{Whole: true, Rows: []Engine{{ID: "cold", Started: b.now}}})
+	b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "cold", Started: b.now}}})
 	var work float64
 	for range 380 {
 		b.now += 5000
 		for _, s := range only[Send](b.step(b.request(0))) {
 			work += 0.1
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 100000})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
-	budget := s.FallMultiple * s.ColdFrom * 0.85 * 8 * 2 / 2 // multiple × capacity × span, for one of two gateways
+	budget := s.OverloadMultiple * s.SlowStartFloor * 0.85 * 8 * 2 / 2 // multiple × capacity × span, for one of two gateways
 	if work == 0 || work > budget {
 		t.Fatalf("sent %.1f s of work to a cold engine, our part is %.1f s", work, budget)
 	}
@@ -177,23 +177,23 @@
 
 func TestRuleFiveOrderOfAKey(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].InTurn, s.TurnGap = true, sec/2
+	s.Classes[0].Ordered, s.OrderingGap = true, sec/2
 	b := newBench(t, s, 4)
 	first, second := b.request(0), b.request(0)
-	first.Key, first.HasKey, second.Key, second.HasKey = 5, true, 5, true
+	first.OrderKey, first.HasOrderKey, second.OrderKey, second.HasOrderKey = 5, true, 5, true
 	sends := only[Send](b.step(first, second))
 	if len(sends) != 1 || sends[0].ID != first.ID {
 		t.Fatalf("want the first request alone, got %v", sends)
 	}
 	b.now += 100000
-	acts := b.step(Outcome{ID: first.ID, Engine: sends[0].Engine, Code: Reset, Over: true})
+	acts := b.step(AttemptResult{ID: first.ID, Endpoint: sends[0].Endpoint, Code: ConnectionReset, Final: true})
 	acts = append(acts, b.until(b.now+sec/2-20000)...)
 	if n := len(only[Send](acts)); n != 0 {
 		t.Fatalf("%d sends while the key rests", n)
 	}
-	b.step(Engines{Rows: []Engine{{ID: "e9"}}})
+	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e9"}}})
 	third := b.request(0)
-	third.Key, third.HasKey = 5, true
+	third.OrderKey, third.HasOrderKey = 5, true
 	b.step(third)
 	later := only[Send](b.until(b.now + sec/10))
 	if len(later) != 1 || later[0].ID != second.ID {
@@ -207,24 +207,24 @@
 	s.Kinds = append(s.Kinds, Kind{Cores: 8})
 	s.Classes[1].Kinds = []int{1}
 	b := newBench(t, s, 0)
-	b.step(Engines{Whole: true, Rows: []Engine{{ID: "a", Zone: 0}, {ID: "b", Zone: 1}, {ID: "c", Zone: 0, Kind: 1}}})
+	b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "a", Zone: 0}, {ID: "b", Zone: 1}, {ID: "c", Zone: 0, Kind: 1}}})
 	want := []string{"b", "c"}
 	for i := range 100 {
 		b.now += 50000
 		for _, a := range only[Send](b.step(b.request(i % 2))) {
-			if (a.ID != "" && a.Engine != want[0] && a.Engine != want[1]) || b.g.open[a.ID].Class != index(want, a.Engine) {
+			if (a.ID != "" && a.Endpoint != want[0] && a.Endpoint != want[1]) || b.g.open[a.ID].Class != index(want, a.Endpoint) {
 				t.Fatalf("%v breaks placement", a)
 			}
 			code := OK
 			if i%3 == 0 {
 				code = Failed
 			}
-			b.step(Outcome{ID: a.ID, Engine: a.Engine, Code: code, Over: code == OK, Took: 1000})
+			b.step(AttemptResult{ID: a.ID, Endpoint: a.Endpoint, Code: code, Final: code == OK, Latency: 1000})
 		}
 	}
 	q := b.request(0)
-	b.step(Engines{Rows: []Engine{{ID: "b", Zone: 1, State: Draining}}})
-	acts := append(b.step(q), b.until(q.Due)...)
+	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "b", Zone: 1, State: Draining}}})
+	acts := append(b.step(q), b.until(q.Deadline)...)
 	for _, a := range only[Send](acts) {
 		if a.ID == q.ID {
 			t.Fatalf("sent outside its zone when that drains: %v", a)
@@ -246,14 +246,14 @@
 
 func TestRuleSevenRetryBudget(t *testing.T) {
 	s := testSettings()
-	s.BudgetFree, s.BudgetShare, s.BudgetSpan = 3, 0.1, 5*sec
+	s.RetryBudgetFloor, s.RetryBudgetRatio, s.RetryBudgetWindow = 3, 0.1, 5*sec
 	b := newBench(t, s, 8)
 	further := 0
 	for range 40 {
 		b.now += 50000
 		for _, a := range only[Send](b.step(b.request(0))) {
 			for at := 0; at < 3; at++ { // every attempt fails at once
-				again := only[Send](b.step(Outcome{ID: a.ID, Attempt: at, Engine: a.Engine, Code: Failed}))
+				again := only[Send](b.step(AttemptResult{ID: a.ID, Attempt: at, Endpoint: a.Endpoint, Code: Failed}))
 				if len(again) == 0 {
 					break
 				}
@@ -270,9 +270,9 @@
 	for field, spoil := range map[string]func(*Settings){
 		"Classes":             func(s *Settings) { s.Classes = nil },
 		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = -1 },
-		"Classes[0].Worth":    func(s *Settings) { s.Classes[0].Worth = -1 },
+		"Classes[0].Worth":    func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
 		"Classes[0].Kinds":    func(s *Settings) { s.Classes[0].Kinds = []int{3} },
-		"ColdFor":             func(s *Settings) { s.ColdFor = -1 },
+		"ColdFor":             func(s *Settings) { s.SlowStartDuration = -1 },
 		"Kinds[0]":            func(s *Settings) { s.Kinds[0].Cores = -2 },
 	} {
 		s := testSettings()
@@ -296,13 +296,13 @@
 	b := newBench(t, testSettings(), 2)
 	q := b.request(0)
 	s := only[Send](b.step(q))[0]
-	b.step(Outcome{ID: q.ID, Engine: s.Engine, Over: true, Took: 1000})
+	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
 	acts := b.step(
-		Outcome{ID: q.ID, Engine: s.Engine, Over: true}, Outcome{ID: "none"}, Outcome{ID: q.ID, Attempt: 7},
-		Progress{ID: "none"}, Progress{ID: q.ID, Attempt: -1}, Probed{Engine: "none", Load: &Load{}},
-		First{ID: "none"}, Left{ID: q.ID}, Left{ID: "none"}, Heard{From: 9, Data: []byte{1, 2}},
-		Heard{From: 1, Data: nil}, Heard{From: 1, Data: []byte{0, 1, 3}}, Heard{From: 1, Data: []byte{200, 1}},
-		Request{ID: "odd", Class: 9, Due: b.now + sec}, Engines{Failed: true})
+		AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true}, AttemptResult{ID: "none"}, AttemptResult{ID: q.ID, Attempt: 7},
+		Progress{ID: "none"}, Progress{ID: q.ID, Attempt: -1}, HealthCheckResult{Endpoint: "none", Load: &Load{}},
+		StreamStarted{ID: "none"}, ClientDisconnected{ID: q.ID}, ClientDisconnected{ID: "none"}, GossipReceived{From: 9, Data: []byte{1, 2}},
+		GossipReceived{From: 1, Data: nil}, GossipReceived{From: 1, Data: []byte{0, 1, 3}}, GossipReceived{From: 1, Data: []byte{200, 1}},
+		Request{ID: "odd", Class: 9, Deadline: b.now + sec}, EndpointUpdate{Failed: true})
 	if len(only[Send](acts)) != 0 {
 		t.Fatalf("unknown events led to %v", acts)
 	}
@@ -317,24 +317,24 @@
 // after one that failed; elsewhere none does.
 func TestListIsAskedFor(t *testing.T) {
 	s := testSettings()
-	s.AskForList, s.AskWithin = true, 100*sec
+	s.PollEndpoints, s.MaxPollInterval = true, 100*sec
 	g, err := New(1, s)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &bench{t: t, g: g, now: 100 * sec}
-	if n := len(only[Watch](b.step())); n != 1 {
+	if n := len(only[WatchEndpoints](b.step())); n != 1 {
 		t.Fatalf("%d calls at the start", n)
 	}
-	if n := len(only[Watch](b.until(b.now + 26*sec))); n < 1 || n > 2 {
+	if n := len(only[WatchEndpoints](b.until(b.now + 26*sec))); n < 1 || n > 2 {
 		t.Fatalf("%d calls within the time to ask", n)
 	}
-	b.step(Engines{Failed: true})
-	if n := len(only[Watch](b.until(b.now + 3*sec/2))); n < 1 || n > 2 {
+	b.step(EndpointUpdate{Failed: true})
+	if n := len(only[WatchEndpoints](b.until(b.now + 3*sec/2))); n < 1 || n > 2 {
 		t.Fatalf("%d calls after a failed one", n)
 	}
 	plain := newBench(t, testSettings(), 1)
-	if n := len(only[Watch](plain.until(plain.now + 20*sec))); n != 0 {
+	if n := len(only[WatchEndpoints](plain.until(plain.now + 20*sec))); n != 0 {
 		t.Fatalf("%d calls where the list comes by itself", n)
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -25,13 +25,13 @@
 	acts   []Action
 }
 
-func newCrowd(t *testing.T, gateways, engines int, edit func(*Settings), row func(int, *Engine)) *crowd {
+func newCrowd(t *testing.T, gateways, engines int, edit func(*Settings), row func(int, *Endpoint)) *crowd {
 	t.Helper()
 	c := &crowd{t: t, now: 100 * sec, due: map[Micros][]func(){}, sent: map[string]float64{},
 		sends: map[string][]Micros{}, open: map[string]float64{}, most: map[string]float64{}, tells: map[int]int{}}
-	var rows []Engine
+	var rows []Endpoint
 	for i := range engines {
-		e := Engine{ID: fmt.Sprintf("e%02d", i), Cell: i / 2}
+		e := Endpoint{ID: fmt.Sprintf("e%02d", i), PlacementGroup: i / 2}
 		if row != nil {
 			row(i, &e)
 		}
@@ -39,7 +39,7 @@
 	}
 	for i := range gateways {
 		s := testSettings()
-		s.Peers, s.Me, s.CanTell, s.CanProbe = gateways, i, true, true
+		s.Peers, s.PeerIndex, s.CanGossip, s.CanHealthCheck = gateways, i, true, true
 		if edit != nil {
 			edit(&s)
 		}
@@ -50,7 +50,7 @@
 		c.gs = append(c.gs, g)
 	}
 	for i := range c.gs {
-		c.play(i, Engines{Whole: true, Rows: rows})
+		c.play(i, EndpointUpdate{Complete: true, Endpoints: rows})
 	}
 	return c
 }
@@ -62,25 +62,25 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
-			c.sends[a.Engine] = append(c.sends[a.Engine], c.now)
+			c.sends[a.Endpoint] = append(c.sends[a.Endpoint], c.now)
 			q := c.gs[i].open[a.ID]
-			c.sent[a.Engine] += q.est
-			c.open[a.Engine] += q.class.threads
-			c.most[a.Engine] = max(c.most[a.Engine], c.open[a.Engine])
+			c.sent[a.Endpoint] += q.est
+			c.open[a.Endpoint] += q.class.threads
+			c.most[a.Endpoint] = max(c.most[a.Endpoint], c.open[a.Endpoint])
 			n := len(q.attempts) - 1
 			c.after(sec/2, func() {
-				c.open[a.Engine] -= q.class.threads
-				c.play(i, Outcome{ID: a.ID, Attempt: n, Engine: a.Engine, Over: true, Took: sec / 2, Load: c.load(a.Engine)})
+				c.open[a.Endpoint] -= q.class.threads
+				c.play(i, AttemptResult{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Final: true, Latency: sec / 2, Load: c.load(a.Endpoint)})
 			})
-		case Probe:
+		case HealthCheck:
 			c.probes++
-			c.after(2000, func() { c.play(i, Probed{Engine: a.Engine, Took: 2000, Load: c.load(a.Engine)}) })
-		case Tell:
+			c.after(2000, func() { c.play(i, HealthCheckResult{Endpoint: a.Endpoint, Latency: 2000, Load: c.load(a.Endpoint)}) })
+		case SendGossip:
 			c.tells[a.To]++
 			if a.To < 0 || a.To >= len(c.gs) || a.To == i || len(a.Data) > 256 {
 				c.t.Fatalf("gateway %d told %d with %d bytes", i, a.To, len(a.Data))
 			}
-			c.after(5000, func() { c.play(a.To, Heard{From: i, Data: a.Data}) })
+			c.after(5000, func() { c.play(a.To, GossipReceived{From: i, Data: a.Data}) })
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			if (c.now/10000+Micros(i*7))%(gap/10000) == 0 {
 				c.ids++
 				c.taken++
-				c.play(i, Request{ID: fmt.Sprint(c.ids), Cost: 100000, MemoryMB: 100, Due: c.now + 4*sec})
+				c.play(i, Request{ID: fmt.Sprint(c.ids), Cost: 100000, MemoryMB: 100, Deadline: c.now + 4*sec})
 			} else {
 				c.play(i)
 			}
@@ -151,7 +151,7 @@
 // rule in sum, and the engine is used.
 func TestColdBudgetHoldsInSumAndIsUsed(t *testing.T) {
 	for _, n := range []int{2, 20, 100} {
-		c := newCrowd(t, n, 4, nil, func(i int, e *Engine) {
+		c := newCrowd(t, n, 4, nil, func(i int, e *Endpoint) {
 			if i == 0 {
 				e.Started = 100 * sec
 			}
@@ -160,9 +160,9 @@
 		gap := sec * Micros(n) / 100
 		last, all := 0.0, 0.0
 		for range 4 { // windows of the rule's length; what it bears then rises evenly
-			share := s.ColdFrom + (1-s.ColdFrom)*float64(c.now-100*sec)/float64(s.ColdFor)
-			limit := s.FallMultiple * share * 8 * float64(s.FallFor) / micros
-			c.run(s.FallFor, gap)
+			share := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(c.now-100*sec)/float64(s.SlowStartDuration)
+			limit := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / micros
+			c.run(s.OverloadDuration, gap)
 			if used := c.sent["e00"] - last; used > limit {
 				t.Errorf("%d gateways sent a cold engine %.2f s of work in a window of %.2f", n, used, limit)
 			}
@@ -178,8 +178,8 @@
 // every gateway is replaced, a tenth at a time, by one that knows nothing but the list.
 func TestColdBudgetHoldsForJoiners(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
-		rows := []Engine{}
-		c := newCrowd(t, n, 4, func(s *Settings) { s.CanProbe = false }, func(i int, e *Engine) {
+		rows := []Endpoint{}
+		c := newCrowd(t, n, 4, func(s *Settings) { s.CanHealthCheck = false }, func(i int, e *Endpoint) {
 			if i == 0 {
 				e.Started = 100 * sec
 			}
@@ -187,7 +187,7 @@
 		})
 		s := c.gs[0].set
 		rng := rand.New(rand.NewPCG(1, uint64(n)))
-		for tick := 0; c.now < 100*sec+s.ColdFor; tick++ {
+		for tick := 0; c.now < 100*sec+s.SlowStartDuration; tick++ {
 			c.now += 10000
 			for _, f := range c.due[c.now] {
 				f()
@@ -199,29 +199,29 @@
 					i = rng.IntN((n + 4) / 5)
 				}
 				c.ids++
-				c.play(i, Request{ID: fmt.Sprint(c.ids), Cost: 100000, MemoryMB: 100, Due: c.now + 4*sec})
+				c.play(i, Request{ID: fmt.Sprint(c.ids), Cost: 100000, MemoryMB: 100, Deadline: c.now + 4*sec})
 			}
 			for i := range c.gs {
 				if tick%20 == 0 && i%10 == tick/20-5 {
 					peer := s
-					peer.Me = i
+					peer.PeerIndex = i
 					g, err := New(uint64(1000+tick+i), peer)
 					if err != nil {
 						t.Fatal(err)
 					}
 					c.gs[i] = g
-					c.play(i, Engines{Whole: true, Rows: rows})
+					c.play(i, EndpointUpdate{Complete: true, Endpoints: rows})
 				}
 				c.play(i)
 			}
 		}
 		sends, worst := c.sends["e00"], 0.0
 		for i, from := range sends {
-			share := s.ColdFrom + (1-s.ColdFrom)*float64(from-100*sec)/float64(s.ColdFor)
-			budget := s.FallMultiple * share * 8 * float64(s.FallFor) / micros / 0.1
+			share := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(from-100*sec)/float64(s.SlowStartDuration)
+			budget := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / micros / 0.1
 			count := 0.0
 			for _, at := range sends[i:] {
-				if at < from+s.FallFor {
+				if at < from+s.OverloadDuration {
 					count++
 				}
 			}
@@ -236,14 +236,14 @@
 
 // Gateways that hear of the same room do not fill it many times over.
 func TestCommonNewsIsNotClaimedByAll(t *testing.T) {
-	c := newCrowd(t, 80, 10, func(s *Settings) { s.CanProbe = false }, nil)
+	c := newCrowd(t, 80, 10, func(s *Settings) { s.CanHealthCheck = false }, nil)
 	c.run(10*sec, 2*sec/3) // 120 a second, 60 threads out on 80 cores
 	for e := range c.most {
 		c.most[e] = 0
 	}
 	for i := 1; i < 10; i++ { // all but one engine drain: everybody knows the one
 		for k := range c.gs {
-			c.play(k, Engines{Rows: []Engine{{ID: fmt.Sprintf("e%02d", i), Cell: i / 2, State: Draining}}})
+			c.play(k, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprintf("e%02d", i), PlacementGroup: i / 2, State: Draining}}})
 		}
 	}
 	c.run(4*sec, 2*sec/3)
@@ -265,15 +265,15 @@
 			sends = append(sends, only[Send](b.step(b.request(0)))...)
 		}
 		for _, s := range sends {
-			b.step(Outcome{ID: s.ID, Engine: s.Engine, Code: code, Over: true, Took: 1000})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: code, Final: true, Latency: 1000})
 		}
 		return b.g.engines[0].coldSince
 	}
-	if lose(Reset, 1) != 0 {
+	if lose(ConnectionReset, 1) != 0 {
 		t.Error("cold after one broken connection")
 	}
 	b.now += sec
-	if lose(Reset, 2) == 0 {
+	if lose(ConnectionReset, 2) == 0 {
 		t.Error("not cold after two broken connections at once")
 	}
 }
@@ -281,17 +281,17 @@
 // A hung engine owes notes on what it holds.
 func TestOwedNotesAreSilence(t *testing.T) {
 	s := testSettings()
-	s.ProgressEvery = sec / 2
+	s.ProgressInterval = sec / 2
 	b := newBench(t, s, 2)
 	for _, e := range b.g.engines {
 		e.heard = b.now - 10*sec
 	}
 	q := b.request(1)
 	q.Cost = 20 * sec // nothing is overdue yet
-	at := only[Send](b.step(q))[0].Engine
+	at := only[Send](b.step(q))[0].Endpoint
 	for range 8 {
 		b.now += sec / 2
-		b.step(Progress{ID: q.ID, Engine: at, Kind: ShareDone, Value: 0.1})
+		b.step(Progress{ID: q.ID, Endpoint: at, Kind: FractionDone, Value: 0.1})
 	}
 	if b.g.byID[at].suspect {
 		t.Fatal("suspect while notes come")
@@ -311,7 +311,7 @@
 		left Micros
 		want int
 	}{{4 * sec, 2}, {sec, 1}} {
-		q := &request{class: c, est: 0.1, worth: 1, Request: Request{Due: b.now + tt.left}}
+		q := &request{class: c, est: 0.1, worth: 1, Request: Request{Deadline: b.now + tt.left}}
 		if level, _ := b.g.cheapest(q); level > tt.want || tt.want == 2 && level != 2 {
 			t.Errorf("level %d with %d left", level, tt.left)
 		}
@@ -354,9 +354,9 @@
 	f.Add(encode([]float64{1}, []row{{key: 1, util: 2.5, held: 254, memory: 2, stretch: 3, threads: 60, group: 255}}), 1)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
 		s := testSettings()
-		s.CanTell, s.Peers = true, 5
+		s.CanGossip, s.Peers = true, 5
 		b := newBench(t, s, 3)
-		b.step(Heard{From: from, Data: data}, b.request(0))
+		b.step(GossipReceived{From: from, Data: data}, b.request(0))
 		b.until(b.now + sec/5)
 	})
 }
@@ -366,8 +366,8 @@
 	f.Add([]byte{1, 1, 1, 2, 0, 2, 8, 2, 16, 3, 3, 4, 5, 9, 17, 25})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := testSettings()
-		s.CanTell, s.CanProbe, s.ProgressEvery = true, true, sec
-		s.Classes[1].InTurn, s.TurnGap = true, sec
+		s.CanGossip, s.CanHealthCheck, s.ProgressInterval = true, true, sec
+		s.Classes[1].Ordered, s.OrderingGap = true, sec
 		b := newBench(t, s, 3)
 		for i, x := range data[:min(len(data), 200)] {
 			b.now += Micros(x) * 5000
@@ -375,20 +375,20 @@
 			switch x % 8 {
 			case 0, 1:
 				q := b.request(int(x/8) % 2)
-				q.Key, q.HasKey = 1, x%8 == 1
+				q.OrderKey, q.HasOrderKey = 1, x%8 == 1
 				b.step(q)
 			case 2:
-				b.step(Outcome{ID: id, Attempt: int(x/8) % 3, Engine: e, Code: Code(x/8) % 8, Over: x > 128})
+				b.step(AttemptResult{ID: id, Attempt: int(x/8) % 3, Endpoint: e, Code: Code(x/8) % 8, Final: x > 128})
 			case 3:
-				b.step(Left{ID: id})
+				b.step(ClientDisconnected{ID: id})
 			case 4:
-				b.step(Progress{ID: id, Attempt: int(x/8) % 2, Kind: NoteKind(x / 8 % 4), Value: float64(x) / 100})
+				b.step(Progress{ID: id, Attempt: int(x/8) % 2, Kind: ProgressKind(x / 8 % 4), Value: float64(x) / 100})
 			case 5:
-				b.step(Probed{Engine: e, Code: Code(x / 8 % 2), Load: &Load{Util: float64(x) / 100, InFlight: -1, Memory: -1}})
+				b.step(HealthCheckResult{Endpoint: e, Code: Code(x / 8 % 2), Load: &Load{Util: float64(x) / 100, InFlight: -1, Memory: -1}})
 			case 6:
-				b.step(Engines{Whole: x > 128, Rows: []Engine{{ID: e, Started: b.now, State: EngineState(x / 8 % 3)}}})
+				b.step(EndpointUpdate{Complete: x > 128, Endpoints: []Endpoint{{ID: e, Started: b.now, State: EndpointState(x / 8 % 3)}}})
 			default:
-				b.step(First{ID: id}, Heard{From: 1, Data: data[:i]})
+				b.step(StreamStarted{ID: id}, GossipReceived{From: 1, Data: data[:i]})
 			}
 		}
 	})
@@ -399,26 +399,26 @@
 	for _, size := range [][2]int{{3, 8}, {100, 8}, {300, 8}, {3, 40}, {300, 40}} {
 		b.Run(fmt.Sprintf("gateways=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
 			s := testSettings()
-			s.Peers, s.CanTell = size[0], true
+			s.Peers, s.CanGossip = size[0], true
 			g, err := New(1, s)
 			if err != nil {
 				b.Fatal(err)
 			}
-			var rows []Engine
+			var rows []Endpoint
 			var news []row
 			for i := range size[1] {
-				rows = append(rows, Engine{ID: fmt.Sprintf("e%02d", i)})
+				rows = append(rows, Endpoint{ID: fmt.Sprintf("e%02d", i)})
 				news = append(news, row{key: hash(rows[i].ID), util: 0.5, held: 4, memory: -1, threads: 1})
 			}
 			now := 100 * sec
-			g.Step(now, []Event{Engines{Whole: true, Rows: rows}})
+			g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: rows}})
 			data := encode([]float64{1}, news)
 			for i := 0; b.Loop(); i++ {
 				now += 20000
 				id := fmt.Sprint(i)
-				for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 100000, Due: now + 4*sec}, Heard{From: 1 + i%(size[0]-1), Data: data}}) {
+				for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 100000, Deadline: now + 4*sec}, GossipReceived{From: 1 + i%(size[0]-1), Data: data}}) {
 					if s, ok := a.(Send); ok {
-						g.Step(now, []Event{Outcome{ID: s.ID, Engine: s.Engine, Over: true, Took: 50000}})
+						g.Step(now, []Event{AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 50000}})
 					}
 				}
 			}
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -9,7 +9,7 @@
 func sparse(t *testing.T, peers, engines int, edit func(*Settings)) *bench {
 	t.Helper()
 	s := testSettings()
-	s.Peers, s.SecondCopies = peers, false
+	s.Peers, s.AllowHedging = peers, false
 	if edit != nil {
 		edit(&s)
 	}
@@ -20,17 +20,17 @@
 // cold budget for its own.
 func TestColdPartIsEqualWhereNobodyTalks(t *testing.T) {
 	b := sparse(t, 50, 1, nil)
-	b.step(Engines{Rows: []Engine{{ID: "e0", Started: b.now}}})
+	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", Started: b.now}}})
 	b.g.part = 1
 	s := b.g.set
 	work := 0.0
-	for end := b.now + s.FallFor; b.now < end; {
+	for end := b.now + s.OverloadDuration; b.now < end; {
 		b.now += 20000
 		for _, a := range only[Send](b.step(b.request(0))) {
 			work += b.g.open[a.ID].est
 		}
 	}
-	budget := s.FallMultiple * (s.ColdFrom + 0.2) * 8 * float64(s.FallFor) / micros / 50
+	budget := s.OverloadMultiple * (s.SlowStartFloor + 0.2) * 8 * float64(s.OverloadDuration) / micros / 50
 	if work > budget+0.1 { // one query may begin it
 		t.Fatalf("%.2f s of work sent of %.2f", work, budget)
 	}
@@ -41,19 +41,19 @@
 func TestHeavyQueriesDoNotMeetAtAColdEngine(t *testing.T) {
 	over := 0
 	for try := range 40 {
-		c := newCrowd(t, 60, 1, func(s *Settings) { s.CanTell, s.CanProbe = false, false },
-			func(_ int, e *Engine) { e.Started = 100 * sec })
+		c := newCrowd(t, 60, 1, func(s *Settings) { s.CanGossip, s.CanHealthCheck = false, false },
+			func(_ int, e *Endpoint) { e.Started = 100 * sec })
 		for i, g := range c.gs {
 			g.rng.Uint64()
 			for range try {
 				g.rng.Uint64()
 			}
 			c.ids++
-			c.play(i, Request{ID: fmt.Sprint(c.ids), Class: 1, Cost: 4 * sec, MemoryMB: 100, Due: c.now + 15*sec})
+			c.play(i, Request{ID: fmt.Sprint(c.ids), Class: 1, Cost: 4 * sec, MemoryMB: 100, Deadline: c.now + 15*sec})
 		}
 		c.run(2*sec, 3600*sec)
 		s := c.gs[0].set
-		if c.sent["e00"] > s.FallMultiple*s.ColdFrom*8*float64(s.FallFor)/micros {
+		if c.sent["e00"] > s.OverloadMultiple*s.SlowStartFloor*8*float64(s.OverloadDuration)/micros {
 			over++
 		}
 	}
@@ -103,7 +103,7 @@
 	b.step(b.request(0))
 	for _, q := range b.g.live {
 		for _, a := range q.attempts {
-			b.step(Outcome{ID: q.ID, Attempt: a.n, Engine: a.e.ID, Over: true, Took: 100000})
+			b.step(AttemptResult{ID: q.ID, Attempt: a.n, Endpoint: a.e.ID, Final: true, Latency: 100000})
 		}
 	}
 	b.g.room, b.g.all.busy, b.g.all.tells = roomLeast, 0.8, true
@@ -123,14 +123,14 @@
 // A bad plan that still sends notes is no silent engine.
 func TestNotesAreSignsOfLife(t *testing.T) {
 	for _, noted := range []bool{true, false} {
-		b := sparse(t, 50, 1, func(s *Settings) { s.ProgressEvery, s.CanCancel = sec/2, false })
+		b := sparse(t, 50, 1, func(s *Settings) { s.ProgressInterval, s.CanCancel = sec/2, false })
 		q := b.request(1)
 		q.Cost = sec / 2
 		b.step(q)
 		for range 8 {
 			b.until(b.now + sec/2)
 			if noted {
-				b.step(Progress{ID: q.ID, Engine: "e0", Kind: ShareDone, Value: 0.01})
+				b.step(Progress{ID: q.ID, Endpoint: "e0", Kind: FractionDone, Value: 0.01})
 			}
 		}
 		if b.g.engines[0].suspect == noted {
@@ -142,7 +142,7 @@
 // An attempt called off shows how long its query may take: the next one is not
 // called off at the same point.
 func TestRestartsWaitForWhatWasSeen(t *testing.T) {
-	b := sparse(t, 50, 4, func(s *Settings) { s.ProgressEvery, s.MaxAttempts = sec/2, 6 })
+	b := sparse(t, 50, 4, func(s *Settings) { s.ProgressInterval, s.MaxAttempts = sec/2, 6 })
 	q := b.request(1)
 	q.Cost = sec
 	b.step(q)
@@ -153,13 +153,13 @@
 		}
 		a := b.g.open[q.ID].attempts[n]
 		b.now += sec / 2
-		acts := b.step(Progress{ID: q.ID, Attempt: n, Engine: a.e.ID, Kind: ShareDone, Value: 0.08})
+		acts := b.step(Progress{ID: q.ID, Attempt: n, Endpoint: a.e.ID, Kind: FractionDone, Value: 0.08})
 		acts = append(acts, b.until(b.now+sec/5)...)
 		if len(only[Cancel](acts)) == 0 {
 			break
 		}
 		cancelled++
-		b.step(Outcome{ID: q.ID, Attempt: n, Engine: a.e.ID, Code: Cancelled})
+		b.step(AttemptResult{ID: q.ID, Attempt: n, Endpoint: a.e.ID, Code: Cancelled})
 		b.until(b.now + sec/10)
 	}
 	if cancelled != 1 {
@@ -175,7 +175,7 @@
 		b.now += 200000
 		for _, a := range only[Send](b.step(q)) {
 			b.now += 600000
-			b.step(Outcome{ID: q.ID, Engine: a.Engine, Over: true, Took: 600000, WorkUs: 300000, NeedMB: 10})
+			b.step(AttemptResult{ID: q.ID, Endpoint: a.Endpoint, Final: true, Latency: 600000, WorkMicros: 300000, NeededMB: 10})
 		}
 	}
 	if c := &b.g.classes[0]; c.typical() < 0.25 || c.typical() > 0.35 {
@@ -186,7 +186,7 @@
 // What is given up on is answered at once, with a come-back time where clients heed one.
 func TestGivenUpAtOnce(t *testing.T) {
 	for _, most := range []Micros{0, sec} {
-		b := sparse(t, 50, 2, func(s *Settings) { s.MaxComeBack = most })
+		b := sparse(t, 50, 2, func(s *Settings) { s.MaxRetryAfter = most })
 		for i := range b.g.classes[0].price {
 			b.g.classes[0].price[i] = 100 // no worth covers that
 		}
@@ -195,8 +195,8 @@
 			b.g.report(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		b.g.threads[0] = 50
-		r := only[Refuse](b.step(b.request(0)))
-		if len(r) != 1 || (r[0].ComeBack > 0) != (most > 0) || r[0].ComeBack > most {
+		r := only[Shed](b.step(b.request(0)))
+		if len(r) != 1 || (r[0].RetryAfter > 0) != (most > 0) || r[0].RetryAfter > most {
 			t.Errorf("most %v: refused %v", most, r)
 		}
 	}
@@ -204,7 +204,7 @@
 
 // Reports that could no longer end in time kept their engines until the client left.
 func TestHopelessPaceIsGivenUpAtOnce(t *testing.T) {
-	b := sparse(t, 50, 4, func(s *Settings) { s.ProgressEvery = sec / 2 })
+	b := sparse(t, 50, 4, func(s *Settings) { s.ProgressInterval = sec / 2 })
 	q := b.request(1)
 	q.Cost = 60 * sec
 	for i := range b.g.classes { // as if such queries were usual here
@@ -216,9 +216,9 @@
 	}
 	a := b.g.open[q.ID].attempts[0]
 	var acts []Action
-	for b.now < q.Due-4*sec {
+	for b.now < q.Deadline-4*sec {
 		b.now += sec / 2
-		acts = append(acts, b.step(Progress{ID: q.ID, Engine: a.e.ID, Kind: ShareDone, Value: 0.6 * b.g.since(a.sent) / 15})...)
+		acts = append(acts, b.step(Progress{ID: q.ID, Endpoint: a.e.ID, Kind: FractionDone, Value: 0.6 * b.g.since(a.sent) / 15})...)
 	}
 	acts = append(acts, b.until(b.now+sec/10)...)
 	if finals(acts, q.ID) != 1 || len(only[Cancel](acts)) != 1 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -46,22 +46,22 @@
 	rate, count float64            // requests taken a second; since the last interval
 	askCredit   float64            // probes that own traffic has paid for
 	all         fleet
-	part        float64                  // our part of all traffic, as far as known
-	stretch     [2]float64               // mean log stretch of answers where the group was not warm, was warm
-	meanThreads float64                  // of a query in flight
-	meanRate    float64                  // mean requests taken a second by a gateway
-	meanMB      float64                  // mean grant for each thread in flight
-	meanSent    average                  // mean threads of a query sent
-	meanStay    average                  // mean seconds from taking a query to its answer
-	meanEarned  average                  // mean worth of those answers
-	door        float64                  // worth of a second at the door, see doorPrice
-	meanTook    average                  // mean seconds of an answer
-	meanCost    average                  // mean cost of all queries, seconds of work
-	crowd       quantile                 // median log stretch of answers, ours or told
-	meanOpen    float64                  // own queries in flight, over some seconds
-	slack       float64                  // log stretch that the aims of all classes leave
-	recalled    map[string]LearnedEngine // of an earlier gateway, until their engines are met; looked up only
-	room        float64                  // threads a core that any engine may hold, everybody's
+	part        float64                    // our part of all traffic, as far as known
+	stretch     [2]float64                 // mean log stretch of answers where the group was not warm, was warm
+	meanThreads float64                    // of a query in flight
+	meanRate    float64                    // mean requests taken a second by a gateway
+	meanMB      float64                    // mean grant for each thread in flight
+	meanSent    average                    // mean threads of a query sent
+	meanStay    average                    // mean seconds from taking a query to its answer
+	meanEarned  average                    // mean worth of those answers
+	door        float64                    // worth of a second at the door, see doorPrice
+	meanTook    average                    // mean seconds of an answer
+	meanCost    average                    // mean cost of all queries, seconds of work
+	crowd       quantile                   // median log stretch of answers, ours or told
+	meanOpen    float64                    // own queries in flight, over some seconds
+	slack       float64                    // log stretch that the aims of all classes leave
+	recalled    map[string]LearnedEndpoint // of an earlier gateway, until their engines are met; looked up only
+	room        float64                    // threads a core that any engine may hold, everybody's
 	roomAt      Micros
 }
 
@@ -126,7 +126,7 @@
 
 // engine is what is known of one engine.
 type engine struct {
-	Engine
+	Endpoint
 	key           uint32 // short name in messages to peers
 	cores, memory float64
 	open          []*attempt
@@ -307,18 +307,18 @@
 
 // join puts a request that goes in turn into its key's line; leave takes it out.
 func (g *Gateway) join(q *request) {
-	if q.class.InTurn && q.HasKey {
-		if g.turns[q.Key] == nil {
-			g.turns[q.Key] = &turn{}
+	if q.class.Ordered && q.HasOrderKey {
+		if g.turns[q.OrderKey] == nil {
+			g.turns[q.OrderKey] = &turn{}
 		}
-		t := g.turns[q.Key]
+		t := g.turns[q.OrderKey]
 		t.queue = append(t.queue, q)
 	}
 }
 
 func (g *Gateway) leave(q *request) {
-	if q.class.InTurn && q.HasKey {
-		t := g.turns[q.Key]
+	if q.class.Ordered && q.HasOrderKey {
+		t := g.turns[q.OrderKey]
 		t.queue = slices.DeleteFunc(t.queue, func(o *request) bool { return o == q })
 	}
 }
@@ -345,8 +345,8 @@
 	}
 	q.attempts = append(q.attempts, a)
 	q.open++
-	if q.class.InTurn && q.HasKey {
-		g.turns[q.Key].open++
+	if q.class.Ordered && q.HasOrderKey {
+		g.turns[q.OrderKey].open++
 	}
 	e.open = append(e.open, a)
 	e.threads += q.class.threads
@@ -369,14 +369,14 @@
 	}
 	e.granted -= a.grant
 	g.threads[a.level] -= q.class.threads
-	if code != Full && code != Refused && code != Moot && q.ran == nil {
+	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.ran == nil {
 		q.ran = a
 	}
-	if q.class.InTurn && q.HasKey {
-		t := g.turns[q.Key]
+	if q.class.Ordered && q.HasOrderKey {
+		t := g.turns[q.OrderKey]
 		t.open--
-		if code == TimedOut || code == Reset || code == Cancelled {
-			t.rest = max(t.rest, g.now+g.set.TurnGap)
+		if code == TimedOut || code == ConnectionReset || code == Cancelled {
+			t.rest = max(t.rest, g.now+g.set.OrderingGap)
 		}
 	}
 }
@@ -528,13 +528,13 @@
 	}
 }
 
-func (c *class) delayCost() float64 { return c.Worth / (float64(c.Deadline) / micros) }
+func (c *class) delayCost() float64 { return c.PriorityWeight / (float64(c.Deadline) / micros) }
 
 // note writes a log line, rarely.
 func (g *Gateway) note(format string, args ...any) {
 	if g.noted == 0 || g.since(g.noted) >= g.noteEvery {
 		g.noted = g.now
-		g.do(Note{fmt.Sprintf(format, args...)})
+		g.do(LogLine{fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -548,23 +548,23 @@
 // dispatch hands an event to what decides on it.
 func (g *Gateway) dispatch(ev Event) {
 	switch ev := ev.(type) {
-	case Engines:
+	case EndpointUpdate:
 		g.list(ev)
 	case Request:
 		g.take(ev)
-	case Outcome:
+	case AttemptResult:
 		g.outcome(ev)
 	case Progress:
 		g.progress(ev)
-	case Probed:
+	case HealthCheckResult:
 		g.probed(ev)
-	case Heard:
+	case GossipReceived:
 		g.heard(ev)
-	case First:
+	case StreamStarted:
 		if q := g.open[ev.ID]; q != nil {
 			q.streamed = true
 		}
-	case Left:
+	case ClientDisconnected:
 		if q := g.open[ev.ID]; q != nil && !q.done {
 			g.end(q)
 		}
@@ -646,8 +646,8 @@
 func (g *Gateway) loadHere(e *engine) byte {
 	var groups []byte
 	for _, a := range e.open {
-		if a.q.class.Loads {
-			groups = append(groups, groupOf(a.q.Tables))
+		if a.q.class.LocksTables {
+			groups = append(groups, groupOf(a.q.TableGroup))
 		}
 	}
 	if len(groups) == 0 {
@@ -664,10 +664,10 @@
 }
 
 // missing marks what a whole list leaves out as gone.
-func (g *Gateway) missing(l Engines) {
+func (g *Gateway) missing(l EndpointUpdate) {
 	for _, e := range g.engines {
-		if l.Whole && !slices.ContainsFunc(l.Rows, func(r Engine) bool { return r.ID == e.ID }) {
-			e.State = Gone
+		if l.Complete && !slices.ContainsFunc(l.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
+			e.State = Removed
 		}
 	}
 }
@@ -678,7 +678,7 @@
 	g.engines = g.engines[:0]
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
 		switch e := g.byID[id]; {
-		case e.State != Gone:
+		case e.State != Removed:
 			g.engines = append(g.engines, e)
 		case len(e.open) == 0:
 			delete(g.byID, id)
@@ -690,8 +690,8 @@
 }
 
 // meet puts a new engine on the books.
-func (g *Gateway) meet(r Engine) *engine {
-	e := &engine{Engine: r, cores: 1, heard: g.now, key: hash(r.ID), loads: map[byte]Micros{}}
+func (g *Gateway) meet(r Endpoint) *engine {
+	e := &engine{Endpoint: r, cores: 1, heard: g.now, key: hash(r.ID), loads: map[byte]Micros{}}
 	if r.Kind >= 0 && r.Kind < len(g.set.Kinds) {
 		e.cores, e.memory = float64(max(g.set.Kinds[r.Kind].Cores, 1)), g.set.Kinds[r.Kind].MemoryMB
 	}
@@ -759,17 +759,17 @@
 	a.notedAt, a.e.heard = g.now, max(a.e.heard, g.now)
 	a.e.lives(a)
 	switch p.Kind {
-	case ShareDone:
+	case FractionDone:
 		a.standing, a.noted = false, true
 		if p.Value > 0 {
 			a.total = g.since(a.sent) / min(p.Value, 1)
 		}
-	case Spills:
+	case MemorySpilled:
 		a.spilt = true
 	default:
 		a.standing = true
-		if p.Kind == WaitsLoad { // somebody's load holds the group there
-			a.e.loads[groupOf(q.Tables)] = g.now
+		if p.Kind == WaitingForTables { // somebody's load holds the group there
+			a.e.loads[groupOf(q.TableGroup)] = g.now
 		}
 	}
 }
@@ -797,7 +797,7 @@
 		g.classes = append(g.classes, class{Class: c, threads: threads, margin: margin})
 	}
 	for _, t := range g.set.Tenants {
-		g.tenants = append(g.tenants, tenant{allowance: t.Allowance})
+		g.tenants = append(g.tenants, tenant{allowance: t.Quota})
 	}
 }
 
@@ -876,7 +876,7 @@
 func (g *Gateway) enrol(r Request, c *class) *request {
 	q := &request{Request: r, class: c, taken: g.now}
 	g.open[r.ID] = q
-	if g.live = append(g.live, q); g.set.BudgetSpan > 0 {
+	if g.live = append(g.live, q); g.set.RetryBudgetWindow > 0 {
 		g.taken = append(g.taken, g.now)
 	}
 	g.count++
@@ -892,7 +892,7 @@
 	least := math.Inf(1)
 	for i := range g.classes {
 		c := &g.classes[i]
-		least = min(least, math.Log1p(float64(c.Aim)/micros*c.threads/c.typical()+c.AimStretch))
+		least = min(least, math.Log1p(float64(c.LatencyObjective)/micros*c.threads/c.typical()+c.ObjectiveStretch))
 	}
 	return least
 }
--- a/policy/stored_test.go
+++ b/policy/stored_test.go
@@ -11,17 +11,17 @@
 // storedSettings has a value of its own in every field, so that no two can be mistaken for each other.
 func storedSettings() Settings {
 	return Settings{
-		Zone: 1, Me: 2, Peers: 3,
-		Classes: []Class{{Name: "class", Worth: 4.5, LateWorth: 0.25, Aim: 5, AimStretch: 1.5, Deadline: 6, Threads: 7, Loads: true, Waits: true,
-			Effect: Keyed, Group: GroupCell, Window: 8, InTurn: true, Zones: []int{9, 10}, Kinds: []int{0}}},
-		Kinds:          []Kind{{Cores: 11, MemoryMB: 12.5}},
-		Tenants:        []Tenant{{Name: "tenant", Allowance: 13.5}},
-		OverShareWorth: 0.125, CountByWork: true,
-		MaxAttempts: 14, MaxHeld: 15, MaxComeBack: 16, CanCancel: true, CanProbe: true, CanTell: true, SecondCopies: true,
-		ReportsByAnswer: true, ReportsByProbe: true, AskForList: true,
-		GrantsCount: true, PriorityCount: true, MaxGrantShare: 0.375, Shortage: ShortSwap, ProgressEvery: 17,
-		ColdFrom: 0.625, ColdFor: 18, FallMultiple: 19.5, FallFor: 20, DrainGrace: 21, AnswerSlack: 22, AskWithin: 23, TurnGap: 24,
-		BudgetFree: 25, BudgetShare: 0.75, BudgetSpan: 26,
+		Zone: 1, PeerIndex: 2, Peers: 3,
+		Classes: []Class{{Name: "class", PriorityWeight: 4.5, LateWeight: 0.25, LatencyObjective: 5, ObjectiveStretch: 1.5, Deadline: 6, Threads: 7, LocksTables: true, WaitsForTables: true,
+			Effect: IdempotentByKey, DedupScope: DedupPlacementGroup, DedupWindow: 8, Ordered: true, Zones: []int{9, 10}, Kinds: []int{0}}},
+		Kinds:           []Kind{{Cores: 11, MemoryMB: 12.5}},
+		Tenants:         []Tenant{{Name: "tenant", Quota: 13.5}},
+		OverQuotaWeight: 0.125, WeightByWork: true,
+		MaxAttempts: 14, MaxInFlight: 15, MaxRetryAfter: 16, CanCancel: true, CanHealthCheck: true, CanGossip: true, AllowHedging: true,
+		ReportsByAnswer: true, ReportsByHealthCheck: true, PollEndpoints: true,
+		HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.375, Shortage: ShortageSwaps, ProgressInterval: 17,
+		SlowStartFloor: 0.625, SlowStartDuration: 18, OverloadMultiple: 19.5, OverloadDuration: 20, DrainGrace: 21, AnswerSlack: 22, MaxPollInterval: 23, OrderingGap: 24,
+		RetryBudgetFloor: 25, RetryBudgetRatio: 0.75, RetryBudgetWindow: 26,
 	}
 }
 
@@ -29,12 +29,12 @@
 func storedLearned() Learned {
 	return Learned{
 		Version: 1,
-		Classes: []LearnedClass{{Name: "class", Mean: Running{1, 2}, Heft: Running{3, 4}, Asked: Running{5, 6}, Ratio: Running{7, 8},
-			Memory: Running{9, 10}, Taken: 11, Stray: 12, StrayN: 13, Margin: 14, Fit: [5]float64{15, 16, 17, 18, 19},
-			Price: [levels]float64{20, 21, 22, 23}, Wait: [levels]float64{24, 25, 26, 27}}},
-		Fleet: LearnedFleet{Stretch: [2]float64{28, 29}, Threads: 30, Rate: 31, MeanRate: 32, MB: 33, Sent: Running{34, 35}, Took: Running{36, 37},
-			Cost: Running{38, 39}, Crowd: Running{40, 41}, Room: 42, Open: 43},
-		Engines: []LearnedEngine{{ID: "node", Started: 44, Slow: 45, Faults: 46}},
+		Classes: []LearnedClass{{Name: "class", Mean: Running{1, 2}, UsualWork: Running{3, 4}, EstimateMedian: Running{5, 6}, Ratio: Running{7, 8},
+			Memory: Running{9, 10}, Received: 11, Dispersion: 12, DispersionCount: 13, Margin: 14, Fit: [5]float64{15, 16, 17, 18, 19},
+			Price: [levels]float64{20, 21, 22, 23}, QueueWait: [levels]float64{24, 25, 26, 27}}},
+		Fleet: LearnedFleet{WarmthInflation: [2]float64{28, 29}, Threads: 30, Rate: 31, MeanRate: 32, GrantMB: 33, SentThreads: Running{34, 35}, Latency: Running{36, 37},
+			Cost: Running{38, 39}, Inflation: Running{40, 41}, Capacity: 42, InFlight: 43},
+		Endpoints: []LearnedEndpoint{{ID: "node", Started: 44, Slow: 45, Faults: 46}},
 	}
 }
 
--- a/policy/toll_test.go
+++ b/policy/toll_test.go
@@ -61,7 +61,7 @@
 	c.mean.v = 3
 	c.wait = [levels]float64{1, 0.2, 2, 4}
 	c.price = [levels]float64{5, 4, 1, 0.5}
-	q := &request{class: c, est: 6, worth: 10, Request: Request{Due: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
+	q := &request{class: c, est: 6, worth: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
 	level, net := g.cheapest(q)
 	delta := 10.0 / 15
 	if level != 2 {
--- a/scenario/day_test.go
+++ b/scenario/day_test.go
@@ -57,12 +57,12 @@
 func TestJudgeFindsBreaks(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	script := &Script{Dispatchers: 1, Config: config.File{
-		Halls: []string{"a", "b"}, Kinds: []config.Kind{{Name: "k", Cores: 4}},
-		Classes: []config.Class{{Name: "plain", Aim: config.Duration(time.Second), Deadline: config.Duration(time.Second)},
-			{Name: "keyed", Aim: config.Duration(time.Second), Deadline: config.Duration(time.Second), InTurn: true, Halls: []string{"b"}}},
-		Limits:  config.Limits{DrainGrace: config.Duration(time.Second), BudgetFree: 1, BudgetSpan: config.Duration(time.Second), ColdFor: config.Duration(time.Second)},
+		Zones: []string{"a", "b"}, Kinds: []config.Kind{{Name: "k", Cores: 4}},
+		Classes: []config.Class{{Name: "plain", LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second)},
+			{Name: "keyed", LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second), Ordered: true, Zones: []string{"b"}}},
+		Limits:  config.Limits{DrainGrace: config.Duration(time.Second), RetryBudgetFloor: 1, RetryBudgetWindow: config.Duration(time.Second), SlowStartDuration: config.Duration(time.Second)},
 		AnyUser: true},
-		Nodes:   []NodeGroup{{Count: 1, Hall: "a", Kind: "k"}, {Count: 1, Hall: "b", Kind: "k"}},
+		Nodes:   []NodeGroup{{Count: 1, Zone: "a", Kind: "k"}, {Count: 1, Zone: "b", Kind: "k"}},
 		Clients: []ClientGroup{{Class: "plain"}, {Class: "plain", Update: true}, {Class: "keyed", Keys: 1}}}
 	cfg, err := script.config(0, "127.0.0.1:1")
 	if err != nil {
--- a/scenario/judge.go
+++ b/scenario/judge.go
@@ -157,7 +157,7 @@
 	r := Rule{Name: "2 no effect happens twice"}
 	for _, a := range w.asked {
 		class := w.classOf(a.Group)
-		if class.Effect == policy.Safe || class.Effect == policy.Keyed && a.Came { // a repeat of the client's own has its token
+		if class.Effect == policy.Idempotent || class.Effect == policy.IdempotentByKey && a.Came { // a repeat of the client's own has its token
 			continue
 		}
 		ran := 0
@@ -167,7 +167,7 @@
 			}
 		}
 		r.check(ran > 1, "query %d ran %d times", a.Serial, ran)
-		r.check(a.Final == "refused" && ran > 0 && (class.Effect == policy.Unsafe || class.Group != policy.GroupAll), "query %d was refused and had run", a.Serial)
+		r.check(a.Final == "refused" && ran > 0 && (class.Effect == policy.NonIdempotent || class.DedupScope != policy.DedupFleet), "query %d was refused and had run", a.Serial)
 	}
 	return r
 }
@@ -220,7 +220,7 @@
 		var loads []load
 		for i, list := range seen {
 			for _, s := range list {
-				if age := s.At.Sub(born.at); s.Node == born.node && age >= 0 && age < l.ColdFor.D() {
+				if age := s.At.Sub(born.at); s.Node == born.node && age >= 0 && age < l.SlowStartDuration.D() {
 					loads = append(loads, load{s.At, w.asked[i].Work})
 				}
 			}
@@ -242,13 +242,13 @@
 		for i := range loads {
 			sum, age := time.Duration(0), loads[i].at.Sub(born.at)
 			for _, o := range loads[i:] {
-				if o.at.Sub(loads[i].at) <= l.ColdSpan.D() {
+				if o.at.Sub(loads[i].at) <= l.OverloadDuration.D() {
 					sum += o.work
 				}
 			}
-			share := l.ColdFrom + (1-l.ColdFrom)*float64(age)/float64(l.ColdFor.D())
-			most := time.Duration(l.ColdMultiple * share * float64(cores) * float64(l.ColdSpan.D()))
-			r.check(sum > most, "%s, %v after its start, was sent %v of work in %v, it bears %v", born.node, age, sum, l.ColdSpan.D(), most)
+			share := l.SlowStartFloor + (1-l.SlowStartFloor)*float64(age)/float64(l.SlowStartDuration.D())
+			most := time.Duration(l.OverloadMultiple * share * float64(cores) * float64(l.OverloadDuration.D()))
+			r.check(sum > most, "%s, %v after its start, was sent %v of work in %v, it bears %v", born.node, age, sum, l.OverloadDuration.D(), most)
 		}
 	}
 	return r
@@ -263,7 +263,7 @@
 	}
 	keys := map[string][]run{}
 	for _, a := range w.asked {
-		if a.Key < 0 || !w.classOf(a.Group).InTurn {
+		if a.Key < 0 || !w.classOf(a.Group).Ordered {
 			continue
 		}
 		for _, s := range seen[a.Serial] {
@@ -297,7 +297,7 @@
 		for _, s := range seen[a.Serial] {
 			i, _ := strconv.Atoi(strings.TrimPrefix(s.Node, "node-"))
 			hallName, kindName := w.where(i)
-			hall, _ := kinds.Hall(hallName)
+			hall, _ := kinds.Zone(hallName)
 			kind, _ := kinds.Kind(kindName)
 			r.check(c.Zones != nil && !slices.Contains(c.Zones, hall) || c.Kinds != nil && !slices.Contains(c.Kinds, kind),
 				"query %d of class %s reached %s", a.Serial, c.Name, s.Node)
@@ -310,7 +310,7 @@
 func (w *world) budget(seen [][]simulated.Seen) Rule {
 	r := Rule{Name: "7 further attempts stay within the budget"}
 	l := &w.hosts[0].cfg.File.Limits
-	if l.BudgetSpan == 0 {
+	if l.RetryBudgetWindow == 0 {
 		return r
 	}
 	for d := range w.hosts {
@@ -329,7 +329,7 @@
 		slices.SortFunc(taken, time.Time.Compare)
 		slices.SortFunc(further, time.Time.Compare)
 		for i, at := range further {
-			from := at.Add(-l.BudgetSpan.D())
+			from := at.Add(-l.RetryBudgetWindow.D())
 			n := 0
 			for _, o := range further[:i+1] {
 				if o.After(from.Add(slack)) {
@@ -342,8 +342,8 @@
 					k++
 				}
 			}
-			most := l.BudgetFree + l.BudgetShare*float64(k)
-			r.check(float64(n) > most, "dispatcher %d made %d further attempts in %v, allowed are %.1f", d, n, l.BudgetSpan.D(), most)
+			most := l.RetryBudgetFloor + l.RetryBudgetRatio*float64(k)
+			r.check(float64(n) > most, "dispatcher %d made %d further attempts in %v, allowed are %.1f", d, n, l.RetryBudgetWindow.D(), most)
 		}
 	}
 	return r
@@ -376,8 +376,8 @@
 		default:
 			c.Served++
 			h.RecordValue(took.Microseconds())
-			aim := time.Duration(class.Aim)*time.Microsecond +
-				time.Duration(class.AimStretch*float64(a.Work)/float64(max(class.Threads, 1)))
+			aim := time.Duration(class.LatencyObjective)*time.Microsecond +
+				time.Duration(class.ObjectiveStretch*float64(a.Work)/float64(max(class.Threads, 1)))
 			if took <= aim {
 				c.InTime++
 			}
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -126,10 +126,10 @@
 	}
 	tokens := map[string]*simulated.Tokens{} // the nodes of a hall drop each other's repeats
 	for _, g := range s.Nodes {
-		if tokens[g.Hall] == nil {
-			tokens[g.Hall] = simulated.NewTokens(s.window())
+		if tokens[g.Zone] == nil {
+			tokens[g.Zone] = simulated.NewTokens(s.window())
 		}
-		model := simulated.Model{ColdFor: s.Config.Limits.ColdFor.D(), ColdFrom: s.Config.Limits.ColdFrom}
+		model := simulated.Model{ColdFor: s.Config.Limits.SlowStartDuration.D(), ColdFrom: s.Config.Limits.SlowStartFloor}
 		for _, k := range s.Config.Kinds {
 			if k.Name == g.Kind || g.Kind == "" {
 				model.Cores, model.MemoryMB = k.Cores, k.MemoryMB
@@ -138,12 +138,12 @@
 		}
 		for range g.Count {
 			n := simulated.NewNode(fmt.Sprintf("node-%d", len(w.nodes)), model, w.rng.Uint64())
-			n.Share(tokens[g.Hall])
+			n.Share(tokens[g.Zone])
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
 			w.nodes = append(w.nodes, n)
-			w.rows = append(w.rows, simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Hall, Kind: g.Kind})
+			w.rows = append(w.rows, simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Zone, Kind: g.Kind})
 		}
 	}
 	w.control.Set(w.listed(), "")
@@ -369,7 +369,7 @@
 func (w *world) where(i int) (hall, kind string) {
 	for _, g := range w.script.Nodes {
 		if i < g.Count {
-			return g.Hall, g.Kind
+			return g.Zone, g.Kind
 		}
 		i -= g.Count
 	}
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -41,7 +41,7 @@
 // NodeGroup is some nodes of one kind in one hall.
 type NodeGroup struct {
 	Count int    `json:"count"`
-	Hall  string `json:"hall"`
+	Zone  string `json:"hall"`
 	Kind  string `json:"kind"`
 }
 
@@ -174,9 +174,9 @@
 		f.Nodes, f.Control = config.Nodes{}, &config.Control{Address: service, Cluster: cluster, Delta: i%2 == 1,
 			Reconnect: config.Duration(time.Second)}
 	}
-	f.Hall = ""
-	if len(f.Halls) > 0 {
-		f.Hall = f.Halls[i%len(f.Halls)]
+	f.Zone = ""
+	if len(f.Zones) > 0 {
+		f.Zone = f.Zones[i%len(f.Zones)]
 	}
 	return config.FromFile(f)
 }
@@ -211,7 +211,7 @@
 // window is the longest for which a class has tokens remembered.
 func (s *Script) window() (longest time.Duration) {
 	for _, c := range s.Config.Classes {
-		longest = max(longest, c.Window.D())
+		longest = max(longest, c.DedupWindow.D())
 	}
 	return longest
 }
--- a/server/admin.go
+++ b/server/admin.go
@@ -110,11 +110,11 @@
 		if err != nil {
 			return nil, err
 		}
-		known := make(chan control.Known, 1)
-		d.loop.Post(dispatch.Look{At: func(core *dispatch.Core) { known <- knownOf(core) }})
+		known := make(chan control.LiveState, 1)
+		d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) { known <- knownOf(core) }})
 		select {
 		case k := <-known:
-			return d.admin(r.Context(), control.RollBack{Set: set, Known: k})
+			return d.admin(r.Context(), control.RollBack{Set: set, Live: k})
 		case <-r.Context().Done():
 			return nil, r.Context().Err()
 		}
--- a/server/controller.go
+++ b/server/controller.go
@@ -48,7 +48,7 @@
 	bounds.Floor, bounds.FloorCount, bounds.NoShorter = k.Floor, k.FloorCount, !k.Shorter
 	bounds.RelistAfter = k.RelistAfter.D().Microseconds()
 	if k.Store != "" {
-		s, err := store.Open(k.Store, k.Keep)
+		s, err := store.Open(k.Store, k.KeepVersions)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -200,21 +200,21 @@
 	ctx context.Context
 }
 
-func knownOf(core *dispatch.Core) control.Known {
-	k := control.Known{InFlight: core.InFlight()}
-	k.Further, k.Taken, k.Resting = core.Out()
+func knownOf(core *dispatch.Core) control.LiveState {
+	k := control.LiveState{InFlight: core.InFlight()}
+	k.Retries, k.Received, k.OrderKeyResting = core.Outstanding()
 	return k
 }
 
 // Offered implements stream.Handler. What is out is asked of the loop first: the checks for harm need it.
 func (h handler) Offered(ev control.Offered) {
 	if ev.Kind != control.Nodes {
-		known := make(chan control.Known, 1)
-		h.c.d.loop.Post(dispatch.Look{At: func(core *dispatch.Core) {
+		known := make(chan control.LiveState, 1)
+		h.c.d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
 			known <- knownOf(core)
 		}})
 		select {
-		case ev.Known = <-known:
+		case ev.Live = <-known:
 		case <-h.ctx.Done():
 			return
 		}
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -40,7 +40,7 @@
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
 	fleet    *backend.Fleet
-	desk     *frontend.Desk
+	desk     *frontend.Intake
 	sessions *frontend.Sessions
 	front    *flightsql.Front
 	native   *clickhouse.Front
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d.warmth = newWarmth(f.Log.Learned, f.Log.LearnedEvery.D(), core, d.clock, d.log)
+	d.warmth = newWarmth(f.Log.Learned, f.Log.LearnedInterval.D(), core, d.clock, d.log)
 	if d.record, err = newRecording(f, core, d.clock, d.registry); err != nil {
 		return nil, err
 	}
@@ -112,18 +112,18 @@
 		auth = flightsql.NewUsers(hashes)
 	}
 	r := &f.Front
-	d.desk = frontend.NewDesk(d.loop, d.clock, tables(cfg, 0))
+	d.desk = frontend.NewIntake(d.loop, d.clock, tables(cfg, 0))
 	e := &f.Sessions
-	d.sessions = frontend.NewSessions(d.desk, d.clock, session.Limits{All: e.Most, PerTenant: e.PerTenant, PerNode: e.PerNode,
-		Idle: e.Idle.D().Microseconds(), Age: e.Age.D().Microseconds(), Spread: e.Spread.D().Microseconds(), Keep: e.Keep.D().Microseconds(),
-		Grace: max(f.Limits.DrainGrace.D()-sessionMargin, 0).Microseconds()}, d.fleet)
+	d.sessions = frontend.NewSessions(d.desk, d.clock, session.Limits{All: e.Max, PerTenant: e.PerTenant, PerNode: e.PerNode,
+		Idle: e.Idle.D().Microseconds(), Age: e.Age.D().Microseconds(), RetrySpread: e.RetrySpread.D().Microseconds(), Retention: e.Retention.D().Microseconds(),
+		DrainGrace: max(f.Limits.DrainGrace.D()-sessionMargin, 0).Microseconds()}, d.fleet)
 	d.fleet.OnNodes(d.sessions.SetNodes)
 	d.front = flightsql.New(flightsql.Options{Sessions: d.sessions, Idle: e.Idle.D(), Age: e.Age.D(), Log: d.log, Auth: auth, Seal: sealer, SchemaLife: r.SchemaLife.D(),
-		SchemaMost: r.SchemaMost, PassHeaders: f.Sending.PassHeaders}, d.desk)
+		SchemaMost: r.MaxSchemas, PassHeaders: f.Sending.PassHeaders}, d.desk)
 	d.native = clickhouse.New(clickhouse.Options{Log: d.log, Auth: auth, MaxPacket: f.Sending.MaxFrame, Revision: d.fleet.NativeRevision, Sessions: d.sessions,
-		InsertMost: r.InsertMost, InsertsHeld: r.InsertsHeld, SampleLife: r.SchemaLife.D(), SampleMost: r.SchemaMost}, d.desk)
-	observer.watch(d.desk, d.fleet, d.native, r.InsertsHeld)
-	observer.watchSessions(d.sessions, e.Most)
+		InsertMost: r.MaxInsertBytes, InsertsHeld: r.MaxBufferedInsertBytes, SampleLife: r.SchemaLife.D(), SampleMost: r.MaxSchemas}, d.desk)
+	observer.watch(d.desk, d.fleet, d.native, r.MaxBufferedInsertBytes)
+	observer.watchSessions(d.sessions, e.Max)
 	d.server = grpc.NewServer(append(d.front.ServerOptions(),
 		// Clients that vanished are noticed within this time, so that nothing runs on for them.
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 5 * time.Second}),
@@ -165,7 +165,7 @@
 func tables(cfg *config.Config, version uint64) frontend.Tables {
 	r := &cfg.File.Front
 	t := frontend.Tables{Version: version, Classes: &cfg.Classes, Deadlines: make([]time.Duration, len(cfg.Settings.Classes)),
-		WayBack: r.WayBack.D(), TicketLife: r.TicketLife.D(), PreparedLife: r.PreparedLife.D(), BearerLife: r.BearerLife.D(),
+		ResponseMargin: r.ResponseMargin.D(), TicketLife: r.TicketLife.D(), PreparedLife: r.PreparedLife.D(), BearerLife: r.BearerLife.D(),
 		MaxStatement: r.MaxStatement, MaxParams: r.MaxParams}
 	for i, c := range cfg.Settings.Classes {
 		t.Deadlines[i] = time.Duration(c.Deadline) * time.Microsecond
--- a/server/nodes_test.go
+++ b/server/nodes_test.go
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	id := r.nodes[0].Seen()[0].Query
-	r.d.Fleet().Terms(id, 64, 3)
+	r.d.Fleet().SetResources(id, 64, 3)
 	if err := r.nodes[0].Await(t.Context(), func([]simulated.Seen) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
 		t.Fatal(err)
 	}
--- a/server/observe.go
+++ b/server/observe.go
@@ -49,9 +49,9 @@
 	decision trace.Span
 }
 
-var codeNames = map[policy.Code]string{policy.OK: "ok", policy.Failed: "failed", policy.Full: "full",
-	policy.TimedOut: "timed_out", policy.Refused: "refused", policy.Reset: "reset", policy.Cancelled: "cancelled",
-	policy.Moot: "moot"}
+var codeNames = map[policy.Code]string{policy.OK: "ok", policy.Failed: "failed", policy.Rejected: "full",
+	policy.TimedOut: "timed_out", policy.ConnectionRefused: "refused", policy.ConnectionReset: "reset", policy.Cancelled: "cancelled",
+	policy.NeverSent: "moot"}
 
 func newObserver(log *slog.Logger, r *prometheus.Registry, t trace.Tracer, cfg *config.Config) *observer {
 	o := &observer{log: log, registry: r, tracer: t, spans: map[string]*querySpans{}}
@@ -87,16 +87,16 @@
 		Help: "How long the loop was held by a change of the settings.", Buckets: prometheus.ExponentialBuckets(1e-6, 4, 12)})
 	o.limit = prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "embershunt", Name: "held_queries_limit",
 		Help: "Most queries that may be held."})
-	o.limit.Set(float64(cfg.Settings.MaxHeld))
+	o.limit.Set(float64(cfg.Settings.MaxInFlight))
 	r.MustRegister(o.latency, o.steps, o.events, o.actions, o.held, o.limit, o.version, o.pause)
 	return o
 }
 
 // watch adds the figures that others keep.
-func (o *observer) watch(desk *frontend.Desk, f *backend.Fleet, n *clickhouse.Front, insertsHeld int) {
+func (o *observer) watch(desk *frontend.Intake, f *backend.Fleet, n *clickhouse.Front, insertsHeld int) {
 	o.registry.MustRegister(
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "queries_unruled_total",
-			Help: "Queries that no rule and no hint gave a class."}, func() float64 { return float64(desk.Unruled()) }),
+			Help: "Queries that no rule and no hint gave a class."}, func() float64 { return float64(desk.Unclassified()) }),
 		prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "node_list_failures_total",
 			Help: "Node lists that failed or could not be used."}, func() float64 { return float64(f.ListFailures()) }),
 		prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: "embershunt", Name: "native_connections",
@@ -160,7 +160,7 @@
 }
 
 // Taken implements dispatch.Observer.
-func (o *observer) Taken(q *dispatch.Query) {
+func (o *observer) QueryReceived(q *dispatch.Query) {
 	if o.tracer == nil {
 		return
 	}
@@ -173,7 +173,7 @@
 
 // Sent implements dispatch.Observer.
 func (o *observer) Sent(a dispatch.Attempt) {
-	o.sent.WithLabelValues(strconv.FormatBool(a.N > 0)).Inc()
+	o.sent.WithLabelValues(strconv.FormatBool(a.Number > 0)).Inc()
 	if s := o.spans[a.Query.ID]; s != nil && s.decision != nil {
 		s.decision.SetAttributes(attribute.String("node", a.Node), attribute.Int("priority", a.Priority))
 		s.decision.End()
@@ -182,30 +182,30 @@
 }
 
 // Ended implements dispatch.Observer.
-func (o *observer) Ended(q *dispatch.Query, node string, ev dispatch.Ended) {
+func (o *observer) AttemptEnded(q *dispatch.Query, node string, ev dispatch.AttemptEnded) {
 	o.attempts.WithLabelValues(node, codeNames[ev.Code]).Inc()
 	if o.log.Enabled(context.Background(), slog.LevelDebug) && ev.Err != nil {
-		o.log.Debug("attempt ended", "query", ev.ID, "attempt", ev.N, "node", node, "code", codeNames[ev.Code],
+		o.log.Debug("attempt ended", "query", ev.ID, "attempt", ev.Number, "node", node, "code", codeNames[ev.Code],
 			"error", ev.Err)
 	}
 	if s := o.spans[ev.ID]; s != nil {
 		_, span := o.tracer.Start(s.ctx, "attempt", trace.WithTimestamp(time.Now().Add(
-			-time.Duration(ev.Took)*time.Microsecond)), trace.WithAttributes(attribute.String("node", node),
-			attribute.Int("attempt", ev.N), attribute.String("code", codeNames[ev.Code])))
+			-time.Duration(ev.Latency)*time.Microsecond)), trace.WithAttributes(attribute.String("node", node),
+			attribute.Int("attempt", ev.Number), attribute.String("code", codeNames[ev.Code])))
 		span.End()
 	}
 }
 
 // Answered implements dispatch.Observer.
-func (o *observer) Answered(q *dispatch.Query, v dispatch.Verdict, took dispatch.Micros) {
+func (o *observer) Answered(q *dispatch.Query, v dispatch.Outcome, took dispatch.Micros) {
 	class := o.class(q.Class)
-	o.queries.WithLabelValues(class, v.Final.String(), string(v.Reason)).Inc()
-	o.latency.WithLabelValues(class, v.Final.String()).Observe(float64(took) / 1e6)
+	o.queries.WithLabelValues(class, v.Kind.String(), string(v.Reason)).Inc()
+	o.latency.WithLabelValues(class, v.Kind.String()).Observe(float64(took) / 1e6)
 	if s := o.spans[q.ID]; s != nil {
 		if s.decision != nil {
 			s.decision.End()
 		}
-		s.query.SetAttributes(attribute.String("final", v.Final.String()), attribute.String("reason", string(v.Reason)),
+		s.query.SetAttributes(attribute.String("final", v.Kind.String()), attribute.String("reason", string(v.Reason)),
 			attribute.Int("attempts", v.Attempts))
 		s.query.End()
 		delete(o.spans, q.ID)
@@ -225,17 +225,17 @@
 		o.classes = append(o.classes, c.Name)
 	}
 	o.version.Set(float64(version))
-	o.limit.Set(float64(s.MaxHeld))
+	o.limit.Set(float64(s.MaxInFlight))
 }
 
 // Paused implements dispatch.Observer.
 func (o *observer) Paused(d dispatch.Micros) { o.pause.Observe(float64(d) / 1e6) }
 
 // Note implements dispatch.Observer.
-func (o *observer) Note(text string) { o.log.Info(text, "from", "module") }
+func (o *observer) LogLine(text string) { o.log.Info(text, "from", "module") }
 
 // Stepped implements dispatch.Observer.
-func (o *observer) Stepped(events, actions, held int) {
+func (o *observer) StepCompleted(events, actions, held int) {
 	o.steps.Inc()
 	o.events.Add(float64(events))
 	o.actions.Add(float64(actions))
--- a/server/platform.go
+++ b/server/platform.go
@@ -76,12 +76,12 @@
 		tally: newTally(log)}
 	span := func(us policy.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
 	nodes := int(float64(cfg.Sockets-ownSockets) * nodesPart)
-	p.fleet = backend.New(backend.Options{Log: p.log, Clock: p.clock, ConnectTimeout: span(cfg.OnSockets.ConnectTimeout),
-		LinesMost: nodes, LinesShared: cfg.OnSockets.StreamsPerConn, LinesIdle: span(cfg.OnSockets.ConnIdle) / 2,
+	p.fleet = backend.New(backend.Options{Log: p.log, Clock: p.clock, ConnectTimeout: span(cfg.SocketLimits.ConnectTimeout),
+		MaxPlatformConns: nodes, MaxAttemptsPerConn: cfg.SocketLimits.StreamsPerConn, PlatformIdleTimeout: span(cfg.SocketLimits.ConnIdle) / 2,
 		DrainGrace: span(cfg.Settings.DrainGrace)})
 	settings := cfg.Settings
-	if most := cfg.Sockets / clientsPart; settings.MaxHeld == 0 || settings.MaxHeld > most {
-		settings.MaxHeld = most
+	if most := cfg.Sockets / clientsPart; settings.MaxInFlight == 0 || settings.MaxInFlight > most {
+		settings.MaxInFlight = most
 	}
 	core, err := dispatch.NewCore(cfg.Seed, settings, p.fleet, p.tally)
 	if err != nil {
@@ -89,22 +89,22 @@
 	}
 	p.loop = dispatch.NewLoop(core, p.clock)
 	p.fleet.Bind(p.loop)
-	desk := frontend.NewDesk(p.loop, p.clock, frontend.Tables{})
+	desk := frontend.NewIntake(p.loop, p.clock, frontend.Tables{})
 	p.front = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings, MostSessions: cfg.Sockets - ownSockets - nodes,
-		Idle: span(cfg.OnSockets.ConnIdle)}, desk)
+		Idle: span(cfg.SocketLimits.ConnIdle)}, desk)
 	every := min(max(span(cfg.Settings.DrainGrace)/askParts, askLeast), askMost)
-	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Known: cfg.Known, Interval: every,
+	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial, Interval: every,
 		Apply: p.setNodes})
-	if cfg.Settings.CanTell {
-		if p.peers, err = peers.Listen(cfg.PeerListen, cfg.Peers, cfg.Settings.Me); err != nil {
+	if cfg.Settings.CanGossip {
+		if p.peers, err = peers.Listen(cfg.PeerListen, cfg.Peers, cfg.Settings.PeerIndex); err != nil {
 			return nil, err
 		}
-		p.fleet.OnTell(p.peers.Tell)
+		p.fleet.OnGossip(p.peers.Send)
 	}
-	if err := p.fleet.SetNodes(cfg.Known.Nodes); err != nil {
+	if err := p.fleet.SetNodes(cfg.Initial.Nodes); err != nil {
 		return nil, err
 	}
-	p.nodes = cfg.Known.Nodes
+	p.nodes = cfg.Initial.Nodes
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		return nil, err
@@ -184,4 +184,4 @@
 // toLoop passes on what needs no ledger.
 type toLoop struct{ *dispatch.Loop }
 
-func (l toLoop) Told(ev policy.Event) { l.Post(dispatch.Told{Event: ev}) }
+func (l toLoop) Notify(ev policy.Event) { l.Post(dispatch.PolicyEvent{Event: ev}) }
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -32,7 +32,7 @@
 	ended chan error
 }
 
-var platformNames = nodelist.Names{Halls: []string{"west"}, Kinds: []string{"std"}}
+var platformNames = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
 // settingsText is the settings object of the tests, on the names of the platform's wire.
 const settingsText = `{"az":0,"me":0,"peersTotal":1,"zones":["west"],"models":["std"],"classes":[
@@ -53,7 +53,7 @@
 	names.Set(1, nodes)
 	var targets []map[string]any
 	for _, n := range nodes {
-		targets = append(targets, map[string]any{"uid": n.ID, "endpoint": n.Lines, "az": "west", "model": "std", "pod_group": 0,
+		targets = append(targets, map[string]any{"uid": n.ID, "endpoint": n.Platform, "az": "west", "model": "std", "pod_group": 0,
 			"state": "active", "capacity_hint": 1, "boot_ms": 0})
 	}
 	p := &platform{t: t, names: names, file: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
@@ -166,7 +166,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(node.Close)
-	return node, nodelist.Node{ID: id, Lines: node.Address(), Weight: 1}
+	return node, nodelist.Node{ID: id, Platform: node.Address(), Weight: 1}
 }
 
 // The whole way: id, class, statement and key reach the node as the client sent them, the rows come back.
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	p := newPlatform(t, nodelist.Node{ID: "s-1", Lines: node.Address(), Weight: 1})
+	p := newPlatform(t, nodelist.Node{ID: "s-1", Platform: node.Address(), Weight: 1})
 	slow, err := p.connect()
 	if err != nil {
 		t.Fatal(err)
--- a/server/recording.go
+++ b/server/recording.go
@@ -44,7 +44,7 @@
 	if b, ok := debug.ReadBuildInfo(); ok {
 		build = b.Main.Version
 	}
-	rec := &recording{recorder: trace.NewRecorder(f.Name, build), writer: w, file: file, most: int64(f.Log.DecisionsMost)}
+	rec := &recording{recorder: trace.NewRecorder(f.Name, build), writer: w, file: file, most: int64(f.Log.MaxDecisionBytes)}
 	core.Record(clock.Now(), rec.recorder)
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "decisions_not_recorded_total",
 		Help: "Steps of the module that the recording lost because it could not keep up, or had reached its bound."},
