--- a/server/tally.go
+++ b/server/tally.go
@@ -18,7 +18,7 @@
 	log     *slog.Logger
 	taken   atomic.Int64
 	finals  [dispatch.Failed + 1]atomic.Int64
-	codes   [policy.Moot + 1]atomic.Int64
+	codes   [policy.NeverSent + 1]atomic.Int64
 	sent    atomic.Int64
 	further atomic.Int64
 	faults  atomic.Int64
@@ -28,12 +28,12 @@
 
 // tallyReasons are the reasons of refused and failed queries, in the order in which they are logged.
 var tallyReasons = [...]dispatch.Reason{dispatch.ReasonOverload, dispatch.ReasonFull, dispatch.ReasonDraining, dispatch.ReasonAttempt,
-	dispatch.ReasonBroken, dispatch.ReasonDeadline, dispatch.ReasonInternal, dispatch.ReasonGone, dispatch.ReasonStopped}
+	dispatch.ReasonBroken, dispatch.ReasonDeadline, dispatch.ReasonInternal, dispatch.ReasonClientDisconnected, dispatch.ReasonStopped}
 
 func newTally(log *slog.Logger) *tally { return &tally{log: log} }
 
 // Taken implements dispatch.Observer.
-func (t *tally) Taken(q *dispatch.Query) {
+func (t *tally) QueryReceived(q *dispatch.Query) {
 	t.taken.Add(1)
 	t.log.Debug("taken", "query", q.ID, "trace", traceID(q))
 }
@@ -47,28 +47,28 @@
 }
 
 // Answered implements dispatch.Observer.
-func (t *tally) Answered(q *dispatch.Query, v dispatch.Verdict, took dispatch.Micros) {
-	t.finals[v.Final].Add(1)
+func (t *tally) Answered(q *dispatch.Query, v dispatch.Outcome, took dispatch.Micros) {
+	t.finals[v.Kind].Add(1)
 	if i := slices.Index(tallyReasons[:], v.Reason); i >= 0 {
 		t.reasons[i].Add(1)
 	}
-	t.log.Debug("answered", "query", q.ID, "trace", traceID(q), "final", v.Final.String(), "reason", v.Reason, "attempts", v.Attempts,
+	t.log.Debug("answered", "query", q.ID, "trace", traceID(q), "final", v.Kind.String(), "reason", v.Reason, "attempts", v.Attempts,
 		"took_ms", took/1000)
 }
 
 // Sent implements dispatch.Observer.
 func (t *tally) Sent(a dispatch.Attempt) {
-	if t.sent.Add(1); a.N > 0 {
+	if t.sent.Add(1); a.Number > 0 {
 		t.further.Add(1)
 	}
-	t.log.Debug("sent", "query", a.Query.ID, "trace", traceID(a.Query), "attempt", a.N, "node", a.Node)
+	t.log.Debug("sent", "query", a.Query.ID, "trace", traceID(a.Query), "attempt", a.Number, "node", a.Node)
 }
 
 // Ended implements dispatch.Observer.
-func (t *tally) Ended(_ *dispatch.Query, node string, ev dispatch.Ended) {
+func (t *tally) AttemptEnded(_ *dispatch.Query, node string, ev dispatch.AttemptEnded) {
 	t.codes[ev.Code].Add(1)
 	if ev.Err != nil {
-		t.log.Debug("attempt ended", "query", ev.ID, "attempt", ev.N, "node", node, "code", codeNames[ev.Code], "error", ev.Err)
+		t.log.Debug("attempt ended", "query", ev.ID, "attempt", ev.Number, "node", node, "code", codeNames[ev.Code], "error", ev.Err)
 	}
 }
 
@@ -85,10 +85,10 @@
 func (t *tally) Paused(dispatch.Micros) {}
 
 // Note implements dispatch.Observer.
-func (t *tally) Note(text string) { t.log.Info(text, "from", "module") }
+func (t *tally) LogLine(text string) { t.log.Info(text, "from", "module") }
 
 // Stepped implements dispatch.Observer.
-func (t *tally) Stepped(_, _, held int) { t.held.Store(int64(held)) }
+func (t *tally) StepCompleted(_, _, held int) { t.held.Store(int64(held)) }
 
 // tallyEvery is how often the figures are logged.
 const tallyEvery = 10 * time.Second
@@ -105,10 +105,10 @@
 		case <-tick.C:
 		}
 		open, away, unreadable := p.front.Counts()
-		args := []any{"taken", t.taken.Load(), "served", t.finals[dispatch.Served].Load(), "refused", t.finals[dispatch.Refused].Load(),
+		args := []any{"taken", t.taken.Load(), "served", t.finals[dispatch.Served].Load(), "refused", t.finals[dispatch.Shed].Load(),
 			"failed", t.finals[dispatch.Failed].Load(), "held", t.held.Load(), "sent", t.sent.Load(), "further", t.further.Load(),
 			"faults", t.faults.Load(), "sessions", open, "turned_away", away, "unreadable", unreadable,
-			"node_connections", p.fleet.LinesOpen(), "list_failures", p.resolver.Failures()}
+			"node_connections", p.fleet.PlatformConns(), "list_failures", p.resolver.Failures()}
 		for code := range t.codes {
 			args = append(args, "ended_"+codeNames[policy.Code(code)], t.codes[code].Load())
 		}
--- a/server/warm.go
+++ b/server/warm.go
@@ -35,7 +35,7 @@
 	if errors.Is(err, os.ErrNotExist) {
 		return w
 	}
-	var kept dispatch.Warm
+	var kept dispatch.LearnedState
 	if err == nil {
 		err = json.Unmarshal(text, &kept)
 	}
@@ -43,9 +43,9 @@
 		log.Warn("what was learned before cannot be read; starting cold", "file", file, "error", err)
 		return w
 	}
-	classes, fleet, why := kept.Carry(time.Now(), w.build)
+	classes, fleet, why := kept.Usable(time.Now(), w.build)
 	if classes {
-		err = core.Recall(kept.Learned, fleet, w.epoch)
+		err = core.Restore(kept.Learned, fleet, w.epoch)
 	}
 	log.Info("what was learned before", "classes", classes && err == nil, "fleet", fleet && err == nil, "why", why, "error", err)
 	return w
@@ -61,9 +61,9 @@
 			return nil
 		case <-t.C:
 		}
-		kept := dispatch.Warm{Format: dispatch.WarmFormat, Build: w.build, At: time.Now()}
+		kept := dispatch.LearnedState{Format: dispatch.LearnedFormat, Build: w.build, At: time.Now()}
 		done := make(chan error, 1)
-		loop.Post(dispatch.Look{At: func(c *dispatch.Core) {
+		loop.Post(dispatch.Inspect{Func: func(c *dispatch.Core) {
 			var err error
 			kept.Learned, err = c.Learned(w.epoch)
 			done <- err
@@ -83,7 +83,7 @@
 }
 
 // write replaces the file as a whole: a crash leaves the old one or the new one.
-func (w *warmth) write(kept dispatch.Warm) error {
+func (w *warmth) write(kept dispatch.LearnedState) error {
 	text, err := json.Marshal(kept)
 	if err != nil {
 		return err
--- a/server/warm_test.go
+++ b/server/warm_test.go
@@ -83,9 +83,9 @@
 }
 
 // Recall implements what a replay asks for.
-func (g *recalls) Recall(l policy.Learned, fresh bool) error {
+func (g *recalls) Restore(l policy.Learned, fresh bool) error {
 	*g.done = len(l.Classes) > 0 && l.Classes[0].Fit[0] > 0 && fresh
-	return g.Gateway.Recall(l, fresh)
+	return g.Gateway.Restore(l, fresh)
 }
 
 // BenchmarkWarmStart compares the first two seconds after a restart, warm and cold in turn: the shares of queries answered
--- a/session/course.go
+++ b/session/course.go
@@ -7,57 +7,57 @@
 )
 
 // done takes the end of a statement in.
-func (m *Module) done(ev Done) {
+func (m *Module) done(ev StatementEnded) {
 	e := m.all[ev.ID]
 	if e == nil || e.running == nil || e.running.Serial != ev.Serial {
 		return
 	}
 	ran := *e.running
 	e.running, e.used = nil, m.now
-	makes := ran.Kind == Begin || ran.Kind == Make
+	makes := ran.Kind == Begin || ran.Kind == CreateState
 	if e.state == Ending { // it ended meanwhile; what it made all the same is released
 		if makes && e.node == "" && ev.Node != "" && (ev.Outcome == OK || ev.Outcome == Unknown) {
 			m.join(e, ev)
 			e.tx = true
 		}
 		if ran.Kind == Commit && ev.Outcome == Unknown {
-			e.why = WhyCommit
+			e.why = ReasonCommitUnknown
 		}
 		m.wind(e)
 		return
 	}
-	if ev.Outcome == Missing {
-		m.end(e, Lost, WhyMissing)
+	if ev.Outcome == StateMissing {
+		m.end(e, Lost, ReasonStateMissing)
 		return
 	}
 	if makes {
 		m.made(e, ran, ev)
 		return
 	}
-	said := ev.Outcome == OK || ev.Outcome == Said
+	said := ev.Outcome == OK || ev.Outcome == NodeError
 	switch {
 	case ran.Kind == Commit && ev.Outcome == Unknown:
-		m.end(e, Lost, WhyCommit)
+		m.end(e, Lost, ReasonCommitUnknown)
 		return
-	case ev.Outcome == Unknown && !ran.Reads && (e.tx || ran.Kind == Drop): // what it did to the state is not known
-		m.end(e, Lost, WhyBroken)
+	case ev.Outcome == Unknown && !ran.ReadOnly && (e.tx || ran.Kind == DropState): // what it did to the state is not known
+		m.end(e, Lost, ReasonStateUnknown)
 		return
 	case said && (ran.Kind == Commit || ran.Kind == Rollback): // a node that refuses a commit has rolled back
 		e.tx = false
-	case ran.Kind == Drop && ev.Outcome == OK:
+	case ran.Kind == DropState && ev.Outcome == OK:
 		delete(e.tables, ran.Name)
 	}
 	m.settle(e)
 }
 
 // made takes in the end of a statement that makes state: where it ran is where the session stays.
-func (m *Module) made(e *entry, ran Asked, ev Done) {
+func (m *Module) made(e *entry, ran StatementReceived, ev StatementEnded) {
 	if ev.Outcome == Unknown && ev.Node != "" { // something may be there that nobody can name
 		if e.node == "" {
 			m.join(e, ev)
 		}
 		e.tx = true
-		m.end(e, Lost, WhyBroken)
+		m.end(e, Lost, ReasonStateUnknown)
 		return
 	}
 	if ev.Outcome != OK {
@@ -79,26 +79,26 @@
 	n := m.nodes[e.node]
 	switch l := m.limits; {
 	case !n.listed:
-		m.end(e, Lost, WhyGone)
+		m.end(e, Lost, ReasonNodeRemoved)
 		return
 	case !n.started.Equal(e.started):
-		m.end(e, Lost, WhyRestarted)
+		m.end(e, Lost, ReasonNodeRestarted)
 		return
 	case fresh && l.PerNode > 0 && len(n.pins) > l.PerNode:
 		e.back = m.comeBack()
-		m.end(e, Lost, WhyMany)
+		m.end(e, Lost, ReasonTooManySessions)
 		return
 	}
-	e.state = Pinned
+	e.state = Sticky
 	if fresh {
 		e.since = m.now
-		m.do(Pin{ID: e.id, Node: e.node, Started: e.started, Since: e.since})
+		m.do(Stick{ID: e.id, Node: e.node, Started: e.started, Since: e.since})
 	}
 	m.watch(e)
 }
 
 // join ties a session to the node where a statement made its state.
-func (m *Module) join(e *entry, ev Done) {
+func (m *Module) join(e *entry, ev StatementEnded) {
 	e.node, e.started = ev.Node, ev.Started
 	m.attach(e)
 }
@@ -106,7 +106,7 @@
 // settle looks at what a session still holds.
 func (m *Module) settle(e *entry) {
 	if e.pinned() {
-		e.state = Pinned
+		e.state = Sticky
 		m.watch(e)
 		return
 	}
@@ -115,13 +115,13 @@
 		delete(m.all, e.id)
 		return
 	}
-	m.do(Unpin{ID: e.id})
+	m.do(Unstick{ID: e.id})
 	if e.lasts {
 		m.uncount(e)
 		delete(m.all, e.id)
 		return
 	}
-	e.final, e.why = Expired, WhyDone
+	e.final, e.why = Expired, ReasonTransactionDone
 	m.bury(e)
 }
 
@@ -141,8 +141,8 @@
 	if l.Age > 0 && (!ok || e.since+l.Age < at) {
 		at, ok = e.since+l.Age, true
 	}
-	if n := m.nodes[e.node]; n != nil && n.told > 0 && (!ok || n.told+l.Grace < at) {
-		at, ok = n.told+l.Grace, true
+	if n := m.nodes[e.node]; n != nil && n.told > 0 && (!ok || n.told+l.DrainGrace < at) {
+		at, ok = n.told+l.DrainGrace, true
 	}
 	return at, ok
 }
@@ -161,10 +161,10 @@
 		e.queued = 0
 		switch e.state {
 		case Lost, Expired:
-			if m.now >= e.used+m.limits.Keep {
+			if m.now >= e.used+m.limits.Retention {
 				delete(m.all, e.id)
 			} else {
-				m.look(e, e.used+m.limits.Keep)
+				m.look(e, e.used+m.limits.Retention)
 			}
 		case Ending:
 			if e.running == nil && e.tries < releaseMost {
@@ -192,19 +192,19 @@
 	switch {
 	case m.drained(e):
 		if e.running == nil {
-			m.end(e, Lost, WhyDrained)
+			m.end(e, Lost, ReasonNodeDrained)
 		}
 	case m.limits.Age > 0 && m.now >= e.since+m.limits.Age:
-		m.end(e, Expired, WhyOld)
+		m.end(e, Expired, ReasonTooOld)
 	default:
-		m.end(e, Expired, WhyIdle)
+		m.end(e, Expired, ReasonIdle)
 	}
 }
 
 // drained tells that nothing new may reach its node any more.
 func (m *Module) drained(e *entry) bool {
 	n := m.nodes[e.node]
-	return n != nil && n.told > 0 && m.now >= n.told+m.limits.Grace
+	return n != nil && n.told > 0 && m.now >= n.told+m.limits.DrainGrace
 }
 
 // listed takes a node list in.
@@ -246,7 +246,7 @@
 	for _, id := range gone {
 		n := m.nodes[id]
 		n.listed = false
-		m.loseAll(slices.Clone(n.pins), WhyGone)
+		m.loseAll(slices.Clone(n.pins), ReasonNodeRemoved)
 		if len(n.pins) == 0 {
 			delete(m.nodes, id)
 		}
@@ -261,18 +261,18 @@
 			lost = append(lost, e)
 		}
 	}
-	m.loseAll(lost, WhyRestarted)
+	m.loseAll(lost, ReasonNodeRestarted)
 }
 
 // loseAll ends many sessions together, whose state is gone: their clients come back one after another.
-func (m *Module) loseAll(list []*entry, why Why) {
+func (m *Module) loseAll(list []*entry, why Reason) {
 	slices.SortFunc(list, func(a, b *entry) int { return strings.Compare(a.id, b.id) })
 	for i, e := range list {
 		if e.state == Ending && e.running == nil { // nobody is there to release it
 			m.bury(e)
 			continue
 		}
-		e.back = m.limits.Spread * Micros(i) / Micros(len(list))
+		e.back = m.limits.RetrySpread * Micros(i) / Micros(len(list))
 		m.end(e, Lost, why)
 	}
 }
@@ -280,7 +280,7 @@
 // closed ends a session by its client's word.
 func (m *Module) closed(ev Closed) {
 	if e := m.all[ev.ID]; e != nil {
-		m.end(e, Expired, WhyClosed)
+		m.end(e, Expired, ReasonClosed)
 	}
 }
 
@@ -297,14 +297,14 @@
 		}
 		e.tables[t] = true
 	}
-	e.state = Pinned
+	e.state = Sticky
 	m.attach(e)
 	n := m.nodes[e.node]
 	switch {
 	case !n.listed:
-		m.end(e, Lost, WhyGone)
+		m.end(e, Lost, ReasonNodeRemoved)
 	case !n.started.Equal(e.started):
-		m.end(e, Lost, WhyRestarted)
+		m.end(e, Lost, ReasonNodeRestarted)
 	default:
 		m.watch(e)
 	}
--- a/session/memory_test.go
+++ b/session/memory_test.go
@@ -19,7 +19,7 @@
 	}
 	for b.Loop() {
 		before := heap()
-		m := New(Limits{Idle: 300 * sec, Age: 3600 * sec, Grace: 2 * sec, Keep: 60 * sec, Spread: 5 * sec})
+		m := New(Limits{Idle: 300 * sec, Age: 3600 * sec, DrainGrace: 2 * sec, Retention: 60 * sec, RetrySpread: 5 * sec})
 		var all Listed
 		for i := range nodes {
 			all.Nodes = append(all.Nodes, Node{ID: fmt.Sprintf("node-%d", i), Started: time.Unix(int64(i), 0)})
@@ -28,14 +28,14 @@
 		for i := range sessions {
 			id := fmt.Sprintf("%032x", i)
 			n := all.Nodes[i%nodes]
-			m.Step(Micros(i), Asked{ID: id, Serial: uint64(i), Kind: Begin})
-			m.Step(Micros(i), Done{ID: id, Serial: uint64(i), Node: n.ID, Started: n.Started, Outcome: OK})
+			m.Step(Micros(i), StatementReceived{ID: id, Serial: uint64(i), Kind: Begin})
+			m.Step(Micros(i), StatementEnded{ID: id, Serial: uint64(i), Node: n.ID, Started: n.Started, Outcome: OK})
 		}
 		b.ReportMetric(float64(heap()-before)/sessions, "B/session")
 		begin := time.Now()
 		acts := m.Step(sec, Listed{Nodes: all.Nodes[1:]})
 		b.ReportMetric(float64(time.Since(begin).Microseconds()), "us/lost-node")
-		if n := m.Held(); n != sessions-(sessions+nodes-1)/nodes {
+		if n := m.WithState(); n != sessions-(sessions+nodes-1)/nodes {
 			b.Fatalf("%d held, %d actions", n, len(acts))
 		}
 		runtime.KeepAlive(m)
--- a/session/session.go
+++ b/session/session.go
@@ -20,9 +20,9 @@
 	Tables                  int    // temporary tables of one session
 	Idle                    Micros // without a statement
 	Age                     Micros // since its state began
-	Grace                   Micros // pinned work may reach a node for so long after its drain was told
-	Spread                  Micros // clients of a lost node come back over this time
-	Keep                    Micros // how long an ended session is known, to tell its client why
+	DrainGrace              Micros // pinned work may reach a node for so long after its drain was told
+	RetrySpread             Micros // clients of a lost node come back over this time
+	Retention               Micros // how long an ended session is known, to tell its client why
 }
 
 // Kind is what a statement does to its session.
@@ -30,12 +30,12 @@
 
 // The kinds of statement.
 const (
-	Plain    Kind = iota
-	Begin         // begins a transaction
-	Commit        // ends it for good; running it twice would be wrong
-	Rollback      // ends it without effect
-	Make          // makes a temporary table, or sets what only the node knows
-	Drop          // takes it back
+	Plain       Kind = iota
+	Begin            // begins a transaction
+	Commit           // ends it for good; running it twice would be wrong
+	Rollback         // ends it without effect
+	CreateState      // makes a temporary table, or sets what only the node knows
+	DropState        // takes it back
 )
 
 func (k Kind) String() string {
@@ -47,15 +47,15 @@
 
 // The outcomes.
 const (
-	OK      Outcome = iota
-	NotRun          // known not to have run
-	Said            // the node's own word that it failed
-	Unknown         // it may have run
-	Missing         // it did not run: the node has nothing of the session any more
+	OK           Outcome = iota
+	NotRun               // known not to have run
+	NodeError            // the node's own word that it failed
+	Unknown              // it may have run
+	StateMissing         // it did not run: the node has nothing of the session any more
 )
 
-// ErrMissing is how a caller tells of Missing: as the cause of an answer.
-var ErrMissing = errors.New("the node has nothing of this session any more")
+// ErrStateMissing is how a caller tells of Missing: as the cause of an answer.
+var ErrStateMissing = errors.New("the node has nothing of this session any more")
 
 // State is where a session stands.
 type State int
@@ -63,7 +63,7 @@
 // The states.
 const (
 	Free    State = iota // no node holds anything of it
-	Pinned               // a node does
+	Sticky               // a node does
 	Ending               // its end is under way at the node
 	Lost                 // its state is gone, or nobody knows of it
 	Expired              // ended by a time-out, or by its client
@@ -73,28 +73,28 @@
 	return [...]string{"free", "pinned", "ending", "lost", "expired"}[s]
 }
 
-// Why is the reason of a refusal or an end, as clients are told it.
-type Why string
+// Reason is the reason of a refusal or an end, as clients are told it.
+type Reason string
 
 // The reasons. Those of the first group refuse one statement and leave the session as it is.
 const (
-	WhyBusy    Why = "SESSION_BUSY"      // another statement of it runs
-	WhyMany    Why = "TOO_MANY_SESSIONS" // in all, of its tenant or on its node
-	WhyTables  Why = "TOO_MANY_TABLES"
-	WhyNothing Why = "NO_TRANSACTION" // to commit, to roll back or to drop
-	WhyOpen    Why = "TRANSACTION_OPEN"
-	WhyEarly   Why = "NODES_NOT_KNOWN" // this dispatcher has no node list yet
-
-	WhyDrained   Why = "NODE_DRAINED"     // its node takes nothing new any more
-	WhyGone      Why = "NODE_GONE"        // its node left the list
-	WhyRestarted Why = "NODE_RESTARTED"   // a node of that name is there, without its state
-	WhyBroken    Why = "STATE_UNKNOWN"    // what a statement did to its state is not known
-	WhyMissing   Why = "STATE_GONE"       // its node has nothing of it any more
-	WhyCommit    Why = "COMMIT_UNKNOWN"   // the commit may have happened or not
-	WhyIdle      Why = "SESSION_IDLE"     //
-	WhyOld       Why = "SESSION_TOO_OLD"  //
-	WhyClosed    Why = "SESSION_CLOSED"   // by its client
-	WhyDone      Why = "TRANSACTION_DONE" // committed or rolled back
+	ReasonBusy            Reason = "SESSION_BUSY"      // another statement of it runs
+	ReasonTooManySessions Reason = "TOO_MANY_SESSIONS" // in all, of its tenant or on its node
+	ReasonTooManyTables   Reason = "TOO_MANY_TABLES"
+	ReasonNoTransaction   Reason = "NO_TRANSACTION" // to commit, to roll back or to drop
+	ReasonTransactionOpen Reason = "TRANSACTION_OPEN"
+	ReasonNodesUnknown    Reason = "NODES_NOT_KNOWN" // this dispatcher has no node list yet
+
+	ReasonNodeDrained     Reason = "NODE_DRAINED"     // its node takes nothing new any more
+	ReasonNodeRemoved     Reason = "NODE_GONE"        // its node left the list
+	ReasonNodeRestarted   Reason = "NODE_RESTARTED"   // a node of that name is there, without its state
+	ReasonStateUnknown    Reason = "STATE_UNKNOWN"    // what a statement did to its state is not known
+	ReasonStateMissing    Reason = "STATE_GONE"       // its node has nothing of it any more
+	ReasonCommitUnknown   Reason = "COMMIT_UNKNOWN"   // the commit may have happened or not
+	ReasonIdle            Reason = "SESSION_IDLE"     //
+	ReasonTooOld          Reason = "SESSION_TOO_OLD"  //
+	ReasonClosed          Reason = "SESSION_CLOSED"   // by its client
+	ReasonTransactionDone Reason = "TRANSACTION_DONE" // committed or rolled back
 )
 
 // Event is something that happened.
@@ -102,16 +102,16 @@
 
 // The events.
 type (
-	// Asked is a statement that wants to run. Exactly one of Run and Refuse answers it.
-	Asked struct {
-		ID     string // of the session; one that is not known begins
-		Serial uint64 // of the statement, never used twice
-		Tenant string // by name: numbers change with the settings
-		Kind   Kind
-		Name   string // of the table or option, for Make and Drop
-		Reads  bool   // it changes nothing, not even within a transaction
-		Tied   bool   // its client holds a token: it must not run where the state is not
-		Lasts  bool   // the session outlives its state, as a connection does
+	// StatementReceived is a statement that wants to run. Exactly one of Run and Refuse answers it.
+	StatementReceived struct {
+		ID            string // of the session; one that is not known begins
+		Serial        uint64 // of the statement, never used twice
+		Tenant        string // by name: numbers change with the settings
+		Kind          Kind
+		Name          string // of the table or option, for Make and Drop
+		ReadOnly      bool   // it changes nothing, not even within a transaction
+		HasToken      bool   // its client holds a token: it must not run where the state is not
+		OutlivesState bool   // the session outlives its state, as a connection does
 	}
 	// Resumed tells of a session that another dispatcher, or this one before it restarted, has pinned. The caller has
 	// checked the token that says so.
@@ -124,8 +124,8 @@
 		Tx      bool
 		Tables  []string
 	}
-	// Done is the end of a statement that was run.
-	Done struct {
+	// StatementEnded is the end of a statement that was run.
+	StatementEnded struct {
 		ID      string
 		Serial  uint64
 		Node    string    // where its last attempt was; "" where nothing was sent
@@ -141,8 +141,8 @@
 		ID string
 		OK bool
 	}
-	// Tick lets time pass.
-	Tick struct{}
+	// TimerFired lets time pass.
+	TimerFired struct{}
 )
 
 // Node is what the list says of one.
@@ -153,13 +153,13 @@
 	DrainsIn Micros    // a drain that is announced: after so long; 0: none
 }
 
-func (Asked) isEvent()    {}
-func (Resumed) isEvent()  {}
-func (Done) isEvent()     {}
-func (Listed) isEvent()   {}
-func (Closed) isEvent()   {}
-func (Released) isEvent() {}
-func (Tick) isEvent()     {}
+func (StatementReceived) isEvent() {}
+func (Resumed) isEvent()           {}
+func (StatementEnded) isEvent()    {}
+func (Listed) isEvent()            {}
+func (Closed) isEvent()            {}
+func (Released) isEvent()          {}
+func (TimerFired) isEvent()        {}
 
 // Action is something to do about it.
 type Action interface{ isAction() }
@@ -168,37 +168,37 @@
 type (
 	// Run lets a statement go: to Only, or where the decision module likes.
 	Run struct {
-		ID     string
-		Serial uint64
-		Only   string
-		// Notice is how long the session's node still takes its work, where that has an end: it drains, or will.
-		Notice Micros
-	}
-	// Refuse turns a statement away; nothing was sent for it. State tells what became of the session, ComeBack when
-	// to begin anew.
-	Refuse struct {
 		ID       string
 		Serial   uint64
-		Why      Why
-		State    State
-		ComeBack Micros
+		StickyTo string
+		// DrainsIn is how long the session's node still takes its work, where that has an end: it drains, or will.
+		DrainsIn Micros
+	}
+	// Reject turns a statement away; nothing was sent for it. State tells what became of the session, RetryAfter when
+	// to begin anew.
+	Reject struct {
+		ID         string
+		Serial     uint64
+		Reason     Reason
+		State      State
+		RetryAfter Micros
 	}
 	// Stop calls a statement off whose session has ended; its client is told Why.
 	Stop struct {
-		ID       string
-		Serial   uint64
-		Why      Why
-		ComeBack Micros
+		ID         string
+		Serial     uint64
+		Reason     Reason
+		RetryAfter Micros
 	}
-	// Pin and Unpin tell what is to be written into the session's token.
-	Pin struct {
+	// Stick and Unpin tell what is to be written into the session's token.
+	Stick struct {
 		ID      string
 		Node    string
 		Started time.Time
 		Since   Micros
 	}
-	// Unpin tells that no node holds anything of a session any more.
-	Unpin struct{ ID string }
+	// Unstick tells that no node holds anything of a session any more.
+	Unstick struct{ ID string }
 	// Release asks a node to end what it holds of a session, as far as it does.
 	Release struct {
 		ID, Node string
@@ -206,10 +206,10 @@
 )
 
 func (Run) isAction()     {}
-func (Refuse) isAction()  {}
+func (Reject) isAction()  {}
 func (Stop) isAction()    {}
-func (Pin) isAction()     {}
-func (Unpin) isAction()   {}
+func (Stick) isAction()   {}
+func (Unstick) isAction() {}
 func (Release) isAction() {}
 
 // entry is one session.
@@ -217,8 +217,8 @@
 	id      string
 	tenant  string
 	state   State
-	final   State // what Ending leads to
-	why     Why   // of Ending, Lost and Expired
+	final   State  // what Ending leads to
+	why     Reason // of Ending, Lost and Expired
 	back    Micros
 	node    string
 	started time.Time
@@ -227,11 +227,11 @@
 	tx      bool
 	tables  map[string]bool
 	lasts   bool
-	running *Asked // nil: none
-	tries   int    // of its release
-	at      int    // place among those of its node; -1: none
-	counted bool   // in the limits
-	queued  Micros // when it is looked at next; 0: never
+	running *StatementReceived // nil: none
+	tries   int                // of its release
+	at      int                // place among those of its node; -1: none
+	counted bool               // in the limits
+	queued  Micros             // when it is looked at next; 0: never
 }
 
 // pinned tells that a node holds something of it.
@@ -272,11 +272,11 @@
 	m.now, m.out = now, nil
 	m.tick() // what is over is over before anything else happens
 	switch ev := ev.(type) {
-	case Asked:
+	case StatementReceived:
 		m.asked(ev)
 	case Resumed:
 		m.resumed(ev)
-	case Done:
+	case StatementEnded:
 		m.done(ev)
 	case Listed:
 		m.listed(ev)
@@ -284,7 +284,7 @@
 		m.closed(ev)
 	case Released:
 		m.released(ev)
-	case Tick:
+	case TimerFired:
 	default:
 		panic(fmt.Sprintf("session: unknown event %T", ev))
 	}
@@ -295,8 +295,8 @@
 // Next is when a Tick is due; ok is false where none is.
 func (m *Module) Next() (at Micros, ok bool) { return m.due.first() }
 
-// Held counts sessions with state.
-func (m *Module) Held() int { return m.held }
+// WithState counts sessions with state.
+func (m *Module) WithState() int { return m.held }
 
 // Status counts sessions with state: in all, and by node.
 func (m *Module) Status() (known, held int, byNode map[string]int) {
@@ -310,7 +310,7 @@
 }
 
 // State tells where a session stands; Free where it is not known.
-func (m *Module) State(id string) (State, Why) {
+func (m *Module) State(id string) (State, Reason) {
 	if e := m.all[id]; e != nil {
 		return e.state, e.why
 	}
@@ -319,55 +319,55 @@
 
 func (m *Module) do(a Action) { m.out = append(m.out, a) }
 
-func (m *Module) refuse(ev Asked, why Why, e *entry) {
-	r := Refuse{ID: ev.ID, Serial: ev.Serial, Why: why}
+func (m *Module) refuse(ev StatementReceived, why Reason, e *entry) {
+	r := Reject{ID: ev.ID, Serial: ev.Serial, Reason: why}
 	if e != nil {
 		if r.State = e.state; e.over() {
-			r.ComeBack = e.back
+			r.RetryAfter = e.back
 		}
 	}
 	m.do(r)
 }
 
 // asked answers a statement that wants to run.
-func (m *Module) asked(ev Asked) {
+func (m *Module) asked(ev StatementReceived) {
 	e := m.all[ev.ID]
 	switch {
 	case e != nil && e.over():
 		m.refuse(ev, e.why, e)
 		return
-	case e == nil && ev.Tied && !m.heard:
-		m.do(Refuse{ID: ev.ID, Serial: ev.Serial, Why: WhyEarly, ComeBack: earlyBack})
+	case e == nil && ev.HasToken && !m.heard:
+		m.do(Reject{ID: ev.ID, Serial: ev.Serial, Reason: ReasonNodesUnknown, RetryAfter: earlyBack})
 		return
 	case e != nil && e.running != nil:
-		m.refuse(ev, WhyBusy, e)
+		m.refuse(ev, ReasonBusy, e)
 		return
-	case e == nil && (ev.Tied || ev.Kind == Commit || ev.Kind == Rollback || ev.Kind == Drop),
+	case e == nil && (ev.HasToken || ev.Kind == Commit || ev.Kind == Rollback || ev.Kind == DropState),
 		e != nil && (ev.Kind == Commit || ev.Kind == Rollback) && !e.tx,
-		e != nil && ev.Kind == Drop && !e.tables[ev.Name]:
-		m.refuse(ev, WhyNothing, e)
+		e != nil && ev.Kind == DropState && !e.tables[ev.Name]:
+		m.refuse(ev, ReasonNoTransaction, e)
 		return
 	case e != nil && ev.Kind == Begin && e.tx:
-		m.refuse(ev, WhyOpen, e)
+		m.refuse(ev, ReasonTransactionOpen, e)
 		return
-	case e != nil && ev.Kind == Make && m.limits.Tables > 0 && !e.tables[ev.Name] && len(e.tables) >= m.limits.Tables:
-		m.refuse(ev, WhyTables, e)
+	case e != nil && ev.Kind == CreateState && m.limits.Tables > 0 && !e.tables[ev.Name] && len(e.tables) >= m.limits.Tables:
+		m.refuse(ev, ReasonTooManyTables, e)
 		return
 	}
-	if e == nil && ev.Kind != Begin && ev.Kind != Make { // no state, and none is made: nothing to keep
+	if e == nil && ev.Kind != Begin && ev.Kind != CreateState { // no state, and none is made: nothing to keep
 		m.do(Run{ID: ev.ID, Serial: ev.Serial})
 		return
 	}
 	if e == nil {
 		if l := m.limits; l.All > 0 && m.held >= l.All || l.PerTenant > 0 && m.tenants[ev.Tenant] >= l.PerTenant {
-			m.do(Refuse{ID: ev.ID, Serial: ev.Serial, Why: WhyMany, ComeBack: m.comeBack()})
+			m.do(Reject{ID: ev.ID, Serial: ev.Serial, Reason: ReasonTooManySessions, RetryAfter: m.comeBack()})
 			return
 		}
 		e = m.add(ev.ID, ev.Tenant)
-		e.lasts = ev.Lasts
+		e.lasts = ev.OutlivesState
 	}
 	e.running, e.used = &ev, m.now
-	m.do(Run{ID: ev.ID, Serial: ev.Serial, Only: e.node, Notice: m.notice(e)})
+	m.do(Run{ID: ev.ID, Serial: ev.Serial, StickyTo: e.node, DrainsIn: m.notice(e)})
 }
 
 // notice is how long a session's node still takes its work; 0 where no end is known.
@@ -377,9 +377,9 @@
 	case n == nil || n.told == 0 && n.drainAt == 0:
 		return 0
 	case n.told > 0:
-		return max(n.told+m.limits.Grace-m.now, 1)
+		return max(n.told+m.limits.DrainGrace-m.now, 1)
 	}
-	return max(n.drainAt+m.limits.Grace-m.now, 1)
+	return max(n.drainAt+m.limits.DrainGrace-m.now, 1)
 }
 
 // earlyBack is when a node list may be there.
@@ -439,13 +439,13 @@
 
 // end brings a session to its last state. Its client is told at once; what its node may hold is released when no statement
 // is out any more.
-func (m *Module) end(e *entry, final State, why Why) {
+func (m *Module) end(e *entry, final State, why Reason) {
 	if e.over() {
 		return
 	}
 	e.state, e.final, e.why = Ending, final, why
 	if e.running != nil {
-		m.do(Stop{ID: e.id, Serial: e.running.Serial, Why: why, ComeBack: e.back})
+		m.do(Stop{ID: e.id, Serial: e.running.Serial, Reason: why, RetryAfter: e.back})
 		return
 	}
 	m.wind(e)
@@ -466,7 +466,7 @@
 func (m *Module) bury(e *entry) {
 	m.uncount(e)
 	e.state, e.used = e.final, m.now
-	m.look(e, m.now+m.limits.Keep)
+	m.look(e, m.now+m.limits.Retention)
 }
 
 // holds tells that its node is the one that had its state, and can be spoken to.
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -13,7 +13,7 @@
 const sec = Micros(1e6)
 
 func limits() Limits {
-	return Limits{All: 8, PerTenant: 5, PerNode: 4, Tables: 3, Idle: 10 * sec, Age: 60 * sec, Grace: 2 * sec, Spread: 4 * sec, Keep: 30 * sec}
+	return Limits{All: 8, PerTenant: 5, PerNode: 4, Tables: 3, Idle: 10 * sec, Age: 60 * sec, DrainGrace: 2 * sec, RetrySpread: 4 * sec, Retention: 30 * sec}
 }
 
 // truth is the nodes as they are, whatever the module was told.
@@ -39,7 +39,7 @@
 }
 
 type sent struct {
-	ev      Asked
+	ev      StatementReceived
 	only    string
 	node    string
 	started time.Time
@@ -51,18 +51,18 @@
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Run:
-			if n := w.pinned[a.ID]; n != a.Only {
-				w.fail("session %s is on %q and runs on %q", a.ID, n, a.Only)
+			if n := w.pinned[a.ID]; n != a.StickyTo {
+				w.fail("session %s is on %q and runs on %q", a.ID, n, a.StickyTo)
 			}
-			if at := w.told[a.Only]; a.Only != "" && at > 0 && w.now >= at+w.m.limits.Grace {
-				w.fail("%s: run on %s, whose drain was told %d us ago", a.ID, a.Only, w.now-at)
+			if at := w.told[a.StickyTo]; a.StickyTo != "" && at > 0 && w.now >= at+w.m.limits.DrainGrace {
+				w.fail("%s: run on %s, whose drain was told %d us ago", a.ID, a.StickyTo, w.now-at)
 			}
-		case Pin:
+		case Stick:
 			if w.pinned[a.ID] != "" {
 				w.fail("%s pinned twice", a.ID)
 			}
 			w.pinned[a.ID] = a.Node
-		case Unpin:
+		case Unstick:
 			delete(w.pinned, a.ID)
 		case Stop:
 			if s := w.out[a.Serial]; s == nil || s.ev.ID != a.ID || s.stopped {
@@ -94,10 +94,10 @@
 				w.fail("%s is not at its place on %s", id, e.node)
 			}
 		}
-		if (e.state == Pinned) != (!e.over() && e.pinned()) {
+		if (e.state == Sticky) != (!e.over() && e.pinned()) {
 			w.fail("%s is %s, tx %v, tables %d", id, e.state, e.tx, len(e.tables))
 		}
-		if e.over() == (w.pinned[id] != "" && e.state == Pinned) {
+		if e.over() == (w.pinned[id] != "" && e.state == Sticky) {
 			if e.over() {
 				delete(w.pinned, id)
 			}
@@ -149,7 +149,7 @@
 	holds, e := w.nodes[s.node].holds, w.m.all[s.ev.ID]
 	last := e == nil || len(e.tables) == 0
 	switch s.ev.Kind {
-	case Begin, Make:
+	case Begin, CreateState:
 		if happened {
 			holds[s.ev.ID] = true
 		}
@@ -157,7 +157,7 @@
 		if (happened || refused) && last {
 			delete(holds, s.ev.ID)
 		}
-	case Drop:
+	case DropState:
 		if happened && e != nil && !e.tx && len(e.tables) == 1 {
 			delete(holds, s.ev.ID)
 		}
@@ -191,7 +191,7 @@
 		w.list()
 		serial := uint64(0)
 		var releases []Release
-		answered := func(acts []Action, ev Asked) {
+		answered := func(acts []Action, ev StatementReceived) {
 			n := 0
 			for _, a := range acts {
 				switch a := a.(type) {
@@ -199,13 +199,13 @@
 					if n++; a.Serial != ev.Serial {
 						r.Fatalf("run of %d, asked was %d", a.Serial, ev.Serial)
 					}
-					s := &sent{ev: ev, only: a.Only, node: a.Only}
+					s := &sent{ev: ev, only: a.StickyTo, node: a.StickyTo}
 					if s.node == "" {
 						s.node = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "placed")
 					}
 					s.started = w.starts[s.node]
 					w.out[ev.Serial] = s
-				case Refuse:
+				case Reject:
 					n++
 				}
 			}
@@ -220,9 +220,9 @@
 			switch rapid.IntRange(0, 9).Draw(r, "event") {
 			case 0, 1, 2, 3:
 				serial++
-				ev := Asked{ID: id, Serial: serial, Tenant: fmt.Sprint(len(id) % 2), Kind: Kind(rapid.IntRange(0, 5).Draw(r, "kind")),
-					Name: rapid.SampledFrom([]string{"t1", "t2", "t3", "t4"}).Draw(r, "name"), Reads: rapid.Bool().Draw(r, "reads"), Lasts: id < "s3"}
-				ev.Tied = w.pinned[id] != ""
+				ev := StatementReceived{ID: id, Serial: serial, Tenant: fmt.Sprint(len(id) % 2), Kind: Kind(rapid.IntRange(0, 5).Draw(r, "kind")),
+					Name: rapid.SampledFrom([]string{"t1", "t2", "t3", "t4"}).Draw(r, "name"), ReadOnly: rapid.Bool().Draw(r, "reads"), OutlivesState: id < "s3"}
+				ev.HasToken = w.pinned[id] != ""
 				answered(w.step(ev), ev)
 			case 4, 5, 6:
 				for _, n := range slices.Sorted(maps.Keys(w.out))[:min(1, len(w.out))] { // the oldest
@@ -234,12 +234,12 @@
 					node := w.nodes[s.node]
 					same := node.up && node.started.Equal(s.started)
 					if !same && outcome == OK {
-						outcome = Said
+						outcome = NodeError
 					}
 					happened := outcome == OK || outcome == Unknown && rapid.Bool().Draw(r, "happened")
-					w.effect(s, happened && same, outcome == Said && same)
+					w.effect(s, happened && same, outcome == NodeError && same)
 					delete(w.out, n)
-					w.step(Done{ID: s.ev.ID, Serial: n, Node: s.node, Started: s.started, Outcome: outcome})
+					w.step(StatementEnded{ID: s.ev.ID, Serial: n, Node: s.node, Started: s.started, Outcome: outcome})
 				}
 			case 7:
 				node := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "node")
@@ -264,7 +264,7 @@
 			case 8:
 				w.step(Closed{ID: id})
 			case 9:
-				w.step(Tick{})
+				w.step(TimerFired{})
 			}
 			for _, a := range w.done {
 				if rel, ok := a.(Release); ok {
@@ -291,11 +291,11 @@
 			node := w.nodes[s.node]
 			outcome := OK
 			if !node.up || !node.started.Equal(s.started) {
-				outcome = Said
+				outcome = NodeError
 			}
 			w.effect(s, outcome == OK, false)
 			w.done = nil
-			w.step(Done{ID: s.ev.ID, Serial: n, Node: s.node, Started: s.started, Outcome: outcome})
+			w.step(StatementEnded{ID: s.ev.ID, Serial: n, Node: s.node, Started: s.started, Outcome: outcome})
 			for _, a := range w.done {
 				if rel, ok := a.(Release); ok {
 					releases = append(releases, rel)
@@ -319,7 +319,7 @@
 				}
 			}
 			w.now += sec
-			w.step(Tick{})
+			w.step(TimerFired{})
 		}
 		if w.m.held != 0 || len(w.m.all) != 0 {
 			r.Fatalf("%d sessions held, %d known in the end", w.m.held, len(w.m.all))
--- a/simulated/names.go
+++ b/simulated/names.go
@@ -126,9 +126,9 @@
 	}
 	a.name(nodelist.Service)
 	a.b = append(a.b, 0, 33, 0, 1)
-	target := func(n nodelist.Node) string { return n.ID + "." + names.Halls[n.Hall] + ".hosts." }
+	target := func(n nodelist.Node) string { return n.ID + "." + names.Zones[n.Zone] + ".hosts." }
 	for _, n := range nodes {
-		priority, port := uint16(0), netip.MustParseAddrPort(n.Lines).Port()
+		priority, port := uint16(0), netip.MustParseAddrPort(n.Platform).Port()
 		if n.State == policy.Draining {
 			priority = 1
 		}
@@ -151,9 +151,9 @@
 		if !n.Started.IsZero() {
 			started = n.Started.UnixMilli()
 		}
-		a.record(target(n), 1, func() { a.b = append(a.b, netip.MustParseAddrPort(n.Lines).Addr().AsSlice()...) })
+		a.record(target(n), 1, func() { a.b = append(a.b, netip.MustParseAddrPort(n.Platform).Addr().AsSlice()...) })
 		a.record(target(n), 16, func() {
-			for _, text := range []string{"kind=" + names.Kinds[n.Kind], "cell=" + strconv.Itoa(n.Cell), "started=" + strconv.FormatInt(started, 10)} {
+			for _, text := range []string{"kind=" + names.Kinds[n.Kind], "cell=" + strconv.Itoa(n.PlacementGroup), "started=" + strconv.FormatInt(started, 10)} {
 				a.b = append(append(a.b, byte(len(text))), text...)
 			}
 		})
--- a/soak/client.go
+++ b/soak/client.go
@@ -259,7 +259,7 @@
 	for range count {
 		q := &Request{ID: fmt.Sprintf("%016x", c.rng.Uint64()), Dispatcher: c.d.number, Start: c.d.current(), Class: class, Patience: patience}
 		nonce := ""
-		if class.Effect == policy.Keyed {
+		if class.Effect == policy.IdempotentByKey {
 			q.Key = q.ID + "k"
 			nonce = ",nonce=" + q.Key
 		}
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -115,7 +115,7 @@
 			j.add(InvariantAnswer, q.Ended, "%s: answered %v after its time", q, late)
 		}
 	}
-	if q.Outcome == Refused && q.Class.Effect == policy.Unsafe {
+	if q.Outcome == Refused && q.Class.Effect == policy.NonIdempotent {
 		for _, a := range j.arrivals[q.ID] {
 			if a.Ran {
 				j.add(InvariantRefusal, a.At, "%s: refused (%s), and ran at %s", q, q.Detail, a.Node)
@@ -158,10 +158,10 @@
 			continue
 		}
 		switch q.Class.Effect {
-		case policy.Unsafe:
+		case policy.NonIdempotent:
 			j.add(InvariantDuplicate, a.At, "%s: sent to %s %v after it had reached %s, which did not say that it never ran", q, a.Node, a.At-b.At, b.Node)
 			return
-		case policy.Keyed:
+		case policy.IdempotentByKey:
 			if a.At-b.At > q.Class.Window+slackRule+slackRead {
 				j.add(InvariantDuplicate, a.At, "%s: sent to %s %v after it had reached %s, its window is %v", q, a.Node, a.At-b.At, b.Node, q.Class.Window)
 				return
--- a/soak/names.go
+++ b/soak/names.go
@@ -178,7 +178,7 @@
 
 // told notes that a version has been told: from now on the dispatcher is notified of what drains or is gone by it. s.mu is held.
 func (s *NameService) told(v version, at time.Duration) {
-	listed := map[string]policy.EngineState{}
+	listed := map[string]policy.EndpointState{}
 	for _, n := range v.nodes {
 		listed[n.ID] = n.State
 	}
@@ -253,8 +253,8 @@
 
 // unreadable is a row that no dispatcher can use: its zone is in no settings.
 var (
-	unreadable      = nodelist.Node{ID: "s-odd", Hall: 1, Lines: "127.0.0.1:9", Weight: 1}
-	unreadableNames = nodelist.Names{Halls: []string{"west", "nowhere"}, Kinds: names.Kinds}
+	unreadable      = nodelist.Node{ID: "s-odd", Zone: 1, Platform: "127.0.0.1:9", Weight: 1}
+	unreadableNames = nodelist.Names{Zones: []string{"west", "nowhere"}, Kinds: names.Kinds}
 )
 
 // spoil makes an answer one that tells nothing. s.mu is held.
--- a/soak/server.go
+++ b/soak/server.go
@@ -58,7 +58,7 @@
 
 // Node is its row in the list.
 func (s *Server) Node() nodelist.Node {
-	return nodelist.Node{ID: s.id, Lines: s.listener.Addr().String(), Weight: 4}
+	return nodelist.Node{ID: s.id, Platform: s.listener.Addr().String(), Weight: 4}
 }
 
 // SetFaults has it misbehave from now on.
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -19,9 +19,9 @@
 
 // classes are those of every run. Their deadlines are short, so that many restarts fit into one.
 var classes = []*Class{
-	{Name: "lookup", Effect: policy.Safe, Deadline: 1500 * time.Millisecond, Work: 20 * time.Millisecond},
-	{Name: "load", Effect: policy.Keyed, Deadline: 2500 * time.Millisecond, Window: 1200 * time.Millisecond, Work: 60 * time.Millisecond},
-	{Name: "booking", Effect: policy.Unsafe, Deadline: 2000 * time.Millisecond, Work: 30 * time.Millisecond},
+	{Name: "lookup", Effect: policy.Idempotent, Deadline: 1500 * time.Millisecond, Work: 20 * time.Millisecond},
+	{Name: "load", Effect: policy.IdempotentByKey, Deadline: 2500 * time.Millisecond, Window: 1200 * time.Millisecond, Work: 60 * time.Millisecond},
+	{Name: "booking", Effect: policy.NonIdempotent, Deadline: 2000 * time.Millisecond, Work: 30 * time.Millisecond},
 }
 
 // Limits of every run, as its settings tell them.
@@ -44,9 +44,9 @@
 	return longest + 700*time.Millisecond
 }
 
-var effectNames = map[policy.Effect]string{policy.Safe: "retryable", policy.Keyed: "dedup", policy.Unsafe: "fragile"}
+var effectNames = map[policy.Effect]string{policy.Idempotent: "retryable", policy.IdempotentByKey: "dedup", policy.NonIdempotent: "fragile"}
 
-var names = nodelist.Names{Halls: []string{"west"}, Kinds: []string{"std"}}
+var names = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
 // configuration is the platform's file for one start of a dispatcher.
 type configuration struct {
@@ -59,9 +59,9 @@
 func (c configuration) marshal() ([]byte, error) {
 	type object = map[string]any
 	var targets []object
-	states := map[policy.EngineState]string{policy.Healthy: "active", policy.Draining: "leaving"}
+	states := map[policy.EndpointState]string{policy.Healthy: "active", policy.Draining: "leaving"}
 	for _, n := range c.nodes {
-		targets = append(targets, object{"uid": n.ID, "endpoint": n.Lines, "az": "west", "model": "std", "pod_group": 0,
+		targets = append(targets, object{"uid": n.ID, "endpoint": n.Platform, "az": "west", "model": "std", "pod_group": 0,
 			"state": states[n.State], "capacity_hint": n.Weight, "boot_ms": 0})
 	}
 	var list []object
@@ -71,7 +71,7 @@
 			"deadlineUs": class.Deadline.Microseconds(), "effect": effectNames[class.Effect], "group": "all", "windowUs": class.Window.Microseconds()})
 		waits, writes, threads = append(waits, false), append(writes, false), append(threads, 1)
 	}
-	settings := object{"az": 0, "me": 0, "peersTotal": 1, "zones": names.Halls, "models": names.Kinds, "classes": list,
+	settings := object{"az": 0, "me": 0, "peersTotal": 1, "zones": names.Zones, "models": names.Kinds, "classes": list,
 		"familyInfo": object{"dop": threads, "kindCores": []int{64}, "ramOfKindMb": []int{131072}, "waitsForLoads": waits, "writesTables": writes},
 		"feedback":   object{"how": "piggyback", "fields": []string{"busy", "rif"}},
 		"limits": object{"connectTimeoutUs": connectMost.Microseconds(), "connIdleUs": idleMost.Microseconds(), "streamsPerConn": 100,
--- a/trace/record.go
+++ b/trace/record.go
@@ -26,33 +26,33 @@
 // eventOut writes an event. Every kind that the module knows is here: another one is a mistake in this program.
 func eventOut(ev policy.Event) *tracev1.Event {
 	switch ev := ev.(type) {
-	case policy.Engines:
-		out := &tracev1.Engines{Whole: ev.Whole, Failed: ev.Failed}
-		for _, r := range ev.Rows {
-			out.Rows = append(out.Rows, &tracev1.Engine{Id: r.ID, Zone: int32(r.Zone), Kind: int32(r.Kind), Cell: int32(r.Cell),
-				State: uint32(r.State), Weight: r.Weight, Started: r.Started, Speaks: uint32(r.Speaks)})
+	case policy.EndpointUpdate:
+		out := &tracev1.Engines{Whole: ev.Complete, Failed: ev.Failed}
+		for _, r := range ev.Endpoints {
+			out.Rows = append(out.Rows, &tracev1.Engine{Id: r.ID, Zone: int32(r.Zone), Kind: int32(r.Kind), Cell: int32(r.PlacementGroup),
+				State: uint32(r.State), Weight: r.Weight, Started: r.Started, Speaks: uint32(r.Protocols)})
 		}
 		return &tracev1.Event{What: &tracev1.Event_Engines{Engines: out}}
 	case policy.Request:
 		return &tracev1.Event{What: &tracev1.Event_Request{Request: &tracev1.Request{Id: ev.ID, Class: uint32(ev.Class), Tenant: uint32(ev.Tenant),
-			Cost: ev.Cost, MemoryMb: ev.MemoryMB, Tables: ev.Tables, Key: ev.Key, HasKey: ev.HasKey, Retry: ev.Retry,
-			Protocol: uint32(ev.Protocol), Only: ev.Only, Due: ev.Due}}}
-	case policy.Outcome:
-		return &tracev1.Event{What: &tracev1.Event_Outcome{Outcome: &tracev1.Outcome{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Engine,
-			Code: uint32(ev.Code), Over: ev.Over, Took: ev.Took, Load: loadOut(ev.Load), WorkUs: ev.WorkUs, NeedMb: ev.NeedMB}}}
+			Cost: ev.Cost, MemoryMb: ev.MemoryMB, Tables: ev.TableGroup, Key: ev.OrderKey, HasKey: ev.HasOrderKey, Retry: ev.ClientRetry,
+			Protocol: uint32(ev.Protocol), Only: ev.StickyTo, Due: ev.Deadline}}}
+	case policy.AttemptResult:
+		return &tracev1.Event{What: &tracev1.Event_Outcome{Outcome: &tracev1.Outcome{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
+			Code: uint32(ev.Code), Over: ev.Final, Took: ev.Latency, Load: loadOut(ev.Load), WorkUs: ev.WorkMicros, NeedMb: ev.NeededMB}}}
 	case policy.Progress:
-		return &tracev1.Event{What: &tracev1.Event_Progress{Progress: &tracev1.Progress{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Engine,
+		return &tracev1.Event{What: &tracev1.Event_Progress{Progress: &tracev1.Progress{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
 			Kind: uint32(ev.Kind), Value: ev.Value}}}
-	case policy.Probed:
-		return &tracev1.Event{What: &tracev1.Event_Probed{Probed: &tracev1.Probed{Engine: ev.Engine, Code: uint32(ev.Code), Took: ev.Took,
+	case policy.HealthCheckResult:
+		return &tracev1.Event{What: &tracev1.Event_Probed{Probed: &tracev1.Probed{Engine: ev.Endpoint, Code: uint32(ev.Code), Took: ev.Latency,
 			Load: loadOut(ev.Load)}}}
-	case policy.First:
+	case policy.StreamStarted:
 		return &tracev1.Event{What: &tracev1.Event_First{First: &tracev1.Ref{Id: ev.ID, Attempt: uint32(ev.Attempt)}}}
-	case policy.Left:
+	case policy.ClientDisconnected:
 		return &tracev1.Event{What: &tracev1.Event_Left{Left: &tracev1.Ref{Id: ev.ID}}}
-	case policy.Alarm:
+	case policy.TimerFired:
 		return &tracev1.Event{What: &tracev1.Event_Alarm{Alarm: true}}
-	case policy.Heard:
+	case policy.GossipReceived:
 		return &tracev1.Event{What: &tracev1.Event_Heard{Heard: &tracev1.Heard{From: uint32(ev.From), Data: ev.Data}}}
 	}
 	panic(fmt.Sprintf("trace: unknown event %T", ev))
@@ -62,35 +62,35 @@
 func eventIn(ev *tracev1.Event) policy.Event {
 	switch w := ev.GetWhat().(type) {
 	case *tracev1.Event_Engines:
-		out := policy.Engines{Whole: w.Engines.GetWhole(), Failed: w.Engines.GetFailed()}
+		out := policy.EndpointUpdate{Complete: w.Engines.GetWhole(), Failed: w.Engines.GetFailed()}
 		for _, r := range w.Engines.GetRows() {
-			out.Rows = append(out.Rows, policy.Engine{ID: r.GetId(), Zone: int(r.GetZone()), Kind: int(r.GetKind()), Cell: int(r.GetCell()),
-				State: policy.EngineState(r.GetState()), Weight: r.GetWeight(), Started: r.GetStarted(), Speaks: uint8(r.GetSpeaks())})
+			out.Endpoints = append(out.Endpoints, policy.Endpoint{ID: r.GetId(), Zone: int(r.GetZone()), Kind: int(r.GetKind()), PlacementGroup: int(r.GetCell()),
+				State: policy.EndpointState(r.GetState()), Weight: r.GetWeight(), Started: r.GetStarted(), Protocols: uint8(r.GetSpeaks())})
 		}
 		return out
 	case *tracev1.Event_Request:
 		q := w.Request
 		return policy.Request{ID: q.GetId(), Class: int(q.GetClass()), Tenant: int(q.GetTenant()), Cost: q.GetCost(), MemoryMB: q.GetMemoryMb(),
-			Tables: q.GetTables(), Key: q.GetKey(), HasKey: q.GetHasKey(), Retry: q.GetRetry(), Protocol: uint8(q.GetProtocol()),
-			Only: q.GetOnly(), Due: q.GetDue()}
+			TableGroup: q.GetTables(), OrderKey: q.GetKey(), HasOrderKey: q.GetHasKey(), ClientRetry: q.GetRetry(), Protocol: uint8(q.GetProtocol()),
+			StickyTo: q.GetOnly(), Deadline: q.GetDue()}
 	case *tracev1.Event_Outcome:
 		o := w.Outcome
-		return policy.Outcome{ID: o.GetId(), Attempt: int(o.GetAttempt()), Engine: o.GetEngine(), Code: policy.Code(o.GetCode()), Over: o.GetOver(),
-			Took: o.GetTook(), Load: loadIn(o.GetLoad()), WorkUs: o.GetWorkUs(), NeedMB: o.GetNeedMb()}
+		return policy.AttemptResult{ID: o.GetId(), Attempt: int(o.GetAttempt()), Endpoint: o.GetEngine(), Code: policy.Code(o.GetCode()), Final: o.GetOver(),
+			Latency: o.GetTook(), Load: loadIn(o.GetLoad()), WorkMicros: o.GetWorkUs(), NeededMB: o.GetNeedMb()}
 	case *tracev1.Event_Progress:
 		p := w.Progress
-		return policy.Progress{ID: p.GetId(), Attempt: int(p.GetAttempt()), Engine: p.GetEngine(), Kind: policy.NoteKind(p.GetKind()), Value: p.GetValue()}
+		return policy.Progress{ID: p.GetId(), Attempt: int(p.GetAttempt()), Endpoint: p.GetEngine(), Kind: policy.ProgressKind(p.GetKind()), Value: p.GetValue()}
 	case *tracev1.Event_Probed:
 		p := w.Probed
-		return policy.Probed{Engine: p.GetEngine(), Code: policy.Code(p.GetCode()), Took: p.GetTook(), Load: loadIn(p.GetLoad())}
+		return policy.HealthCheckResult{Endpoint: p.GetEngine(), Code: policy.Code(p.GetCode()), Latency: p.GetTook(), Load: loadIn(p.GetLoad())}
 	case *tracev1.Event_First:
-		return policy.First{ID: w.First.GetId(), Attempt: int(w.First.GetAttempt())}
+		return policy.StreamStarted{ID: w.First.GetId(), Attempt: int(w.First.GetAttempt())}
 	case *tracev1.Event_Left:
-		return policy.Left{ID: w.Left.GetId()}
+		return policy.ClientDisconnected{ID: w.Left.GetId()}
 	case *tracev1.Event_Alarm:
-		return policy.Alarm{}
+		return policy.TimerFired{}
 	case *tracev1.Event_Heard:
-		return policy.Heard{From: int(w.Heard.GetFrom()), Data: w.Heard.GetData()}
+		return policy.GossipReceived{From: int(w.Heard.GetFrom()), Data: w.Heard.GetData()}
 	}
 	return nil
 }
@@ -98,26 +98,26 @@
 func actionOut(a policy.Action) *tracev1.Action {
 	switch a := a.(type) {
 	case policy.Send:
-		return &tracev1.Action{What: &tracev1.Action_Send{Send: &tracev1.Send{Id: a.ID, Engine: a.Engine, Timeout: a.Timeout}}}
-	case policy.Terms:
+		return &tracev1.Action{What: &tracev1.Action_Send{Send: &tracev1.Send{Id: a.ID, Engine: a.Endpoint, Timeout: a.Timeout}}}
+	case policy.Resources:
 		return &tracev1.Action{What: &tracev1.Action_Terms{Terms: &tracev1.Terms{Id: a.ID, MemoryMb: a.MemoryMB, Priority: int32(a.Priority)}}}
 	case policy.Cancel:
 		return &tracev1.Action{What: &tracev1.Action_Cancel{Cancel: &tracev1.Ref{Id: a.ID, Attempt: uint32(a.Attempt)}}}
-	case policy.Refuse:
-		return &tracev1.Action{What: &tracev1.Action_Refuse{Refuse: &tracev1.Refuse{Id: a.ID, ComeBack: a.ComeBack}}}
+	case policy.Shed:
+		return &tracev1.Action{What: &tracev1.Action_Refuse{Refuse: &tracev1.Refuse{Id: a.ID, ComeBack: a.RetryAfter}}}
 	case policy.Fail:
 		return &tracev1.Action{What: &tracev1.Action_Fail{Fail: a.ID}}
-	case policy.Probe:
-		return &tracev1.Action{What: &tracev1.Action_Probe{Probe: a.Engine}}
-	case policy.Wake:
+	case policy.HealthCheck:
+		return &tracev1.Action{What: &tracev1.Action_Probe{Probe: a.Endpoint}}
+	case policy.SetTimer:
 		return &tracev1.Action{What: &tracev1.Action_Wake{Wake: a.After}}
-	case policy.Tell:
+	case policy.SendGossip:
 		return &tracev1.Action{What: &tracev1.Action_Tell{Tell: &tracev1.Tell{To: uint32(a.To), Data: a.Data}}}
-	case policy.Watch:
+	case policy.WatchEndpoints:
 		return &tracev1.Action{What: &tracev1.Action_Watch{Watch: true}}
-	case policy.Fetch:
+	case policy.FetchEndpoints:
 		return &tracev1.Action{What: &tracev1.Action_Fetch{Fetch: true}}
-	case policy.Note:
+	case policy.LogLine:
 		return &tracev1.Action{What: &tracev1.Action_Note{Note: a.Text}}
 	}
 	panic(fmt.Sprintf("trace: unknown action %T", a))
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -59,13 +59,13 @@
 	}
 }
 
-// Began implements dispatch.Recorder.
-func (r *Recorder) Began(now policy.Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool) {
+// Started implements dispatch.Recorder.
+func (r *Recorder) Started(now policy.Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool) {
 	r.put(began{seed, s, now, time.Now(), l, fresh})
 }
 
-// Stepped implements dispatch.Recorder; it keeps copies of the slices.
-func (r *Recorder) Stepped(now policy.Micros, events []policy.Event, actions []policy.Action) {
+// StepCompleted implements dispatch.Recorder; it keeps copies of the slices.
+func (r *Recorder) StepCompleted(now policy.Micros, events []policy.Event, actions []policy.Action) {
 	r.put(stepped{now, slices.Clone(events), slices.Clone(actions)})
 }
 
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -18,6 +18,16 @@
 	Change(s policy.Settings, classes, tenants []int) error
 }
 
+// restorer is a Module that can take in what was learned before its first step.
+type restorer interface {
+	Restore(l policy.Learned, fresh bool) error
+}
+
+var (
+	_ Module   = (*policy.Gateway)(nil)
+	_ restorer = (*policy.Gateway)(nil)
+)
+
 // Source gives records until io.EOF; *Reader is one.
 type Source interface {
 	Next() (*tracev1.Record, error)
@@ -70,10 +80,8 @@
 				if err := json.Unmarshal(text, &l); err != nil {
 					return rep, fmt.Errorf("what a begin had learned: %w", err)
 				}
-				if r, ok := m.(interface {
-					Recall(policy.Learned, bool) error
-				}); ok {
-					if err := r.Recall(l, w.Begin.GetFresh()); err != nil {
+				if r, ok := m.(restorer); ok {
+					if err := r.Restore(l, w.Begin.GetFresh()); err != nil {
 						return rep, err
 					}
 				}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -13,9 +13,9 @@
 )
 
 func settings() policy.Settings {
-	return policy.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, GrantsCount: true, PriorityCount: true, MaxGrantShare: 0.5,
-		ColdFrom: 0.3, ColdFor: 1e7, FallMultiple: 2, FallFor: 2e6, DrainGrace: 1e6, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16000}},
-		Classes: []policy.Class{{Name: "a", Worth: 1, Aim: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", Worth: 10, LateWorth: 0.4, Aim: 3e6, Deadline: 15e6, Threads: 4}}}
+	return policy.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
+		SlowStartFloor: 0.3, SlowStartDuration: 1e7, OverloadMultiple: 2, OverloadDuration: 2e6, DrainGrace: 1e6, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16000}},
+		Classes: []policy.Class{{Name: "a", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3e6, Deadline: 15e6, Threads: 4}}}
 }
 
 // play runs a module through a day of chance with the recorder listening.
@@ -27,14 +27,14 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	now := policy.Micros(1e8)
-	r.Began(now, seed, s, nil, false)
+	r.Started(now, seed, s, nil, false)
 	step := func(events ...policy.Event) []policy.Action {
 		acts := g.Step(now, events)
-		r.Stepped(now, events, acts)
+		r.StepCompleted(now, events, acts)
 		return acts
 	}
-	rows := []policy.Engine{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 9e7}}
-	step(policy.Engines{Whole: true, Rows: rows})
+	rows := []policy.Endpoint{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 9e7}}
+	step(policy.EndpointUpdate{Complete: true, Endpoints: rows})
 	tries := map[string]int{}
 	for i := range steps {
 		now += int64(rng.IntN(20000))
@@ -45,13 +45,13 @@
 			}
 			r.Changed(now, s, []int{0, 1}, nil)
 		}
-		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Due: now + 4e6}, policy.Alarm{})
+		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Deadline: now + 4e6}, policy.TimerFired{})
 		for len(acts) > 0 {
 			var events []policy.Event
 			for _, a := range acts {
 				if a, ok := a.(policy.Send); ok {
-					events = append(events, policy.Outcome{ID: a.ID, Attempt: tries[a.ID], Engine: a.Engine, Code: policy.Code(rng.IntN(3) / 2), Over: true,
-						Took: int64(rng.IntN(90000)), Load: &policy.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
+					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint, Code: policy.Code(rng.IntN(3) / 2), Final: true,
+						Latency: int64(rng.IntN(90000)), Load: &policy.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
 					tries[a.ID]++
 				}
 			}
@@ -109,7 +109,7 @@
 		t.Errorf("%+v", rep)
 	}
 	t.Logf("%d steps, %d events, %d actions in %d bytes", rep.Steps, rep.Events, rep.Actions, len(file))
-	rep = replay(t, file, func(s *policy.Settings) { s.GrantsCount, s.PriorityCount = false, false })
+	rep = replay(t, file, func(s *policy.Settings) { s.HonorsGrants, s.HonorsPriority = false, false })
 	if rep.First == nil || rep.Differ == 0 || rep.ByKind["-Terms"] == 0 {
 		t.Errorf("without terms: %+v", rep)
 	}
