--- a/config/config.go
+++ b/config/config.go
@@ -253,8 +253,8 @@
 	}
 	c.File.defaults()
 	c.check(d)
-	if len(d.all) > 0 {
-		return nil, &Mistakes{name, d.all}
+	if len(d.violations) > 0 {
+		return nil, &Violations{name, d.violations}
 	}
 	return c, nil
 }
@@ -356,7 +356,7 @@
 				return i
 			}
 		}
-		d.wrong(path, quoted(name), strings.Join(names, ", "))
+		d.violation(path, quoted(name), strings.Join(names, ", "))
 		return -1
 	}
 	unique := func(path string, names []string) {
@@ -364,26 +364,26 @@
 		for i, n := range names {
 			at := fmt.Sprintf("%s[%d]", path, i)
 			if n == "" {
-				d.wrong(at, "no name", "a name that is not empty")
+				d.violation(at, "no name", "a name that is not empty")
 			} else if seen[n] {
-				d.wrong(at, quoted(n)+" a second time", "each name once")
+				d.violation(at, quoted(n)+" a second time", "each name once")
 			}
 			seen[n] = true
 		}
 	}
 	within := func(path string, v, least, most float64) {
 		if !(v >= least && v <= most) {
-			d.wrong(path, fmt.Sprint(v), fmt.Sprintf("%v to %v", least, most))
+			d.violation(path, fmt.Sprint(v), fmt.Sprintf("%v to %v", least, most))
 		}
 	}
 	span := func(path string, v Duration, least, most time.Duration) {
 		if v.D() < least || v.D() > most {
-			d.wrong(path, v.D().String(), fmt.Sprintf("%v to %v", least, most))
+			d.violation(path, v.D().String(), fmt.Sprintf("%v to %v", least, most))
 		}
 	}
 	address := func(path, v string, empty bool) {
 		if _, _, err := net.SplitHostPort(v); err != nil && !(empty && v == "") {
-			d.wrong(path, quoted(v), "host:port")
+			d.violation(path, quoted(v), "host:port")
 		}
 	}
 	pattern := func(path, v string) *regexp.Regexp {
@@ -392,7 +392,7 @@
 		}
 		r, err := regexp.Compile(v)
 		if err != nil {
-			d.wrong(path, err.Error(), "a regular expression (RE2)")
+			d.violation(path, err.Error(), "a regular expression (RE2)")
 		}
 		return r
 	}
@@ -406,20 +406,20 @@
 	for i, k := range f.Keys {
 		b, err := hex.DecodeString(k)
 		if err != nil || len(b) != 32 {
-			d.wrong(fmt.Sprintf("keys[%d]", i), fmt.Sprintf("%d characters", len(k)), "64 hex digits (32 bytes)")
+			d.violation(fmt.Sprintf("keys[%d]", i), fmt.Sprintf("%d characters", len(k)), "64 hex digits (32 bytes)")
 		}
 		c.Keys = append(c.Keys, b)
 	}
 	if f.AnyUser == (len(f.Users) > 0) {
-		d.wrong("users", fmt.Sprintf("%d users and any_user %v", len(f.Users), f.AnyUser),
+		d.violation("users", fmt.Sprintf("%d users and any_user %v", len(f.Users), f.AnyUser),
 			"either users or any_user: true")
 	}
 	for i, u := range f.Users {
 		if u.Name == "" || strings.Contains(u.Name, ":") {
-			d.wrong(fmt.Sprintf("users[%d].name", i), quoted(u.Name), "a name without a colon")
+			d.violation(fmt.Sprintf("users[%d].name", i), quoted(u.Name), "a name without a colon")
 		}
 		if _, err := bcrypt.Cost([]byte(u.Bcrypt)); err != nil {
-			d.wrong(fmt.Sprintf("users[%d].bcrypt", i), fmt.Sprintf("%d characters", len(u.Bcrypt)), "a bcrypt hash ($2a$...)")
+			d.violation(fmt.Sprintf("users[%d].bcrypt", i), fmt.Sprintf("%d characters", len(u.Bcrypt)), "a bcrypt hash ($2a$...)")
 		}
 	}
 	c.checkNodes(d, address)
@@ -435,7 +435,7 @@
 		DrainGrace: l.DrainGrace.D().Microseconds(), OrderingGap: l.OrderingGap.D().Microseconds(),
 		RetryBudgetFloor: l.RetryBudgetFloor, RetryBudgetRatio: l.RetryBudgetRatio, RetryBudgetWindow: l.RetryBudgetWindow.D().Microseconds()}
 	if _, ok := shortages[send.Shortage]; !ok {
-		d.wrong("sending.shortage", quoted(send.Shortage), "queue, trim, swap")
+		d.violation("sending.shortage", quoted(send.Shortage), "queue, trim, swap")
 	}
 	within("limits.attempts", float64(l.Attempts), 1, 16)
 	within("limits.held", float64(l.MaxInFlight), 1, 1e6)
@@ -483,7 +483,7 @@
 	}
 	unique("kinds", kinds)
 	if len(kinds) == 0 {
-		d.wrong("kinds", "none", "at least one kind of machine")
+		d.violation("kinds", "none", "at least one kind of machine")
 	}
 	for i, t := range f.Tenants {
 		c.Classes.Tenants = append(c.Classes.Tenants, t.Name)
@@ -508,15 +508,15 @@
 			WaitsForTables: k.WaitsForTables, Ordered: k.Ordered, DedupWindow: k.DedupWindow.D().Microseconds()}
 		for _, e := range []struct{ field, name string }{{".effect", k.Effect}, {".updates", k.Updates}} {
 			if _, ok := effects[e.name]; !ok {
-				d.wrong(at+e.field, quoted(e.name), "safe, keyed, unsafe")
+				d.violation(at+e.field, quoted(e.name), "safe, keyed, unsafe")
 			}
 			if e.name == "keyed" && k.DedupWindow == 0 {
-				d.wrong(at+".window", "none", "how long nodes remember a key, since the class is keyed")
+				d.violation(at+".window", "none", "how long nodes remember a key, since the class is keyed")
 			}
 		}
 		g, ok := groups[k.DedupScope]
 		if !ok {
-			d.wrong(at+".group", quoted(k.DedupScope), "all, hall, cell")
+			d.violation(at+".group", quoted(k.DedupScope), "all, hall, cell")
 		}
 		m.Effect, m.DedupScope = effects[k.Effect], g
 		for j, h := range k.Zones {
@@ -543,7 +543,7 @@
 	}
 	unique("classes", c.Classes.Classes)
 	if len(f.Classes) == 0 {
-		d.wrong("classes", "none", "at least one class")
+		d.violation("classes", "none", "at least one class")
 		return
 	}
 	for i := range updates {
@@ -568,14 +568,14 @@
 			out.Tenant = index(at+".tenant", r.Tenant, c.Classes.Tenants)
 		}
 		if r.Value != "" && (r.Header == "") == (r.Option == "") {
-			d.wrong(at+".value", "a pattern", "one of header and option beside it")
+			d.violation(at+".value", "a pattern", "one of header and option beside it")
 		}
 		for _, k := range []struct{ field, from string }{{".key", r.Key}, {".tables", r.Tables}} {
 			kind, name, has := strings.Cut(k.from, ":")
 			good := k.from == "" || !has && (kind == "user" || kind == "statement" || kind == "from") ||
 				has && name != "" && (kind == "header" || kind == "option")
 			if !good {
-				d.wrong(at+k.field, quoted(k.from), "user, statement, from, header:NAME, option:NAME")
+				d.violation(at+k.field, quoted(k.from), "user, statement, from, header:NAME, option:NAME")
 			}
 		}
 		span(at+".cost", r.Cost, 0, 24*time.Hour)
@@ -583,9 +583,9 @@
 		c.Classes.Rules = append(c.Classes.Rules, out)
 	}
 	unique("rules", names)
-	if len(d.all) == 0 {
+	if len(d.violations) == 0 {
 		if _, err := policy.New(0, *s); err != nil { // the module's own word, should the checks above miss something
-			d.wrong("", err.Error(), "what the module takes")
+			d.violation("", err.Error(), "what the module takes")
 		}
 	}
 }
@@ -599,28 +599,28 @@
 		}
 	}
 	if sources != 1 {
-		d.wrong("nodes", fmt.Sprintf("%d sources", sources), "exactly one of file, eds, list; or control in their place")
+		d.violation("nodes", fmt.Sprintf("%d sources", sources), "exactly one of file, eds, list; or control in their place")
 	}
 	if k := c.File.Control; k != nil {
 		address("control.address", k.Address, false)
 		if k.Cluster == "" {
-			d.wrong("control.cluster", "none", "the name of the node list to watch")
+			d.violation("control.cluster", "none", "the name of the node list to watch")
 		}
 		if k.Floor < 0 || k.Floor > 1 || k.FloorCount < 0 || k.KeepVersions < 2 || k.KeepVersions > 1000 {
-			d.wrong("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.KeepVersions),
+			d.violation("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.KeepVersions),
 				"floor 0 to 1, floor_count 0 or more, keep 2 to 1000")
 		}
 		if b, err := hex.DecodeString(k.OperatorKey); err != nil || len(b) != 0 && len(b) != 32 {
-			d.wrong("control.operator_key", fmt.Sprintf("%d characters", len(k.OperatorKey)), "64 hex digits, or none")
+			d.violation("control.operator_key", fmt.Sprintf("%d characters", len(k.OperatorKey)), "64 hex digits, or none")
 		}
 		if k.RelistAfter < 0 || k.Reconnect < 0 {
-			d.wrong("control", "a span under 0", "relist_after and reconnect_most of 0 or more")
+			d.violation("control", "a span under 0", "relist_after and reconnect_most of 0 or more")
 		}
 	}
 	if n.EDS != nil {
 		address("nodes.eds.address", n.EDS.Address, false)
 		if n.EDS.Cluster == "" {
-			d.wrong("nodes.eds.cluster", "none", "the name of the cluster to watch")
+			d.violation("nodes.eds.cluster", "none", "the name of the cluster to watch")
 		}
 	}
 	c.checkRows(d, "nodes.list", n.List)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -31,14 +31,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := Parse("f", []byte(c.text))
-			var m *Mistakes
+			var m *Violations
 			if !errors.As(err, &m) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("got %v\nwant one with %s", err, c.want)
 			}
 		})
 	}
 	_, err := Parse("f", []byte(`{"hall": "x", "limits": {"attempts": 99}, "listen": {"flightsql": "here"}}`))
-	var m *Mistakes
+	var m *Violations
 	if !errors.As(err, &m) || len(m.All) < 6 {
 		t.Errorf("all mistakes at once: %v", err)
 	}
@@ -100,7 +100,7 @@
 			}
 			return
 		}
-		var m *Mistakes
+		var m *Violations
 		if !errors.As(err, &m) {
 			t.Errorf("%T: %v", err, err)
 		}
--- a/config/decode.go
+++ b/config/decode.go
@@ -15,15 +15,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// Mistake is one thing wrong with a file.
-type Mistake struct {
+// Violation is one thing wrong with a file.
+type Violation struct {
 	Line, Column int // from 1; 0 where the whole file is meant
 	Field        string
 	Found        string
 	Allowed      string
 }
 
-func (m Mistake) String() string {
+func (m Violation) String() string {
 	where := ""
 	if m.Line > 0 {
 		where = fmt.Sprintf("%d:%d: ", m.Line, m.Column)
@@ -37,13 +37,13 @@
 	return where + "allowed: " + m.Allowed
 }
 
-// Mistakes is the error of a file with at least one.
-type Mistakes struct {
+// Violations is the error of a file with at least one.
+type Violations struct {
 	File string
-	All  []Mistake
+	All  []Violation
 }
 
-func (m *Mistakes) Error() string {
+func (m *Violations) Error() string {
 	lines := make([]string, len(m.All))
 	for i, one := range m.All {
 		lines[i] = m.File + ":" + one.String()
@@ -51,14 +51,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// mostMistakes bounds the list: a file that is no configuration at all would fill pages.
-const mostMistakes = 100
+// maxViolations bounds the list: a file that is no configuration at all would fill pages.
+const maxViolations = 100
 
 // decoder reads a syntax tree into a struct and remembers where each field stood.
 type decoder struct {
 	text   []byte
 	places map[string]int // byte offset by path
-	all    []Mistake
+	violations    []Violation
 }
 
 // place turns an offset into line and column, in bytes, from 1.
@@ -68,9 +68,9 @@
 	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
-// wrong notes a mistake at a path; the nearest place known above it is told.
-func (d *decoder) wrong(path, found, allowed string) {
-	if len(d.all) >= mostMistakes || slices.ContainsFunc(d.all, func(m Mistake) bool { return m.Field == path && path != "" }) {
+// violation notes a mistake at a path; the nearest place known above it is told.
+func (d *decoder) violation(path, found, allowed string) {
+	if len(d.violations) >= maxViolations || slices.ContainsFunc(d.violations, func(m Violation) bool { return m.Field == path && path != "" }) {
 		return // one mistake a field: others mostly follow from it
 	}
 	at, ok := d.places[path]
@@ -81,9 +81,9 @@
 			up = ""
 		}
 	}
-	m := Mistake{Field: path, Found: found, Allowed: allowed}
+	m := Violation{Field: path, Found: found, Allowed: allowed}
 	m.Line, m.Column = d.place(at)
-	d.all = append(d.all, m)
+	d.violations = append(d.violations, m)
 }
 
 var durationType = reflect.TypeFor[Duration]()
@@ -105,10 +105,10 @@
 		return err
 	}
 	if check != nil {
-		check(d.wrong)
+		check(d.violation)
 	}
-	if len(d.all) > 0 {
-		return &Mistakes{file, d.all}
+	if len(d.violations) > 0 {
+		return &Violations{file, d.violations}
 	}
 	return nil
 }
@@ -117,14 +117,14 @@
 func parse(file string, text []byte, v any) (*decoder, error) {
 	d := &decoder{text: text, places: map[string]int{}}
 	if len(text) > 16<<20 {
-		return d, &Mistakes{file, []Mistake{{Found: fmt.Sprintf("%d bytes", len(text)), Allowed: "16 MiB at most"}}}
+		return d, &Violations{file, []Violation{{Found: fmt.Sprintf("%d bytes", len(text)), Allowed: "16 MiB at most"}}}
 	}
 	if depth(text) > 64 {
-		return d, &Mistakes{file, []Mistake{{Found: "brackets nested deeper than 64", Allowed: "64 levels at most"}}}
+		return d, &Violations{file, []Violation{{Found: "brackets nested deeper than 64", Allowed: "64 levels at most"}}}
 	}
 	tree, err := hujson.Parse(text)
 	if err != nil {
-		m := Mistake{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
+		m := Violation{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
 		var line, column int
 		if i := strings.Index(err.Error(), "line "); i >= 0 {
 			if n, _ := fmt.Sscanf(err.Error()[i:], "line %d, column %d", &line, &column); n == 2 {
@@ -134,7 +134,7 @@
 				}
 			}
 		}
-		return d, &Mistakes{file, []Mistake{m}}
+		return d, &Violations{file, []Violation{m}}
 	}
 	d.value("", tree, reflect.ValueOf(v).Elem())
 	return d, nil
@@ -187,7 +187,7 @@
 	case reflect.Slice:
 		array, ok := v.Value.(*hujson.Array)
 		if !ok {
-			d.wrong(path, shown(v), "a list")
+			d.violation(path, shown(v), "a list")
 			return
 		}
 		into.Set(reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements)))
@@ -197,28 +197,28 @@
 	case reflect.String:
 		s, ok := literal[string](v)
 		if !ok {
-			d.wrong(path, shown(v), "a text in quotes")
+			d.violation(path, shown(v), "a text in quotes")
 			return
 		}
 		into.SetString(s)
 	case reflect.Bool:
 		b, ok := literal[bool](v)
 		if !ok {
-			d.wrong(path, shown(v), "true or false")
+			d.violation(path, shown(v), "true or false")
 			return
 		}
 		into.SetBool(b)
 	case reflect.Int:
 		f, ok := literal[float64](v)
 		if !ok || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-			d.wrong(path, shown(v), "a whole number")
+			d.violation(path, shown(v), "a whole number")
 			return
 		}
 		into.SetInt(int64(f))
 	case reflect.Float64:
 		f, ok := literal[float64](v)
 		if !ok {
-			d.wrong(path, shown(v), "a number")
+			d.violation(path, shown(v), "a number")
 			return
 		}
 		into.SetFloat(f)
@@ -243,13 +243,13 @@
 			return
 		}
 	}
-	d.wrong(path, shown(v), `a span of time in quotes, such as "250ms", "5s" or "10m"`)
+	d.violation(path, shown(v), `a span of time in quotes, such as "250ms", "5s" or "10m"`)
 }
 
 func (d *decoder) object(path string, v hujson.Value, into reflect.Value) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.wrong(path, shown(v), "an object in braces")
+		d.violation(path, shown(v), "an object in braces")
 		return
 	}
 	fields, names := map[string]int{}, []string{}
@@ -272,10 +272,10 @@
 		switch {
 		case !known:
 			d.places[at] = m.Name.StartOffset
-			d.wrong(at, "the field "+strconv.Quote(name), "one of "+strings.Join(names, ", "))
+			d.violation(at, "the field "+strconv.Quote(name), "one of "+strings.Join(names, ", "))
 		case seen[name]:
 			d.places[at] = m.Name.StartOffset
-			d.wrong(at, "the field a second time", "each field once")
+			d.violation(at, "the field a second time", "each field once")
 		default:
 			d.value(at, m.Value, into.Field(i))
 		}
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -16,7 +16,7 @@
 	for i := range rows {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if _, err := c.row(&rows[i]); err != nil {
-			d.wrong(at, err.Error(), "a node with name, address and, where given, a known hall, kind and state")
+			d.violation(at, err.Error(), "a node with name, address and, where given, a known hall, kind and state")
 		}
 	}
 }
@@ -83,8 +83,8 @@
 		return nil, err
 	}
 	c.checkRows(d, "nodes", list.Nodes)
-	if len(d.all) > 0 {
-		return nil, &Mistakes{name, d.all}
+	if len(d.violations) > 0 {
+		return nil, &Violations{name, d.violations}
 	}
 	out := make([]nodelist.Node, len(list.Nodes))
 	for i := range list.Nodes {
--- a/control/judge.go
+++ b/control/judge.go
@@ -31,7 +31,7 @@
 	cfg, err := config.FromFile(file)
 	if err != nil {
 		var reasons []string
-		if mistakes, ok := err.(*config.Mistakes); ok {
+		if mistakes, ok := err.(*config.Violations); ok {
 			for _, one := range mistakes.All {
 				reasons = append(reasons, fmt.Sprintf("reference: %s: found %s, allowed: %s", one.Field, one.Found, one.Allowed))
 			}
