--- a/config/decode.go
+++ b/config/decode.go
@@ -56,9 +56,9 @@
 
 // decoder reads a syntax tree into a struct and remembers where each field stood.
 type decoder struct {
-	text   []byte
-	places map[string]int // byte offset by path
-	violations    []Violation
+	text       []byte
+	places     map[string]int // byte offset by path
+	violations []Violation
 }
 
 // place turns an offset into line and column, in bytes, from 1.
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -8,21 +8,22 @@
 	"embershunt/policy"
 )
 
+// states are the words of a row's state.
 var states = map[string]policy.EndpointState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
 	"gone": policy.Removed}
 
-// checkRows validates rows of a node list.
-func (c *Config) checkRows(d *decoder, path string, rows []Node) {
+// validateNodes checks rows of a node list.
+func (c *Config) validateNodes(v validator, path string, rows []Node) {
 	for i := range rows {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if _, err := c.row(&rows[i]); err != nil {
-			d.violation(at, err.Error(), "a node with name, address and, where given, a known hall, kind and state")
+		if _, err := c.node(&rows[i]); err != nil {
+			v.violation(at, err.Error(), "a node with name, address and, where given, a known hall, kind and state")
 		}
 	}
 }
 
-// row turns a row into what the fleet knows.
-func (c *Config) row(n *Node) (nodelist.Node, error) {
+// node turns a row of the file into one of the node list; the error names what is wrong with it.
+func (c *Config) node(n *Node) (nodelist.Node, error) {
 	out := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, PlacementGroup: n.PlacementGroup, Weight: n.Weight}
 	state, ok := states[n.State]
 	if !ok {
@@ -52,7 +53,7 @@
 	return out, err
 }
 
-// Names are the halls and kinds that rows of a node list may name.
+// Names are the zones and kinds that rows of a node list may name.
 func (c *Config) Names() nodelist.Names {
 	names := nodelist.Names{Zones: c.File.Zones}
 	for _, k := range c.File.Kinds {
@@ -65,7 +66,7 @@
 func (c *Config) Nodes() []nodelist.Node {
 	out := make([]nodelist.Node, 0, len(c.File.Nodes.List))
 	for i := range c.File.Nodes.List {
-		n, err := c.row(&c.File.Nodes.List[i])
+		n, err := c.node(&c.File.Nodes.List[i])
 		if err == nil { // checked when the file was read
 			out = append(out, n)
 		}
@@ -82,13 +83,13 @@
 	if err != nil {
 		return nil, err
 	}
-	c.checkRows(d, "nodes", list.Nodes)
+	c.validateNodes(validator{d}, "nodes", list.Nodes)
 	if len(d.violations) > 0 {
 		return nil, &Violations{name, d.violations}
 	}
 	out := make([]nodelist.Node, len(list.Nodes))
 	for i := range list.Nodes {
-		out[i], _ = c.row(&list.Nodes[i])
+		out[i], _ = c.node(&list.Nodes[i]) // checked just now
 	}
 	return out, nil
 }
