--- a/control/control.go
+++ b/control/control.go
@@ -200,13 +200,13 @@
 
 // Status is what operators see.
 type Status struct {
-	Number   uint64   // of the set in force; 0: from the file
-	Moving   uint64   // of the set that is being stored or put in force; 0: none
-	Phase    Phase    //
-	Waiting  []string // kinds offered that wait for the rest of their set
-	Pinned   bool
-	Versions map[string]string // last version acknowledged, by kind
-	Refused  []string          // reasons of the last refusal; nil: nothing was refused since the last one taken
+	Number   uint64            `json:"Number"`  // of the set in force; 0: from the file
+	Moving   uint64            `json:"Moving"`  // of the set that is being stored or put in force; 0: none
+	Phase    Phase             `json:"Phase"`   //
+	Waiting  []string          `json:"Waiting"` // kinds offered that wait for the rest of their set
+	Pinned   bool              `json:"Pinned"`
+	Versions map[string]string `json:"Versions"` // last version acknowledged, by kind
+	Refused  []string          `json:"Refused"`  // reasons of the last refusal; nil: nothing was refused since the last one taken
 }
 
 // Status tells where the module stands.
