--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -1,9 +1,10 @@
 // Command controlserver is a stand-in control service: it streams node lists and numbered settings from a folder to
-// dispatchers, a share of them first, and shows what each one said.
+// dispatchers, a share of them first, and shows what each one replied.
 package main
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -37,6 +38,13 @@
 	Refusal float64           `default:"0.05" help:"Share of a stage's dispatchers whose refusal halts the rollout."`
 }
 
+// Intervals and time-outs.
+const (
+	readInterval  = 500 * time.Millisecond // between two looks at the folder
+	scrapeTimeout = time.Second            // of one dispatcher's metrics
+	statusTimeout = 5 * time.Second        // for the header of a request for the table
+)
+
 // Exit codes: 0 ended by a signal, 1 it cannot serve, 2 wrong usage.
 func main() {
 	kong.Parse(&cli, kong.Name("controlserver"), kong.Description("Streams node lists and settings to dispatchers."))
@@ -51,16 +59,16 @@
 	control *simulated.Control
 	rollout *control.Rollout
 	begin   time.Time
-	known   map[uint64]control.FileParts
-	list    string
-	told    map[string]string // mistakes already printed, by file
+	sets    map[uint64]control.FileParts // versions of the settings read so far, by number
+	nodes   string                       // text of the node list in force
+	printed map[string]string            // the last error printed, by file
 }
 
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	s := &service{control: simulated.NewControl(cli.Cluster), begin: time.Now(), known: map[uint64]control.FileParts{},
-		told: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
+	s := &service{control: simulated.NewControl(cli.Cluster), begin: time.Now(), sets: map[uint64]control.FileParts{},
+		printed: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
 	s.rollout.Fall = cli.Fall
 	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.Replied(s.now(), d, n, refused) })
 	s.read()
@@ -71,23 +79,20 @@
 	defer s.control.Stop()
 	fmt.Println("serves", s.control.Address())
 	if cli.Status != "" {
-		server := &http.Server{Addr: cli.Status, ReadHeaderTimeout: 5 * time.Second,
-			Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, s.table()) })}
-		go server.ListenAndServe()
-		defer server.Close()
+		defer s.serveStatus(cli.Status)()
 	}
-	tick := time.NewTicker(500 * time.Millisecond)
-	defer tick.Stop()
+	ticker := time.NewTicker(readInterval)
+	defer ticker.Stop()
 	for last := ""; ; {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		s.read()
-		s.scrape(ctx)
+		s.compareService(ctx)
 		s.control.Locked(func() { s.rollout.Advance(s.now()) })
-		s.back()
+		s.addRollback()
 		if t := s.table(); t != last {
 			fmt.Println(t)
 			last = t
@@ -97,45 +102,45 @@
 
 func (s *service) now() control.Micros { return time.Since(s.begin).Microseconds() + 1 }
 
-// scrape reads each dispatcher's counters of final answers. One that cannot be reached tells nothing.
-func (s *service) scrape(ctx context.Context) {
+// compareService reads each dispatcher's counters of final answers; one that cannot be reached is left out.
+func (s *service) compareService(ctx context.Context) {
 	for name, address := range cli.Metrics {
-		served, asked, err := counters(ctx, address)
+		served, received, err := counters(ctx, address)
 		if err == nil {
-			s.control.Locked(func() { s.rollout.Service(s.now(), name, served, asked) })
+			s.control.Locked(func() { s.rollout.Service(s.now(), name, served, received) })
 		}
 	}
 }
 
-func counters(ctx context.Context, address string) (served, asked float64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
+func counters(ctx context.Context, address string) (served, received float64, err error) {
+	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return 0, 0, err
 	}
-	answer, err := http.DefaultClient.Do(r)
+	answer, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }() // all of it has been read
 	parser := expfmt.NewTextParser(model.LegacyValidation)
 	families, err := parser.TextToMetricFamilies(answer.Body)
 	if err != nil {
 		return 0, 0, err
 	}
 	for _, m := range families["embershunt_queries_total"].GetMetric() {
-		asked += m.GetCounter().GetValue()
+		received += m.GetCounter().GetValue()
 		for _, l := range m.GetLabel() {
 			if l.GetName() == "final" && l.GetValue() == "served" {
 				served += m.GetCounter().GetValue()
 			}
 		}
 	}
-	return served, asked, nil
+	return served, received, nil
 }
 
-// read takes up what is new in the folder. A file with mistakes is told once and left alone.
+// read takes up what is new in the folder. A file with errors is reported once and left alone.
 func (s *service) read() {
 	files, _ := filepath.Glob(filepath.Join(cli.Folder, "*.jsonc"))
 	newest := uint64(0)
@@ -143,16 +148,16 @@
 		text, err := os.ReadFile(f)
 		base := strings.TrimSuffix(filepath.Base(f), ".jsonc")
 		if err == nil && base == "nodes" {
-			err = s.nodes(f, text)
+			err = s.readNodes(f, text)
 		} else if n, bad := strconv.ParseUint(base, 10, 64); err == nil && bad == nil && n > 0 && !s.has(n) {
 			if high := s.rollout.Highest(); n <= high {
 				err = fmt.Errorf("%s: number %d: allowed are those above %d, which is in use", f, n, high)
-			} else if err = s.settings(f, n, text); err == nil {
+			} else if err = s.readSettings(f, n, text); err == nil {
 				newest = max(newest, n)
 			}
 		}
-		if err != nil && s.told[f] != err.Error() {
-			s.told[f] = err.Error()
+		if err != nil && s.printed[f] != err.Error() {
+			s.printed[f] = err.Error()
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
@@ -161,9 +166,9 @@
 	}
 }
 
-func (s *service) has(n uint64) bool { _, ok := s.known[n]; return ok }
+func (s *service) has(n uint64) bool { _, ok := s.sets[n]; return ok }
 
-func (s *service) settings(file string, n uint64, text []byte) error {
+func (s *service) readSettings(file string, n uint64, text []byte) error {
 	var parts control.FileParts
 	if err := config.Decode(file, text, &parts, nil); err != nil {
 		return err
@@ -171,10 +176,10 @@
 	return s.add(n, parts)
 }
 
-// back makes the content of the set before a halted one known under the number it is offered by.
-func (s *service) back() {
+// addRollback makes the content of the set before a halted one known under the number it is offered by.
+func (s *service) addRollback() {
 	if n, of := s.rollout.Back(); n > 0 && of > 0 && !s.has(n) {
-		if err := s.add(n, s.known[of]); err != nil {
+		if err := s.add(n, s.sets[of]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
@@ -190,13 +195,13 @@
 		}
 		all = append(all, a)
 	}
-	s.known[n] = parts
+	s.sets[n] = parts
 	s.control.Locked(func() { s.control.AddSet(n, all) })
 	return nil
 }
 
-func (s *service) nodes(file string, text []byte) error {
-	if string(text) == s.list {
+func (s *service) readNodes(file string, text []byte) error {
+	if string(text) == s.nodes {
 		return nil
 	}
 	var list struct {
@@ -220,22 +225,41 @@
 		}
 		rows = append(rows, row)
 	}
-	s.list = string(text)
+	s.nodes = string(text)
 	s.control.Set(rows, "")
 	return nil
 }
 
-// table shows where the rollout stands and what each dispatcher said.
+// serveStatus serves the table until the returned function is called.
+func (s *service) serveStatus(address string) (stop func()) {
+	status := &http.Server{Addr: address, ReadHeaderTimeout: statusTimeout,
+		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+			_, _ = fmt.Fprint(w, s.table()) // a reader that has left needs no table
+		})}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		if err := status.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+			fmt.Fprintln(os.Stderr, "controlserver: status:", err)
+		}
+	}()
+	return func() {
+		_ = status.Close() // the program ends
+		<-done
+	}
+}
+
+// table shows how far the rollout is and what each dispatcher replied last.
 func (s *service) table() string {
 	var b strings.Builder
 	s.control.Locked(func() {
 		fmt.Fprintln(&b, s.rollout.State())
-		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0)
-		fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
-		for _, x := range s.rollout.Statuses() {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", x.Dispatcher, x.Number, x.Refused, x.Reason)
+		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0) // writes to a builder: never fails
+		_, _ = fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
+		for _, status := range s.rollout.Statuses() {
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", status.Dispatcher, status.Number, status.Refused, status.Reason)
 		}
-		w.Flush()
+		_ = w.Flush()
 	})
 	return b.String()
 }
--- a/cmd/decisionreplay/main.go
+++ b/cmd/decisionreplay/main.go
@@ -32,7 +32,7 @@
 		fmt.Fprintln(os.Stderr, "decisionreplay:", err)
 		return 2
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	src, err := trace.NewReader(f)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "decisionreplay: %s: %v\n", cli.File, err)
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -93,7 +93,7 @@
 	})
 	err = d.Run(ctx)
 	cancel()
-	group.Wait()
+	_ = group.Wait() // its goroutine returns no error
 	if second {
 		log.Warn("ended by a second signal; what was held has been failed")
 		return 3
@@ -131,8 +131,9 @@
 	}
 	p := sdktrace.NewTracerProvider(sdktrace.WithBatcher(exporter))
 	return p.Tracer("embershunt"), func() {
-		p.Shutdown(context.Background())
-		f.Close()
+		if err := errors.Join(p.Shutdown(context.Background()), f.Close()); err != nil {
+			fmt.Fprintln(os.Stderr, "dispatcher: traces:", err)
+		}
 	}, nil
 }
 
--- a/cmd/dispatcher/platform.go
+++ b/cmd/dispatcher/platform.go
@@ -15,7 +15,7 @@
 	"embershunt/server"
 )
 
-// runPlatform serves the platform's protocol; signals that come while it starts are kept until it can heed them.
+// runPlatform serves the platform's protocol; signals that come while it starts are kept until it can handle them.
 func runPlatform() int {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -44,15 +44,15 @@
 	log.Info("serving", "address", d.Address(), "cores", cfg.Cores, "memory_mb", cfg.MemoryMB, "sockets", cfg.Sockets)
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
-	group.Go(func() error { heed(ctx, signals, d, path, log); return nil })
+	group.Go(func() error { handleSignals(ctx, signals, d, path, log); return nil })
 	err = d.Run(ctx)
 	cancel()
-	group.Wait()
+	_ = group.Wait() // its goroutine returns no error
 	return exitCode(log, err)
 }
 
-// heed carries out signals until ctx ends: SIGHUP takes the file anew, the others stop the dispatcher.
-func heed(ctx context.Context, signals <-chan os.Signal, d *server.Platform, path string, log *slog.Logger) {
+// handleSignals carries out signals until ctx ends: SIGHUP takes the file anew, the others stop the dispatcher.
+func handleSignals(ctx context.Context, signals <-chan os.Signal, d *server.Platform, path string, log *slog.Logger) {
 	draining := false
 	for {
 		select {
--- a/cmd/dispatcher/platform_test.go
+++ b/cmd/dispatcher/platform_test.go
@@ -61,7 +61,10 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.Process.Kill(); w.Close() })
+	t.Cleanup(func() {
+		_ = p.Process.Kill() // it may have ended
+		_ = w.Close()
+	})
 	return p
 }
 
@@ -106,22 +109,30 @@
 	}
 }
 
+// sendSignal signals the program, unless it has ended already.
+func sendSignal(t *testing.T, p *process, signal os.Signal) {
+	t.Helper()
+	if err := p.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
+		t.Fatal(err)
+	}
+}
+
 // A bad file on SIGHUP changes nothing; SIGTERM ends it with code 0, a second one changes nothing.
 func TestSignals(t *testing.T) {
 	p := start(t, goodFile)
 	p.until(t, `"serving"`)
-	p.Process.Signal(syscall.SIGHUP)
+	sendSignal(t, p, syscall.SIGHUP)
 	p.until(t, "configuration taken")
 	if err := os.WriteFile(p.file, []byte(strings.Replace(goodFile, `"seed":"1"`, `"seed":"x"`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.Process.Signal(syscall.SIGHUP)
+	sendSignal(t, p, syscall.SIGHUP)
 	if line := p.until(t, "the old one stays"); !strings.Contains(line, `seed: found \"x\"; allowed: up to 16 hex digits`) {
 		t.Errorf("the log says %s", line)
 	}
-	p.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, p, syscall.SIGTERM)
 	p.until(t, "draining")
-	p.Process.Signal(syscall.SIGTERM)
+	sendSignal(t, p, syscall.SIGTERM)
 	p.until(t, "drained")
 	if code := p.code(t); code != 0 {
 		t.Errorf("exit code %d, want 0", code)
@@ -134,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }()
 	p := start(t, strings.Replace(goodFile, "127.0.0.1:0", l.Addr().String(), 1))
 	p.until(t, "address already in use")
 	if code := p.code(t); code != 1 {
--- a/cmd/dispatcherctl/main.go
+++ b/cmd/dispatcherctl/main.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }() // all of it has been read
 	text, err := io.ReadAll(io.LimitReader(answer.Body, 64<<20))
 	if err != nil {
 		return err
@@ -80,11 +80,11 @@
 	if err := call(method, path, form, &s); err != nil {
 		return err
 	}
-	print(s)
+	printState(s)
 	return nil
 }
 
-func print(s server.ConfigState) {
+func printState(s server.ConfigState) {
 	from := fmt.Sprintf("set %d", s.Status.Number)
 	if s.Status.Number == 0 {
 		from = "the file"
@@ -109,12 +109,13 @@
 	Effective bool `help:"Print the settings in effect too."`
 }
 
+// Run prints the version in force, what is on its way and what was refused last.
 func (c *showCmd) Run() error {
 	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
-	print(s)
+	printState(s)
 	if c.Effective {
 		text, err := indented(s.Effective)
 		fmt.Println(text)
@@ -132,6 +133,7 @@
 
 type historyCmd struct{}
 
+// Run lists the versions in the store, the oldest first.
 func (historyCmd) Run() error {
 	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
@@ -152,6 +154,7 @@
 	To   uint64 `arg:"" help:"Number of another."`
 }
 
+// Run prints the lines that differ between the effective settings of two versions.
 func (c *diffCmd) Run() error {
 	var lines [2][]string
 	for i, n := range []uint64{c.From, c.To} {
@@ -171,40 +174,11 @@
 	return nil
 }
 
-// diff is the lines that differ, by the longest common subsequence.
-func diff(a, b []string) (out []string) {
-	common := make([][]int, len(a)+1)
-	for i := range common {
-		common[i] = make([]int, len(b)+1)
-	}
-	for i := len(a) - 1; i >= 0; i-- {
-		for j := len(b) - 1; j >= 0; j-- {
-			if a[i] == b[j] {
-				common[i][j] = common[i+1][j+1] + 1
-			} else {
-				common[i][j] = max(common[i+1][j], common[i][j+1])
-			}
-		}
-	}
-	for i, j := 0, 0; i < len(a) || j < len(b); {
-		switch {
-		case i < len(a) && j < len(b) && a[i] == b[j]:
-			i, j = i+1, j+1
-		case j == len(b) || i < len(a) && common[i+1][j] >= common[i][j+1]:
-			out = append(out, "- "+a[i])
-			i++
-		default:
-			out = append(out, "+ "+b[j])
-			j++
-		}
-	}
-	return out
-}
-
 type pinCmd struct {
 	Off bool `help:"Let go."`
 }
 
+// Run holds the dispatcher at the version in force, or ends that.
 func (c *pinCmd) Run() error {
 	return state("POST", "/config/pin", url.Values{"on": {fmt.Sprint(!c.Off)}})
 }
@@ -214,6 +188,7 @@
 	Key    string `required:"" type:"existingfile" help:"File with the operator's private key."`
 }
 
+// Run lets one version pass the safety checks, with a signature by the operator's key.
 func (c *overrideCmd) Run() error {
 	text, err := os.ReadFile(c.Key)
 	if err != nil {
@@ -235,6 +210,7 @@
 	Number uint64 `arg:"" help:"Number of a set in the store."`
 }
 
+// Run puts an earlier version from the store in force.
 func (c *rollbackCmd) Run() error {
 	return state("POST", "/config/rollback", url.Values{"number": {fmt.Sprint(c.Number)}})
 }
@@ -243,6 +219,7 @@
 	File string `arg:"" help:"File to write the private key to; the public one is printed."`
 }
 
+// Run makes an operator's key pair; an existing file is never overwritten.
 func (c *keyCmd) Run() error {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
--- a/cmd/queryclient/native.go
+++ b/cmd/queryclient/native.go
@@ -4,74 +4,88 @@
 	"context"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"embershunt/internal/native"
 )
 
-// overNative sends the statements over the ClickHouse native protocol.
-func overNative(ctx context.Context) int {
-	settings := map[string]string{}
-	for k, v := range cli.Header {
-		settings[k] = v
+// sendNative sends the statements over the ClickHouse native protocol and returns the exit code.
+func sendNative(ctx context.Context) int {
+	settings := maps.Clone(cli.Header)
+	if settings == nil {
+		settings = map[string]string{}
 	}
 	if cli.Timeout > 0 {
 		settings["max_execution_time"] = fmt.Sprint(cli.Timeout.Seconds())
 	}
-	code := 0
-	var c *native.Client
-	for _, s := range cli.Statements {
-		if c == nil {
+	code := exitServed
+	var client *native.Client
+	for _, statement := range cli.Statements {
+		if client == nil {
 			var err error
-			if c, err = native.Dial(ctx, cli.Address, native.Hello{Name: "queryclient", User: cli.User, Password: cli.Password}); err != nil {
-				fmt.Fprintf(os.Stderr, "queryclient: %s: %v\n", cli.Address, err)
-				return 2
+			hello := native.Hello{Name: "queryclient", User: cli.User, Password: cli.Password}
+			if client, err = native.Dial(ctx, cli.Address, hello); err != nil {
+				return noConnection(err)
 			}
 		}
-		begin, rows := time.Now(), 0
-		w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-		err := c.Query(ctx, s, settings, func(v *native.Values) error {
-			if v.Rows() == 0 && len(v.Names) > 0 {
-				fmt.Fprintln(w, strings.Join(v.Names, "\t")+"\t")
-			}
-			for i := range v.Rows() {
-				if rows++; rows > cli.Rows {
-					continue
-				}
-				for _, cells := range v.Cells {
-					fmt.Fprintf(w, "%.40s\t", cells[i])
-				}
-				fmt.Fprintln(w)
+		ended, err := sendOneNative(ctx, client, statement, settings)
+		code = max(code, ended)
+		if err != nil { // the next one gets a fresh connection
+			_ = client.Close()
+			client = nil
+		}
+	}
+	if client != nil {
+		_ = client.Close() // the program ends
+	}
+	return code
+}
+
+// sendOneNative sends one statement and prints its answer and how it ended; err is why it has no whole answer.
+func sendOneNative(ctx context.Context, client *native.Client, statement string, settings map[string]string) (code int, err error) {
+	begin, rows := time.Now(), 0
+	t := newTable(os.Stdout)
+	err = client.Query(ctx, statement, settings, func(block *native.Values) error {
+		if block.Rows() == 0 && len(block.Names) > 0 {
+			t.header(block.Names)
+		}
+		for i := range block.Rows() {
+			if rows++; rows > cli.Rows {
+				continue
 			}
-			return nil
-		})
-		w.Flush()
-		took := time.Since(begin).Round(time.Microsecond)
-		var e *native.Exception
-		switch {
-		case err == nil:
-			fmt.Printf("served: %d rows in %v\n", rows, took)
-		case errors.As(err, &e):
-			code = max(code, 1)
-			final := "failed"
-			if strings.Contains(e.Message, ": refused (") {
-				code, final = 3, "refused"
+			var cells []string
+			for _, column := range block.Cells {
+				cells = append(cells, column[i])
 			}
-			fmt.Fprintf(os.Stderr, "%s after %v: code %d: %s\n", final, took, e.Code, e.Message)
-		default:
-			code = max(code, 1)
-			fmt.Fprintf(os.Stderr, "no word after %v: %v\n", took, err)
-		}
-		if err != nil { // the next one gets a fresh connection
-			c.Close()
-			c = nil
+			t.row(cells)
 		}
+		return nil
+	})
+	if printed := t.flush(); err == nil && printed != nil {
+		return exitFailed, printed
+	}
+	took := time.Since(begin)
+	if err == nil {
+		return served(rows, took), nil
+	}
+	return unservedNative(err, took), err
+}
+
+// unservedNative prints why a statement has no answer: the dispatcher's exception, or that the connection broke.
+func unservedNative(err error, took time.Duration) int {
+	took = took.Round(time.Microsecond)
+	var exception *native.Exception
+	if !errors.As(err, &exception) {
+		fmt.Fprintf(os.Stderr, "no word after %v: %v\n", took, err)
+		return exitFailed
 	}
-	if c != nil {
-		c.Close()
+	outcome, code := "failed", exitFailed
+	if strings.Contains(exception.Message, ": refused (") {
+		outcome, code = "refused", exitShed
 	}
+	fmt.Fprintf(os.Stderr, "%s after %v: code %d: %s\n", outcome, took, exception.Code, exception.Message)
 	return code
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -3,6 +3,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -24,7 +25,7 @@
 	gateways := map[string]*policy.Gateway{}
 	for {
 		b, err := r.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
