--- /dev/null
+++ b/scenario/environment.go
@@ -0,0 +1,207 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/credentials/insecure"
+
+	"embershunt/policy"
+	"embershunt/simulated"
+)
+
+// environment is a day while it is played.
+type environment struct {
+	script  *Script
+	log     *slog.Logger
+	rng     *rand.Rand // of the arrivals; one goroutine
+	nodes   []*simulated.Node
+	rows    []simulated.Listed // as the control service will know them
+	control *simulated.Control
+	begin   time.Time
+
+	mu           sync.Mutex
+	queries      []*ClientQuery
+	transactions []*Transaction
+	dispatchers  []*dispatcherProcess
+	restarts     []restart // births of nodes
+	outages      []outage  // when a dispatcher was down
+	listFault    string
+}
+
+type outage struct {
+	dispatcher int
+	from, to   time.Time
+}
+
+// restart is the start of a node.
+type restart struct {
+	node string
+	at   time.Time
+}
+
+// start brings up the control service, the nodes and the dispatchers.
+func (e *environment) start(ctx context.Context) error {
+	if err := e.control.Start(); err != nil {
+		return err
+	}
+	if err := e.startNodes(); err != nil { //nolint:contextcheck // nodes end with Die
+		return err
+	}
+	e.control.Set(e.listedNodes(), "")
+	return e.startDispatchers(ctx)
+}
+
+// startNodes starts the nodes of all groups; those of one zone drop each other's repeats.
+func (e *environment) startNodes() error {
+	s := e.script
+	tokens := map[string]*simulated.Tokens{}
+	for _, g := range s.Nodes {
+		if tokens[g.Zone] == nil {
+			tokens[g.Zone] = simulated.NewTokens(s.window())
+		}
+		model := simulated.Model{ColdFor: s.Config.Limits.SlowStartDuration.D(), ColdFrom: s.Config.Limits.SlowStartFloor}
+		for _, k := range s.Config.Kinds {
+			if k.Name == g.Kind || g.Kind == "" {
+				model.Cores, model.MemoryMB = k.Cores, k.MemoryMB
+				break
+			}
+		}
+		for range g.Count {
+			n := simulated.NewNode(fmt.Sprintf("node-%d", len(e.nodes)), model, e.rng.Uint64())
+			n.Share(tokens[g.Zone])
+			if err := n.Start("127.0.0.1:0", false); err != nil {
+				return err
+			}
+			e.nodes = append(e.nodes, n)
+			e.rows = append(e.rows, simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Zone, Kind: g.Kind})
+		}
+	}
+	return nil
+}
+
+// startDispatchers starts the dispatchers, each with the client connection of its own.
+func (e *environment) startDispatchers(ctx context.Context) error {
+	s := e.script
+	for i := range s.Dispatchers {
+		h := &dispatcherProcess{}
+		cfg, err := s.config(i, e.control.Address())
+		if err != nil {
+			return err
+		}
+		h.config = cfg
+		e.dispatchers = append(e.dispatchers, h)
+		if err := e.startDispatcher(ctx, i); err != nil {
+			return err
+		}
+		h.client, err = flightsql.NewClient(h.address, nil, nil,
+			grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20)))
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// stop ends everything; it may be called twice.
+func (e *environment) stop() {
+	for _, h := range e.dispatchers {
+		if h.client != nil {
+			_ = h.client.Close() // the day is over
+			h.client = nil
+			h.native.close()
+		}
+		if h.cancel != nil {
+			h.cancel()
+			if err := <-h.ended; err != nil {
+				e.log.Debug("dispatcher ended", "error", err)
+			}
+			h.cancel = nil
+		}
+	}
+	for _, n := range e.nodes {
+		n.Die()
+	}
+	e.control.Stop()
+}
+
+func (e *environment) listedNodes() []simulated.Listed {
+	return append([]simulated.Listed(nil), e.rows...)
+}
+
+// updateList changes one row of the control service's list, after its delay.
+func (e *environment) updateList(ctx context.Context, change func(rows []simulated.Listed) []simulated.Listed) {
+	if !sleep(ctx, e.script.ListDelay.D()) {
+		return
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.rows = change(e.listedNodes())
+	e.control.Set(e.listedNodes(), e.listFault)
+}
+
+// placementOf is a node's hall and kind.
+func (e *environment) placementOf(i int) (hall, kind string) {
+	for _, g := range e.script.Nodes {
+		if i < g.Count {
+			return g.Zone, g.Kind
+		}
+		i -= g.Count
+	}
+	return "", ""
+}
+
+// classOf is the class of a group as the module knows it.
+func (e *environment) classOf(g int) policy.Class {
+	cfg := e.dispatchers[0].config
+	for i, c := range cfg.Settings.Classes {
+		if c.Name == e.script.Clients[g].Class {
+			if k := cfg.Classes.Keyed[i]; e.script.Clients[g].Keyed && k >= 0 {
+				return cfg.Settings.Classes[k]
+			}
+			if e.script.Clients[g].Update || e.script.Clients[g].Keyed || e.script.Clients[g].Statements > 0 {
+				return cfg.Settings.Classes[cfg.Classes.Updates[i]]
+			}
+			return c
+		}
+	}
+	return policy.Class{}
+}
+
+// streamVersions streams the settings at their times.
+func (e *environment) streamVersions(ctx context.Context) error {
+	for i := range e.script.Versions {
+		v := &e.script.Versions[i]
+		if !sleep(ctx, time.Until(e.begin.Add(v.At.D()))) {
+			return nil
+		}
+		resources, err := e.script.resources(v)
+		if err != nil {
+			return err
+		}
+		e.log.Info("version", "number", v.Number)
+		e.control.Put("default", resources...)
+	}
+	return nil
+}
+
+func sleep(ctx context.Context, d time.Duration) bool {
+	if d <= 0 {
+		return ctx.Err() == nil
+	}
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-t.C:
+		return true
+	}
+}
--- /dev/null
+++ b/scenario/faults.go
@@ -0,0 +1,121 @@
+package scenario
+
+import (
+	"context"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"embershunt/simulated"
+)
+
+// injectFault plays one fault from its begin to its end.
+func (e *environment) injectFault(ctx context.Context, f *Fault) error {
+	if !sleep(ctx, time.Until(e.begin.Add(f.At.D()))) {
+		return nil
+	}
+	e.log.Info("fault", "do", f.Kind, "nodes", f.Nodes, "for", f.For.D())
+	switch f.Kind {
+	case "list_down":
+		e.control.Stop()
+		sleep(ctx, f.For.D())
+		return e.control.Start()
+	case "list_empty", "list_malformed":
+		e.spoilList(f.Kind[len("list_"):])
+		sleep(ctx, f.For.D())
+		e.spoilList("")
+		return nil
+	}
+	var group errgroup.Group
+	for _, n := range f.Nodes {
+		group.Go(func() error { return e.injectNodeFault(ctx, f, n) })
+	}
+	return group.Wait()
+}
+
+func (e *environment) spoilList(what string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.listFault = what
+	e.control.Set(e.listedNodes(), what)
+}
+
+// injectNodeFault plays a fault of one node or dispatcher.
+func (e *environment) injectNodeFault(ctx context.Context, f *Fault, i int) error {
+	if f.Kind == "kill" {
+		return e.killDispatcher(ctx, f, i)
+	}
+	n := e.nodes[i]
+	switch f.Kind {
+	case "die", "vanish":
+		if f.Kind == "die" {
+			n.Die()
+		} else {
+			n.Vanish()
+		}
+		var group errgroup.Group
+		group.Go(func() error {
+			e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed { return without(rows, n.Name) })
+			return nil
+		})
+		sleep(ctx, f.For.D())
+		_ = group.Wait() // its goroutine returns no error
+		return e.restartNode(ctx, i)
+	case "drain": // it finishes its work, leaves, and comes back as a new process
+		e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed {
+			for j := range rows {
+				rows[j].Draining = rows[j].Draining || rows[j].Name == n.Name
+			}
+			return rows
+		})
+		if !sleep(ctx, f.For.D()) {
+			return nil
+		}
+		n.Die()
+		return e.restartNode(ctx, i)
+	}
+	n.Set(simulated.Faults{Hang: f.Kind == "hang", Lost: f.Kind == "lose", Full: f.Kind == "full", StallRow: whenKind(f, "stall", f.Rows),
+		CutRow: whenKind(f, "cut", f.Rows), Fail: whenKind(f, "fail", f.Share), Slow: whenKind(f, "slow", f.Times),
+		PauseFor: whenKind(f, "pause", f.Pause.D()), PauseEach: whenKind(f, "pause", f.Each.D())})
+	sleep(ctx, f.For.D())
+	n.Set(simulated.Faults{})
+	return nil
+}
+
+func whenKind[T any](f *Fault, do string, v T) (none T) {
+	if f.Kind == do {
+		return v
+	}
+	return none
+}
+
+func without(rows []simulated.Listed, name string) []simulated.Listed {
+	var out []simulated.Listed
+	for _, r := range rows {
+		if r.Name != name {
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
+// restartNode starts a node anew, cold, and lists it.
+func (e *environment) restartNode(ctx context.Context, i int) error {
+	n := e.nodes[i]
+	n.Die()
+	if ctx.Err() != nil {
+		return nil
+	}
+	if err := n.Start("", true); err != nil { //nolint:contextcheck // the node ends with Die
+		return err
+	}
+	e.mu.Lock()
+	e.restarts = append(e.restarts, restart{n.Name, n.Started()})
+	e.mu.Unlock()
+	hall, kind := e.placementOf(i)
+	e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed {
+		return append(without(rows, n.Name), simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: hall, Kind: kind,
+			Started: n.Started()})
+	})
+	return nil
+}
--- a/scenario/native.go
+++ b/scenario/native.go
@@ -14,15 +14,15 @@
 	"github.com/ClickHouse/ch-go/proto"
 )
 
-// natives are one group of clients of one dispatcher's native port: connections are used again, as a pool of a real client
+// nativePool are one group of clients of one dispatcher's native port: connections are used again, as a pool of a real client
 // does.
-type natives struct {
+type nativePool struct {
 	address string
 	mu      sync.Mutex
 	idle    []*ch.Client
 }
 
-func (n *natives) take(ctx context.Context) (*ch.Client, error) {
+func (n *nativePool) take(ctx context.Context) (*ch.Client, error) {
 	n.mu.Lock()
 	if last := len(n.idle) - 1; last >= 0 {
 		c := n.idle[last]
@@ -34,23 +34,23 @@
 	return ch.Dial(ctx, ch.Options{Address: n.address, User: "day", Compression: ch.CompressionLZ4})
 }
 
-func (n *natives) put(c *ch.Client) {
+func (n *nativePool) put(c *ch.Client) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.idle = append(n.idle, c)
 }
 
-func (n *natives) close() {
+func (n *nativePool) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.idle {
-		c.Close()
+		_ = c.Close() // the day is over
 	}
 	n.idle = nil
 }
 
 // execute runs a statement with an unmodified native client. With a token it is an INSERT whose rows the client brings.
-func (n *natives) execute(ctx context.Context, statement, token string) (rows int64, err error) {
+func (n *nativePool) execute(ctx context.Context, statement, token string) (rows int64, err error) {
 	c, err := n.take(ctx)
 	if err != nil {
 		return 0, err
@@ -73,13 +73,13 @@
 		var row proto.ColInt64
 		var payload proto.ColStr
 		q.Result = proto.Results{{Name: "node", Data: &node}, {Name: "row", Data: &row}}
-		if hasPayload.MatchString(statement) {
+		if payloadPattern.MatchString(statement) {
 			q.Result = proto.Results{{Name: "node", Data: &node}, {Name: "row", Data: &row}, {Name: "payload", Data: &payload}}
 		}
 		q.OnResult = func(context.Context, proto.Block) error { rows += int64(row.Rows()); return nil }
 	}
 	if err = c.Do(ctx, q); err != nil {
-		c.Close()
+		_ = c.Close() // the error before it says more
 		return rows, err
 	}
 	n.put(c)
@@ -87,27 +87,28 @@
 }
 
 var (
-	hasPayload = regexp.MustCompile(`row_bytes=`)
-	verdict    = regexp.MustCompile(`(refused|failed) \(([A-Z_]+)`)
-	comeBack   = regexp.MustCompile(`come back in ([0-9]+) ms`)
+	payloadPattern    = regexp.MustCompile(`row_bytes=`)
+	outcomePattern    = regexp.MustCompile(`(refused|failed) \(([A-Z_]+)`)
+	retryAfterPattern = regexp.MustCompile(`come back in ([0-9]+) ms`)
 )
 
-// nativeWord reads the final answer's kind, reason and come-back time from an Exception; what a node itself says of a
-// statement is a failure.
-func nativeWord(err error) (final, reason string, back time.Duration) {
-	var e *ch.Exception
+// nativeOutcome reads the final answer from an Exception; what a node itself says of a statement is a failure.
+func nativeOutcome(err error) outcome {
 	if err == nil {
-		return "served", "", 0
+		return outcome{kind: "served"}
 	}
-	if !errors.As(err, &e) {
-		return "", "", 0
+	var exception *ch.Exception
+	if !errors.As(err, &exception) {
+		return outcome{}
 	}
-	if m := verdict.FindStringSubmatch(e.Message); m != nil {
-		if b := comeBack.FindStringSubmatch(e.Message); b != nil {
-			ms, _ := strconv.Atoi(b[1])
-			back = time.Duration(ms) * time.Millisecond
-		}
-		return m[1], m[2], back
+	match := outcomePattern.FindStringSubmatch(exception.Message)
+	if match == nil {
+		return outcome{kind: "failed", reason: "STATEMENT"}
+	}
+	out := outcome{kind: match[1], reason: match[2]}
+	if after := retryAfterPattern.FindStringSubmatch(exception.Message); after != nil {
+		ms, _ := strconv.Atoi(after[1]) // the pattern takes digits alone
+		out.retryAfter = time.Duration(ms) * time.Millisecond
 	}
-	return "failed", "STATEMENT", 0
+	return out
 }
--- a/scenario/print.go
+++ b/scenario/print.go
@@ -1,6 +1,8 @@
 package scenario
 
 import (
+	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"maps"
@@ -11,58 +13,85 @@
 
 // Print writes the report as tables.
 func (r *Report) Print(out io.Writer) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "%s (simulated nodes on loopback)\n\nrule\tchecked\tbroken\tfirst case\n", r.Name)
-	for _, x := range r.Rules {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", x.Name, x.Checked, x.Broken, x.First)
+	var text bytes.Buffer // lines of cells that end with a tab
+	fmt.Fprintf(&text, "%s (simulated nodes on loopback)\n\nrule\tchecked\tbroken\tfirst case\n", r.Name)
+	for _, rule := range r.Rules {
+		fmt.Fprintf(&text, "%s\t%d\t%d\t%s\n", rule.Name, rule.Checked, rule.Broken, rule.First)
 	}
-	fmt.Fprintf(w, "\nclients\tasked\tserved\tin time\trefused\tfailed\tleft\tno word\tp50\tp99\tmax\n")
-	ms := func(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
-	for _, c := range r.Classes {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", c.Name, c.Asked, c.Served, c.InTime, c.Refused,
-			c.Failed, c.Left, c.Lost, ms(c.P50), ms(c.P99), ms(c.Max))
+	r.printClients(&text)
+	r.printAttempts(&text)
+	r.Sessions.print(&text)
+	r.printPauses(&text)
+	for _, set := range r.Sets {
+		fmt.Fprintf(&text, "in force at the end\t%s\n", set)
 	}
-	fmt.Fprintf(w, "\nattempts seen at nodes\t%d\nfurther attempts among them\t%d\n", r.Attempts, r.Further)
-	fmt.Fprintf(w, "last attempt seen after a drain was told\t%s\nresponses turned down\t%d\n", ms(r.Latest), r.Nacks)
-	fmt.Fprintf(w, "asked over the native protocol\t%d\n", r.Natively)
-	if r.Came > 0 {
-		fmt.Fprintf(w, "came back when told to\t%d, served %d (%.3f)\n", r.Came, r.CameOK, float64(r.CameOK)/float64(r.Came))
+	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
+		fmt.Fprintf(&text, "reason %s\t%d, such as: %.150s\n", reason, r.Reasons[reason], r.Samples[reason])
 	}
-	if s := &r.Sessions; s.Begun > 0 {
-		fmt.Fprintf(w, "transactions begun\t%d, turned away %d, left open on nodes at the end %d\n", s.Begun, s.NotBegun, s.Open)
-		fmt.Fprintf(w, "transactions begun by node\t%v\n", s.ByNode)
-		for _, k := range slices.Sorted(maps.Keys(s.Ends)) {
-			fmt.Fprintf(w, "transactions %s\t%d\n", k, s.Ends[k])
-		}
-		for _, k := range slices.Sorted(maps.Keys(s.Reasons)) {
-			fmt.Fprintf(w, "transactions ended by %.60s\t%d\n", k, s.Reasons[k])
-		}
+	return aligned(out, &text)
+}
+
+// aligned writes tab-separated lines as columns.
+func aligned(out io.Writer, text *bytes.Buffer) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	_, err := w.Write(text.Bytes())
+	return errors.Join(err, w.Flush())
+}
+
+func (r *Report) printClients(text *bytes.Buffer) {
+	fmt.Fprintf(text, "\nclients\tasked\tserved\tin time\trefused\tfailed\tleft\tno word\tp50\tp99\tmax\n")
+	for _, c := range r.Clients {
+		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", c.Name, c.Sent, c.Served, c.InTime, c.Refused,
+			c.Failed, c.Cancelled, c.Unanswered, rounded(c.P50), rounded(c.P99), rounded(c.Max))
 	}
-	before := 0.0
-	for _, b := range r.Pauses {
-		if n := b[1] - before; n > 0 {
-			fmt.Fprintf(w, "pauses of the loop at a change, up to %v\t%.0f\n", time.Duration(b[0]*1e9), n)
-		}
-		before = b[1]
+}
+
+func rounded(d time.Duration) string { return d.Round(100 * time.Microsecond).String() }
+
+func (r *Report) printAttempts(text *bytes.Buffer) {
+	fmt.Fprintf(text, "\nattempts seen at nodes\t%d\nfurther attempts among them\t%d\n", r.Attempts, r.Retries)
+	fmt.Fprintf(text, "last attempt seen after a drain was told\t%s\nresponses turned down\t%d\n", rounded(r.LatestAfterDrain), r.Nacks)
+	fmt.Fprintf(text, "asked over the native protocol\t%d\n", r.NativeQueries)
+	if r.RetriedWhenTold > 0 {
+		fmt.Fprintf(text, "came back when told to\t%d, served %d (%.3f)\n", r.RetriedWhenTold, r.RetriedWhenToldServed,
+			float64(r.RetriedWhenToldServed)/float64(r.RetriedWhenTold))
+	}
+}
+
+func (s *Sessions) print(text *bytes.Buffer) {
+	if s.Started == 0 {
+		return
 	}
-	for _, x := range r.Sets {
-		fmt.Fprintf(w, "in force at the end\t%s\n", x)
+	fmt.Fprintf(text, "transactions begun\t%d, turned away %d, left open on nodes at the end %d\n", s.Started, s.NotStarted, s.Open)
+	fmt.Fprintf(text, "transactions begun by node\t%v\n", s.ByNode)
+	for _, end := range slices.Sorted(maps.Keys(s.Ends)) {
+		fmt.Fprintf(text, "transactions %s\t%d\n", end, s.Ends[end])
 	}
-	for _, k := range slices.Sorted(maps.Keys(r.Reasons)) {
-		fmt.Fprintf(w, "reason %s\t%d, such as: %.150s\n", k, r.Reasons[k], r.Samples[k])
+	for _, reason := range slices.Sorted(maps.Keys(s.Reasons)) {
+		fmt.Fprintf(text, "transactions ended by %.60s\t%d\n", reason, s.Reasons[reason])
+	}
+}
+
+// printPauses prints the histogram of the loop's pauses, bucket by bucket.
+func (r *Report) printPauses(text *bytes.Buffer) {
+	below := 0.0
+	for _, bucket := range r.Pauses {
+		if n := bucket[1] - below; n > 0 {
+			fmt.Fprintf(text, "pauses of the loop at a change, up to %v\t%.0f\n", time.Duration(bucket[0]*1e9), n)
+		}
+		below = bucket[1]
 	}
-	return w.Flush()
 }
 
 // PrintPair compares the service of two days by client group: shares served and in time, and the 99th percentile.
 func PrintPair(out io.Writer, without, with *Report) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "\nclients\tserved without\tserved with\tin time without\tin time with\tp99 with/without\n")
+	var text bytes.Buffer
+	fmt.Fprintf(&text, "\nclients\tserved without\tserved with\tin time without\tin time with\tp99 with/without\n")
 	share := func(n, of int) float64 { return float64(n) / float64(max(of, 1)) }
-	for i, a := range without.Classes {
-		b := with.Classes[i]
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\n", a.Name, share(a.Served, a.Asked), share(b.Served, b.Asked),
-			share(a.InTime, a.Asked), share(b.InTime, b.Asked), float64(b.P99)/float64(max(a.P99, 1)))
+	for i, a := range without.Clients {
+		b := with.Clients[i]
+		fmt.Fprintf(&text, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\n", a.Name, share(a.Served, a.Sent), share(b.Served, b.Sent),
+			share(a.InTime, a.Sent), share(b.InTime, b.Sent), float64(b.P99)/float64(max(a.P99, 1)))
 	}
-	return w.Flush()
+	return aligned(out, &text)
 }
--- a/scenario/day_test.go
+++ b/scenario/scenario_test.go
@@ -29,7 +29,7 @@
 	var kept []Fault
 	for _, f := range s.Faults {
 		f.At, f.For = f.At/2, min(f.For, config.Duration(1500*time.Millisecond))
-		if f.At.D() < 8*time.Second && f.Do != "kill" {
+		if f.At.D() < 8*time.Second && f.Kind != "kill" {
 			kept = append(kept, f)
 		}
 	}
@@ -42,8 +42,10 @@
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	r.Print(&out)
-	if r.Broken() || r.Classes[0].Served < r.Classes[0].Asked/2 {
+	if err := r.Print(&out); err != nil {
+		t.Fatal(err)
+	}
+	if r.Broken() || r.Clients[0].Served < r.Clients[0].Sent/2 {
 		t.Errorf("%s", out.String())
 	}
 	for _, x := range r.Rules {
@@ -68,42 +70,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := func(serial, group int) *Asked {
-		return &Asked{Serial: serial, Group: group, Key: -1, Sent: at(0), Deadline: at(1000), Ended: at(500), Final: "served"}
+	good := func(serial, group int) *ClientQuery {
+		return &ClientQuery{Serial: serial, Group: group, Key: -1, Sent: at(0), Deadline: at(1000), Ended: at(500), Outcome: "served"}
 	}
 	seen := func(node string, attempt, ms int) simulated.Seen {
 		return simulated.Seen{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
 	}
 	cases := []struct {
 		rule   int
-		change func(w *world, a *Asked)
+		change func(e *environment, a *ClientQuery)
 		group  int
 		seen   []simulated.Seen
 	}{
-		{0, func(_ *world, a *Asked) { a.Final = "" }, 0, nil},
-		{0, func(_ *world, a *Asked) { a.Ended = at(1001) }, 0, nil},
-		{0, func(_ *world, a *Asked) { a.Rows = 1 }, 0, nil},
+		{0, func(_ *environment, a *ClientQuery) { a.Outcome = "" }, 0, nil},
+		{0, func(_ *environment, a *ClientQuery) { a.Ended = at(1001) }, 0, nil},
+		{0, func(_ *environment, a *ClientQuery) { a.Rows = 1 }, 0, nil},
 		{0, nil, 0, []simulated.Seen{seen("node-0", 0, 700)}},
 		{1, nil, 1, []simulated.Seen{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
-		{1, func(_ *world, a *Asked) { a.Final = "refused" }, 1, []simulated.Seen{seen("node-0", 0, 1)}},
-		{3, func(w *world, a *Asked) {
-			w.lists = []restart{{"node-0", at(0)}}
+		{1, func(_ *environment, a *ClientQuery) { a.Outcome = "refused" }, 1, []simulated.Seen{seen("node-0", 0, 1)}},
+		{3, func(e *environment, a *ClientQuery) {
+			e.restarts = []restart{{"node-0", at(0)}}
 			a.Work = time.Hour
 		}, 0, []simulated.Seen{seen("node-0", 0, 1)}},
 		{5, nil, 2, []simulated.Seen{seen("node-0", 0, 1)}},
 		{6, nil, 0, []simulated.Seen{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
 	}
 	for i, c := range cases {
-		w := &world{script: script, hosts: []*host{{cfg: cfg}}, control: simulated.NewControl("c"),
+		e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, control: simulated.NewControl("c"),
 			nodes: []*simulated.Node{simulated.NewNode("node-0", simulated.Model{}, 1), simulated.NewNode("node-1", simulated.Model{}, 1)}}
 		a := good(0, c.group)
 		if c.change != nil {
-			c.change(w, a)
+			c.change(e, a)
 		}
-		w.asked = []*Asked{a}
+		e.queries = []*ClientQuery{a}
 		all := [][]simulated.Seen{c.seen}
-		rules := []Rule{w.oneAnswer(all), w.noEffectTwice(all), w.drains(nil, &Report{}), w.coldNodes(all), w.order(all),
-			w.placement(all), w.budget(all)}
+		rules := []RuleResult{e.checkAnswers(all), e.checkEffects(all), e.checkDrains(nil, &Report{}), e.checkSlowStart(all), e.checkOrder(all),
+			e.checkPlacement(all), e.checkRetryBudget(all)}
 		for j, r := range rules {
 			if (r.Broken > 0) != (j == c.rule) {
 				t.Errorf("case %d: rule %s broken %d times", i, r.Name, r.Broken)
@@ -111,9 +113,9 @@
 		}
 	}
 	// Order takes two queries.
-	w := &world{script: script, hosts: []*host{{cfg: cfg}}, asked: []*Asked{good(0, 2), good(1, 2)}}
-	w.asked[0].Key, w.asked[1].Key = 0, 0
-	if r := w.order([][]simulated.Seen{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
+	e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, queries: []*ClientQuery{good(0, 2), good(1, 2)}}
+	e.queries[0].Key, e.queries[1].Key = 0, 0
+	if r := e.checkOrder([][]simulated.Seen{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
 		t.Errorf("order broken %d times, want once", r.Broken)
 	}
 }
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -5,9 +5,6 @@
 
 import (
 	"fmt"
-	"maps"
-	"slices"
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/types/known/anypb"
@@ -47,26 +44,26 @@
 
 // ClientGroup is a stream of like queries.
 type ClientGroup struct {
-	Name      string          `json:"name"`
-	Class     string          `json:"class"`
-	Rate      float64         `json:"rate"`    // queries a second, over all dispatchers, drawn by chance (Poisson)
-	WorkMS    float64         `json:"work_ms"` // median; the rest is spread by sigma (log-normal)
-	Sigma     float64         `json:"sigma"`
-	Threads   int             `json:"threads"`
-	Rows      int             `json:"rows"`
-	RowBytes  int             `json:"row_bytes"`
-	MemoryMB  float64         `json:"memory_mb"`
-	Deadline  config.Duration `json:"deadline"`
-	Update    bool            `json:"update"`
-	Keys      int             `json:"keys"`    // order keys in use; 0: none
-	Retries   int             `json:"retries"` // of a refused query, after its come-back time
-	LeaveRate float64         `json:"leave"`   // share of queries whose client leaves halfway to the deadline
-	Hints     bool            `json:"hints"`   // state cost and memory
-	Native    float64         `json:"native"`  // share of queries asked over the ClickHouse native protocol
-	Keyed     bool            `json:"keyed"`   // an INSERT with rows and a deduplication token, natively
+	Name       string          `json:"name"`
+	Class      string          `json:"class"`
+	Rate       float64         `json:"rate"`    // queries a second, over all dispatchers, drawn by chance (Poisson)
+	WorkMS     float64         `json:"work_ms"` // median; the rest is spread by sigma (log-normal)
+	Sigma      float64         `json:"sigma"`
+	Threads    int             `json:"threads"`
+	Rows       int             `json:"rows"`
+	RowBytes   int             `json:"row_bytes"`
+	MemoryMB   float64         `json:"memory_mb"`
+	Deadline   config.Duration `json:"deadline"`
+	Update     bool            `json:"update"`
+	Keys       int             `json:"keys"`    // order keys in use; 0: none
+	Retries    int             `json:"retries"` // of a refused query, after its come-back time
+	CancelRate float64         `json:"leave"`   // share of queries whose client leaves halfway to the deadline
+	Hints      bool            `json:"hints"`   // state cost and memory
+	Native     float64         `json:"native"`  // share of queries asked over the ClickHouse native protocol
+	Keyed      bool            `json:"keyed"`   // an INSERT with rows and a deduplication token, natively
 	// Statements above 0 make each of the group's queries a transaction of so many updates with pauses drawn around Think.
 	Statements int             `json:"statements"`
-	Think      config.Duration `json:"think"`
+	Pause      config.Duration `json:"think"`
 	Burst      int             `json:"burst"` // this many at once ...
 	BurstAt    config.Duration `json:"burst_at"`
 }
@@ -75,7 +72,7 @@
 type Fault struct {
 	At    config.Duration `json:"at"`
 	For   config.Duration `json:"for"`
-	Do    string          `json:"do"`
+	Kind  string          `json:"do"`
 	Nodes []int           `json:"nodes"` // numbers from 0; for kill: dispatchers
 	Share float64         `json:"share"` // fail: of queries
 	Times float64         `json:"times"` // slow: factor
@@ -92,67 +89,7 @@
 // Parse reads a script. Its error is *config.Mistakes.
 func Parse(name string, text []byte) (*Script, error) {
 	s := &Script{}
-	err := config.Decode(name, text, s, func(wrong func(path, found, allowed string)) {
-		nodes := 0
-		for i, g := range s.Nodes {
-			nodes += g.Count
-			if g.Count < 1 || nodes > 100 {
-				wrong(fmt.Sprintf("nodes[%d].count", i), fmt.Sprint(g.Count), "1 or more, 100 in all at most")
-			}
-		}
-		if s.Dispatchers < 1 || s.Dispatchers > 20 {
-			wrong("dispatchers", fmt.Sprint(s.Dispatchers), "1 to 20")
-		}
-		if s.Length.D() < time.Second || s.Length.D() > 10*time.Minute {
-			wrong("length", s.Length.D().String(), "1s to 10m")
-		}
-		if nodes == 0 {
-			wrong("nodes", "none", "at least one group")
-		}
-		for i, g := range s.Clients {
-			at := fmt.Sprintf("clients[%d]", i)
-			if g.Rate < 0 || g.Rate > 5000 {
-				wrong(at+".rate", fmt.Sprint(g.Rate), "0 to 5000 a second")
-			}
-			if g.Deadline.D() < time.Millisecond {
-				wrong(at+".deadline", g.Deadline.D().String(), "1ms or more")
-			}
-			if g.Native < 0 || g.Native > 1 {
-				wrong(at+".native", fmt.Sprint(g.Native), "0 to 1")
-			}
-			if g.Burst < 0 || g.Burst > 20000 {
-				wrong(at+".burst", fmt.Sprint(g.Burst), "0 to 20000")
-			}
-			if !slices.ContainsFunc(s.Config.Classes, func(c config.Class) bool { return c.Name == g.Class }) {
-				wrong(at+".class", fmt.Sprintf("%q", g.Class), "a class of config.classes")
-			}
-		}
-		for i, v := range s.Versions {
-			if v.Number < 1 || i > 0 && v.At < s.Versions[i-1].At {
-				wrong(fmt.Sprintf("versions[%d]", i), fmt.Sprintf("number %d at %v", v.Number, v.At.D()), "numbers from 1, in the order of their times")
-			}
-		}
-		for i, f := range s.Faults {
-			at := fmt.Sprintf("faults[%d]", i)
-			takes, ok := faultKinds[f.Do]
-			if !ok {
-				wrong(at+".do", fmt.Sprintf("%q", f.Do), strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "))
-				continue
-			}
-			most := nodes
-			if f.Do == "kill" {
-				most = s.Dispatchers
-			}
-			if takes == (len(f.Nodes) == 0) {
-				wrong(at+".nodes", fmt.Sprint(f.Nodes), "numbers for faults of nodes and dispatchers, none for those of the list")
-			}
-			for _, n := range f.Nodes {
-				if n < 0 || n >= most {
-					wrong(at+".nodes", fmt.Sprint(n), fmt.Sprintf("0 to %d", most-1))
-				}
-			}
-		}
-	})
+	err := config.Decode(name, text, s, s.validate)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/scenario/transaction_rule.go
@@ -0,0 +1,74 @@
+package scenario
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Sessions is what came of a day's transactions.
+type Sessions struct {
+	Started, NotStarted int
+	Ends                map[string]int
+	Reasons             map[string]int
+	Open                int // left on nodes in the end
+	ByNode              []int
+}
+
+// checkTransactions compares what clients were told with what became visible on nodes, once.
+func (e *environment) checkTransactions(rep *Report) RuleResult {
+	r := RuleResult{Name: "8 transactions end once, as told"}
+	seen := map[int][]string{} // statements that became visible, by transaction
+	for _, n := range e.nodes {
+		t := n.Tally()
+		for s, k := range t.Commits {
+			r.check(k > 1, "session %s was committed %d times at %s", s, k, n.Name)
+		}
+		for _, statement := range t.Committed {
+			var number int
+			if _, rest, ok := strings.Cut(statement, "tx="); ok {
+				_, _ = fmt.Sscanf(rest, "%d", &number) // our own clients wrote it
+				seen[number] = append(seen[number], statement)
+			}
+		}
+		rep.Sessions.ByNode = append(rep.Sessions.ByNode, t.Begun)
+		rep.Sessions.Open += n.Transactions()
+	}
+	rep.Sessions.Ends, rep.Sessions.Reasons = map[string]int{}, map[string]int{}
+	for _, t := range e.transactions {
+		if !t.Started {
+			rep.Sessions.NotStarted++
+			continue
+		}
+		rep.Sessions.Started++
+		rep.Sessions.Ends[t.End]++
+		if t.Reason != "" {
+			rep.Sessions.Reasons[t.Reason]++
+		}
+		list := seen[t.Number]
+		slices.Sort(list)
+		r.check(len(slices.Compact(slices.Clone(list))) != len(list), "transaction %d: a statement became visible twice", t.Number)
+		down := e.lostDispatcher(t)
+		switch t.End {
+		case transactionCommitted:
+			r.check(len(list) != t.Statements, "transaction %d: committed with %d statements, visible are %d", t.Number, t.Statements, len(list))
+		case transactionRolledBack, transactionLost, transactionLeftOpen:
+			r.check(len(list) > 0, "transaction %d: %s, and %d statements are visible (%s)", t.Number, t.End, len(list), t.Reason)
+		case transactionUnknown:
+			r.check(len(list) != 0 && len(list) != t.Statements, "transaction %d: %d of %d statements are visible", t.Number, len(list), t.Statements)
+		}
+		r.check(t.Failures > 1 && !down, "transaction %d: told %d times that it is lost", t.Number, t.Failures)
+	}
+	r.check(rep.Sessions.Open > 0, "%d transactions are left on nodes", rep.Sessions.Open)
+	return r
+}
+
+// lostDispatcher tells that a transaction's dispatcher was down while it ran.
+func (e *environment) lostDispatcher(t *Transaction) bool {
+	for _, d := range e.outages {
+		if d.dispatcher == t.Dispatcher && t.From.Before(d.to) && t.To.After(d.from) {
+			return true
+		}
+	}
+	return false
+}
