--- a/config/decode.go
+++ b/config/decode.go
@@ -1,5 +1,5 @@
-// Package config is the dispatcher's configuration: one file, JSON with comments. It is validated as a whole; every
-// mistake is told at once, with its place, what was found and what is allowed.
+// Package config reads the dispatcher's configuration: one file, JSON with comments. It is validated as a whole; every
+// violation is reported at once, with its place, what was found and what is allowed.
 package config
 
 import (
@@ -15,45 +15,15 @@
 	"github.com/tailscale/hujson"
 )
 
-// Violation is one thing wrong with a file.
-type Violation struct {
-	Line, Column int // from 1; 0 where the whole file is meant
-	Field        string
-	Found        string
-	Allowed      string
-}
-
-func (m Violation) String() string {
-	where := ""
-	if m.Line > 0 {
-		where = fmt.Sprintf("%d:%d: ", m.Line, m.Column)
-	}
-	if m.Field != "" {
-		where += m.Field + ": "
-	}
-	if m.Found != "" {
-		where += "found " + m.Found + ", "
-	}
-	return where + "allowed: " + m.Allowed
-}
-
-// Violations is the error of a file with at least one.
-type Violations struct {
-	File string
-	All  []Violation
-}
-
-func (m *Violations) Error() string {
-	lines := make([]string, len(m.All))
-	for i, one := range m.All {
-		lines[i] = m.File + ":" + one.String()
-	}
-	return strings.Join(lines, "\n")
-}
-
 // maxViolations bounds the list: a file that is no configuration at all would fill pages.
 const maxViolations = 100
 
+// Bounds of a file; the parser recurses on its depth.
+const (
+	maxBytes = 16 << 20
+	maxDepth = 64
+)
+
 // decoder reads a syntax tree into a struct and remembers where each field stood.
 type decoder struct {
 	text       []byte
@@ -68,7 +38,7 @@
 	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
-// violation notes a mistake at a path; the nearest place known above it is told.
+// violation adds a Violation at a path, with the nearest place known at or above it.
 func (d *decoder) violation(path, found, allowed string) {
 	if len(d.violations) >= maxViolations || slices.ContainsFunc(d.violations, func(m Violation) bool { return m.Field == path && path != "" }) {
 		return // one mistake a field: others mostly follow from it
@@ -86,17 +56,6 @@
 	d.violations = append(d.violations, m)
 }
 
-var durationType = reflect.TypeFor[Duration]()
-
-// Duration is a span of time, written as a string such as "250ms".
-type Duration time.Duration
-
-// D is the span as the standard library has it.
-func (d Duration) D() time.Duration { return time.Duration(d) }
-
-// MarshalText writes it as it is read.
-func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
-
 // Decode reads JSON with comments into v, which points to a struct whose fields have json tags. Unknown fields are
 // mistakes; check, if given, may add more by path. The error is *Mistakes.
 func Decode(file string, text []byte, v any, check func(wrong func(path, found, allowed string))) error {
@@ -116,50 +75,59 @@
 // parse reads text into v, which points to a struct.
 func parse(file string, text []byte, v any) (*decoder, error) {
 	d := &decoder{text: text, places: map[string]int{}}
-	if len(text) > 16<<20 {
+	if len(text) > maxBytes {
 		return d, &Violations{file, []Violation{{Found: fmt.Sprintf("%d bytes", len(text)), Allowed: "16 MiB at most"}}}
 	}
-	if depth(text) > 64 {
+	if depth(text) > maxDepth {
 		return d, &Violations{file, []Violation{{Found: "brackets nested deeper than 64", Allowed: "64 levels at most"}}}
 	}
 	tree, err := hujson.Parse(text)
 	if err != nil {
-		m := Violation{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
-		var line, column int
-		if i := strings.Index(err.Error(), "line "); i >= 0 {
-			if n, _ := fmt.Sscanf(err.Error()[i:], "line %d, column %d", &line, &column); n == 2 {
-				m.Line, m.Column = line, column
-				if _, after, ok := strings.Cut(err.Error()[i:], ": "); ok {
-					m.Found = after
-				}
-			}
-		}
-		return d, &Violations{file, []Violation{m}}
+		return d, &Violations{file, []Violation{syntaxViolation(err)}}
 	}
 	d.value("", tree, reflect.ValueOf(v).Elem())
 	return d, nil
 }
 
+// syntaxViolation takes the place out of the parser's message, where it has one.
+func syntaxViolation(err error) Violation {
+	m := Violation{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
+	i := strings.Index(err.Error(), "line ")
+	if i < 0 {
+		return m
+	}
+	var line, column int
+	if n, _ := fmt.Sscanf(err.Error()[i:], "line %d, column %d", &line, &column); n < 2 {
+		return m
+	}
+	m.Line, m.Column = line, column
+	if _, after, ok := strings.Cut(err.Error()[i:], ": "); ok {
+		m.Found = after
+	}
+	return m
+}
+
 // depth is the deepest nesting of brackets outside of strings, roughly: the parser recurses on it.
 func depth(text []byte) int {
-	now, most, quoted := 0, 0, false
+	now, deepest, inString := 0, 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
-		case quoted && c == '\\':
+		case inString && c == '\\':
 			i++
 		case c == '"':
-			quoted = !quoted
-		case quoted:
+			inString = !inString
+		case inString:
 		case c == '{' || c == '[':
 			now++
-			most = max(most, now)
+			deepest = max(deepest, now)
 		case c == '}' || c == ']':
 			now--
 		}
 	}
-	return most
+	return deepest
 }
 
+// shown is a value as a violation quotes it, cut where it is long.
 func shown(v hujson.Value) string {
 	v.Standardize()
 	s := strings.Join(strings.Fields(string(v.Pack())), " ")
@@ -169,6 +137,7 @@
 	return s
 }
 
+// value reads one value into the field that it stands for.
 func (d *decoder) value(path string, v hujson.Value, into reflect.Value) {
 	d.places[path] = v.StartOffset
 	if lit, ok := v.Value.(hujson.Literal); ok && string(lit) == "null" && into.Kind() != reflect.Struct {
@@ -185,15 +154,27 @@
 		into.Set(reflect.New(into.Type().Elem()))
 		d.value(path, v, into.Elem())
 	case reflect.Slice:
-		array, ok := v.Value.(*hujson.Array)
-		if !ok {
-			d.violation(path, shown(v), "a list")
-			return
-		}
-		into.Set(reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements)))
-		for i, e := range array.Elements {
-			d.value(fmt.Sprintf("%s[%d]", path, i), e, into.Index(i))
-		}
+		d.list(path, v, into)
+	default:
+		d.scalar(path, v, into)
+	}
+}
+
+func (d *decoder) list(path string, v hujson.Value, into reflect.Value) {
+	array, ok := v.Value.(*hujson.Array)
+	if !ok {
+		d.violation(path, shown(v), "a list")
+		return
+	}
+	into.Set(reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements)))
+	for i, e := range array.Elements {
+		d.value(fmt.Sprintf("%s[%d]", path, i), e, into.Index(i))
+	}
+}
+
+// scalar reads a text, a truth value or a number.
+func (d *decoder) scalar(path string, v hujson.Value, into reflect.Value) {
+	switch into.Kind() {
 	case reflect.String:
 		s, ok := literal[string](v)
 		if !ok {
@@ -227,6 +208,7 @@
 	}
 }
 
+// literal reads a literal as T; ok is false for null and for what is no T.
 func literal[T any](v hujson.Value) (out T, ok bool) {
 	lit, is := v.Value.(hujson.Literal)
 	if !is || string(lit) == "null" {
@@ -282,10 +264,3 @@
 		seen[name] = true
 	}
 }
-
-// UnmarshalText reads it as it is written in a file, for command lines.
-func (d *Duration) UnmarshalText(text []byte) error {
-	span, err := time.ParseDuration(string(text))
-	*d = Duration(span)
-	return err
-}
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -23,14 +23,27 @@
 		or(&f.Default, f.Classes[0].Name)
 	}
 	for i := range f.Classes {
-		c := &f.Classes[i]
-		or(&c.Effect, "safe")
-		or(&c.Updates, "unsafe")
-		or(&c.DedupScope, "all")
-		or(&c.Threads, 1)
-		or(&c.PriorityWeight, 1)
+		f.Classes[i].setDefaults()
 	}
-	l := &f.Limits
+	f.Limits.setDefaults()
+	f.Sending.setDefaults()
+	f.Front.setDefaults()
+	f.Sessions.setDefaults()
+	if f.Control != nil {
+		f.Control.setDefaults()
+	}
+	f.Log.setDefaults()
+}
+
+func (k *Class) setDefaults() {
+	or(&k.Effect, effectSafe)
+	or(&k.Updates, effectUnsafe)
+	or(&k.DedupScope, "all")
+	or(&k.Threads, 1)
+	or(&k.PriorityWeight, 1)
+}
+
+func (l *Limits) setDefaults() {
 	or(&l.Attempts, 3)
 	or(&l.MaxInFlight, 20000)
 	or(&l.MaxRetryAfter, Duration(2*time.Second))
@@ -41,37 +54,47 @@
 	or(&l.OverloadMultiple, 2)
 	or(&l.OverloadDuration, Duration(2*time.Second))
 	or(&l.OverQuotaWeight, 0.05)
-	s := &f.Sending
+}
+
+func (s *Sending) setDefaults() {
 	or(&s.GrantShare, 0.4)
 	or(&s.Shortage, "trim")
 	or(&s.Connect, Duration(250*time.Millisecond))
 	or(&s.MaxFrame, 16<<20)
-	r := &f.Front
-	or(&r.ResponseMargin, Duration(10*time.Millisecond))
-	or(&r.TicketLife, Duration(10*time.Minute))
-	or(&r.PreparedLife, Duration(24*time.Hour))
-	or(&r.BearerLife, Duration(time.Hour))
-	or(&r.SchemaLife, Duration(5*time.Minute))
-	or(&r.MaxSchemas, 4096)
-	or(&r.MaxStatement, 2<<20)
-	or(&r.MaxParams, 256<<10)
-	or(&r.MaxInsertBytes, 64<<20)
-	e := &f.Sessions
-	or(&e.Max, 100000)
-	or(&e.Idle, Duration(5*time.Minute))
-	or(&e.Age, Duration(time.Hour))
-	or(&e.RetrySpread, Duration(5*time.Second))
-	or(&e.Retention, Duration(time.Minute))
-	or(&r.MaxBufferedInsertBytes, 512<<20)
-	if k := f.Control; k != nil {
-		or(&k.KeepVersions, 10)
-		or(&k.Floor, 0.5)
-		or(&k.FloorCount, 1)
-		or(&k.RelistAfter, Duration(time.Minute))
-		or(&k.Reconnect, Duration(30*time.Second))
-	}
-	or(&f.Log.Level, "info")
-	or(&f.Log.Format, "json")
-	or(&f.Log.MaxDecisionBytes, 1<<30)
-	or(&f.Log.LearnedInterval, Duration(5*time.Second))
+}
+
+func (f *Front) setDefaults() {
+	or(&f.ResponseMargin, Duration(10*time.Millisecond))
+	or(&f.TicketLife, Duration(10*time.Minute))
+	or(&f.PreparedLife, Duration(24*time.Hour))
+	or(&f.BearerLife, Duration(time.Hour))
+	or(&f.SchemaLife, Duration(5*time.Minute))
+	or(&f.MaxSchemas, 4096)
+	or(&f.MaxStatement, 2<<20)
+	or(&f.MaxParams, 256<<10)
+	or(&f.MaxInsertBytes, 64<<20)
+	or(&f.MaxBufferedInsertBytes, 512<<20)
+}
+
+func (s *Sessions) setDefaults() {
+	or(&s.Max, 100000)
+	or(&s.Idle, Duration(5*time.Minute))
+	or(&s.Age, Duration(time.Hour))
+	or(&s.RetrySpread, Duration(5*time.Second))
+	or(&s.Retention, Duration(time.Minute))
+}
+
+func (k *Control) setDefaults() {
+	or(&k.KeepVersions, 10)
+	or(&k.Floor, 0.5)
+	or(&k.FloorCount, 1)
+	or(&k.RelistAfter, Duration(time.Minute))
+	or(&k.Reconnect, Duration(30*time.Second))
+}
+
+func (l *Log) setDefaults() {
+	or(&l.Level, "info")
+	or(&l.Format, "json")
+	or(&l.MaxDecisionBytes, 1<<30)
+	or(&l.LearnedInterval, Duration(5*time.Second))
 }
