--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -81,13 +81,13 @@
 var (
 	effects = map[string]policy.Effect{"": policy.Idempotent, "retryable": policy.Idempotent, "dedup": policy.IdempotentByKey,
 		"fragile": policy.NonIdempotent}
-	groups = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
+	dedupScopes = map[string]policy.DedupScope{"": policy.DedupFleet, "all": policy.DedupFleet, "zone": policy.DedupZone,
 		"cell": policy.DedupPlacementGroup}
 	shortages = map[string]policy.Shortage{"": policy.ShortageQueues, "queue": policy.ShortageQueues,
 		"trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 )
 
-// SocketLimits is what the settings tell those who speak over sockets; the module needs none of it.
+// SocketLimits are the settings of connections; the policy needs none of them.
 type SocketLimits struct {
 	Zones, Models  []string // names, in the order of the indexes
 	ConnectTimeout policy.Micros
@@ -106,58 +106,27 @@
 		e.Limits.StreamsPerConn}, err
 }
 
+// settings are the policy's settings; the error names the key that cannot be used.
 func (e *env) settings() (*policy.Settings, error) {
-	f, l, r := &e.FamilyInfo, &e.Limits, &e.Rules
-	s := &policy.Settings{Zone: e.AZ, PeerIndex: e.Me, Peers: e.PeersTotal, OverQuotaWeight: e.OverShareWorth,
-		WeightByWork: e.CountedBy == "work", MaxAttempts: l.SendCap, MaxInFlight: l.MostHeld,
-		CanCancel: l.Cancelling, CanHealthCheck: l.Probes, CanGossip: l.Peers, AllowHedging: l.SecondCopies,
-		ReportsByAnswer: e.Feedback.How == "piggyback", ReportsByHealthCheck: e.Feedback.How == "pull",
-		PollEndpoints: e.RegistryMode == "subscribe", HonorsGrants: f.GrantsCount, HonorsPriority: f.TakesPriority,
-		MaxGrantShare: f.MaxGrantShare, ProgressInterval: f.ProgressUs, SlowStartFloor: r.ColdFrom, SlowStartDuration: r.ColdUs,
-		OverloadMultiple: r.FallMultiple, OverloadDuration: r.OverloadForUs, DrainGrace: r.StopSendingWithinUs,
-		AnswerSlack: r.GraceToAnswerUs, MaxPollInterval: r.MustAskInUs, OrderingGap: r.TurnGapUs,
-		RetryBudgetFloor: r.BudgetFree, RetryBudgetRatio: r.BudgetShare, RetryBudgetWindow: r.BudgetSpanUs}
-	if l.RetryAfter {
-		s.MaxRetryAfter = l.MaxRetryAfterUs
-	}
+	s := e.limits()
 	var ok bool
-	if s.Shortage, ok = shortages[f.OnShortage]; !ok {
-		return nil, fmt.Errorf("familyInfo.onShortage: unknown value %q", f.OnShortage)
-	}
-	for name, n := range map[string]int{"dop": len(f.Dop), "waitsForLoads": len(f.WaitsForLoads),
-		"writesTables": len(f.WritesTables)} {
-		if n != 0 && n != len(e.Classes) {
-			return nil, fmt.Errorf("familyInfo.%s: %d entries for %d classes", name, n, len(e.Classes))
-		}
+	if s.Shortage, ok = shortages[e.FamilyInfo.OnShortage]; !ok {
+		return nil, fmt.Errorf("familyInfo.onShortage: unknown value %q", e.FamilyInfo.OnShortage)
 	}
-	if len(f.RAMOfKindMb) != 0 && len(f.RAMOfKindMb) != len(f.KindCores) {
-		return nil, fmt.Errorf("familyInfo.ramOfKindMb: %d entries for %d kinds", len(f.RAMOfKindMb), len(f.KindCores))
+	if err := e.checkLengths(); err != nil {
+		return nil, err
 	}
-	for i, c := range e.Classes {
-		d := policy.Class{Name: c.Name, PriorityWeight: c.Credit, LateWeight: c.LateWorth, LatencyObjective: c.PromiseUs,
-			ObjectiveStretch: c.AimStretch, Deadline: c.DeadlineUs, DedupWindow: c.WindowUs, Ordered: c.InTurn,
-			Zones: c.AllowedIn, Kinds: c.ServedOn}
-		if d.Effect, ok = effects[c.Effect]; !ok {
-			return nil, fmt.Errorf("classes[%d].effect: unknown value %q", i, c.Effect)
-		}
-		if d.DedupScope, ok = groups[c.Group]; !ok {
-			return nil, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
-		}
-		if len(f.Dop) > 0 {
-			d.Threads = f.Dop[i]
+	for i := range e.Classes {
+		class, err := e.class(i)
+		if err != nil {
+			return nil, err
 		}
-		if len(f.WritesTables) > 0 {
-			d.LocksTables = f.WritesTables[i]
-		}
-		if len(f.WaitsForLoads) > 0 {
-			d.WaitsForTables = f.WaitsForLoads[i]
-		}
-		s.Classes = append(s.Classes, d)
+		s.Classes = append(s.Classes, class)
 	}
-	for i, cores := range f.KindCores {
+	for i, cores := range e.FamilyInfo.KindCores {
 		k := policy.Kind{Cores: cores}
-		if len(f.RAMOfKindMb) > 0 {
-			k.MemoryMB = f.RAMOfKindMb[i]
+		if len(e.FamilyInfo.RAMOfKindMb) > 0 {
+			k.MemoryMB = e.FamilyInfo.RAMOfKindMb[i]
 		}
 		s.Kinds = append(s.Kinds, k)
 	}
@@ -166,3 +135,86 @@
 	}
 	return s, nil
 }
+
+// limits are the settings that stand by themselves: no class, kind or tenant.
+func (e *env) limits() *policy.Settings {
+	f, l, r := &e.FamilyInfo, &e.Limits, &e.Rules
+	s := &policy.Settings{
+		Zone:            e.AZ,
+		PeerIndex:       e.Me,
+		Peers:           e.PeersTotal,
+		OverQuotaWeight: e.OverShareWorth,
+		WeightByWork:    e.CountedBy == "work",
+
+		MaxAttempts:    l.SendCap,
+		MaxInFlight:    l.MostHeld,
+		CanCancel:      l.Cancelling,
+		CanHealthCheck: l.Probes,
+		CanGossip:      l.Peers,
+		AllowHedging:   l.SecondCopies,
+
+		ReportsByAnswer:      e.Feedback.How == "piggyback",
+		ReportsByHealthCheck: e.Feedback.How == "pull",
+		PollEndpoints:        e.RegistryMode == "subscribe",
+
+		HonorsGrants:     f.GrantsCount,
+		HonorsPriority:   f.TakesPriority,
+		MaxGrantShare:    f.MaxGrantShare,
+		ProgressInterval: f.ProgressUs,
+
+		SlowStartFloor:    r.ColdFrom,
+		SlowStartDuration: r.ColdUs,
+		OverloadMultiple:  r.FallMultiple,
+		OverloadDuration:  r.OverloadForUs,
+		DrainGrace:        r.StopSendingWithinUs,
+		AnswerSlack:       r.GraceToAnswerUs,
+		MaxPollInterval:   r.MustAskInUs,
+		OrderingGap:       r.TurnGapUs,
+		RetryBudgetFloor:  r.BudgetFree,
+		RetryBudgetRatio:  r.BudgetShare,
+		RetryBudgetWindow: r.BudgetSpanUs,
+	}
+	if l.RetryAfter {
+		s.MaxRetryAfter = l.MaxRetryAfterUs
+	}
+	return s
+}
+
+// checkLengths wants an entry for each class, or each kind, in the lists that go by their index.
+func (e *env) checkLengths() error {
+	f := &e.FamilyInfo
+	for name, n := range map[string]int{"dop": len(f.Dop), "waitsForLoads": len(f.WaitsForLoads), "writesTables": len(f.WritesTables)} {
+		if n != 0 && n != len(e.Classes) {
+			return fmt.Errorf("familyInfo.%s: %d entries for %d classes", name, n, len(e.Classes))
+		}
+	}
+	if len(f.RAMOfKindMb) != 0 && len(f.RAMOfKindMb) != len(f.KindCores) {
+		return fmt.Errorf("familyInfo.ramOfKindMb: %d entries for %d kinds", len(f.RAMOfKindMb), len(f.KindCores))
+	}
+	return nil
+}
+
+// class is one class of requests, by its index.
+func (e *env) class(i int) (policy.Class, error) {
+	c, f := &e.Classes[i], &e.FamilyInfo
+	class := policy.Class{Name: c.Name, PriorityWeight: c.Credit, LateWeight: c.LateWorth, LatencyObjective: c.PromiseUs,
+		ObjectiveStretch: c.AimStretch, Deadline: c.DeadlineUs, DedupWindow: c.WindowUs, Ordered: c.InTurn,
+		Zones: c.AllowedIn, Kinds: c.ServedOn}
+	var ok bool
+	if class.Effect, ok = effects[c.Effect]; !ok {
+		return class, fmt.Errorf("classes[%d].effect: unknown value %q", i, c.Effect)
+	}
+	if class.DedupScope, ok = dedupScopes[c.Group]; !ok {
+		return class, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
+	}
+	if len(f.Dop) > 0 {
+		class.Threads = f.Dop[i]
+	}
+	if len(f.WritesTables) > 0 {
+		class.LocksTables = f.WritesTables[i]
+	}
+	if len(f.WaitsForLoads) > 0 {
+		class.WaitsForTables = f.WaitsForLoads[i]
+	}
+	return class, nil
+}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"errors"
 	"io"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -44,47 +45,62 @@
 	if b.Now != 8412250 || len(b.Items) != 12 {
 		t.Fatalf("now %d, %d items", b.Now, len(b.Items))
 	}
-	s := b.Items[0].Start
-	if s == nil || b.Items[0].Seed != 1<<64-1 || s.Classes[0].Effect != policy.IdempotentByKey || s.Classes[0].DedupScope != policy.DedupPlacementGroup ||
-		s.Classes[0].Threads != 4 || !s.Classes[0].LocksTables || s.MaxRetryAfter != 77 || s.RetryBudgetFloor != 3 ||
-		s.Shortage != policy.ShortageSwaps || s.Kinds[1] != (policy.Kind{Cores: 16, MemoryMB: 2}) {
-		t.Fatalf("settings %+v", s)
+	if b.Items[0].Seed != 1<<64-1 {
+		t.Errorf("seed %d", b.Items[0].Seed)
 	}
-	whole := b.Items[1].Event.(policy.EndpointUpdate)
-	if !whole.Complete || len(whole.Endpoints) != 2 || whole.Endpoints[1].State != policy.Draining || whole.Endpoints[1].Started != 6100000 ||
-		whole.Endpoints[0].PlacementGroup != 4 {
-		t.Fatalf("list %+v", whole)
+	checkBatchSettings(t, b.Items[0].Start)
+	if b.Items[0].Event != nil || !b.Items[11].Stop {
+		t.Errorf("the first item is %+v, the last %+v", b.Items[0], b.Items[11])
 	}
-	if diff := b.Items[2].Event.(policy.EndpointUpdate); diff.Complete || len(diff.Endpoints) != 0 {
-		t.Fatalf("a reused list number must hold the later rows: %+v", diff)
-	}
-	if failed := b.Items[3].Event.(policy.EndpointUpdate); !failed.Failed || failed.Complete {
-		t.Fatalf("failed call %+v", failed)
+	for i, want := range batchEvents() {
+		if got := b.Items[i+1].Event; !reflect.DeepEqual(got, want) {
+			t.Errorf("event %d is %#v, wanted %#v", i+1, got, want)
+		}
 	}
-	want := policy.Request{ID: "9683a19b5d3a91c4", Cost: 12000, TableGroup: 11, MemoryMB: 384.5, ClientRetry: true, Deadline: 8652250,
-		OrderKey: 4569004829183723, HasOrderKey: true}
-	if b.Items[4].Event != want {
-		t.Fatalf("request %+v", b.Items[4].Event)
+	if _, err := r.Next(); !errors.Is(err, io.EOF) {
+		t.Fatalf("at the end: %v", err)
 	}
-	o := b.Items[5].Event.(policy.AttemptResult)
-	if o.Code != policy.OK || !o.Final || o.WorkMicros != 17000 || o.NeededMB != 96*4 ||
-		*o.Load != (policy.Load{Util: 0.62, InFlight: -1, Queue: 3, Memory: -1, Disk: 1.25}) {
-		t.Fatalf("outcome %+v %+v", o, o.Load)
+}
+
+func checkBatchSettings(t *testing.T, s *policy.Settings) {
+	t.Helper()
+	if s == nil {
+		t.Fatal("no settings")
 	}
-	if p := b.Items[6].Event.(policy.Progress); p.Kind != policy.WaitingForTables {
-		t.Fatalf("progress %+v", p)
+	class := policy.Class{Name: "a", PriorityWeight: 2, LatencyObjective: 100, Deadline: 400, Threads: 4, LocksTables: true,
+		Effect: policy.IdempotentByKey, DedupScope: policy.DedupPlacementGroup, DedupWindow: 9}
+	if len(s.Classes) != 1 || !reflect.DeepEqual(s.Classes[0], class) {
+		t.Errorf("classes %+v, wanted %+v", s.Classes, class)
 	}
-	if p := b.Items[7].Event.(policy.HealthCheckResult); p.Code != policy.TimedOut || p.Load != nil {
-		t.Fatalf("probe %+v", p)
+	if s.Zone != 1 || s.PeerIndex != 2 || s.Peers != 3 || s.MaxAttempts != 3 || s.MaxRetryAfter != 77 || s.Shortage != policy.ShortageSwaps {
+		t.Errorf("settings %+v", s)
 	}
-	if h := b.Items[8].Event.(policy.GossipReceived); string(h.Data) != "hi 7" || h.From != 1 {
-		t.Fatalf("peer %+v", h)
+	if s.RetryBudgetFloor != 3 || s.RetryBudgetRatio != 0.5 || s.RetryBudgetWindow != 5 {
+		t.Errorf("retry budget %v, %v, %v", s.RetryBudgetFloor, s.RetryBudgetRatio, s.RetryBudgetWindow)
 	}
-	if !b.Items[11].Stop {
-		t.Fatal("no stop at the end")
+	if len(s.Kinds) != 2 || s.Kinds[1] != (policy.Kind{Cores: 16, MemoryMB: 2}) {
+		t.Errorf("kinds %+v", s.Kinds)
 	}
-	if _, err := r.Next(); err != io.EOF {
-		t.Fatalf("at the end: %v", err)
+}
+
+// batchEvents are the events between the start and the end of the instance in batchText.
+func batchEvents() []policy.Event {
+	const id = "9683a19b5d3a91c4"
+	return []policy.Event{
+		policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{
+			{ID: "node.a", Kind: 1, PlacementGroup: 4, State: policy.Healthy, Weight: 1},
+			{ID: "node.b", State: policy.Draining, Started: 6100000}}},
+		policy.EndpointUpdate{Endpoints: []policy.Endpoint{}}, // a list number that is used again holds the later rows
+		policy.EndpointUpdate{Failed: true},
+		policy.Request{ID: id, Cost: 12000, TableGroup: 11, MemoryMB: 384.5, ClientRetry: true, Deadline: 8652250,
+			OrderKey: 4569004829183723, HasOrderKey: true},
+		policy.AttemptResult{ID: id, Endpoint: "node.a", Code: policy.OK, Final: true, Latency: 18500, WorkMicros: 17000, NeededMB: 96 * 4,
+			Load: &policy.Load{Util: 0.62, InFlight: -1, Queue: 3, Memory: -1, Disk: 1.25}},
+		policy.Progress{ID: id, Endpoint: "node.a", Kind: policy.WaitingForTables, Value: 2},
+		policy.HealthCheckResult{Endpoint: "node.a", Code: policy.TimedOut, Latency: 5},
+		policy.GossipReceived{From: 1, Data: []byte("hi 7")},
+		policy.ClientDisconnected{ID: id},
+		policy.TimerFired{},
 	}
 }
 
