--- a/backend/native.go
+++ b/backend/native.go
@@ -133,9 +133,9 @@
 
 // nativeProbe sends a Ping on a connection as queries use it, and waits for its Pong.
 func (n *node) nativeProbe(ctx context.Context, o *Options) policy.Code {
-	key := nativeKey{revision: native.Newest}
-	if r := int(n.revision.Load()); r >= native.Oldest {
-		key.revision = min(r, native.Newest)
+	key := nativeKey{revision: native.NewestRevision}
+	if r := int(n.revision.Load()); r >= native.OldestRevision {
+		key.revision = min(r, native.NewestRevision)
 	}
 	c, err := n.nativeReady(ctx, o, key)
 	if err != nil {
@@ -320,7 +320,7 @@
 
 // speak sends the query and passes its answer on; clean tells that the connection may serve another one.
 func (t *nativeAttempt) speak(ctx context.Context, c *nativeConn) (clean bool, result any, err error) {
-	c.r.Packed = t.call.Query.Compression
+	c.r.Compressed = t.call.Query.Compression
 	// An INSERT does nothing before its rows are there, and what is asked for a sample never gets any.
 	t.unsent = t.call.Data != nil || t.call.Sample
 	c.w.Write(t.query().Encode(t.call.Revision))
@@ -337,8 +337,8 @@
 		if t.call.Sample && t.call.Session != "" { // state lives on the connection: the INSERT ends without a row
 			raw := bytes.Clone(sample.Raw)
 			end := native.EndOfData()
-			if c.r.Packed {
-				end = native.EndOfDataPacked()
+			if c.r.Compressed {
+				end = native.EndOfDataCompressed()
 			}
 			c.w.Write(end)
 			if err := c.w.Flush(); err != nil {
--- a/backend/native_test.go
+++ b/backend/native_test.go
@@ -35,7 +35,7 @@
 	if err := f.SetNodes([]nodelist.Node{{ID: "n", Native: address}}); err != nil {
 		t.Fatal(err)
 	}
-	call.Revision, call.Sink = native.Newest, &taker{}
+	call.Revision, call.Sink = native.NewestRevision, &taker{}
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
 	call.Tables = native.EndOfData()
 	now := clock.Now()
@@ -150,10 +150,10 @@
 		}
 		r := native.NewReader(conn, 1<<20)
 		r.ReadHello()
-		conn.Write(native.Server{Name: "n", Revision: native.Newest}.Encode())
-		r.ReadAddendum(native.Newest)
+		conn.Write(native.Server{Name: "n", Revision: native.NewestRevision}.Encode())
+		r.ReadAddendum(native.NewestRevision)
 		r.ReadClient()
-		r.ReadQuery(native.Newest)
+		r.ReadQuery(native.NewestRevision)
 		conn.Write([]byte{native.ServerData, 0, 0, 0, 0}) // no columns at all will do here
 		io.CopyN(io.Discard, conn, 1<<20)
 		conn.Close()
--- a/cmd/queryclient/native.go
+++ b/cmd/queryclient/native.go
@@ -57,7 +57,7 @@
 				continue
 			}
 			var cells []string
-			for _, column := range block.Cells {
+			for _, column := range block.Columns {
 				cells = append(cells, column[i])
 			}
 			t.row(cells)
--- a/frontend/clickhouse/clickhouse.go
+++ b/frontend/clickhouse/clickhouse.go
@@ -235,9 +235,9 @@
 		s.refuse(516, s.hello.User+": Authentication failed: name or password is wrong") // AUTHENTICATION_FAILED
 		return errors.New("name or password is wrong")
 	}
-	newest := native.Newest
+	newest := native.NewestRevision
 	if s.front.opt.Revision != nil {
-		if r := s.front.opt.Revision(); r >= native.Oldest {
+		if r := s.front.opt.Revision(); r >= native.OldestRevision {
 			newest = min(newest, r)
 		}
 	}
@@ -296,7 +296,7 @@
 	switch st.code {
 	case native.ClientQuery:
 		if st.query, st.err = s.r.ReadQuery(s.revision); st.err == nil {
-			s.r.Packed = st.query.Compression
+			s.r.Compressed = st.query.Compression
 			st.tables, st.err = s.tables()
 		}
 	case native.ClientData:
--- a/internal/native/client.go
+++ b/internal/native/client.go
@@ -25,7 +25,7 @@
 	c := &Client{conn: conn, r: NewReader(conn, 256<<20)}
 	defer c.bound(ctx)()
 	if h.Revision == 0 {
-		h.Revision = Newest
+		h.Revision = NewestRevision
 	}
 	if _, err = conn.Write(h.Encode()); err == nil {
 		if c.Server, err = c.r.ReadServerHello(); err == nil {
@@ -35,7 +35,7 @@
 		}
 	}
 	if err != nil {
-		conn.Close()
+		_ = conn.Close() // the error before it says more
 		return nil, err
 	}
 	return c, nil
@@ -46,7 +46,7 @@
 
 // bound ends what the connection does with ctx; call what it returns afterwards.
 func (c *Client) bound(ctx context.Context) func() {
-	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
+	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Unix(1, 0)) })
 	return func() { stop() }
 }
 
--- a/internal/native/compress.go
+++ b/internal/native/compress.go
@@ -54,10 +54,10 @@
 	method := head[frameChecksum]
 	size, holds := binary.LittleEndian.Uint32(head[frameChecksum+1:]), binary.LittleEndian.Uint32(head[frameChecksum+5:])
 	if size < frameHead {
-		return r.wrong("size of a compressed frame", fmt.Sprint(size), "9 and above")
+		return r.formatError("size of a compressed frame", fmt.Sprint(size), "9 and above")
 	}
-	if holds == 0 || uint64(holds) > uint64(r.most) {
-		return r.wrong("content of a compressed frame", fmt.Sprintf("%d bytes", holds), fmt.Sprintf("1 to %d bytes", r.most))
+	if holds == 0 || uint64(holds) > uint64(r.maxPacket) {
+		return r.formatError("content of a compressed frame", fmt.Sprintf("%d bytes", holds), fmt.Sprintf("1 to %d bytes", r.maxPacket))
 	}
 	if _, err := r.take("compressed frame", uint64(size-frameHead)); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	frame := r.raw[at:]
 	sum := city.CH128(frame[frameChecksum:])
 	if sum.Low != binary.LittleEndian.Uint64(frame) || sum.High != binary.LittleEndian.Uint64(frame[8:]) {
-		return r.wrong("checksum of a compressed frame", fmt.Sprintf("%x", frame[:frameChecksum]), fmt.Sprintf("%x%x, as its bytes give", sum.Low, sum.High))
+		return r.formatError("checksum of a compressed frame", fmt.Sprintf("%x", frame[:frameChecksum]), fmt.Sprintf("%x%x, as its bytes give", sum.Low, sum.High))
 	}
 	payload := frame[frameChecksum+frameHead:]
 	n := 0
@@ -74,33 +74,33 @@
 		f.held, n = payload, len(payload)
 	case methodLZ4:
 		if uint64(holds) > 255*uint64(len(payload))+64 { // the method's best: such a size is not allocated
-			return r.wrong("content of a compressed frame", fmt.Sprintf("%d bytes out of %d", holds, len(payload)), "255 times as many at most")
+			return r.formatError("content of a compressed frame", fmt.Sprintf("%d bytes out of %d", holds, len(payload)), "255 times as many at most")
 		}
-		f.room(int(holds))
+		f.resize(int(holds))
 		n, err = lz4.UncompressBlock(payload, f.buffer)
 		f.held = f.buffer[:max(n, 0)]
 	case methodZSTD:
 		if f.zstd == nil {
 			if f.zstd, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-				zstd.WithDecoderMaxMemory(uint64(r.most))); err != nil {
+				zstd.WithDecoderMaxMemory(uint64(r.maxPacket))); err != nil {
 				return err
 			}
 		}
 		f.buffer, err = f.zstd.DecodeAll(payload, f.buffer[:0])
 		f.held, n = f.buffer, len(f.buffer)
 	default:
-		return r.wrong("method of compression", fmt.Sprintf("%#x", method), "0x2 (none), 0x82 (LZ4) and 0x90 (ZSTD)")
+		return r.formatError("method of compression", fmt.Sprintf("%#x", method), "0x2 (none), 0x82 (LZ4) and 0x90 (ZSTD)")
 	}
 	if err != nil {
-		return r.wrong("compressed frame", err.Error(), "what its method can open")
+		return r.formatError("compressed frame", err.Error(), "what its method can open")
 	}
 	if n != int(holds) {
-		return r.wrong("content of a compressed frame", fmt.Sprintf("%d bytes", n), fmt.Sprintf("%d, as its head says", holds))
+		return r.formatError("content of a compressed frame", fmt.Sprintf("%d bytes", n), fmt.Sprintf("%d, as its head says", holds))
 	}
 	return nil
 }
 
-func (f *frames) room(n int) {
+func (f *frames) resize(n int) {
 	if cap(f.buffer) < n {
 		f.buffer = make([]byte, n)
 	}
@@ -109,27 +109,27 @@
 
 // content reads the block of a Data packet: in compressed frames where the query says so.
 func (r *Reader) content(revision int) (Block, error) {
-	if !r.Packed {
+	if !r.Compressed {
 		return r.block(revision)
 	}
-	if r.inner == nil {
+	if r.frameReader == nil {
 		r.frames = &frames{outer: r}
-		r.inner = NewReader(r.frames, r.most)
+		r.frameReader = NewReader(r.frames, r.maxPacket)
 	}
 	r.frames.held = nil
-	r.inner.r.Reset(r.frames)
-	r.inner.begin(r.packet)
-	b, err := r.inner.block(revision)
-	if err == nil && (r.inner.r.Buffered() > 0 || len(r.frames.held) > 0) {
-		err = r.wrong("compressed frame", "bytes behind the end of the block", "blocks that end with their last frame")
+	r.frameReader.r.Reset(r.frames)
+	r.frameReader.begin(r.packet)
+	b, err := r.frameReader.block(revision)
+	if err == nil && (r.frameReader.r.Buffered() > 0 || len(r.frames.held) > 0) {
+		err = r.formatError("compressed frame", "bytes behind the end of the block", "blocks that end with their last frame")
 	}
 	return b, err
 }
 
-// Unpacked is the block of the packet read last, without compression; it is valid until the next packet is read.
-func (r *Reader) Unpacked(p Packet) []byte {
-	if r.Packed && p.Body > 0 {
-		return r.inner.raw
+// Uncompressed is the block of the packet read last, without compression; it is valid until the next packet is read.
+func (r *Reader) Uncompressed(p Packet) []byte {
+	if r.Compressed && p.Body > 0 {
+		return r.frameReader.raw
 	}
 	return p.Raw[p.Body:]
 }
--- a/internal/native/compress_test.go
+++ b/internal/native/compress_test.go
@@ -45,27 +45,27 @@
 			text.Append(rapid.StringN(0, 200, 200).Draw(r, "text"))
 			number.Append(rapid.Uint64().Draw(r, "number"))
 		}
-		packet := dataPacket(t, Newest, proto.Input{{Name: "t", Data: &text}, {Name: "n", Data: &number}}, rows)
+		packet := dataPacket(t, NewestRevision, proto.Input{{Name: "t", Data: &text}, {Name: "n", Data: &number}}, rows)
 		packed := compressed(t, method, packet, rapid.IntRange(1, 5).Draw(r, "frames"))
 		stream := append(bytes.Clone(packed), packed...)
 		in := NewReader(iotest.HalfReader(bytes.NewReader(append(stream, ServerEndOfStream))), most)
-		in.Packed = true
+		in.Compressed = true
 		for range 2 {
-			p, err := in.ReadServer(Newest)
+			p, err := in.ReadServer(NewestRevision)
 			if err != nil || !bytes.Equal(p.Raw, packed) || p.Block.Rows != rows {
 				r.Fatalf("%d of %d bytes, %+v, %v", len(p.Raw), len(packed), p.Block, err)
 			}
-			if !bytes.Equal(in.Unpacked(p), packet[2:]) {
+			if !bytes.Equal(in.Uncompressed(p), packet[2:]) {
 				r.Fatal("the content differs")
 			}
 		}
-		if p, err := in.ReadServer(Newest); err != nil || p.Code != ServerEndOfStream {
+		if p, err := in.ReadServer(NewestRevision); err != nil || p.Code != ServerEndOfStream {
 			r.Fatalf("behind it: %+v, %v", p, err)
 		}
 		read := func(b []byte) error {
 			in := NewReader(bytes.NewReader(b), most)
-			in.Packed = true
-			_, err := in.ReadServer(Newest)
+			in.Compressed = true
+			_, err := in.ReadServer(NewestRevision)
 			return err
 		}
 		if err := read(packed[:rapid.IntRange(1, len(packed)-1).Draw(r, "cut")]); !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -104,11 +104,11 @@
 		"a wrong sum":     {frame(0x82, 20, 10), "checksum"},
 	} {
 		in := NewReader(bytes.NewReader(c.bytes), most)
-		in.Packed = true
-		if _, err := in.ReadServer(Newest); err == nil || !strings.Contains(err.Error(), c.says) {
+		in.Compressed = true
+		if _, err := in.ReadServer(NewestRevision); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", name, err, c.says)
 		}
-		if cap(in.raw) > 4*chunk || in.frames != nil && cap(in.frames.buffer) > 4*chunk {
+		if cap(in.raw) > 4*maxChunk || in.frames != nil && cap(in.frames.buffer) > 4*maxChunk {
 			t.Errorf("%s: %d bytes were allocated", name, cap(in.raw))
 		}
 	}
@@ -151,12 +151,12 @@
 		{Name: "kind", Data: proto.Alias(&kind, "Enum8('a' = 1, 'b' = 2)")}}
 	want := []string{"200", "-5", "-1", "1.5", "2026-12-01", "2026-12-01 13:05:06.007", "61f0c404-5cb3-11e7-907b-a6006ad3dba0", "10.1.2.3", "NULL",
 		"[a,b]", "word", "[(k,7)]", "-12.05", "b"}
-	v, err := ReadValues(dataPacket(t, Newest, input, 1)[2:], Newest)
+	v, err := ReadValues(dataPacket(t, NewestRevision, input, 1)[2:], NewestRevision)
 	if err != nil || v.Rows() != 1 {
 		t.Fatal(err)
 	}
 	for i, w := range want {
-		if got := v.Cells[i][0]; got != w || v.Names[i] != input[i].Name {
+		if got := v.Columns[i][0]; got != w || v.Names[i] != input[i].Name {
 			t.Errorf("%s: %q, want %q", v.Names[i], got, w)
 		}
 	}
@@ -167,13 +167,13 @@
 	rapid.Check(t, func(r *rapid.T) {
 		word := rapid.StringN(0, 60, 60)
 		number := rapid.IntRange(0, 1<<20)
-		revision := rapid.SampledFrom([]int{Oldest, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, revParameters, Newest}).Draw(r, "revision")
-		h := Hello{Name: word.Draw(r, "name"), Major: number.Draw(r, "major"), Minor: 3, Revision: Oldest + number.Draw(r, "rev"),
+		revision := rapid.SampledFrom([]int{OldestRevision, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, revParameters, NewestRevision}).Draw(r, "revision")
+		h := Hello{Name: word.Draw(r, "name"), Major: number.Draw(r, "major"), Minor: 3, Revision: OldestRevision + number.Draw(r, "rev"),
 			Database: word.Draw(r, "db"), User: word.Draw(r, "user"), Password: word.Draw(r, "password")}
 		if got, err := NewReader(bytes.NewReader(h.Encode()), most).ReadHello(); err != nil || got != h {
 			r.Fatalf("%+v, %v", got, err)
 		}
-		s := Server{Name: word.Draw(r, "server"), Major: 1, Revision: Newest, Timezone: "UTC", DisplayName: word.Draw(r, "display"), Patch: 9}
+		s := Server{Name: word.Draw(r, "server"), Major: 1, Revision: NewestRevision, Timezone: "UTC", DisplayName: word.Draw(r, "display"), Patch: 9}
 		if got, err := NewReader(bytes.NewReader(s.Encode()), most).ReadServerHello(); err != nil || got != s {
 			r.Fatalf("%+v, %v", got, err)
 		}
@@ -195,7 +195,9 @@
 			q.Parameters = []Setting{{"p", 2, word.Draw(r, "parameter")}}
 		}
 		in := NewReader(bytes.NewReader(q.Encode(revision)), most)
-		in.ReadClient()
+		if _, err := in.ReadClient(); err != nil {
+			r.Fatal(err)
+		}
 		got, err2 := in.ReadQuery(revision)
 		if err != nil || err2 != nil || !bytes.Equal(got.Encode(revision), q.Encode(revision)) {
 			r.Fatalf("%+v, %v, %v", got, err, err2)
@@ -207,15 +209,15 @@
 func FuzzCompressed(f *testing.F) {
 	var text proto.ColStr
 	text.Append("abc")
-	packet := dataPacket(f, Newest, proto.Input{{Name: "t", Data: &text}}, 1)
+	packet := dataPacket(f, NewestRevision, proto.Input{{Name: "t", Data: &text}}, 1)
 	for _, m := range []compress.Method{compress.None, compress.LZ4, compress.ZSTD} {
 		f.Add(compressed(f, m, packet, 1))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		in := NewReader(bytes.NewReader(b), 1<<16)
-		in.Packed = true
+		in.Compressed = true
 		for {
-			if _, err := in.ReadServer(Newest); err != nil {
+			if _, err := in.ReadServer(NewestRevision); err != nil {
 				break
 			}
 		}
@@ -230,9 +232,9 @@
 	low.Append("a")
 	lists := proto.NewArray[string](new(proto.ColStr))
 	lists.Append([]string{"x"})
-	f.Add(dataPacket(f, Newest, proto.Input{{Name: "l", Data: low}, {Name: "a", Data: lists}}, 1)[2:], Newest)
-	f.Fuzz(func(t *testing.T, b []byte, revision int) {
-		ReadValues(b, revision)
-		NewReader(nil, 1<<20).ReadProfile(b, revision)
+	f.Add(dataPacket(f, NewestRevision, proto.Input{{Name: "l", Data: low}, {Name: "a", Data: lists}}, 1)[2:], NewestRevision)
+	f.Fuzz(func(_ *testing.T, b []byte, revision int) {
+		_, _ = ReadValues(b, revision) // it must not panic
+		_, _ = NewReader(nil, 1<<20).ReadProfile(b, revision)
 	})
 }
--- /dev/null
+++ b/internal/native/exception.go
@@ -0,0 +1,65 @@
+package native
+
+import (
+	"encoding/binary"
+	"fmt"
+)
+
+// Exception is a server's error, with the ones it holds.
+type Exception struct {
+	Code           int32
+	Name           string
+	Message, Stack string
+	Nested         *Exception
+}
+
+// Error has the code, the name and the message of the outermost error.
+func (e *Exception) Error() string { return fmt.Sprintf("code %d, %s: %s", e.Code, e.Name, e.Message) }
+
+// Encode is the packet as bytes.
+func (e *Exception) Encode() []byte {
+	b := PutUvarint(nil, ServerException)
+	for ; e != nil; e = e.Nested {
+		b = binary.LittleEndian.AppendUint32(b, uint32(e.Code))
+		b = PutText(PutText(PutText(b, e.Name), e.Message), e.Stack)
+		nested := byte(0)
+		if e.Nested != nil {
+			nested = 1
+		}
+		b = append(b, nested)
+	}
+	return b
+}
+
+// exception reads it behind its code.
+func (r *Reader) exception() (*Exception, error) {
+	var first, last *Exception
+	for depth := 0; ; depth++ {
+		if depth > 64 {
+			return nil, r.formatError("nested exception", "more than 64", "64 at most")
+		}
+		e := &Exception{}
+		var err error
+		if e.Code, err = r.int32("code"); err != nil {
+			return nil, err
+		}
+		for _, p := range []*string{&e.Name, &e.Message, &e.Stack} {
+			if *p, err = r.text("exception", maxTextBytes); err != nil {
+				return nil, err
+			}
+		}
+		if first == nil {
+			first = e
+		} else {
+			last.Nested = e
+		}
+		last = e
+		nested, err := r.byte("nested")
+		if err != nil {
+			return nil, err
+		}
+		if nested == 0 {
+			return first, nil
+		}
+	}
+}
--- a/internal/native/native_test.go
+++ b/internal/native/native_test.go
@@ -67,7 +67,7 @@
 		if len(input) == 0 {
 			input = all[:1]
 		}
-		revision := rapid.SampledFrom([]int{Oldest, revSerialKind - 1, revSerialKind, Newest}).Draw(r, "revision")
+		revision := rapid.SampledFrom([]int{OldestRevision, revSerialKind - 1, revSerialKind, NewestRevision}).Draw(r, "revision")
 		packet := dataPacket(t, revision, input, rows)
 		stream := append(append([]byte(nil), packet...), ServerEndOfStream)
 		in := NewReader(iotest.HalfReader(bytes.NewReader(stream)), most)
@@ -88,7 +88,7 @@
 
 // What an unmodified client sends is read, and written again it is the same bytes.
 func TestQueryOfAnotherImplementation(t *testing.T) {
-	for _, revision := range []int{Oldest, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, Newest} {
+	for _, revision := range []int{OldestRevision, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, NewestRevision} {
 		var b proto.Buffer
 		q := proto.Query{ID: "id", Body: "SELECT 1", Compression: proto.CompressionEnabled, Settings: []proto.Setting{{Key: "max_execution_time", Value: "3", Important: true}},
 			Parameters: []proto.Parameter{{Key: "p", Value: "'1'"}}, Info: proto.ClientInfo{ProtocolVersion: revision, Major: 1, Minor: 2, Interface: proto.InterfaceTCP,
@@ -126,12 +126,12 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			in := NewReader(bytes.NewReader(c.bytes), most)
-			_, err := in.ReadServer(Newest)
+			_, err := in.ReadServer(NewestRevision)
 			var f *FormatError
 			if !errors.As(err, &f) || !strings.Contains(err.Error(), c.says) {
 				t.Errorf("%v, want %q", err, c.says)
 			}
-			if cap(in.raw) > 4*chunk {
+			if cap(in.raw) > 4*maxChunk {
 				t.Errorf("%d bytes were allocated for %d", cap(in.raw), len(c.bytes))
 			}
 		})
@@ -156,9 +156,9 @@
 func FuzzServer(f *testing.F) {
 	var low = new(proto.ColStr).LowCardinality()
 	low.Append("a")
-	f.Add(dataPacket(f, Newest, proto.Input{{Name: "l", Data: low}}, 1), Newest)
-	f.Add((&Exception{Code: 1, Name: "n", Nested: &Exception{Code: 2}}).Encode(), Oldest)
-	f.Add([]byte{ServerProgress, 1, 2, 3, 4, 5, 6}, Newest)
+	f.Add(dataPacket(f, NewestRevision, proto.Input{{Name: "l", Data: low}}, 1), NewestRevision)
+	f.Add((&Exception{Code: 1, Name: "n", Nested: &Exception{Code: 2}}).Encode(), OldestRevision)
+	f.Add([]byte{ServerProgress, 1, 2, 3, 4, 5, 6}, NewestRevision)
 	f.Fuzz(func(t *testing.T, b []byte, revision int) {
 		in := NewReader(bytes.NewReader(b), 1<<16)
 		for read := 0; ; {
@@ -174,18 +174,18 @@
 }
 
 func FuzzClient(f *testing.F) {
-	f.Add(Hello{Name: "c", Revision: Newest, User: "u"}.Encode(), Newest)
-	f.Add(Query{ID: "q", Info: []byte{0}, Stage: 2, Text: "SELECT 1"}.Encode(Newest), Newest)
+	f.Add(Hello{Name: "c", Revision: NewestRevision, User: "u"}.Encode(), NewestRevision)
+	f.Add(Query{ID: "q", Info: []byte{0}, Stage: 2, Text: "SELECT 1"}.Encode(NewestRevision), NewestRevision)
 	f.Fuzz(func(t *testing.T, b []byte, revision int) {
-		NewReader(bytes.NewReader(b), 1<<16).ReadHello()
+		_, _ = NewReader(bytes.NewReader(b), 1<<16).ReadHello() // nothing here may panic
 		in := NewReader(bytes.NewReader(b), 1<<16)
 		if code, err := in.ReadClient(); err == nil && code == ClientQuery {
 			if q, err := in.ReadQuery(revision); err == nil && len(q.Encode(revision)) > len(b)+16 {
 				t.Fatal("written again it is longer than it came")
 			}
 		}
-		NewReader(bytes.NewReader(b), 1<<16).ReadServerHello()
+		_, _ = NewReader(bytes.NewReader(b), 1<<16).ReadServerHello()
 		in = NewReader(bytes.NewReader(b), 1<<16)
-		in.ReadClientData(revision)
+		_, _, _ = in.ReadClientData(revision)
 	})
 }
--- a/internal/native/profile.go
+++ b/internal/native/profile.go
@@ -20,10 +20,10 @@
 
 // ReadProfile reads the block of a ProfileEvents packet.
 func (r *Reader) ReadProfile(block []byte, revision int) (p Profile, err error) {
-	if r.side == nil {
-		r.side = NewReader(nil, 1<<20)
+	if r.sideReader == nil {
+		r.sideReader = NewReader(nil, 1<<20)
 	}
-	in := r.side
+	in := r.sideReader
 	in.r.Reset(bytes.NewReader(block))
 	in.begin("ProfileEvents")
 	var names, values, kinds []byte
@@ -43,7 +43,7 @@
 		return p, err
 	}
 	if names == nil || len(values) != 8*rows || len(kinds) != rows {
-		return p, in.wrong("columns", fmt.Sprintf("%d bytes of names, %d values, %d types", len(names), len(values)/8, len(kinds)),
+		return p, in.formatError("columns", fmt.Sprintf("%d bytes of names, %d values, %d types", len(names), len(values)/8, len(kinds)),
 			fmt.Sprintf("%d of each: name String, value Int64, type Enum8", rows))
 	}
 	for i := range rows {
--- a/internal/native/reader.go
+++ b/internal/native/reader.go
@@ -11,79 +11,20 @@
 	"io"
 )
 
-// Revisions: what is above Newest is negotiated down to it, what is below Oldest is turned away.
-const (
-	Oldest = 54429 // settings as text
-	Newest = 54460 // server time in Progress
-)
-
-// Revisions from which a part of a packet is there.
-const (
-	revInterserver  = 54441
-	revTelemetry    = 54442
-	revDepth        = 54448
-	revStartTime    = 54449
-	revReplicas     = 54453
-	revSerialKind   = 54454
-	revAddendum     = 54458
-	revParameters   = 54459
-	revProgressTime = 54460
-)
-
-// AddendumFrom is the revision from which a client sends a quota key behind the server's Hello.
-const AddendumFrom = revAddendum
-
-// Packets of the client.
-const (
-	ClientHello  = 0
-	ClientQuery  = 1
-	ClientData   = 2
-	ClientCancel = 3
-	ClientPing   = 4
-)
-
-// Packets of the server.
-const (
-	ServerHello         = 0
-	ServerData          = 1
-	ServerException     = 2
-	ServerProgress      = 3
-	ServerPong          = 4
-	ServerEndOfStream   = 5
-	ServerProfileInfo   = 6
-	ServerTotals        = 7
-	ServerExtremes      = 8
-	ServerLog           = 10
-	ServerTableColumns  = 11
-	ServerProfileEvents = 14
-)
-
-// FormatError tells what in a stream cannot be read, and where: bytes since the packet began.
-type FormatError struct {
-	Packet, Field string
-	At            int
-	Found         string
-	Allowed       string
-}
-
-func (e *FormatError) Error() string {
-	return fmt.Sprintf("%s, %s at byte %d: found %s, allowed: %s", e.Packet, e.Field, e.At, e.Found, e.Allowed)
-}
-
 // Reader reads packets and keeps the bytes of the present one. What is announced is not allocated before it has come.
 type Reader struct {
-	r      *bufio.Reader
-	raw    []byte
-	most   int
-	packet string
+	r         *bufio.Reader
+	raw       []byte
+	maxPacket int
+	packet    string
 
-	// Packed tells that the blocks of the present query are compressed. Those of logs and profile events never are, at the
+	// Compressed tells that the blocks of the present query are compressed. Those of logs and profile events never are, at the
 	// revisions served here.
-	Packed bool
-	types  map[string]column // read before
-	frames *frames
-	inner  *Reader // reads what the frames hold
-	side   *Reader // reads blocks that are for the dispatcher
+	Compressed  bool
+	types       map[string]column // read before
+	frames      *frames
+	frameReader *Reader // reads what the frames hold
+	sideReader  *Reader // reads blocks that are for the dispatcher
 }
 
 // NewReader returns a Reader; a packet of more than most bytes is an error.
@@ -91,7 +32,7 @@
 
 // NewReaderSize is NewReader with a buffer of another size than 64 KiB.
 func NewReaderSize(r io.Reader, most, size int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, min(size, most+1)), most: most, packet: "connection"}
+	return &Reader{r: bufio.NewReaderSize(r, min(size, most+1)), maxPacket: most, packet: "connection"}
 }
 
 // Buffered tells that more has come already than was read.
@@ -103,39 +44,39 @@
 // Raw is the present packet's bytes so far; they are valid until the next packet.
 func (r *Reader) Raw() []byte { return r.raw }
 
-func (r *Reader) wrong(field, found, allowed string) error {
+func (r *Reader) formatError(field, found, allowed string) error {
 	return &FormatError{r.packet, field, len(r.raw), found, allowed}
 }
 
-// chunk bounds what is asked for at once.
-const chunk = 64 << 10
+// maxChunk bounds what is asked for at once.
+const maxChunk = 64 << 10
 
 // take reads n bytes onto the packet and returns them.
 func (r *Reader) take(field string, n uint64) ([]byte, error) {
-	if n > uint64(r.most-len(r.raw)) {
-		return nil, r.wrong(field, fmt.Sprintf("%d bytes", n), fmt.Sprintf("packets of %d bytes at most", r.most))
+	if n > uint64(r.maxPacket-len(r.raw)) {
+		return nil, r.formatError(field, fmt.Sprintf("%d bytes", n), fmt.Sprintf("packets of %d bytes at most", r.maxPacket))
 	}
 	at := len(r.raw)
 	if int(n) <= r.r.Buffered() { // it is there: no need to grow by steps
 		b, _ := r.r.Peek(int(n))
 		r.raw = append(r.raw, b...)
-		r.r.Discard(int(n))
+		_, _ = r.r.Discard(int(n)) // all of it is buffered
 		return r.raw[at:], nil
 	}
 	for left := int(n); left > 0; {
-		k, from := min(left, chunk), len(r.raw)
+		k, from := min(left, maxChunk), len(r.raw)
 		r.raw = append(r.raw, make([]byte, k)...)
 		if m, err := io.ReadFull(r.r, r.raw[from:]); err != nil {
 			r.raw = r.raw[:from+m]
-			return nil, cut(err)
+			return nil, unexpectedEOF(err)
 		}
 		left -= k
 	}
 	return r.raw[at:], nil
 }
 
-// cut is the end of a stream inside a packet.
-func cut(err error) error {
+// unexpectedEOF is the end of a stream inside a packet.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -158,14 +99,14 @@
 			return v, nil
 		}
 	}
-	return 0, r.wrong(field, "a number of more than 64 bits", "ten bytes at most")
+	return 0, r.formatError(field, "a number of more than 64 bits", "ten bytes at most")
 }
 
 // count reads a number that is bounded.
 func (r *Reader) count(field string, most uint64) (int, error) {
 	v, err := r.uvarint(field)
 	if err == nil && v > most {
-		err = r.wrong(field, fmt.Sprint(v), fmt.Sprintf("%d at most", most))
+		err = r.formatError(field, fmt.Sprint(v), fmt.Sprintf("%d at most", most))
 	}
 	return int(v), err
 }
@@ -180,13 +121,13 @@
 }
 
 func (r *Reader) byte(field string) (byte, error) {
-	if len(r.raw) >= r.most {
+	if len(r.raw) >= r.maxPacket {
 		_, err := r.take(field, 1)
 		return 0, err
 	}
 	b, err := r.r.ReadByte()
 	if err != nil {
-		return 0, cut(err)
+		return 0, unexpectedEOF(err)
 	}
 	r.raw = append(r.raw, b)
 	return b, nil
@@ -207,19 +148,3 @@
 	}
 	return int32(binary.LittleEndian.Uint32(b)), nil
 }
-
-// Bounds of texts, in bytes.
-const (
-	nameMost  = 64 << 10
-	textMost  = 64 << 20
-	typeDepth = 32
-	columns   = 100000
-)
-
-// PutUvarint appends a number.
-func PutUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
-
-// PutText appends a text with its length.
-func PutText[T ~string | ~[]byte](b []byte, s T) []byte {
-	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
-}
--- /dev/null
+++ b/internal/native/server_packet.go
@@ -0,0 +1,108 @@
+package native
+
+import (
+	"errors"
+	"fmt"
+	"io"
+)
+
+// Progress is how far a query is, as increments.
+type Progress struct{ Rows, Bytes, Total uint64 }
+
+// Packet is one packet of a server, found by its boundaries.
+type Packet struct {
+	Code      uint64
+	Raw       []byte // the whole packet; valid until the next one is read
+	Body      int    // where the block begins in Raw, behind code and table name
+	Block     Block  // of Data, Totals and Extremes
+	Progress  Progress
+	Exception *Exception
+}
+
+// ReadServer reads the next packet of a server.
+func (r *Reader) ReadServer(revision int) (p Packet, err error) {
+	r.begin("server's packet")
+	if p.Code, err = r.uvarint("packet"); err != nil {
+		return p, r.endBetweenPackets(err)
+	}
+	switch p.Code {
+	case ServerData, ServerTotals, ServerExtremes, ServerLog, ServerProfileEvents:
+		err = r.serverBlock(&p, revision)
+	case ServerException:
+		r.packet = "Exception"
+		p.Exception, err = r.exception()
+	case ServerProgress:
+		p.Progress, err = r.progress(revision)
+	case ServerPong, ServerEndOfStream:
+	case ServerProfileInfo:
+		err = r.profileInfo()
+	case ServerTableColumns:
+		r.packet = "TableColumns"
+		for i := 0; i < 2 && err == nil; i++ {
+			_, err = r.text("text", maxTextBytes)
+		}
+	default:
+		err = r.formatError("packet", fmt.Sprint(p.Code), "a packet of docs/design-native.md")
+	}
+	p.Raw = r.raw
+	return p, err
+}
+
+// endBetweenPackets is io.EOF where a stream has ended before a packet began.
+func (r *Reader) endBetweenPackets(err error) error {
+	if errors.Is(err, io.ErrUnexpectedEOF) && len(r.raw) == 0 {
+		return io.EOF
+	}
+	return err
+}
+
+// serverBlock reads a packet that holds a block; logs and profile events are never compressed.
+func (r *Reader) serverBlock(p *Packet, revision int) error {
+	r.packet = "Data"
+	_, err := r.text("table", maxNameBytes)
+	if err != nil {
+		return err
+	}
+	p.Body = len(r.raw)
+	if p.Code == ServerLog || p.Code == ServerProfileEvents {
+		p.Block, err = r.block(revision)
+	} else {
+		p.Block, err = r.content(revision)
+	}
+	return err
+}
+
+func (r *Reader) progress(revision int) (p Progress, err error) {
+	r.packet = "Progress"
+	for _, into := range []*uint64{&p.Rows, &p.Bytes, &p.Total} {
+		if *into, err = r.uvarint("number"); err != nil {
+			return p, err
+		}
+	}
+	rest := 2 // rows and bytes written
+	if revision >= revProgressTime {
+		rest++
+	}
+	for range rest {
+		if _, err = r.uvarint("number"); err != nil {
+			return p, err
+		}
+	}
+	return p, nil
+}
+
+// profileInfo passes over rows, blocks, bytes, a flag, rows before a limit and a flag.
+func (r *Reader) profileInfo() (err error) {
+	r.packet = "ProfileInfo"
+	for _, flag := range []bool{false, false, false, true, false, true} {
+		if flag {
+			_, err = r.byte("flag")
+		} else {
+			_, err = r.uvarint("number")
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -358,14 +358,14 @@
 
 func (c *rawNative) ask(statement string, settings ...native.Setting) {
 	q := native.Query{ID: "q", Info: []byte{0}, Stage: 2, Text: statement, Settings: settings}
-	c.Write(append(q.Encode(native.Newest), native.EndOfData()...))
+	c.Write(append(q.Encode(native.NewestRevision), native.EndOfData()...))
 }
 
 // until reads packets up to one of a kind, or to an Exception or the end.
 func (c *rawNative) until(code uint64) native.Packet {
 	c.t.Helper()
 	for {
-		p, err := c.r.ReadServer(native.Newest)
+		p, err := c.r.ReadServer(native.NewestRevision)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -387,7 +387,7 @@
 	b.PutUVarInt(native.ClientData)
 	b.PutString("")
 	input := proto.Input{{Name: "id", Data: &id}, {Name: "name", Data: &name}}
-	if err := (proto.Block{Rows: rows, Columns: 2, Info: proto.BlockInfo{BucketNum: -1}}).EncodeBlock(&b, native.Newest, input); err != nil {
+	if err := (proto.Block{Rows: rows, Columns: 2, Info: proto.BlockInfo{BucketNum: -1}}).EncodeBlock(&b, native.NewestRevision, input); err != nil {
 		t.Fatal(err)
 	}
 	return b.Buf
@@ -426,7 +426,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 1, `, "front": {"max_insert_bytes": 100000, "held_insert_bytes": 1000000}`)
-			raw := r.rawNative(t, native.Newest)
+			raw := r.rawNative(t, native.NewestRevision)
 			raw.ask(statement, native.Setting{Name: "max_execution_time", Value: "0.4"})
 			if p := raw.until(native.ServerData); p.Block.Columns != 2 || p.Block.Rows != 0 {
 				t.Fatalf("the columns: %+v, %v", p.Block, p.Exception)
@@ -461,7 +461,7 @@
 func TestNoRoomForRows(t *testing.T) {
 	r := newRig(t, 1, `, "front": {"max_insert_bytes": 60000, "held_insert_bytes": 80000}`)
 	const statement = "INSERT INTO events (id, name) VALUES"
-	first, second := r.rawNative(t, native.Newest), r.rawNative(t, native.Newest)
+	first, second := r.rawNative(t, native.NewestRevision), r.rawNative(t, native.NewestRevision)
 	for _, c := range []*rawNative{first, second} {
 		c.ask(statement)
 		c.until(native.ServerData)
--- a/server/rawnode_test.go
+++ b/server/rawnode_test.go
@@ -137,7 +137,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			raw := startRawNode(t, native.Newest, func(w io.Writer) { w.Write(c.answer) }, c.hold)
+			raw := startRawNode(t, native.NewestRevision, func(w io.Writer) { w.Write(c.answer) }, c.hold)
 			good := simulated.NewNode("good", simulated.Model{}, 1)
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
@@ -147,7 +147,7 @@
 				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`, raw.address, good.Native)
 			}, "")
 			for range 30 { // until the raw node was asked
-				client := r.rawNative(t, native.Newest)
+				client := r.rawNative(t, native.NewestRevision)
 				client.ask("SELECT node, row /* rows=3 class=report */", native.Setting{Name: "max_execution_time", Value: "8"})
 				p, got := native.Packet{}, 0
 				for p = client.until(native.ServerData); p.Code == native.ServerData; p = client.until(native.ServerData) {
@@ -182,7 +182,7 @@
 		"HTTP":                   {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP"},
 		"an old revision":        {string(native.Hello{Name: "old", Revision: 50000, User: "u"}.Encode()), "54429"},
 		"an enormous length":     {"\x00\xff\xff\xff\xff\xff\xff\xff\xff\x7f", "at most"},
-		"garbage behind a Hello": {string(native.Hello{Name: "c", Revision: native.Newest, User: "u"}.Encode()) + "\x00\x63", "99"},
+		"garbage behind a Hello": {string(native.Hello{Name: "c", Revision: native.NewestRevision, User: "u"}.Encode()) + "\x00\x63", "99"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", r.d.NativeAddress())
@@ -195,7 +195,7 @@
 			_, err = in.ReadServerHello()
 			if err == nil {
 				var p native.Packet
-				if p, err = in.ReadServer(native.Newest); err == nil && p.Exception != nil {
+				if p, err = in.ReadServer(native.NewestRevision); err == nil && p.Exception != nil {
 					err = p.Exception
 				}
 			}
@@ -220,7 +220,7 @@
 	for _, c := range []struct {
 		name         string
 		client, node int
-	}{{"an old client", native.Oldest, 0}, {"old nodes", 0, native.Oldest}, {"both old", 54453, 54450}} {
+	}{{"an old client", native.OldestRevision, 0}, {"old nodes", 0, native.OldestRevision}, {"both old", 54453, 54450}} {
 		t.Run(c.name, func(t *testing.T) {
 			old := simulated.NewNode("old", simulated.Model{}, 1)
 			old.Revision = c.node
@@ -336,7 +336,7 @@
 // is whole packets, and the node is told.
 func TestCancelledInTheMiddleOfAnAnswer(t *testing.T) {
 	r := newRig(t, 1, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t, native.NewestRevision)
 	for range 3 {
 		c.ask("SELECT 1 /* rows=40000 row_bytes=500 */")
 		if p := c.until(native.ServerData); p.Code != native.ServerData {
@@ -365,7 +365,7 @@
 // are closed.
 func TestDrainWithPooledConnections(t *testing.T) {
 	r := newRig(t, 2, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t, native.NewestRevision)
 	ask := func() {
 		t.Helper()
 		c.ask("SELECT 1 /* rows=1 */")
--- a/server/temporary_test.go
+++ b/server/temporary_test.go
@@ -36,7 +36,7 @@
 // connections, and nothing on nodes when the client is gone.
 func TestTemporaryTables(t *testing.T) {
 	r := newRig(t, 3, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t, native.NewestRevision)
 	for range 5 {
 		for _, s := range []string{"CREATE TEMPORARY TABLE tmp_a (id UInt64)", "INSERT INTO tmp_a SELECT 1", "SELECT * FROM tmp_a /* rows=2 */",
 			"CREATE TEMPORARY TABLE tmp_b (id UInt64)", "SELECT * FROM tmp_b", "DROP TABLE tmp_a", "SELECT * FROM tmp_b", "DROP TEMPORARY TABLE tmp_b", "SELECT 1"} {
@@ -50,7 +50,7 @@
 		t.Errorf("%d sessions are held", held)
 	}
 	c.run("CREATE TEMPORARY TABLE tmp_c (id UInt64)")
-	if e := r.rawNative(t, native.Newest).run("SELECT * FROM tmp_c"); e == nil || e.Code != 60 {
+	if e := r.rawNative(t, native.NewestRevision).run("SELECT * FROM tmp_c"); e == nil || e.Code != 60 {
 		t.Errorf("another client sees the table: %v", e)
 	}
 	c.Close()
@@ -75,7 +75,7 @@
 // What concerns the connection alone is answered here: options are replayed on every node, what cannot be is refused.
 func TestOptionsOfAConnection(t *testing.T) {
 	r := newRig(t, 2, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t, native.NewestRevision)
 	for s, says := range map[string]string{"SET max_execution_time = 0.2": "", "SET ROLE admin": "can neither be replayed", "BEGIN TRANSACTION": "can neither be replayed", "USE other": ""} {
 		if e := c.run(s); says == "" && e != nil || says != "" && (e == nil || !strings.Contains(e.Message, says)) {
 			t.Errorf("%s: %v, want %q", s, e, says)
@@ -85,7 +85,7 @@
 	if e := c.run("SELECT 1 /* work_ms=3000 cost_ms=1 */"); e == nil || time.Since(begin) > time.Second {
 		t.Errorf("the option that was set does not hold: %v after %v", e, time.Since(begin))
 	}
-	other := r.rawNative(t, native.Newest)
+	other := r.rawNative(t, native.NewestRevision)
 	if e := other.run("SELECT 1 /* work_ms=400 */"); e != nil {
 		t.Errorf("another client has the option: %v", e)
 	}
@@ -122,7 +122,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 3, c.more)
-			client := r.rawNative(t, native.Newest)
+			client := r.rawNative(t, native.NewestRevision)
 			if e := client.run("CREATE TEMPORARY TABLE tmp_a (id UInt64)"); e != nil {
 				t.Fatal(e)
 			}
--- a/simulated/native.go
+++ b/simulated/native.go
@@ -60,7 +60,7 @@
 	}
 	newest := s.node.Revision
 	if newest == 0 {
-		newest = native.Newest
+		newest = native.NewestRevision
 	}
 	s.revision = min(h.Revision, newest)
 	s.w.Write(native.Server{Name: "standin", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: s.node.Name}.Encode())
@@ -106,7 +106,7 @@
 			if p.query, err = r.ReadQuery(s.revision); err != nil {
 				return
 			}
-			r.Packed = p.query.Compression
+			r.Compressed = p.query.Compression
 			for b := (native.Block{Rows: 1}); !b.End(); {
 				if code, err = r.ReadClient(); err != nil || code != native.ClientData {
 					return
@@ -240,7 +240,7 @@
 	s.w.Write(native.PutUvarint([]byte{native.ServerProgress}, uint64(rows)))
 	s.w.Write(native.PutUvarint([]byte{0}, uint64(total)))
 	s.w.Write([]byte{0, 0})
-	if s.revision >= native.Newest {
+	if s.revision >= native.NewestRevision {
 		s.w.Write([]byte{0})
 	}
 }
