--- a/internal/flightwire/frame.go
+++ b/internal/flightwire/frame.go
@@ -92,7 +92,7 @@
 type cursor struct {
 	rest mem.BufferSlice
 	at   int
-	left int
+	remaining int
 }
 
 func (c *cursor) next() (byte, error) {
@@ -104,7 +104,7 @@
 	}
 	b := c.rest[0].ReadOnlyData()[c.at]
 	c.at++
-	c.left--
+	c.remaining--
 	return b, nil
 }
 
@@ -127,10 +127,10 @@
 }
 
 func (c *cursor) skip(n uint64) error {
-	if n > uint64(c.left) {
+	if n > uint64(c.remaining) {
 		return errTruncated
 	}
-	c.left -= int(n)
+	c.remaining -= int(n)
 	for n > 0 {
 		here := uint64(c.rest[0].Len() - c.at)
 		if n < here {
@@ -147,9 +147,9 @@
 // looked at. Unknown fields are passed over, as protobuf asks.
 func (f *Frame) Envelope() (Envelope, error) {
 	var e Envelope
-	c := cursor{rest: f.buffers, left: f.buffers.Len()}
-	for c.left > 0 {
-		at := f.Len() - c.left
+	c := cursor{rest: f.buffers, remaining: f.buffers.Len()}
+	for c.remaining > 0 {
+		at := f.Len() - c.remaining
 		tag, err := c.varint()
 		if err != nil {
 			return e, fmt.Errorf("FlightData, byte %d: %w", at, err)
--- a/internal/flightwire/frame_test.go
+++ b/internal/flightwire/frame_test.go
@@ -78,13 +78,13 @@
 func FuzzCommand(f *testing.F) {
 	f.Add(StatementCommand("CommandStatementQuery", "SELECT 1"))
 	f.Add(FlightInfo([]byte("s"), Descriptor(nil), []byte("t"), 9))
-	f.Fuzz(func(t *testing.T, b []byte) {
+	f.Fuzz(func(_ *testing.T, b []byte) { // nothing here may panic
 		if c, err := ParseCommand(b); err == nil {
-			ParseStatement(c.Body, false)
+			_, _ = ParseStatement(c.Body, false)
 		}
-		ParseDescriptor(b)
-		FirstTicket(b)
-		ParseAction(b)
-		Uint32s(b, 1)
+		_, _ = ParseDescriptor(b)
+		_, _, _ = FirstTicket(b)
+		_, _ = ParseAction(b)
+		_, _ = Uint32s(b, 1)
 	})
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -18,10 +18,11 @@
 	c := zap.NewProductionConfig()
 	c.Level, c.Encoding = zap.NewAtomicLevelAt(at), format
 	c.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	c.Sampling = nil // a fault that repeats is told each time
+	c.Sampling = nil // a fault that repeats is logged each time
 	z, err := c.Build()
 	if err != nil {
 		return nil, nil, err
 	}
-	return slog.New(zapslog.NewHandler(z.Core())), func() { z.Sync() }, nil
+	// Sync fails on terminals and pipes, which hold nothing back.
+	return slog.New(zapslog.NewHandler(z.Core())), func() { _ = z.Sync() }, nil
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -28,6 +28,7 @@
 	Savepoint
 )
 
+// String names what a token is used for.
 func (p Purpose) String() string {
 	return [...]string{"token", "ticket", "prepared statement handle", "bearer token", "session cookie", "transaction", "savepoint"}[min(p, 6)]
 }
@@ -71,10 +72,11 @@
 	return s, nil
 }
 
+// mac is the keyed hash of a token's body.
 func mac(pool *sync.Pool, body []byte) (sum [macSize]byte) {
 	h := pool.Get().(*blake3.Hasher)
 	h.Reset()
-	h.Write(body)
+	_, _ = h.Write(body) // a hash takes everything
 	h.Sum(sum[:0])
 	pool.Put(h)
 	return sum
