--- a/internal/flightwire/frame.go
+++ b/internal/flightwire/frame.go
@@ -90,8 +90,8 @@
 
 // cursor walks over buffers without copying them together.
 type cursor struct {
-	rest mem.BufferSlice
-	at   int
+	rest      mem.BufferSlice
+	at        int
 	remaining int
 }
 
