--- a/policy/change.go
+++ b/policy/change.go
@@ -21,18 +21,18 @@
 		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d", len(classes),
 			len(tenants), len(s.Classes), len(s.Tenants))
 	}
-	if len(s.Kinds) < len(g.set.Kinds) {
-		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.set.Kinds))
+	if len(s.Kinds) < len(g.settings.Kinds) {
+		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.settings.Kinds))
 	}
-	newClass, err := numbers("Classes", classes, len(g.classes))
+	newClass, err := newNumbers("Classes", classes, len(g.classes))
 	if err != nil {
 		return err
 	}
-	newTenant, err := numbers("Tenants", tenants, len(g.tenants))
+	newTenant, err := newNumbers("Tenants", tenants, len(g.tenants))
 	if err != nil {
 		return err
 	}
-	open := slices.DeleteFunc(slices.Clone(g.live), func(q *request) bool { return q.done && q.open == 0 })
+	open := slices.DeleteFunc(slices.Clone(g.active), func(q *request) bool { return q.done && q.openAttempts == 0 })
 	for _, q := range open {
 		if newClass[q.Class] < 0 {
 			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
@@ -40,10 +40,10 @@
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
 	old := g.classes
-	g.live = open
-	g.set, g.classes = s, make([]class, len(s.Classes))
+	g.active = open
+	g.settings, g.classes = s, make([]class, len(s.Classes))
 	for i, c := range s.Classes {
-		fresh := class{threads: float64(max(c.Threads, 1)), margin: old[0].margin}
+		fresh := class{threads: float64(max(c.Threads, 1)), grantMargin: old[0].grantMargin}
 		if from := classes[i]; from >= 0 {
 			fresh = old[from]
 			fresh.threads = float64(max(c.Threads, 1))
@@ -56,35 +56,35 @@
 		if now := &g.classes[q.Class]; sameRules(q.class.Class, now.Class) {
 			q.class = now
 		}
-		q.Tenant = renumbered(newTenant, q.Tenant)
+		q.Tenant = renumber(newTenant, q.Tenant)
 	}
-	g.retenant(tenants)
+	g.renumberTenants(tenants)
 	for _, e := range g.byID { // each by itself: the order does not matter
 		if e.Kind >= 0 && e.Kind < len(s.Kinds) {
-			e.cores, e.memory = float64(max(s.Kinds[e.Kind].Cores, 1)), s.Kinds[e.Kind].MemoryMB
+			e.cores, e.memoryMB = float64(max(s.Kinds[e.Kind].Cores, 1)), s.Kinds[e.Kind].MemoryMB
 		}
-		if cold := e.cold; cold != nil {
-			e.cold = make([]store, len(classes))
+		if cold := e.slowStart; cold != nil {
+			e.slowStart = make([]workBudget, len(classes))
 			for i, from := range classes {
 				if from >= 0 && from < len(cold) {
-					e.cold[i] = cold[from]
+					e.slowStart[i] = cold[from]
 				}
 			}
 		}
 	}
-	g.slack = g.patience()
+	g.slack = g.objectiveSlack()
 	return nil
 }
 
-// retenant carries the traffic of tenants over.
-func (g *Gateway) retenant(from []int) {
+// renumberTenants carries the traffic of tenants over.
+func (g *Gateway) renumberTenants(from []int) {
 	old := g.tenants
 	g.tenants = make([]tenant, len(from))
 	for i, f := range from {
 		if f >= 0 {
 			g.tenants[i] = old[f]
 		}
-		g.tenants[i].allowance = g.set.Tenants[i].Quota
+		g.tenants[i].quota = g.settings.Tenants[i].Quota
 	}
 }
 
@@ -95,8 +95,8 @@
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
-// numbers turns "which old one" into "which new one", -1 for those that end.
-func numbers(field string, from []int, old int) ([]int, error) {
+// newNumbers turns "which old one" into "which new one", -1 for those that end.
+func newNumbers(field string, from []int, old int) ([]int, error) {
 	out := make([]int, old)
 	for i := range out {
 		out[i] = -1
@@ -113,7 +113,7 @@
 	return out, nil
 }
 
-func renumbered(to []int, i int) int {
+func renumber(to []int, i int) int {
 	if i < 0 || i >= len(to) {
 		return i
 	}
@@ -123,19 +123,19 @@
 // Outstanding tells what of the rules' counts is out: further attempts and requests taken within the budget's span, and whether
 // any order key has an attempt out or rests.
 func (g *Gateway) Outstanding() (further, taken int, resting bool) {
-	since := g.now - g.set.RetryBudgetWindow
-	for _, at := range g.further {
+	since := g.now - g.settings.RetryBudgetWindow
+	for _, at := range g.retriedAt {
 		if at > since {
 			further++
 		}
 	}
-	for _, at := range g.taken {
+	for _, at := range g.receivedAt {
 		if at > since {
 			taken++
 		}
 	}
-	for _, t := range g.turns { // any of them: the order does not matter
-		resting = resting || t.open > 0 || g.now < t.rest
+	for _, t := range g.keyOrders { // any of them: the order does not matter
+		resting = resting || t.openAttempts > 0 || g.now < t.restUntil
 	}
 	return further, taken, resting
 }
--- a/policy/change_test.go
+++ b/policy/change_test.go
@@ -52,21 +52,21 @@
 	if got := sent(g.Step(now+180_000, []Event{AttemptResult{ID: "p", Endpoint: "e1", Code: Rejected, Latency: 10000}})); !slices.Equal(got, []string{"p"}) {
 		t.Errorf("after p was turned away sent %v", got)
 	}
-	if g.inBudget() {
+	if g.withinRetryBudget() {
 		t.Error("the budget of one further attempt has room for a second")
 	}
 	g.Step(now+240_000, []Event{AttemptResult{ID: "p", Attempt: 1, Endpoint: "e1", Code: OK, Final: true, Latency: 10000},
 		AttemptResult{ID: "t2", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}, AttemptResult{ID: "m", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}})
-	if n := g.ownThreads(); n != 0 {
+	if n := g.threadsInFlight(); n != 0 {
 		t.Errorf("%v threads are left on the books", n)
 	}
-	for _, e := range g.engines {
-		if e.threads != 0 || len(e.open) != 0 {
-			t.Errorf("%s has %v threads, %d attempts on the books", e.ID, e.threads, len(e.open))
+	for _, e := range g.endpoints {
+		if e.threads != 0 || len(e.attempts) != 0 {
+			t.Errorf("%s has %v threads, %d attempts on the books", e.ID, e.threads, len(e.attempts))
 		}
 	}
-	if g.byID["e2"].State != Draining || g.classes[0].taken != 2 || g.classes[2].taken != 1 {
-		t.Errorf("drain or learning lost: %v, %v, %v", g.byID["e2"].State, g.classes[0].taken, g.classes[2].taken)
+	if g.byID["e2"].State != Draining || g.classes[0].received != 2 || g.classes[2].received != 1 {
+		t.Errorf("drain or learning lost: %v, %v, %v", g.byID["e2"].State, g.classes[0].received, g.classes[2].received)
 	}
 }
 
@@ -94,7 +94,7 @@
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if len(g.classes) != 1 || g.open["q"].class != &g.classes[0] || len(g.set.Kinds) != 1 {
+	if len(g.classes) != 1 || g.requests["q"].class != &g.classes[0] || len(g.settings.Kinds) != 1 {
 		t.Error("something changed")
 	}
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -47,7 +47,7 @@
 
 func (b *bench) request(class int) Request {
 	b.ids++
-	c := b.g.set.Classes[class]
+	c := b.g.settings.Classes[class]
 	return Request{ID: fmt.Sprintf("q%d", b.ids), Class: class, Cost: 100000 * Micros(1+class*29), MemoryMB: 100,
 		Deadline: b.now + c.Deadline}
 }
@@ -127,7 +127,7 @@
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
-	if out.Endpoint == "" || len(b.g.byID) != 2 || len(b.g.byKey) != 2 || b.g.byID[out.Endpoint] == nil {
+	if out.Endpoint == "" || len(b.g.byID) != 2 || len(b.g.byWireID) != 2 || b.g.byID[out.Endpoint] == nil {
 		t.Errorf("%d engines on the books, want the one in the list and %q", len(b.g.byID), out.Endpoint)
 	}
 	b.step(AttemptResult{ID: out.ID, Endpoint: out.Endpoint, Final: true, Latency: 100000})
@@ -149,8 +149,8 @@
 				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
-		if most := int(span/10000) + 200; len(b.g.taken) > most {
-			t.Errorf("span %d: %d of 5000 requests on the books, at most %d in the span", span, len(b.g.taken), most)
+		if most := int(span/10000) + 200; len(b.g.receivedAt) > most {
+			t.Errorf("span %d: %d of 5000 requests on the books, at most %d in the span", span, len(b.g.receivedAt), most)
 		}
 	}
 }
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -72,8 +72,8 @@
 		b.now += 25000
 		b.step(b.request(0))
 	}
-	for _, e := range b.g.engines {
-		if e.suspect {
+	for _, e := range b.g.endpoints {
+		if e.ejected {
 			t.Fatalf("%s is suspect after half a second", e.ID)
 		}
 	}
@@ -84,13 +84,13 @@
 func TestBadPlanIsRestarted(t *testing.T) {
 	for _, slow := range []float64{0, 2} {
 		b := newBench(t, testSettings(), 2)
-		for _, e := range b.g.engines {
-			e.slow, e.heard = slow, b.now
+		for _, e := range b.g.endpoints {
+			e.inflation, e.lastResponse = slow, b.now
 		}
 		q := b.request(0)
 		b.step(q)
-		for _, e := range b.g.engines {
-			e.heard = b.now + 1 // answers of others keep coming
+		for _, e := range b.g.endpoints {
+			e.lastResponse = b.now + 1 // answers of others keep coming
 		}
 		acts := b.until(b.now + 6*sec/10)
 		if n := len(only[Cancel](acts)); (n > 0) != (slow == 0) {
@@ -105,8 +105,8 @@
 	s := only[Send](b.step(b.request(0)))[0]
 	b.now += 20000
 	b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: FractionDone, Value: 1})
-	for _, e := range b.g.engines {
-		e.heard = b.now + 1 // answers of others keep coming
+	for _, e := range b.g.endpoints {
+		e.lastResponse = b.now + 1 // answers of others keep coming
 	}
 	if acts := b.until(b.now + 6*sec/10); len(only[Cancel](acts)) == 0 {
 		t.Error("not called off")
@@ -115,20 +115,20 @@
 
 // Estimates scatter tenfold; the fit must not take that for the work itself.
 func TestWideEstimatesAreShrunk(t *testing.T) {
-	var f fit
+	var f powerFit
 	for i := range 300 {
 		off := float64(i%7-3) / 2 // log error of the estimate; the work is always one second
-		f.add(math.Exp(off), 1, fitStep)
+		f.add(math.Exp(off), 1, fitSmoothing)
 	}
-	if w := f.at(10, 0, firstSlope, 0); w > 1.5 {
+	if w := f.predict(10, 0, initialSlope, 0); w > 1.5 {
 		t.Fatalf("work of %v from an estimate ten times too high", w)
 	}
-	var g fit
+	var g powerFit
 	for i := range 300 {
 		x := math.Exp(float64(i%7-3) / 2)
-		g.add(x, 2*x, fitStep)
+		g.add(x, 2*x, fitSmoothing)
 	}
-	if w := g.at(10, 0, firstSlope, 0); math.Abs(w-20) > 2 {
+	if w := g.predict(10, 0, initialSlope, 0); math.Abs(w-20) > 2 {
 		t.Fatalf("work of %v from good estimates, biased by two", w)
 	}
 }
@@ -137,7 +137,7 @@
 func TestMemoryMarginFollowsSpills(t *testing.T) {
 	for _, spill := range []bool{true, false} {
 		b := newBench(t, testSettings(), 4)
-		before := b.g.classes[0].margin
+		before := b.g.classes[0].grantMargin
 		for range 50 {
 			b.now += 50000
 			for _, s := range only[Send](b.step(b.request(0))) {
@@ -148,7 +148,7 @@
 				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
-		if after := b.g.classes[0].margin; (after > before) != spill {
+		if after := b.g.classes[0].grantMargin; (after > before) != spill {
 			t.Errorf("spills %v: margin %v to %v", spill, before, after)
 		}
 	}
@@ -159,7 +159,7 @@
 	s := testSettings()
 	s.CanGossip = true
 	a, b := newBench(t, s, 1), newBench(t, s, 1)
-	a.g.set.PeerIndex, b.g.set.PeerIndex = 0, 1
+	a.g.settings.PeerIndex, b.g.settings.PeerIndex = 0, 1
 	for range 40 {
 		a.step(a.request(1))
 	}
@@ -169,12 +169,12 @@
 	}
 	b.now = a.now
 	b.step(GossipReceived{From: 0, Data: told[len(told)-1].Data})
-	there := a.g.engines[0].threads // one query may have gone out since the message
-	if threads, _ := b.g.others(b.g.engines[0]); threads < there-4 || threads > there || threads == 0 {
+	there := a.g.endpoints[0].threads // one query may have gone out since the message
+	if threads, _ := b.g.peerLoad(b.g.endpoints[0]); threads < there-4 || threads > there || threads == 0 {
 		t.Fatalf("heard of %v threads, there are %v", threads, there)
 	}
 	b.until(b.now + 5*sec)
-	if threads, _ := b.g.others(b.g.engines[0]); threads != 0 {
+	if threads, _ := b.g.peerLoad(b.g.endpoints[0]); threads != 0 {
 		t.Fatal("a silent peer still counts")
 	}
 }
--- a/policy/lane_test.go
+++ b/policy/lane_test.go
@@ -71,11 +71,11 @@
 	a, b := newBench(t, loadSettings(), 6), newBench(t, loadSettings(), 6)
 	differ := false
 	for tables := range int64(20) {
-		for i, e := range a.g.engines {
-			if a.g.lane(tables, e) != b.g.lane(tables, b.g.engines[i]) {
+		for i, e := range a.g.endpoints {
+			if a.g.inAffinitySubset(tables, e) != b.g.inAffinitySubset(tables, b.g.endpoints[i]) {
 				t.Errorf("group %d, %s: two gateways do not agree", tables, e.ID)
 			}
-			differ = differ || a.g.lane(tables, e) != a.g.lane(0, e)
+			differ = differ || a.g.inAffinitySubset(tables, e) != a.g.inAffinitySubset(0, e)
 		}
 	}
 	if !differ {
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -24,19 +24,19 @@
 
 // LearnedClass is what was learned of one class.
 type LearnedClass struct {
-	Name            string          `json:"Name"`
-	Mean            Running         `json:"Mean"`
-	UsualWork       Running         `json:"Heft"`
-	EstimateMedian  Running         `json:"Asked"`
-	Ratio           Running         `json:"Ratio"`
-	Memory          Running         `json:"Memory"`
-	Received        float64         `json:"Taken"`
-	Dispersion      float64         `json:"Stray"`
-	DispersionCount float64         `json:"StrayN"`
-	Margin          float64         `json:"Margin"`
-	Fit             [5]float64      `json:"Fit"`
-	Price           [levels]float64 `json:"Price"`
-	QueueWait       [levels]float64 `json:"Wait"`
+	Name            string                  `json:"Name"`
+	Mean            Running                 `json:"Mean"`
+	UsualWork       Running                 `json:"Heft"`
+	EstimateMedian  Running                 `json:"Asked"`
+	Ratio           Running                 `json:"Ratio"`
+	Memory          Running                 `json:"Memory"`
+	Received        float64                 `json:"Taken"`
+	Dispersion      float64                 `json:"Stray"`
+	DispersionCount float64                 `json:"StrayN"`
+	Margin          float64                 `json:"Margin"`
+	Fit             [5]float64              `json:"Fit"`
+	Price           [priorityLevels]float64 `json:"Price"`
+	QueueWait       [priorityLevels]float64 `json:"Wait"`
 }
 
 // LearnedFleet is what was learned of all engines together and of own traffic.
@@ -64,18 +64,18 @@
 
 // Learned returns what the gateway knows now.
 func (g *Gateway) Learned() Learned {
-	run := func(a average) Running { return Running{a.v, a.n} }
-	rank := func(q quantile) Running { return Running{q.v, q.n} }
-	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.stretch, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
-		GrantMB: g.meanMB, SentThreads: run(g.meanSent), Latency: run(g.meanTook), Cost: run(g.meanCost), Inflation: rank(g.crowd), Capacity: g.room, InFlight: g.meanOpen}}
+	run := func(a runningMean) Running { return Running{a.v, a.n} }
+	rank := func(q runningMedian) Running { return Running{q.v, q.n} }
+	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.warmthInflation, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
+		GrantMB: g.meanGrantMB, SentThreads: run(g.sentThreads), Latency: run(g.attemptLatency), Cost: run(g.meanWork), Inflation: rank(g.inflation), Capacity: g.capacity, InFlight: g.meanInFlight}}
 	for i := range g.classes {
 		c := &g.classes[i]
-		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.mean), UsualWork: run(c.heft), EstimateMedian: rank(c.asked), Ratio: rank(c.ratio),
-			Memory: rank(c.memory), Received: c.taken, Dispersion: c.stray, DispersionCount: c.strayN, Margin: c.margin,
-			Fit: [5]float64{c.fit.n, c.fit.x, c.fit.y, c.fit.xx, c.fit.xy}, Price: c.price, QueueWait: c.wait})
+		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.meanWork), UsualWork: run(c.usualWork), EstimateMedian: rank(c.estimateMedian), Ratio: rank(c.latencyRatio),
+			Memory: rank(c.memoryMedian), Received: c.received, Dispersion: c.dispersion, DispersionCount: c.dispersionCount, Margin: c.grantMargin,
+			Fit: [5]float64{c.workFit.n, c.workFit.x, c.workFit.y, c.workFit.xx, c.workFit.xy}, Price: c.price, QueueWait: c.queueWait})
 	}
-	for _, e := range g.engines {
-		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.slow, e.faults})
+	for _, e := range g.endpoints {
+		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.inflation, e.faultShare})
 	}
 	return l
 }
@@ -83,50 +83,50 @@
 // Restore takes in what another gateway has learned: of classes of the same name always; prices and waits, the fleet's state
 // and single engines' where fresh says that they still hold. It must come before the first Step.
 func (g *Gateway) Restore(l Learned, fresh bool) error {
-	if g.begun || g.now != 0 {
+	if g.started || g.now != 0 {
 		return fmt.Errorf("policy: what was learned must be recalled before the first step")
 	}
 	if l.Version != LearnedVersion {
 		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
-	run := func(r Running) average { return average{v: r.Value, n: r.Count} }
-	rank := func(r Running) quantile { return quantile{r.Value, r.Count} }
+	run := func(r Running) runningMean { return runningMean{v: r.Value, n: r.Count} }
+	rank := func(r Running) runningMedian { return runningMedian{r.Value, r.Count} }
 	for _, k := range l.Classes {
 		for i := range g.classes {
 			c := &g.classes[i]
 			if c.Name != k.Name {
 				continue
 			}
-			c.mean, c.heft, c.asked, c.ratio, c.memory = run(k.Mean), run(k.UsualWork), rank(k.EstimateMedian), rank(k.Ratio), rank(k.Memory)
-			c.taken, c.stray, c.strayN, c.margin = k.Received, k.Dispersion, k.DispersionCount, k.Margin
-			c.fit = fit{k.Fit[0], k.Fit[1], k.Fit[2], k.Fit[3], k.Fit[4]}
+			c.meanWork, c.usualWork, c.estimateMedian, c.latencyRatio, c.memoryMedian = run(k.Mean), run(k.UsualWork), rank(k.EstimateMedian), rank(k.Ratio), rank(k.Memory)
+			c.received, c.dispersion, c.dispersionCount, c.grantMargin = k.Received, k.Dispersion, k.DispersionCount, k.Margin
+			c.workFit = powerFit{k.Fit[0], k.Fit[1], k.Fit[2], k.Fit[3], k.Fit[4]}
 			if fresh {
-				c.price, c.wait = k.Price, k.QueueWait
+				c.price, c.queueWait = k.Price, k.QueueWait
 			}
 		}
 	}
 	f := l.Fleet
-	g.stretch, g.meanThreads, g.meanSent, g.meanTook, g.meanCost, g.meanMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
+	g.warmthInflation, g.meanThreads, g.sentThreads, g.attemptLatency, g.meanWork, g.meanGrantMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
 	if !fresh {
 		return nil
 	}
-	g.rate, g.meanRate, g.crowd, g.room, g.meanOpen = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
-	g.recalled = map[string]LearnedEndpoint{}
+	g.rate, g.meanRate, g.inflation, g.capacity, g.meanInFlight = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
+	g.restored = map[string]LearnedEndpoint{}
 	for _, e := range l.Endpoints {
-		g.recalled[e.ID] = e
+		g.restored[e.ID] = e
 	}
 	return nil
 }
 
-// sameStart is how far two clocks may be apart on one start of an engine.
-const sameStart = Micros(micros)
+// sameStartTolerance is how far two clocks may be apart on one start of an engine.
+const sameStartTolerance = Micros(microsPerSecond)
 
-// recall gives an engine that is met for the first time what was known of it in this life.
-func (g *Gateway) recall(e *engine) {
-	if k, ok := g.recalled[e.ID]; ok {
-		delete(g.recalled, e.ID)
-		if d := k.Started - e.Started; d < sameStart && d > -sameStart {
-			e.slow, e.faults = k.Slow, k.Faults
+// restoreEndpoint gives an engine that is met for the first time what was known of it in this life.
+func (g *Gateway) restoreEndpoint(e *endpoint) {
+	if k, ok := g.restored[e.ID]; ok {
+		delete(g.restored, e.ID)
+		if d := k.Started - e.Started; d < sameStartTolerance && d > -sameStartTolerance {
+			e.inflation, e.faultShare = k.Slow, k.Faults
 		}
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -47,9 +47,9 @@
 			t.Errorf("the class: %+v, want %+v", got, l.Classes[0])
 		}
 	}
-	slow := b.g.byID["e1"].slow
-	if slow == 0 || warm.byID["e1"].slow != slow || stale.byID["e1"].slow != 0 || warm.byID["e2"].slow != warm.crowd.v {
-		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.byID["e1"].slow, stale.byID["e1"].slow, warm.byID["e2"].slow)
+	slow := b.g.byID["e1"].inflation
+	if slow == 0 || warm.byID["e1"].inflation != slow || stale.byID["e1"].inflation != 0 || warm.byID["e2"].inflation != warm.inflation.v {
+		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.byID["e1"].inflation, stale.byID["e1"].inflation, warm.byID["e2"].inflation)
 	}
 	if err := warm.Restore(l, true); err == nil {
 		t.Error("recalled after the first step")
--- a/policy/network_test.go
+++ b/policy/network_test.go
@@ -32,11 +32,11 @@
 		for _, s := range sends {
 			open = append(open, out{s, b.now + 100000})
 		}
-		for _, e := range b.g.engines {
-			if looks++; e.coldSince > 0 && b.now-e.coldSince < b.g.set.SlowStartDuration {
+		for _, e := range b.g.endpoints {
+			if looks++; e.slowStartSince > 0 && b.now-e.slowStartSince < b.g.settings.SlowStartDuration {
 				cold++
 			}
-			if e.suspect {
+			if e.ejected {
 				doubted++
 			}
 		}
@@ -58,20 +58,20 @@
 		b.now += 1000
 		sends = append(sends, only[Send](b.step(b.request(0)))...)
 	}
-	e := b.g.engines[0]
+	e := b.g.endpoints[0]
 	for _, s := range sends[:2] {
 		b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: ConnectionReset})
 	}
-	if e.coldSince != b.now {
+	if e.slowStartSince != b.now {
 		t.Fatal("two connections broken at once do not make it cold")
 	}
-	e.cold = nil
+	e.slowStart = nil
 	b.now += sec / 2
-	late := &attempt{e: e, sent: b.now}
-	if e.lives(late); e.coldSince == 0 {
+	late := &attempt{endpoint: e, sentAt: b.now}
+	if e.confirmAlive(late); e.slowStartSince == 0 {
 		t.Error("an answer to what was sent since takes the cold away")
 	}
-	if b.step(Progress{ID: sends[2].ID, Endpoint: e.ID, Kind: FractionDone, Value: 0.1}); e.coldSince != 0 {
+	if b.step(Progress{ID: sends[2].ID, Endpoint: e.ID, Kind: FractionDone, Value: 0.1}); e.slowStartSince != 0 {
 		t.Error("a note on what was sent before leaves it cold")
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -16,88 +16,88 @@
 
 // The tuned values: ratios, shares of settings, or figures of the design page.
 const (
-	levels       = 4    // priority levels (engine priorities 3 to 0)
-	priceStep    = 0.1  // weight of a newly computed toll (design page)
-	priceEvery   = 1.0  // seconds between tolls (design page)
-	crowdCap     = 0.9  // most that u counts in 1/(1-u) (design page)
-	passUtil     = 0.7  // an engine below this utilisation has a free core (design page)
-	waitStep     = 0.2  // weight of one outcome in a class's wait: about five outcomes
-	rateStep     = 0.3  // weight of one interval in an admitted rate: about three seconds
-	wakeEvery    = 0.02 // seconds between looks at open attempts: a few ticks of a dispatcher
-	threadsACore = 1.5  // starting room, threads a core: engines lose total work beyond one or two
-	threadsMost  = 2.0  // most room, threads a core: the upper end of the same
-	claimPower   = 3.0  // claims grow by this power of how far the fleet is under a thread a core
-	memoryHigh   = 0.95 // share of memory granted above which nothing more is sent
-	crowdedPart  = 0.67 // part of the log stretch that aims leave above which a room narrows: work is lost
-	widenPart    = 0.48 // part of it below which a room in full use widens
-	roomDown     = 0.9  // factor of narrowing, gentle since reports are late
-	roomLeast    = 0.25 // threads a core that a crowded fleet is left at least
-	roomEvery    = 0.2  // seconds between two changes of one room: a report must have come
-	lightRoom    = 1.3  // light queries may fill the room this much further: they leave soon
-	longRoom     = 0.6  // part of the room that a query far over its class's mean may fill: it stays long
-	staleRoom    = 0.3  // part of the room kept free for what an old report does not show
-	reportFresh  = 3.0  // seconds for which a load report is believed, ever less, and passed on
-	quantStep    = 0.03 // least step of a learned quantile, in log units
-	meanStep     = 0.02 // weight of one query in a mean
-	fitStep      = 0.01 // least weight of one answer in the fit of work to estimate: the last hundred or so
-	firstSlope   = 0.5  // slope of the fit at first: half of what a rough estimate says is believed
-	baseFirst    = 20   // answers of a class from which its fit is learned whatever the crowd
-	coldStretch  = 0.5  // part of the ramp credited to a cold engine: its shape is not told
-	coldSpeed    = 0.8  // speed of a machine slower than most, against what its cores tell
-	coldTilt     = 10.0 // tilt of Chernoff's bound on what all send a cold engine in a window
-	coldRisk     = 5.0  // log of how unlikely more than it bears is to be: once in 150 full windows
-	fullUtil     = 0.85 // utilisation at which an engine counts as at capacity
-	faultStep    = 0.25 // weight of one outcome in an engine's fault share: two in a row are a pattern
-	faultHigh    = 0.4  // fault share that makes an engine suspect
-	faultLow     = 0.1  // fault share at which it is trusted again
-	trickleEvery = 0.5  // seconds between trial sends to a suspect engine
-	silentTimes  = 3.0  // an attempt this far past its expectation is overdue: a bad plan, or lost
-	strayTimes   = 2.0  // the same in mean deviations of the class's log times from its estimates
-	seenPart     = 0.5  // part of that time by which the next attempt is judged: pace is rough
-	planGain     = 1.5  // expected times that a restart must save
-	notesMissed  = 3.0  // notes in a row that may be missing
-	silentAges   = 2.0  // usual ages of the fleet's news that are no silence yet
-	silentFloor  = 0.6  // seconds of silence below which overdue attempts prove nothing (pauses)
-	passTimes    = 4.0  // a query this far over its class's mean is no use for a free core: it stays
-	planFloor    = 0.3  // seconds below which no attempt is judged
-	slowStep     = 0.15 // weight of one answer in an engine's stretch
-	crowdStep    = 0.2  // least step of the fleet's stretch, log units: a few seconds of a small gateway
-	slowFirst    = 0.5  // the same where none came for as long as reports are believed
-	slowSlack    = 0.4  // log stretch over the fleet's that is scatter
-	slowClip     = 2.5  // most that one answer counts, in log units: bad plans are not the engine's
-	speedFloor   = 0.1  // least speed credited to a slow engine, so that it is seen to recover
-	drawPower    = 2.0  // sharpness of the draw against utilisation
-	drawFloor    = 0.03 // least share of room in the draw
-	homeZone     = 4.0  // weight of engines in the gateway's own zone
-	heldTables   = 0.1  // weight of an engine where a load holds the group, for classes that wait
-	lanePart     = 0.5  // part of the engines that take the loads of one group
-	doorFree     = 0.7  // part of what may be held that has no price
-	doorAge      = 0.5  // part of its age that a query past its expected end may be thought to stay on
-	grantMargin  = 1.75 // first memory grant over the fitted estimate: it may lie low, and a spill costs more
-	blindMargin  = 2.5  // the same where no notes tell of spills: nothing would correct it
-	engineGrant  = 1.25 // memory that an engine grants by itself, over the estimate (wire page)
-	swapMargin   = 4.0  // further margin where engines swap: only the lesser of grant and need counts
-	grantRank    = 0.85 // share of attempts whose grant is to cover their need
-	warmKeep     = 4    // groups of tables taken to be warm on an engine
-	warmSlack    = 0.1  // log saving below which warmth is taken for scatter
-	warmSharp    = 2.0  // power of the time saved by warmth in the draw
-	tellEvery    = 0.25 // least seconds between two messages to one peer
-	tellShare    = 0.7  // messages for each request taken: news is paid for by traffic
-	forget       = 0.8  // what is left each second of what was last heard, while nothing more is heard
-	wordFresh    = 1.0  // seconds for which a peer's word on its own attempts counts
-	wordMerge    = 0.5  // weight of a peer's fresher word on an engine against ours
-	askShare     = 0.6  // probes for each request taken when engines are full; goes with the crowd's square
-	askFloor     = 0.1  // least part of that: full engines must be found out
-	askMost      = 6.0  // probes saved up at most
-	askLight     = 3.0  // probes saved up that let a light query ask: heavy ones gain more
-	askStale     = 0.5  // seconds after which a report is worth asking for again
-	askWait      = 0.05 // seconds to wait for what was asked, and between tries to send what is held
-	threadsBusy  = 1.5  // threads out for each core that is busy: the others read or write
-	fullSlope    = 5.0  // threads a core for each unit of utilisation over fullUtil: it hides the rest
-	latelyWeight = 0.6  // own queries in flight, over seconds, up to which they may be so many by chance
-	ownWeight    = 4.0  // own attempts on an engine that weigh as much as the fleet's average
-	askEvery     = 1.0  // least seconds between two calls for the engine list
-	noteEvery    = 1.0  // seconds between two log lines
+	priorityLevels         = 4    // priority levels (engine priorities 3 to 0)
+	priceSmoothing         = 0.1  // weight of a newly computed toll (design page)
+	priceInterval          = 1.0  // seconds between tolls (design page)
+	maxTollUtilization     = 0.9  // most that u counts in 1/(1-u) (design page)
+	freeCoreUtilization    = 0.7  // an engine below this utilisation has a free core (design page)
+	queueWaitSmoothing     = 0.2  // weight of one outcome in a class's wait: about five outcomes
+	rateSmoothing          = 0.3  // weight of one interval in an admitted rate: about three seconds
+	timerInterval          = 0.02 // seconds between looks at open attempts: a few ticks of a dispatcher
+	initialCapacity        = 1.5  // starting room, threads a core: engines lose total work beyond one or two
+	maxCapacity            = 2.0  // most room, threads a core: the upper end of the same
+	claimExponent          = 3.0  // claims grow by this power of how far the fleet is under a thread a core
+	maxMemoryShare         = 0.95 // share of memory granted above which nothing more is sent
+	shrinkSlackShare       = 0.67 // part of the log stretch that aims leave above which a room narrows: work is lost
+	growSlackShare         = 0.48 // part of it below which a room in full use widens
+	capacityBackoff        = 0.9  // factor of narrowing, gentle since reports are late
+	minCapacity            = 0.25 // threads a core that a crowded fleet is left at least
+	capacityInterval       = 0.2  // seconds between two changes of one room: a report must have come
+	lightCapacityFactor    = 1.3  // light queries may fill the room this much further: they leave soon
+	longCapacityFactor     = 0.6  // part of the room that a query far over its class's mean may fill: it stays long
+	staleReportReserve     = 0.3  // part of the room kept free for what an old report does not show
+	reportLifetime         = 3.0  // seconds for which a load report is believed, ever less, and passed on
+	medianStep             = 0.03 // least step of a learned quantile, in log units
+	meanSmoothing          = 0.02 // weight of one query in a mean
+	fitSmoothing           = 0.01 // least weight of one answer in the fit of work to estimate: the last hundred or so
+	initialSlope           = 0.5  // slope of the fit at first: half of what a rough estimate says is believed
+	minFitAnswers          = 20   // answers of a class from which its fit is learned whatever the crowd
+	rampCredit             = 0.5  // part of the ramp credited to a cold engine: its shape is not told
+	slowMachineSpeed       = 0.8  // speed of a machine slower than most, against what its cores tell
+	chernoffTilt           = 10.0 // tilt of Chernoff's bound on what all send a cold engine in a window
+	chernoffExponent       = 5.0  // log of how unlikely more than it bears is to be: once in 150 full windows
+	saturatedUtilization   = 0.85 // utilisation at which an engine counts as at capacity
+	faultSmoothing         = 0.25 // weight of one outcome in an engine's fault share: two in a row are a pattern
+	ejectionMargin         = 0.4  // fault share that makes an engine suspect
+	readmissionMargin      = 0.1  // fault share at which it is trusted again
+	trialInterval          = 0.5  // seconds between trial sends to a suspect engine
+	overdueFactor          = 3.0  // an attempt this far past its expectation is overdue: a bad plan, or lost
+	overdueDispersions     = 2.0  // the same in mean deviations of the class's log times from its estimates
+	observedTimeShare      = 0.5  // part of that time by which the next attempt is judged: pace is rough
+	minRestartGain         = 1.5  // expected times that a restart must save
+	maxMissedProgress      = 3.0  // notes in a row that may be missing
+	unresponsiveAges       = 2.0  // usual ages of the fleet's news that are no silence yet
+	minUnresponsive        = 0.6  // seconds of silence below which overdue attempts prove nothing (pauses)
+	veryLongFactor         = 4.0  // a query this far over its class's mean is no use for a free core: it stays
+	minOverdueAge          = 0.3  // seconds below which no attempt is judged
+	inflationSmoothing     = 0.15 // weight of one answer in an engine's stretch
+	fleetInflationStep     = 0.2  // least step of the fleet's stretch, log units: a few seconds of a small gateway
+	rareInflationSmoothing = 0.5  // the same where none came for as long as reports are believed
+	inflationTolerance     = 0.4  // log stretch over the fleet's that is scatter
+	maxLogInflation        = 2.5  // most that one answer counts, in log units: bad plans are not the engine's
+	minSpeed               = 0.1  // least speed credited to a slow engine, so that it is seen to recover
+	utilizationExponent    = 2.0  // sharpness of the draw against utilisation
+	minDrawShare           = 0.03 // least share of room in the draw
+	localZoneWeight        = 4.0  // weight of engines in the gateway's own zone
+	lockedTablesWeight     = 0.1  // weight of an engine where a load holds the group, for classes that wait
+	affinityShare          = 0.5  // part of the engines that take the loads of one group
+	freeQueueShare         = 0.7  // part of what may be held that has no price
+	residualAgeShare       = 0.5  // part of its age that a query past its expected end may be thought to stay on
+	reportedGrantMargin    = 1.75 // first memory grant over the fitted estimate: it may lie low, and a spill costs more
+	unreportedGrantMargin  = 2.5  // the same where no notes tell of spills: nothing would correct it
+	defaultGrantFactor     = 1.25 // memory that an engine grants by itself, over the estimate (wire page)
+	swapGrantFactor        = 4.0  // further margin where engines swap: only the lesser of grant and need counts
+	grantQuantile          = 0.85 // share of attempts whose grant is to cover their need
+	maxWarmGroups          = 4    // groups of tables taken to be warm on an engine
+	warmthTolerance        = 0.1  // log saving below which warmth is taken for scatter
+	warmthExponent         = 2.0  // power of the time saved by warmth in the draw
+	gossipInterval         = 0.25 // least seconds between two messages to one peer
+	gossipPerRequest       = 0.7  // messages for each request taken: news is paid for by traffic
+	idleRetention          = 0.8  // what is left each second of what was last heard, while nothing more is heard
+	gossipLifetime         = 1.0  // seconds for which a peer's word on its own attempts counts
+	gossipRateSmoothing    = 0.5  // weight of a peer's fresher word on an engine against ours
+	healthChecksPerRequest = 0.6  // probes for each request taken when engines are full; goes with the crowd's square
+	minHealthCheckShare    = 0.1  // least part of that: full engines must be found out
+	maxHealthCheckCredit   = 6.0  // probes saved up at most
+	lightHealthCheckCredit = 3.0  // probes saved up that let a light query ask: heavy ones gain more
+	healthCheckInterval    = 0.5  // seconds after which a report is worth asking for again
+	healthCheckTimeout     = 0.05 // seconds to wait for what was asked, and between tries to send what is held
+	threadsPerBusyCore     = 1.5  // threads out for each core that is busy: the others read or write
+	saturatedThreadSlope   = 5.0  // threads a core for each unit of utilisation over saturatedUtilization: it hides the rest
+	recentOccupancyPrior   = 0.6  // own queries in flight, over seconds, up to which they may be so many by chance
+	localAttemptsPrior     = 4.0  // own attempts on an engine that weigh as much as the fleet's average
+	minPollInterval        = 1.0  // least seconds between two calls for the engine list
+	logInterval            = 1.0  // seconds between two log lines
 )
 
 // New returns a gateway, or an error that names the unusable setting.
@@ -106,66 +106,66 @@
 		return nil, err
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
-	g := &Gateway{set: s, noteEvery: noteEvery, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		part: 1 / float64(s.Peers), room: threadsACore}
-	g.tellTo = g.rng.IntN(s.Peers)
-	margin := math.Log(grantMargin)
+	g := &Gateway{settings: s, logInterval: logInterval, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		ownShare: 1 / float64(s.Peers), capacity: initialCapacity}
+	g.gossipTo = g.rng.IntN(s.Peers)
+	margin := math.Log(reportedGrantMargin)
 	if s.ProgressInterval == 0 {
-		margin = math.Log(blindMargin)
+		margin = math.Log(unreportedGrantMargin)
 	}
-	g.begin(margin)
-	g.slack = g.patience()
+	g.initialize(margin)
+	g.slack = g.objectiveSlack()
 	return g, nil
 }
 
 // Step takes what happened at one moment and returns what to do, in order.
 func (g *Gateway) Step(now Micros, events []Event) []Action {
-	g.start(now)
+	g.beginStep(now)
 	for _, ev := range events {
-		g.dispatch(ev)
+		g.handle(ev)
 	}
-	if now >= g.wakeAt || len(g.live) > 0 && g.wakeAt-now > Micros(wakeEvery*micros) {
-		g.watch()
-		after := Micros(wakeEvery * micros)
-		if len(g.live) == 0 {
-			after = Micros(priceEvery * micros)
+	if now >= g.timerAt || len(g.active) > 0 && g.timerAt-now > Micros(timerInterval*microsPerSecond) {
+		g.runMaintenance()
+		after := Micros(timerInterval * microsPerSecond)
+		if len(g.active) == 0 {
+			after = Micros(priceInterval * microsPerSecond)
 		}
-		g.wakeAt = now + after
-		g.do(SetTimer{After: after})
+		g.timerAt = now + after
+		g.emit(SetTimer{After: after})
 	}
-	if now >= g.pumpAt {
-		g.pump()
+	if now >= g.queueAt {
+		g.drainQueue()
 	}
-	return g.out
+	return g.actions
 }
 
-// take owns a request and admits, holds or refuses it.
-func (g *Gateway) take(r Request) {
-	if g.open[r.ID] != nil || r.Class < 0 || r.Class >= len(g.classes) {
+// handleRequest owns a request and admits, holds or refuses it.
+func (g *Gateway) handleRequest(r Request) {
+	if g.requests[r.ID] != nil || r.Class < 0 || r.Class >= len(g.classes) {
 		return
 	}
 	c := &g.classes[r.Class]
-	q := g.enrol(r, c)
+	q := g.register(r, c)
 	if r.Cost > 0 {
-		c.asked.add(math.Log(float64(r.Cost)/micros), 0.5, quantStep)
+		c.estimateMedian.add(math.Log(float64(r.Cost)/microsPerSecond), 0.5, medianStep)
 	}
-	q.est = c.fit.at(float64(r.Cost)/micros, c.asked.v, firstSlope, 0)
+	q.work = c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.v, initialSlope, 0)
 	if r.Cost <= 0 { // a missing estimate is never zero work
-		q.est = c.typical()
+		q.work = c.typicalWork()
 	}
 	if r.MemoryMB > 0 {
-		c.memory.add(math.Log(r.MemoryMB), 0.5, quantStep)
+		c.memoryMedian.add(math.Log(r.MemoryMB), 0.5, medianStep)
 	}
-	c.mean.add(q.est, meanStep)
+	c.meanWork.add(q.work, meanSmoothing)
 	// The usual work, for the cold rule: the fit's shrunk estimates lie nearer its middle.
-	c.heft.add(max(q.est, c.fit.at(float64(r.Cost)/micros, c.asked.v, 1, 1)), meanStep)
-	g.meanCost.add(q.est, meanStep)
-	q.worth = g.worthOf(q)
-	q.aim = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.est/c.threads*micros)
-	g.askCredit = min(askMost, g.askCredit+askShare*min(1, max(askFloor, g.all.busy*g.all.busy)))
-	g.join(q)
-	if q.StickyTo != "" && g.hopeless(q) {
-		g.giveUp(q)
+	c.usualWork.add(max(q.work, c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.v, 1, 1)), meanSmoothing)
+	g.meanWork.add(q.work, meanSmoothing)
+	q.weight = g.weightOf(q)
+	q.objectiveAt = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.work/c.threads*microsPerSecond)
+	g.healthCheckCredit = min(maxHealthCheckCredit, g.healthCheckCredit+healthChecksPerRequest*min(1, max(minHealthCheckShare, g.fleet.threadsPerCore*g.fleet.threadsPerCore)))
+	g.joinKeyOrder(q)
+	if q.StickyTo != "" && g.cannotEarn(q) {
+		g.shedOrFail(q)
 		return
 	}
 	g.admit(q)
@@ -173,12 +173,12 @@
 
 // admit sends, holds or refuses a request.
 func (g *Gateway) admit(q *request) {
-	level, net := g.cheapest(q)
+	level, net := g.leastCostLevel(q)
 	q.level = level
-	e := g.pick(q)
-	asking := e == nil && g.asking(q, askWait)
-	if net < 0 && !asking && !g.passes(q, e) {
-		g.giveUp(q)
+	e := g.pickEndpoint(q)
+	asking := e == nil && g.awaitsHealthCheck(q, healthCheckTimeout)
+	if net < 0 && !asking && !g.passesFreeCore(q, e) {
+		g.shedOrFail(q)
 		return
 	}
 	if !asking {
@@ -186,872 +186,872 @@
 		q.class.admitted[level]++
 	}
 	if e != nil {
-		g.send(q, e)
+		g.sendAttempt(q, e)
 	} else {
-		g.hold(q)
+		g.enqueue(q)
 	}
 }
 
-// typical is the class's mean estimate, or a guess from its aim.
-func (c *class) typical() float64 {
-	if c.mean.v > 0 {
-		return c.mean.v
+// typicalWork is the class's mean estimate, or a guess from its aim.
+func (c *class) typicalWork() float64 {
+	if c.meanWork.v > 0 {
+		return c.meanWork.v
 	}
-	return max(float64(c.LatencyObjective), 1) / micros / 4 * c.threads
+	return max(float64(c.LatencyObjective), 1) / microsPerSecond / 4 * c.threads
 }
 
-// service is the learned time of a query, alone and at the usual crowd.
-func (c *class) service(est float64) float64 { return est * math.Exp(c.ratio.v) / c.threads }
+// serviceTime is the learned time of a query, alone and at the usual crowd.
+func (c *class) serviceTime(est float64) float64 { return est * math.Exp(c.latencyRatio.v) / c.threads }
 
-// worthOf is what serving the request in time earns. A tenant beyond its share
+// weightOf is what serving the request in time earns. A tenant beyond its share
 // earns less; which of its requests are beyond is not known, so all share it.
-func (g *Gateway) worthOf(q *request) float64 {
+func (g *Gateway) weightOf(q *request) float64 {
 	w := q.class.PriorityWeight
-	if g.set.WeightByWork {
-		w *= q.est / q.class.typical()
+	if g.settings.WeightByWork {
+		w *= q.work / q.class.typicalWork()
 	}
 	if q.Tenant < 0 || q.Tenant >= len(g.tenants) {
 		return w
 	}
 	t := g.tenants[q.Tenant]
-	rate := t.rate / g.share()
-	if len(g.peers) > 0 {
-		rate = max(t.rate, t.mean*float64(g.set.Peers))
+	rate := t.rate / g.trafficShare()
+	if len(g.peerReports) > 0 {
+		rate = max(t.rate, t.meanRate*float64(g.settings.Peers))
 	}
-	if t.allowance <= 0 || rate <= t.allowance {
+	if t.quota <= 0 || rate <= t.quota {
 		return w
 	}
-	inside := t.allowance / rate
-	return w * (inside + (1-inside)*g.set.OverQuotaWeight)
+	inside := t.quota / rate
+	return w * (inside + (1-inside)*g.settings.OverQuotaWeight)
 }
 
-// cheapest finds the level of least delay cost plus toll, and the net worth there.
-func (g *Gateway) cheapest(q *request) (level int, net float64) {
+// leastCostLevel finds the level of least delay cost plus toll, and the net worth there.
+func (g *Gateway) leastCostLevel(q *request) (level int, net float64) {
 	c, best := q.class, math.Inf(1)
-	scale, plain := q.est/c.typical(), 1 // taken while prices and waits tell no difference
-	if q.est > g.meanCost.v {
+	scale, plain := q.work/c.typicalWork(), 1 // taken while prices and waits tell no difference
+	if q.work > g.meanWork.v {
 		plain = 2
 	}
-	for k := range levels {
-		tau := c.wait[k] + c.service(q.est)
-		cost := (c.delayCost()+g.door)*tau + c.price[k]*scale
-		if tau > float64(q.Deadline-g.now)/micros { // clients that come late or leave early: it would earn nothing
-			cost += q.worth
+	for k := range priorityLevels {
+		tau := c.queueWait[k] + c.serviceTime(q.work)
+		cost := (c.delayCost()+g.queuePrice)*tau + c.price[k]*scale
+		if tau > float64(q.Deadline-g.now)/microsPerSecond { // clients that come late or leave early: it would earn nothing
+			cost += q.weight
 		}
 		if cost < best || cost == best && k == plain {
 			level, best = k, cost
 		}
 	}
-	return level, q.worth - best
+	return level, q.weight - best
 }
 
-// passes is the free-core pass.
-func (g *Gateway) passes(q *request, e *engine) bool {
-	tau := q.class.wait[q.level] + q.class.service(q.est)
-	if tau > float64(q.Deadline-g.now)/micros || q.est > passTimes*q.class.typical() || q.worth < g.door*tau {
+// passesFreeCore is the free-core pass.
+func (g *Gateway) passesFreeCore(q *request, e *endpoint) bool {
+	tau := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
+	if tau > float64(q.Deadline-g.now)/microsPerSecond || q.work > veryLongFactor*q.class.typicalWork() || q.weight < g.queuePrice*tau {
 		return false
 	}
-	return g.ownThreads()+q.class.threads <= g.shareCores() || e != nil && g.util(e) < passUtil
+	return g.threadsInFlight()+q.class.threads <= g.coreShare() || e != nil && g.utilization(e) < freeCoreUtilization
 }
 
-// share is our part of the traffic, at least an equal one: gateways that carry little
+// trafficShare is our part of the traffic, at least an equal one: gateways that carry little
 // seldom use theirs. When gateways are lost the rest take over their share.
-func (g *Gateway) share() float64 { return max(g.part, 1/float64(g.set.Peers)) }
+func (g *Gateway) trafficShare() float64 { return max(g.ownShare, 1/float64(g.settings.Peers)) }
 
-// shareCores is this gateway's share of the told cores.
-func (g *Gateway) shareCores() float64 {
-	return max(g.all.cores*g.share(), 1)
+// coreShare is this gateway's share of the told cores.
+func (g *Gateway) coreShare() float64 {
+	return max(g.fleet.cores*g.trafficShare(), 1)
 }
 
-// known is how far an engine's report is believed, if it tells of threads: less with its age.
-func (g *Gateway) known(e *engine) float64 {
+// reportConfidence is how far an engine's report is believed, if it tells of threads: less with its age.
+func (g *Gateway) reportConfidence(e *endpoint) float64 {
 	if e.loadAt == 0 || e.load.Util < 0 && e.load.InFlight < 0 {
 		return 0
 	}
-	return max(0, 1-g.since(e.loadAt)/reportFresh)
+	return max(0, 1-g.secondsSince(e.loadAt)/reportLifetime)
 }
 
-// util is an engine's utilisation: reported plus own sends since, else what it holds
+// utilization is an engine's utilisation: reported plus own sends since, else what it holds
 // by its count of queries or by own threads there. What is not heard counts as average,
 // an old report in part.
-func (g *Gateway) util(e *engine) float64 {
-	k := g.known(e)
+func (g *Gateway) utilization(e *endpoint) float64 {
+	k := g.reportConfidence(e)
 	switch {
-	case k == 0 && g.all.busy == 0:
-		return e.threads / g.share() / e.cores
+	case k == 0 && g.fleet.threadsPerCore == 0:
+		return e.threads / g.trafficShare() / e.cores
 	case e.loadAt == 0 || e.load.Util < 0:
-		threads, _ := g.others(e)
-		return (threads + e.threads) / threadsBusy / e.cores
+		threads, _ := g.peerLoad(e)
+		return (threads + e.threads) / threadsPerBusyCore / e.cores
 	}
-	return k*e.load.Util + (1-k)*g.all.busy + e.newThreads/e.cores
+	return k*e.load.Util + (1-k)*g.fleet.threadsPerCore + e.unreportedThreads/e.cores
 }
 
-// excess is how far our own queries in flight, now or over seconds, pass what so many
+// occupancyExcess is how far our own queries in flight, now or over seconds, pass what so many
 // threads a core lead us to expect; others not heard are taken to fare like us. It guards
 // against a jam that looks idle: utilisation says little of queries that wait for disks.
-func (g *Gateway) excess(busy float64) float64 {
-	expected := busy * g.shareCores() / g.meanThreads
-	now := (ownWeight + g.ownOpen()) / (ownWeight + expected)
-	lately := (latelyWeight + g.meanOpen) / (latelyWeight + expected)
-	return math.Pow(max(1, now, lately), 1-g.all.covered)
+func (g *Gateway) occupancyExcess(busy float64) float64 {
+	expected := busy * g.coreShare() / g.meanThreads
+	now := (localAttemptsPrior + g.attemptsInFlight()) / (localAttemptsPrior + expected)
+	lately := (recentOccupancyPrior + g.meanInFlight) / (recentOccupancyPrior + expected)
+	return math.Pow(max(1, now, lately), 1-g.fleet.peerCoverage)
 }
 
-// others is what others have on an engine, threads and MB: the most of what peers say and
+// peerLoad is what others have on an engine, threads and MB: the most of what peers say and
 // of what its report leaves after ours; so far as it is not heard, average, moved to what
 // own attempts there tell by our share. A count of queries holds timed-out ones that run on.
-func (g *Gateway) others(e *engine) (threads, granted float64) {
-	k, own, share := g.known(e), e.threads-e.newThreads, g.share()
-	usual := g.all.busyOf(e.Kind) * e.cores * (1 - share)
-	weight := usual * share / (usual*share + ownWeight)
+func (g *Gateway) peerLoad(e *endpoint) (threads, granted float64) {
+	k, own, share := g.reportConfidence(e), e.threads-e.unreportedThreads, g.trafficShare()
+	usual := g.fleet.threadsPerCoreOf(e.Kind) * e.cores * (1 - share)
+	weight := usual * share / (usual*share + localAttemptsPrior)
 	unheard := (1-weight)*usual + weight*e.threads*(1/share-1)
-	switch full := g.all.excess * (threadsBusy*e.load.Util + fullSlope*max(0, e.load.Util-fullUtil)); {
+	switch full := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Util + saturatedThreadSlope*max(0, e.load.Util-saturatedUtilization)); {
 	case k > 0 && e.load.InFlight >= 0:
 		unheard = e.load.InFlight*g.meanThreads - own
 	case k > 0 && e.load.Util >= 0:
-		unheard = (k*(full*e.cores-own) + (1-k)*unheard) * (1 - g.all.covered)
+		unheard = (k*(full*e.cores-own) + (1-k)*unheard) * (1 - g.fleet.peerCoverage)
 	}
-	theirs := unheard * g.meanMB * (1 - g.all.covered) // grants as big as ours
-	return max(e.told, unheard), max(e.toldMB, theirs)
+	theirs := unheard * g.meanGrantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
+	return max(e.gossipedThreads, unheard), max(e.gossipedMB, theirs)
 }
 
-// speed is an engine's against the fleet's, as seen in answers. It guards against
+// relativeSpeed is an engine's against the fleet's, as seen in answers. It guards against
 // engines that slow down, whatever the cause: a neighbour, a failing disk, a crowd.
-func (g *Gateway) speed(e *engine) float64 {
-	return min(1, max(speedFloor, math.Exp(g.crowd.v+slowSlack-e.slow)))
+func (g *Gateway) relativeSpeed(e *endpoint) float64 {
+	return min(1, max(minSpeed, math.Exp(g.inflation.v+inflationTolerance-e.inflation)))
 }
 
-// pick draws an engine among those allowed that have room; nil if there is none.
+// pickEndpoint draws an engine among those allowed that have room; nil if there is none.
 // Where engines may be asked for their state, it draws twice, asks both while own
 // traffic pays for it, and takes the better: else a sparse gateway knows none.
-func (g *Gateway) pick(q *request) *engine {
-	if g.asking(q, askWait) || !g.mayStart(q) {
+func (g *Gateway) pickEndpoint(q *request) *endpoint {
+	if g.awaitsHealthCheck(q, healthCheckTimeout) || !g.mayStartAttempt(q) {
 		return nil
 	}
-	weights, total := make([]float64, len(g.engines)), 0.0
-	for i, e := range g.engines {
-		if g.allowed(q, e) && g.trusted(q, e) && g.hasRoom(q, e) && g.coldRoom(q, e) {
-			weights[i] = g.weight(q, e)
+	weights, total := make([]float64, len(g.endpoints)), 0.0
+	for i, e := range g.endpoints {
+		if g.isEligible(q, e) && g.outlierAllows(q, e) && g.hasCapacity(q, e) && g.hasSlowStartCapacity(q, e) {
+			weights[i] = g.drawWeight(q, e)
 			total += weights[i]
 		}
 	}
 	if total <= 0 { // what is taken to be full may not be so any more
-		if e := g.anyEngine(); e != nil && g.allowed(q, e) && g.mayAsk(q, e) {
-			g.ask(q, e)
+		if e := g.anyEndpoint(); e != nil && g.isEligible(q, e) && g.mayCheckHealth(q, e) {
+			g.startHealthChecks(q, e)
 		}
 		return nil
 	}
-	if best := g.best(weights, q.drawn); best != nil { // the answers are in, or late
+	if best := g.bestEndpoint(weights, q.candidates); best != nil { // the answers are in, or late
 		return best
 	}
-	e := g.draw(weights, total)
-	if !g.mayAsk(q, e) {
+	e := g.drawEndpoint(weights, total)
+	if !g.mayCheckHealth(q, e) {
 		return e
 	}
-	g.ask(q, e, g.draw(weights, total))
+	g.startHealthChecks(q, e, g.drawEndpoint(weights, total))
 	return nil
 }
 
-// ask probes the engines drawn for a query.
-func (g *Gateway) ask(q *request, drawn ...*engine) {
-	q.drawn = drawn
+// startHealthChecks probes the engines drawn for a query.
+func (g *Gateway) startHealthChecks(q *request, drawn ...*endpoint) {
+	q.candidates = drawn
 	for _, e := range drawn {
-		if g.since(max(e.loadAt, e.probeAt)) > askStale {
-			e.probeAt, e.asked = g.now, true
-			g.askCredit--
-			g.do(HealthCheck{Endpoint: e.ID})
+		if g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval {
+			e.healthCheckAt, e.healthCheckPending = g.now, true
+			g.healthCheckCredit--
+			g.emit(HealthCheck{Endpoint: e.ID})
 		}
 	}
 }
 
-// mayAsk tells whether a query's engines are asked before the choice.
-func (g *Gateway) mayAsk(q *request, e *engine) bool {
+// mayCheckHealth tells whether a query's engines are asked before the choice.
+func (g *Gateway) mayCheckHealth(q *request, e *endpoint) bool {
 	need := 1.0
-	if q.est < g.meanCost.v {
-		need = askLight
+	if q.work < g.meanWork.v {
+		need = lightHealthCheckCredit
 	}
-	stale := g.since(max(e.loadAt, e.probeAt)) > askStale
-	return g.set.CanHealthCheck && len(q.attempts) == 0 && g.askCredit >= need && stale
+	stale := g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval
+	return g.settings.CanHealthCheck && len(q.attempts) == 0 && g.healthCheckCredit >= need && stale
 }
 
-// trusted keeps suspect engines to a trickle of light repeatable queries, unless most look bad.
-func (g *Gateway) trusted(q *request, e *engine) bool {
-	return !e.suspect || g.all.trusted*2 < len(g.engines) ||
-		g.now >= e.trickleAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.est <= g.meanCost.v
+// trustedEndpoints keeps suspect engines to a trickle of light repeatable queries, unless most look bad.
+func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
+	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints) ||
+		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.meanWork.v
 }
 
-// weight is an engine's weight in the draw.
-func (g *Gateway) weight(q *request, e *engine) float64 {
-	w := math.Pow(max(drawFloor, 1-g.util(e)/threadsMost), drawPower) * e.cores * math.Pow(g.speed(e), 2)
-	if e.Zone == g.set.Zone {
-		w *= homeZone
+// drawWeight is an engine's weight in the draw.
+func (g *Gateway) drawWeight(q *request, e *endpoint) float64 {
+	w := math.Pow(max(minDrawShare, 1-g.utilization(e)/maxCapacity), utilizationExponent) * e.cores * math.Pow(g.relativeSpeed(e), 2)
+	if e.Zone == g.settings.Zone {
+		w *= localZoneWeight
 	}
-	if slices.Contains(e.warm, q.TableGroup) {
-		w *= math.Exp(warmSharp * max(0, g.stretch[0]-g.stretch[1]-warmSlack))
+	if slices.Contains(e.warmGroups, q.TableGroup) {
+		w *= math.Exp(warmthExponent * max(0, g.warmthInflation[0]-g.warmthInflation[1]-warmthTolerance))
 	}
-	if (q.class.WaitsForTables || q.class.LocksTables) && g.loading(e, q.TableGroup) {
-		w *= heldTables * heldTables
+	if (q.class.WaitsForTables || q.class.LocksTables) && g.tablesLocked(e, q.TableGroup) {
+		w *= lockedTablesWeight * lockedTablesWeight
 	}
-	if q.class.WaitsForTables && g.lane(q.TableGroup, e) {
-		w *= heldTables
+	if q.class.WaitsForTables && g.inAffinitySubset(q.TableGroup, e) {
+		w *= lockedTablesWeight
 	}
 	for _, a := range q.attempts { // another try goes elsewhere if it can
-		if a.e == e {
-			w *= drawFloor
+		if a.endpoint == e {
+			w *= minDrawShare
 		}
 	}
 	return w
 }
 
-// lane tells whether an engine takes loads of a group, the same at every gateway: those of a group on all
+// inAffinitySubset tells whether an engine takes loads of a group, the same at every gateway: those of a group on all
 // engines would leave none for the queries that wait for them, and on one engine they hold up one another.
-func (g *Gateway) lane(tables int64, e *engine) bool {
+func (g *Gateway) inAffinitySubset(tables int64, e *endpoint) bool {
 	healthy, before := 0, 0
-	for _, o := range g.engines {
-		if o.State == Healthy && !o.suspect {
+	for _, o := range g.endpoints {
+		if o.State == Healthy && !o.ejected {
 			healthy++
-			if o != e && drawOf(tables, o) > drawOf(tables, e) {
+			if o != e && affinityHash(tables, o) > affinityHash(tables, e) {
 				before++
 			}
 		}
 	}
-	return before < max(1, int(lanePart*float64(healthy)))
+	return before < max(1, int(affinityShare*float64(healthy)))
 }
 
-// ownLoad tells that a load of ours holds a group on an engine, or stands there for it.
-func (e *engine) ownLoad(tables int64) bool {
-	return slices.ContainsFunc(e.open, func(a *attempt) bool {
-		return a.q.class.LocksTables && a.q.TableGroup == tables
+// holdsOwnTableLock tells that a load of ours holds a group on an engine, or stands there for it.
+func (e *endpoint) holdsOwnTableLock(tables int64) bool {
+	return slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+		return a.request.class.LocksTables && a.request.TableGroup == tables
 	})
 }
 
-// doorPrice is what a second at the door is worth to others: nothing while few are held, and what those who
+// admissionQueuePrice is what a second at the door is worth to others: nothing while few are held, and what those who
 // are served earn a second when as many are held as may be. It guards against queries that stand still and
 // keep others out.
-func (g *Gateway) doorPrice(held int) float64 {
-	full := float64(held)/max(float64(g.set.MaxInFlight), 1) - doorFree
-	if g.set.MaxInFlight == 0 || full <= 0 || g.meanStay.v <= 0 {
+func (g *Gateway) admissionQueuePrice(held int) float64 {
+	full := float64(held)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
+	if g.settings.MaxInFlight == 0 || full <= 0 || g.responseTime.v <= 0 {
 		return 0
 	}
-	return min(1, full/(1-doorFree)) * g.meanEarned.v / g.meanStay.v
+	return min(1, full/(1-freeQueueShare)) * g.earnedPerRequest.v / g.responseTime.v
 }
 
-// overstays tells that a query earns less than its place at the door is worth.
-func (g *Gateway) overstays(q *request) bool {
-	stay := g.since(q.taken)
-	left := max(q.class.wait[q.level]+q.class.service(q.est)-stay, stay*doorAge)
-	return q.open == 0 && g.door > 0 && g.earns(q, g.now+Micros(left*micros)) < g.door*left
+// belowQueuePrice tells that a query earns less than its place at the door is worth.
+func (g *Gateway) belowQueuePrice(q *request) bool {
+	stay := g.secondsSince(q.receivedAt)
+	left := max(q.class.queueWait[q.level]+q.class.serviceTime(q.work)-stay, stay*residualAgeShare)
+	return q.openAttempts == 0 && g.queuePrice > 0 && g.earnedWeight(q, g.now+Micros(left*microsPerSecond)) < g.queuePrice*left
 }
 
-// earns is what an answer at a time is worth.
-func (g *Gateway) earns(q *request, at Micros) float64 {
-	if at > q.aim {
-		return q.worth * q.class.LateWeight
+// earnedWeight is what an answer at a time is worth.
+func (g *Gateway) earnedWeight(q *request, at Micros) float64 {
+	if at > q.objectiveAt {
+		return q.weight * q.class.LateWeight
 	}
-	return q.worth
+	return q.weight
 }
 
-// allowed keeps placement, drains, the protocol and the groups of keyed requests.
-func (g *Gateway) allowed(q *request, e *engine) bool {
+// isEligible keeps placement, drains, the protocol and the groups of keyed requests.
+func (g *Gateway) isEligible(q *request, e *endpoint) bool {
 	c := q.class
 	if q.StickyTo != "" && q.StickyTo != e.ID || q.Protocol&^e.Protocols != 0 ||
-		e.State != Healthy && (q.StickyTo == "" || e.State != Draining || g.now >= e.drainBy) ||
+		e.State != Healthy && (q.StickyTo == "" || e.State != Draining || g.now >= e.drainUntil) ||
 		c.Zones != nil && !slices.Contains(c.Zones, e.Zone) ||
 		c.Kinds != nil && !slices.Contains(c.Kinds, e.Kind) {
 		return false
 	}
-	if c.Effect != IdempotentByKey || q.ran == nil || c.DedupScope == DedupFleet {
+	if c.Effect != IdempotentByKey || q.firstRan == nil || c.DedupScope == DedupFleet {
 		return true
 	}
-	return c.DedupScope == DedupZone && e.Zone == q.ran.e.Zone || c.DedupScope == DedupPlacementGroup && e.PlacementGroup == q.ran.e.PlacementGroup
+	return c.DedupScope == DedupZone && e.Zone == q.firstRan.endpoint.Zone || c.DedupScope == DedupPlacementGroup && e.PlacementGroup == q.firstRan.endpoint.PlacementGroup
 }
 
-// hasRoom keeps an engine below the crowd at which all work there slows. A gateway claims
+// hasCapacity keeps an engine below the crowd at which all work there slows. A gateway claims
 // only its part of what news of an engine leaves free and of what ended since, by chance
 // where that is less than one query: all that talk hear of the same room, and would fill it.
-func (g *Gateway) hasRoom(q *request, e *engine) bool {
-	room := g.room * e.cores * g.speed(e)
-	if q.class.LocksTables && (!g.lane(q.TableGroup, e) || e.ownLoad(q.TableGroup)) { // the next would stand behind it
+func (g *Gateway) hasCapacity(q *request, e *endpoint) bool {
+	room := g.capacity * e.cores * g.relativeSpeed(e)
+	if q.class.LocksTables && (!g.inAffinitySubset(q.TableGroup, e) || e.holdsOwnTableLock(q.TableGroup)) { // the next would stand behind it
 		return false
 	}
 	switch {
-	case q.est > passTimes*q.class.typical(): // it would hold the room for many others
-		room *= longRoom
-	case q.est < g.meanCost.v:
-		room *= lightRoom
+	case q.work > veryLongFactor*q.class.typicalWork(): // it would hold the room for many others
+		room *= longCapacityFactor
+	case q.work < g.meanWork.v:
+		room *= lightCapacityFactor
 	}
-	k, grant := g.known(e), g.grant(q, e)
+	k, grant := g.reportConfidence(e), g.memoryGrant(q, e)
 	if k > 0 { // what others sent since is not seen yet
-		room *= 1 - staleRoom*(1-k)*(1-g.all.covered)
+		room *= 1 - staleReportReserve*(1-k)*(1-g.fleet.peerCoverage)
 	}
-	if e.load.Memory > 0 && e.memory > 0 && k > 0 && e.load.Memory+(e.newGrants+grant)/e.memory > memoryHigh {
+	if e.load.Memory > 0 && e.memoryMB > 0 && k > 0 && e.load.Memory+(e.unreportedMB+grant)/e.memoryMB > maxMemoryShare {
 		return false
 	}
-	threads, granted := g.others(e)
-	free := max(0, room-threads-e.threads+e.claimed)
-	if g.meanTook.v > 0 {
-		ends := (threads + e.threads) / g.meanThreads / g.meanTook.v * g.meanSent.v // threads a second
-		free += ends * min(g.since(e.newsAt), reportFresh)
+	threads, granted := g.peerLoad(e)
+	free := max(0, room-threads-e.threads+e.claimedThreads)
+	if g.attemptLatency.v > 0 {
+		ends := (threads + e.threads) / g.meanThreads / g.attemptLatency.v * g.sentThreads.v // threads a second
+		free += ends * min(g.secondsSince(e.reportArrivedAt), reportLifetime)
 	}
-	if len(g.peers) > 0 {
-		claim := g.share() / (g.share() + (1-g.share())*(1-g.all.covered)) // ours against those not heard
-		if e.claimed+e.ticket*q.class.threads > free*claim/min(1, math.Pow(g.all.busy, claimPower)) {
+	if len(g.peerReports) > 0 {
+		claim := g.trafficShare() / (g.trafficShare() + (1-g.trafficShare())*(1-g.fleet.peerCoverage)) // ours against those not heard
+		if e.claimedThreads+e.claimDraw*q.class.threads > free*claim/min(1, math.Pow(g.fleet.threadsPerCore, claimExponent)) {
 			return false
 		}
 	}
-	granted += e.granted
-	short := g.set.Shortage != ShortageSwaps && e.memory > 0 && granted > 0 && granted+grant > memoryHigh*e.memory
+	granted += e.grantedMB
+	short := g.settings.Shortage != ShortageSwaps && e.memoryMB > 0 && granted > 0 && granted+grant > maxMemoryShare*e.memoryMB
 	return !short && (e.threads == 0 && threads < room || e.threads+threads+q.class.threads <= room)
 }
 
-// coldRoom keeps this gateway's part of what a cold engine can bear: a store for each
+// hasSlowStartCapacity keeps this gateway's part of what a cold engine can bear: a store for each
 // class that fills at our part of that rate, never above nothing, and starts by chance
 // below. So the sum over all gateways keeps to the rate, however small each one's part.
-func (g *Gateway) coldRoom(q *request, e *engine) bool {
-	if e.coldSince == 0 || g.set.SlowStartDuration == 0 || g.set.OverloadMultiple == 0 {
+func (g *Gateway) hasSlowStartCapacity(q *request, e *endpoint) bool {
+	if e.slowStartSince == 0 || g.settings.SlowStartDuration == 0 || g.settings.OverloadMultiple == 0 {
 		return true
 	}
-	if g.now-e.coldSince >= g.set.SlowStartDuration {
-		e.coldSince, e.cold = 0, nil
+	if g.now-e.slowStartSince >= g.settings.SlowStartDuration {
+		e.slowStartSince, e.slowStart = 0, nil
 		return true
 	}
-	s := e.store(q.Class, len(g.classes))
-	rate := g.coldRate(e)
-	if s.at < e.coldSince {
-		s.at, s.left = g.now, -g.rng.Float64()*g.coldCharge(q.class, rate)
+	s := e.slowStartBudget(q.Class, len(g.classes))
+	rate := g.slowStartRate(e)
+	if s.updatedAt < e.slowStartSince {
+		s.updatedAt, s.seconds = g.now, -g.rng.Float64()*g.slowStartCharge(q.class, rate)
 	}
-	part := g.part
-	if len(g.peers) == 0 { // what cannot be compared with others' is no more than an equal part
-		part = 1 / float64(g.set.Peers)
+	part := g.ownShare
+	if len(g.peerReports) == 0 { // what cannot be compared with others' is no more than an equal part
+		part = 1 / float64(g.settings.Peers)
 	}
-	fills := rate * (1 - coldRisk/coldTilt) * part * g.demandShare(q.class)
-	s.at, s.left = g.now, min(0, s.left+fills*g.since(s.at))
-	return s.left >= 0
+	fills := rate * (1 - chernoffExponent/chernoffTilt) * part * g.demandShare(q.class)
+	s.updatedAt, s.seconds = g.now, min(0, s.seconds+fills*g.secondsSince(s.updatedAt))
+	return s.seconds >= 0
 }
 
-// coldRate is the work a second that a cold engine bears from all gateways.
-func (g *Gateway) coldRate(e *engine) float64 {
-	age := float64(g.now-e.coldSince) / float64(g.set.SlowStartDuration)
-	share := g.set.SlowStartFloor + (1-g.set.SlowStartFloor)*max(age, 0)*coldStretch
-	return coldSpeed * g.set.OverloadMultiple * share * fullUtil * e.cores
+// slowStartRate is the work a second that a cold engine bears from all gateways.
+func (g *Gateway) slowStartRate(e *endpoint) float64 {
+	age := float64(g.now-e.slowStartSince) / float64(g.settings.SlowStartDuration)
+	share := g.settings.SlowStartFloor + (1-g.settings.SlowStartFloor)*max(age, 0)*rampCredit
+	return slowMachineSpeed * g.settings.OverloadMultiple * share * saturatedUtilization * e.cores
 }
 
-// coldCharge is what a query counts there: chance brings heavy ones together now and then,
+// slowStartCharge is what a query counts there: chance brings heavy ones together now and then,
 // so the part of a window that one fills weighs as in Chernoff's bound.
-func (g *Gateway) coldCharge(c *class, rate float64) float64 {
-	window := rate * max(float64(g.set.OverloadDuration), 1) / micros
-	return window / coldTilt * math.Expm1(coldTilt*max(c.heft.v, c.typical())/window)
+func (g *Gateway) slowStartCharge(c *class, rate float64) float64 {
+	window := rate * max(float64(g.settings.OverloadDuration), 1) / microsPerSecond
+	return window / chernoffTilt * math.Expm1(chernoffTilt*max(c.usualWork.v, c.typicalWork())/window)
 }
 
-// mayStart tells whether another attempt of the request is within the rules now.
-func (g *Gateway) mayStart(q *request) bool {
+// mayStartAttempt tells whether another attempt of the request is within the rules now.
+func (g *Gateway) mayStartAttempt(q *request) bool {
 	c := q.class
-	if q.done || q.streamed || len(q.attempts) >= g.set.MaxAttempts {
+	if q.done || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
 		return false
 	}
-	if c.Ordered && q.HasOrderKey && !g.turns[q.OrderKey].free(q, g.now) {
+	if c.Ordered && q.HasOrderKey && !g.keyOrders[q.OrderKey].isNext(q, g.now) {
 		return false
 	}
 	if len(q.attempts) == 0 {
 		return true
 	}
-	if q.open > 0 && !g.set.AllowHedging || c.Effect == NonIdempotent && (q.open > 0 || q.ran != nil) ||
-		c.Effect == IdempotentByKey && q.ran != nil && g.now >= q.ran.sent+c.DedupWindow {
+	if q.openAttempts > 0 && !g.settings.AllowHedging || c.Effect == NonIdempotent && (q.openAttempts > 0 || q.firstRan != nil) ||
+		c.Effect == IdempotentByKey && q.firstRan != nil && g.now >= q.firstRan.sentAt+c.DedupWindow {
 		return false
 	}
-	return g.inBudget()
+	return g.withinRetryBudget()
 }
 
-// inBudget tells whether one more further attempt is within the retry budget.
-func (g *Gateway) inBudget() bool {
-	s := &g.set
+// withinRetryBudget tells whether one more further attempt is within the retry budget.
+func (g *Gateway) withinRetryBudget() bool {
+	s := &g.settings
 	if s.RetryBudgetWindow == 0 {
 		return true
 	}
-	slack := Micros(wakeEvery * micros) // both ends of the span are read strictly
+	slack := Micros(timerInterval * microsPerSecond) // both ends of the span are read strictly
 	since := g.now - s.RetryBudgetWindow
-	g.taken, g.further = after(g.taken, since+slack), after(g.further, since-slack-1)
-	return float64(len(g.further)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.taken))
+	g.receivedAt, g.retriedAt = dropUntil(g.receivedAt, since+slack), dropUntil(g.retriedAt, since-slack-1)
+	return float64(len(g.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.receivedAt))
 }
 
-// send starts an attempt at the cheapest level.
-func (g *Gateway) send(q *request, e *engine) {
+// sendAttempt starts an attempt at the cheapest level.
+func (g *Gateway) sendAttempt(q *request, e *endpoint) {
 	c := q.class
-	g.unhold(q)
-	q.level, _ = g.cheapest(q)
-	a := &attempt{q: q, n: len(q.attempts), e: e, sent: g.now, level: q.level,
-		quiet: g.util(e) < passUtil, warm: slices.Contains(e.warm, q.TableGroup)}
-	a.expect = c.service(q.est) / g.speed(e)
-	a.grant = g.grant(q, e)
-	g.enter(a)
-	e.claimed += c.threads
-	g.meanSent.add(c.threads, meanStep)
-	e.trickleAt = g.now + Micros(trickleEvery*micros)
-	if e.coldSince > 0 {
-		e.store(q.Class, len(g.classes)).left -= g.coldCharge(c, g.coldRate(e))
-	}
-	e.reads(q.TableGroup, warmKeep)
-	if g.set.HonorsGrants || g.set.HonorsPriority {
-		g.do(Resources{ID: q.ID, MemoryMB: a.grant, Priority: levels - 1 - q.level})
-	}
-	s := Send{ID: q.ID, Endpoint: e.ID, Timeout: max(q.Deadline-g.guard()-g.now, 1)}
-	if c.Effect == IdempotentByKey && q.ran != nil {
-		s.StartBefore = q.ran.sent + c.DedupWindow
-	}
-	g.do(s)
+	g.dequeue(q)
+	q.level, _ = g.leastCostLevel(q)
+	a := &attempt{request: q, number: len(q.attempts), endpoint: e, sentAt: g.now, level: q.level,
+		uncontended: g.utilization(e) < freeCoreUtilization, warm: slices.Contains(e.warmGroups, q.TableGroup)}
+	a.expectedTime = c.serviceTime(q.work) / g.relativeSpeed(e)
+	a.grantMB = g.memoryGrant(q, e)
+	g.openAttempt(a)
+	e.claimedThreads += c.threads
+	g.sentThreads.add(c.threads, meanSmoothing)
+	e.nextTrialAt = g.now + Micros(trialInterval*microsPerSecond)
+	if e.slowStartSince > 0 {
+		e.slowStartBudget(q.Class, len(g.classes)).seconds -= g.slowStartCharge(c, g.slowStartRate(e))
+	}
+	e.recordRead(q.TableGroup, maxWarmGroups)
+	if g.settings.HonorsGrants || g.settings.HonorsPriority {
+		g.emit(Resources{ID: q.ID, MemoryMB: a.grantMB, Priority: priorityLevels - 1 - q.level})
+	}
+	s := Send{ID: q.ID, Endpoint: e.ID, Timeout: max(q.Deadline-g.deadlineGuard()-g.now, 1)}
+	if c.Effect == IdempotentByKey && q.firstRan != nil {
+		s.StartBefore = q.firstRan.sentAt + c.DedupWindow
+	}
+	g.emit(s)
 }
 
-// guard is the time before a deadline at which the final answer is given.
-func (g *Gateway) guard() Micros { return Micros(2 * wakeEvery * micros) }
+// deadlineGuard is the time before a deadline at which the final answer is given.
+func (g *Gateway) deadlineGuard() Micros { return Micros(2 * timerInterval * microsPerSecond) }
 
-// grant is the memory for one attempt: estimate times learned need.
-func (g *Gateway) grant(q *request, e *engine) float64 {
-	if !g.set.HonorsGrants { // the engine's own choice; it takes memory all the same
-		return engineGrant * q.MemoryMB
+// grantMB is the memory for one attempt: estimate times learned need.
+func (g *Gateway) memoryGrant(q *request, e *endpoint) float64 {
+	if !g.settings.HonorsGrants { // the engine's own choice; it takes memory all the same
+		return defaultGrantFactor * q.MemoryMB
 	}
 	if q.MemoryMB <= 0 {
 		return 0
 	}
 	c := q.class
-	need := math.Exp(c.memory.v + c.fit.slope(firstSlope)*(math.Log(q.MemoryMB)-c.memory.v) + c.margin)
-	if g.set.Shortage == ShortageSwaps { // what passes the need is not lost to others
-		need *= swapMargin
+	need := math.Exp(c.memoryMedian.v + c.workFit.slope(initialSlope)*(math.Log(q.MemoryMB)-c.memoryMedian.v) + c.grantMargin)
+	if g.settings.Shortage == ShortageSwaps { // what passes the need is not lost to others
+		need *= swapGrantFactor
 	}
-	if most := g.set.MaxGrantShare * e.memory; most > 0 {
+	if most := g.settings.MaxGrantShare * e.memoryMB; most > 0 {
 		need = min(need, most)
 	}
 	return math.Ceil(need)
 }
 
-// pump sends what is held where there is room, most worth for its work first, or gives it up.
-func (g *Gateway) pump() {
-	g.pumpAt = g.now + Micros(askWait*micros)
-	if len(g.held) == 0 {
+// drainQueue sends what is held where there is room, most worth for its work first, or gives it up.
+func (g *Gateway) drainQueue() {
+	g.queueAt = g.now + Micros(healthCheckTimeout*microsPerSecond)
+	if len(g.queue) == 0 {
 		return
 	}
 	full := make([]bool, len(g.classes)) // no room for one is none for the heavier ones behind it
-	for _, q := range g.byWorth() {
-		if g.hopeless(q) {
-			g.giveUp(q)
+	for _, q := range g.queueByWeight() {
+		if g.cannotEarn(q) {
+			g.shedOrFail(q)
 		} else if full[q.Class] && q.StickyTo == "" {
 			continue
 		} else if !q.admitted {
 			g.admit(q)
-		} else if e := g.pick(q); e != nil {
-			g.send(q, e)
+		} else if e := g.pickEndpoint(q); e != nil {
+			g.sendAttempt(q, e)
 		}
 		if q.StickyTo == "" && !q.class.LocksTables { // a queue behind one engine, or for one group, holds nobody else
-			full[q.Class] = q.held && g.mayStart(q) && !g.asking(q, askWait)
+			full[q.Class] = q.queued && g.mayStartAttempt(q) && !g.awaitsHealthCheck(q, healthCheckTimeout)
 		}
 	}
 }
 
-// hopeless tells that a held request can earn nothing more.
-func (g *Gateway) hopeless(q *request) bool {
-	if q.open > 0 {
+// cannotEarn tells that a held request can earn nothing more.
+func (g *Gateway) cannotEarn(q *request) bool {
+	if q.openAttempts > 0 {
 		return false
 	}
-	if e := g.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.allowed(q, e)) { // nobody else has its state
+	if e := g.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.isEligible(q, e)) { // nobody else has its state
 		return true
 	}
-	if len(q.attempts) >= g.set.MaxAttempts || q.class.Effect == NonIdempotent && q.ran != nil {
+	if len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent && q.firstRan != nil {
 		return true
 	}
-	end := q.Deadline - g.guard()
+	end := q.Deadline - g.deadlineGuard()
 	if q.class.LateWeight == 0 {
-		end = min(end, q.aim)
+		end = min(end, q.objectiveAt)
 	}
-	return float64(end-g.now)/micros < q.class.service(q.est)
+	return float64(end-g.now)/microsPerSecond < q.class.serviceTime(q.work)
 }
 
-// giveUp answers at once: refused where a client's retry is harmless, else failed.
-func (g *Gateway) giveUp(q *request) {
+// shedOrFail answers at once: refused where a client's retry is harmless, else failed.
+func (g *Gateway) shedOrFail(q *request) {
 	c := q.class
-	if c.Effect == Idempotent || q.ran == nil && q.open == 0 || c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
-		wait := max(c.wait[q.level], c.service(q.est)) // room may be free when one like it has ended
-		g.do(Shed{ID: q.ID, RetryAfter: min(Micros(wait*micros), g.set.MaxRetryAfter)})
+	if c.Effect == Idempotent || q.firstRan == nil && q.openAttempts == 0 || c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
+		wait := max(c.queueWait[q.level], c.serviceTime(q.work)) // room may be free when one like it has ended
+		g.emit(Shed{ID: q.ID, RetryAfter: min(Micros(wait*microsPerSecond), g.settings.MaxRetryAfter)})
 	} else {
-		g.do(Fail{ID: q.ID})
+		g.emit(Fail{ID: q.ID})
 	}
-	g.end(q)
+	g.endRequest(q)
 }
 
-// outcome closes an attempt, learns from it and decides what follows.
-func (g *Gateway) outcome(o AttemptResult) {
-	q := g.open[o.ID]
+// handleAttemptResult closes an attempt, learns from it and decides what follows.
+func (g *Gateway) handleAttemptResult(o AttemptResult) {
+	q := g.requests[o.ID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].closed {
 		return
 	}
 	a := q.attempts[o.Attempt]
-	g.close(a, o.Code)
-	if o.Load != nil && (a.e.loadAt == 0 || *o.Load != a.e.load) { // only a changed report is news
-		g.report(a.e, *o.Load, g.now)
+	g.closeAttempt(a, o.Code)
+	if o.Load != nil && (a.endpoint.loadAt == 0 || *o.Load != a.endpoint.load) { // only a changed report is news
+		g.recordLoad(a.endpoint, *o.Load, g.now)
 	}
-	g.judge(a, o)
+	g.learnFromResult(a, o)
 	if o.Final && !q.done {
-		g.end(q)
+		g.endRequest(q)
 	}
-	if q.done && q.open == 0 {
-		delete(g.open, q.ID)
+	if q.done && q.openAttempts == 0 {
+		delete(g.requests, q.ID)
 	}
-	if q.done || q.open > 0 {
+	if q.done || q.openAttempts > 0 {
 		return
 	}
-	q.redo = false
-	g.hold(q) // pump sends it again, or gives up
-	g.pumpAt = g.now
+	q.restarting = false
+	g.enqueue(q) // pump sends it again, or gives up
+	g.queueAt = g.now
 }
 
-// judge learns from an outcome: class ratios, waits, the engine's health.
-func (g *Gateway) judge(a *attempt, o AttemptResult) {
-	c, e, fault := a.q.class, a.e, 0.0
+// learnFromResult learns from an outcome: class ratios, waits, the engine's health.
+func (g *Gateway) learnFromResult(a *attempt, o AttemptResult) {
+	c, e, fault := a.request.class, a.endpoint, 0.0
 	switch o.Code {
 	case OK:
-		e.trickleAt = g.now // the next trial may follow
-		took := max(float64(o.Latency)/micros, 1e-4)
-		x := math.Log(took * c.threads / max(a.q.est, 1e-4))
-		c.strayed(x, slowClip, quantStep)
-		clipped, work := max(-slowClip, min(slowClip, x)), 0.0
+		e.nextTrialAt = g.now // the next trial may follow
+		took := max(float64(o.Latency)/microsPerSecond, 1e-4)
+		x := math.Log(took * c.threads / max(a.request.work, 1e-4))
+		c.recordDispersion(x, maxLogInflation, medianStep)
+		clipped, work := max(-maxLogInflation, min(maxLogInflation, x)), 0.0
 		if o.WorkMicros > 0 { // it is told: the crowd is known apart from the estimate
-			work = float64(o.WorkMicros) / micros
-			clipped = max(-slowClip, min(slowClip, math.Log(took*c.threads/work)))
-		} else if a.quiet || c.fit.n < baseFirst {
-			work = a.q.est * math.Exp(min(clipped, crowdedPart*g.slack))
+			work = float64(o.WorkMicros) / microsPerSecond
+			clipped = max(-maxLogInflation, min(maxLogInflation, math.Log(took*c.threads/work)))
+		} else if a.uncontended || c.workFit.n < minFitAnswers {
+			work = a.request.work * math.Exp(min(clipped, shrinkSlackShare*g.slack))
 		}
-		g.stretched(e, clipped, slowStep, slowFirst, reportFresh, crowdStep)
-		g.warmed(a.warm, clipped, meanStep)
-		g.meanTook.add(took, meanStep)
-		g.meanStay.add(g.since(a.q.taken), meanStep)
-		g.meanEarned.add(g.earns(a.q, g.now), meanStep)
-		if a.q.Cost > 0 && work > 0 {
-			c.fit.add(float64(a.q.Cost)/micros, work, fitStep)
+		g.recordInflation(e, clipped, inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
+		g.recordWarmth(a.warm, clipped, meanSmoothing)
+		g.attemptLatency.add(took, meanSmoothing)
+		g.responseTime.add(g.secondsSince(a.request.receivedAt), meanSmoothing)
+		g.earnedPerRequest.add(g.earnedWeight(a.request, g.now), meanSmoothing)
+		if a.request.Cost > 0 && work > 0 {
+			c.workFit.add(float64(a.request.Cost)/microsPerSecond, work, fitSmoothing)
 		}
-		g.adjust()
-		wait := max(0, float64(g.now-a.q.taken)/micros-c.service(a.q.est))
-		if a.spilt { // the margin settles where the wanted rank of grants suffices
-			c.margin += quantStep * grantRank
-		} else if a.noted {
-			c.margin -= quantStep * (1 - grantRank)
+		g.adjustCapacity()
+		wait := max(0, float64(g.now-a.request.receivedAt)/microsPerSecond-c.serviceTime(a.request.work))
+		if a.spilled { // the margin settles where the wanted rank of grants suffices
+			c.grantMargin += medianStep * grantQuantile
+		} else if a.reportedProgress {
+			c.grantMargin -= medianStep * (1 - grantQuantile)
 		}
-		c.wait[a.level] += (wait - c.wait[a.level]) * waitStep
-		c.refreshed[a.level] = true
+		c.queueWait[a.level] += (wait - c.queueWait[a.level]) * queueWaitSmoothing
+		c.waitRefreshed[a.level] = true
 	case Rejected, Failed, ConnectionRefused, ConnectionReset: // turned away is as quick as a fault
 		fault = 1
 	default:
 		return
 	}
-	e.heard, e.unanswered, e.lastFault = g.now, 0, fault > 0
+	e.lastResponse, e.cancelledUnanswered, e.lastWasFault = g.now, 0, fault > 0
 	if o.Code != ConnectionRefused && o.Code != ConnectionReset {
-		e.lives(a)
+		e.confirmAlive(a)
 	}
 	// It may come back cold, before the list tells. One broken connection alone may be an answer lost.
-	if o.Code == ConnectionRefused || o.Code == ConnectionReset && g.since(e.resetAt) < wakeEvery {
-		if e.guessed == 0 {
-			e.coldWas = e.coldSince
+	if o.Code == ConnectionRefused || o.Code == ConnectionReset && g.secondsSince(e.resetAt) < timerInterval {
+		if e.restartGuessedAt == 0 {
+			e.slowStartBefore = e.slowStartSince
 		}
-		e.coldSince, e.guessed = g.now, g.now
+		e.slowStartSince, e.restartGuessedAt = g.now, g.now
 	}
 	if o.Code == ConnectionReset {
 		e.resetAt = g.now
 	}
-	e.faults += (fault - e.faults) * faultStep
-	g.doubt(e)
+	e.faultShare += (fault - e.faultShare) * faultSmoothing
+	g.updateOutlier(e)
 }
 
-// lives takes word on an attempt: where it was sent before its engine seemed to end, the process never did.
+// confirmAlive takes word on an attempt: where it was sent before its engine seemed to end, the process never did.
 // It guards against networks that break single connections: each pair of them would make an engine cold for
 // long.
-func (e *engine) lives(a *attempt) {
-	if e.guessed > a.sent {
-		e.coldSince, e.guessed = e.coldWas, 0
+func (e *endpoint) confirmAlive(a *attempt) {
+	if e.restartGuessedAt > a.sentAt {
+		e.slowStartSince, e.restartGuessedAt = e.slowStartBefore, 0
 	}
 }
 
-// doubt turns distrust on and off by the share of faults, ours and peers' word, over what is usual in the
+// updateOutlier turns distrust on and off by the share of faults, ours and peers' word, over what is usual in the
 // fleet: faults that all engines have are none of theirs (a bad network), and nothing better is left to
 // send to.
-func (g *Gateway) doubt(e *engine) {
-	if !e.suspect && e.faults > faultHigh+g.all.faults {
-		g.distrust(e, "faults")
-	} else if e.suspect && e.faults < faultLow+g.all.faults {
-		e.suspect = false
-		g.note("trust %s again", e.ID)
+func (g *Gateway) updateOutlier(e *endpoint) {
+	if !e.ejected && e.faultShare > ejectionMargin+g.fleet.medianFaultShare {
+		g.eject(e, "faults")
+	} else if e.ejected && e.faultShare < readmissionMargin+g.fleet.medianFaultShare {
+		e.ejected = false
+		g.logLine("trust %s again", e.ID)
 	}
 }
 
-// distrust keeps all but a trickle from an engine that fails fast (and looks idle), hangs or vanishes.
-func (g *Gateway) distrust(e *engine, why string) {
-	e.suspect, e.trickleAt = true, g.now+Micros(trickleEvery*micros)
-	g.note("distrust %s: %s", e.ID, why)
+// eject keeps all but a trickle from an engine that fails fast (and looks idle), hangs or vanishes.
+func (g *Gateway) eject(e *endpoint, why string) {
+	e.ejected, e.nextTrialAt = true, g.now+Micros(trialInterval*microsPerSecond)
+	g.logLine("distrust %s: %s", e.ID, why)
 }
 
-// probed takes a probe's report; what waited for it is chosen at once.
-func (g *Gateway) probed(p HealthCheckResult) {
+// handleHealthCheckResult takes a probe's report; what waited for it is chosen at once.
+func (g *Gateway) handleHealthCheckResult(p HealthCheckResult) {
 	e := g.byID[p.Endpoint]
 	if e == nil {
 		return
 	}
-	if e.asked, g.pumpAt = false, g.now; p.Code == OK && p.Load != nil {
-		g.report(e, *p.Load, g.now)
+	if e.healthCheckPending, g.queueAt = false, g.now; p.Code == OK && p.Load != nil {
+		g.recordLoad(e, *p.Load, g.now)
 	}
 }
 
-// tell tells one peer, in turn, the freshest of what is known of the engines, ours
+// sendGossip tells one peer, in turn, the freshest of what is known of the engines, ours
 // or passed on, and what we have there. Its rate is tied to own traffic.
-func (g *Gateway) tell() {
-	others := g.set.Peers - 1
-	gap := max(tellEvery/float64(others), 1/max(tellShare*g.rate, 1/priceEvery))
-	g.tellAt = g.now + Micros(gap*micros)
+func (g *Gateway) sendGossip() {
+	others := g.settings.Peers - 1
+	gap := max(gossipInterval/float64(others), 1/max(gossipPerRequest*g.rate, 1/priceInterval))
+	g.gossipAt = g.now + Micros(gap*microsPerSecond)
 	// Each peer in turn, from a place by chance: else all gateways tell the same one.
-	g.tellTo = (g.tellTo + 1 + others) % others
-	g.do(SendGossip{To: (g.set.PeerIndex + 1 + g.tellTo) % g.set.Peers, Data: encode(g.rates(), g.rows(reportFresh))})
+	g.gossipTo = (g.gossipTo + 1 + others) % others
+	g.emit(SendGossip{To: (g.settings.PeerIndex + 1 + g.gossipTo) % g.settings.Peers, Data: encodeGossip(g.gossipRates(), g.gossipRows(reportLifetime))})
 }
 
-// heard takes a peer's word. What does not parse is skipped; only what is fresher
+// lastResponse takes a peer's word. What does not parse is skipped; only what is fresher
 // than our own knowledge counts, and slowness and faults only in part.
-func (g *Gateway) heard(h GossipReceived) {
-	if h.From < 0 || h.From >= g.set.Peers || h.From == g.set.PeerIndex {
+func (g *Gateway) handleGossip(h GossipReceived) {
+	if h.From < 0 || h.From >= g.settings.Peers || h.From == g.settings.PeerIndex {
 		return
 	}
-	rates, rows, ok := decode(h.Data, len(g.tenants)+1)
+	rates, rows, ok := decodeGossip(h.Data, len(g.tenants)+1)
 	if !ok {
 		return
 	}
-	g.mix(rates, wordMerge)
-	g.own(h.From, rows)
+	g.mergeRates(rates, gossipRateSmoothing)
+	g.recordPeerAttempts(h.From, rows)
 	for _, r := range rows {
-		e := g.byKey[r.key]
+		e := g.byWireID[r.key]
 		if e == nil {
 			continue
 		}
 		at := g.now - r.age
-		if r.group > 0 {
-			e.loads[r.group] = max(at, e.loads[r.group])
+		if r.lockedGroup > 0 {
+			e.tableLocks[r.lockedGroup] = max(at, e.tableLocks[r.lockedGroup])
 		}
-		if r.util >= 0 && at > e.loadAt {
-			g.report(e, Load{Util: r.util, InFlight: r.held, Queue: -1, Memory: r.memory, Disk: -1}, at)
+		if r.utilization >= 0 && at > e.loadAt {
+			g.recordLoad(e, Load{Util: r.utilization, InFlight: r.inFlight, Queue: -1, Memory: r.memory, Disk: -1}, at)
 		}
-		if at > e.heard && at > e.coldSince {
-			e.heard, e.unanswered, e.lastFault = at, 0, r.fault
-			e.faults -= e.faults * faultStep
+		if at > e.lastResponse && at > e.slowStartSince {
+			e.lastResponse, e.cancelledUnanswered, e.lastWasFault = at, 0, r.fault
+			e.faultShare -= e.faultShare * faultSmoothing
 			if r.fault {
-				e.faults += faultStep
+				e.faultShare += faultSmoothing
 			} else {
-				x, step := max(-slowClip, min(slowClip, r.stretch)), crowdStep/float64(len(rows))
-				g.stretched(e, x, slowStep, slowFirst, reportFresh, step)
-				g.adjust()
+				x, step := max(-maxLogInflation, min(maxLogInflation, r.inflation)), fleetInflationStep/float64(len(rows))
+				g.recordInflation(e, x, inflationSmoothing, rareInflationSmoothing, reportLifetime, step)
+				g.adjustCapacity()
 			}
-			g.doubt(e)
+			g.updateOutlier(e)
 		}
 	}
 }
 
-// adjust narrows the room of all engines in a crowd, on cores, disks or memory, and widens
+// adjustCapacity narrows the room of all engines in a crowd, on cores, disks or memory, and widens
 // it in full use. One gateway of many seldom hears of one engine; see speed for that.
-func (g *Gateway) adjust() {
-	if g.since(g.roomAt) < roomEvery {
+func (g *Gateway) adjustCapacity() {
+	if g.secondsSince(g.capacityAt) < capacityInterval {
 		return
 	}
-	if g.roomAt = g.now; g.crowd.v > crowdedPart*g.slack {
-		g.room = max(g.room*roomDown, roomLeast)
-	} else if g.crowd.v < widenPart*g.slack && g.all.busy > g.room/2 {
-		most := threadsACore + (threadsMost-threadsACore)*g.all.covered // less where others are guessed
-		g.room = min(g.room/roomDown, most)
+	if g.capacityAt = g.now; g.inflation.v > shrinkSlackShare*g.slack {
+		g.capacity = max(g.capacity*capacityBackoff, minCapacity)
+	} else if g.inflation.v < growSlackShare*g.slack && g.fleet.threadsPerCore > g.capacity/2 {
+		most := initialCapacity + (maxCapacity-initialCapacity)*g.fleet.peerCoverage // less where others are guessed
+		g.capacity = min(g.capacity/capacityBackoff, most)
 	}
 }
 
-// callOff cancels an attempt, where that is allowed.
-func (g *Gateway) callOff(a *attempt) bool {
-	if a.closed || a.called || !g.set.CanCancel || a.q.streamed {
+// cancelAttempt cancels an attempt, where that is allowed.
+func (g *Gateway) cancelAttempt(a *attempt) bool {
+	if a.closed || a.cancelled || !g.settings.CanCancel || a.request.streamed {
 		return false
 	}
-	a.called = true
-	g.do(Cancel{ID: a.q.ID, Attempt: a.n})
+	a.cancelled = true
+	g.emit(Cancel{ID: a.request.ID, Attempt: a.number})
 	return true
 }
 
-// loading tells that a load holds a group on an engine: ours, or by a note or a
+// tablesLocked tells that a load holds a group on an engine: ours, or by a note or a
 // peer's word of late. It guards against queries that stand still.
-func (g *Gateway) loading(e *engine, tables int64) bool {
-	if e.ownLoad(tables) {
+func (g *Gateway) tablesLocked(e *endpoint, tables int64) bool {
+	if e.holdsOwnTableLock(tables) {
 		return true
 	}
-	at := e.loads[groupOf(tables)]
-	return at > 0 && g.since(at) < wordFresh
+	at := e.tableLocks[groupCode(tables)]
+	return at > 0 && g.secondsSince(at) < gossipLifetime
 }
 
-// list keeps up with the engine list.
-func (g *Gateway) list(l EndpointUpdate) {
+// handleEndpointUpdate keeps up with the engine list.
+func (g *Gateway) handleEndpointUpdate(l EndpointUpdate) {
 	if l.Failed {
-		g.askAt = min(g.askAt, g.now+Micros(askEvery*micros))
+		g.pollAt = min(g.pollAt, g.now+Micros(minPollInterval*microsPerSecond))
 	}
-	g.missing(l)
+	g.markRemoved(l)
 	for _, r := range l.Endpoints {
 		e := g.byID[r.ID]
 		if e == nil {
-			e = g.meet(r)
-			e.coldSince, e.slow = r.Started, g.crowd.v
-			g.recall(e)
+			e = g.addEndpoint(r)
+			e.slowStartSince, e.inflation = r.Started, g.inflation.v
+			g.restoreEndpoint(e)
 		} else if r.Started != e.Started { // restarted: nothing learned holds any more
-			e.coldSince, e.suspect, e.warm = max(r.Started, e.coldSince), false, nil
-			e.faults, e.slow, e.guessed = 0, g.crowd.v, 0
+			e.slowStartSince, e.ejected, e.warmGroups = max(r.Started, e.slowStartSince), false, nil
+			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.inflation.v, 0
 		}
 		if r.State == Draining && e.State != Draining {
-			e.drainBy = g.now + g.set.DrainGrace - g.guard()
+			e.drainUntil = g.now + g.settings.DrainGrace - g.deadlineGuard()
 		}
 		e.Endpoint = r
 	}
-	g.sortEngines()
-	g.survey(wordFresh, reportFresh, 1)
+	g.sortEndpoints()
+	g.summarizeFleet(gossipLifetime, reportLifetime, 1)
 }
 
-// watch looks at all that is open: deadlines, overdue attempts, silent engines.
-func (g *Gateway) watch() {
-	keep := math.Pow(forget, wakeEvery)
-	g.meanOpen += (g.ownOpen() - g.meanOpen) * (1 - keep)
-	g.survey(wordFresh, reportFresh, keep)
-	g.all.excess = g.excess(g.all.busy / max(g.all.excess, 1))
-	if g.since(g.priced) >= priceEvery {
-		g.reprice()
-		g.priced = g.now
-	}
-	if g.set.PollEndpoints && g.now >= g.askAt { // a failed call may have ended the subscription
-		g.askAt = g.now + max(g.set.MaxPollInterval/4, Micros(askEvery*micros))
-		g.do(WatchEndpoints{})
-	}
-	if g.set.CanGossip && g.set.Peers > 1 && g.now >= g.tellAt {
-		g.tell()
-	}
-	for _, e := range g.engines {
-		g.silent(e)
-	}
-	g.door = g.doorPrice(g.heldNow())
-	for _, q := range g.live {
+// runMaintenance looks at all that is open: deadlines, overdue attempts, silent engines.
+func (g *Gateway) runMaintenance() {
+	keep := math.Pow(idleRetention, timerInterval)
+	g.meanInFlight += (g.attemptsInFlight() - g.meanInFlight) * (1 - keep)
+	g.summarizeFleet(gossipLifetime, reportLifetime, keep)
+	g.fleet.occupancyExcess = g.occupancyExcess(g.fleet.threadsPerCore / max(g.fleet.occupancyExcess, 1))
+	if g.secondsSince(g.pricedAt) >= priceInterval {
+		g.updatePrices()
+		g.pricedAt = g.now
+	}
+	if g.settings.PollEndpoints && g.now >= g.pollAt { // a failed call may have ended the subscription
+		g.pollAt = g.now + max(g.settings.MaxPollInterval/4, Micros(minPollInterval*microsPerSecond))
+		g.emit(WatchEndpoints{})
+	}
+	if g.settings.CanGossip && g.settings.Peers > 1 && g.now >= g.gossipAt {
+		g.sendGossip()
+	}
+	for _, e := range g.endpoints {
+		g.detectUnresponsive(e)
+	}
+	g.queuePrice = g.admissionQueuePrice(g.countUnanswered())
+	for _, q := range g.active {
 		if q.done || q.streamed {
 			continue
 		}
-		if g.now >= q.Deadline-g.guard() || g.overstays(q) {
-			g.giveUp(q)
+		if g.now >= q.Deadline-g.deadlineGuard() || g.belowQueuePrice(q) {
+			g.shedOrFail(q)
 			continue
 		}
 		for _, a := range q.attempts {
-			if !a.closed && !a.called && !q.done {
-				g.overdue(a)
+			if !a.closed && !a.cancelled && !q.done {
+				g.checkOverdue(a)
 			}
 		}
 	}
-	g.live = slices.DeleteFunc(g.live, func(q *request) bool { return q.done && q.open == 0 })
+	g.active = slices.DeleteFunc(g.active, func(q *request) bool { return q.done && q.openAttempts == 0 })
 }
 
-// silent distrusts an engine whose open attempts are all far past expectation, or
+// detectUnresponsive distrusts an engine whose open attempts are all far past expectation, or
 // that owes notes on one. Where peers talk, silence is longer than their usual word.
-func (g *Gateway) silent(e *engine) {
-	if e.suspect || g.since(e.heard) < silentFloor+silentAges*g.all.age*float64(min(1, len(g.peers))) {
+func (g *Gateway) detectUnresponsive(e *endpoint) {
+	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+unresponsiveAges*g.fleet.responseAge*float64(min(1, len(g.peerReports))) {
 		return
 	}
-	overdue := e.unanswered
-	for _, a := range e.open {
-		if age := g.since(a.sent); !a.standing && age > silentFloor && a.sent >= e.heard {
-			overdue += math.Floor(min(age/(silentTimes*a.expect), 2))
+	overdue := e.cancelledUnanswered
+	for _, a := range e.attempts {
+		if age := g.secondsSince(a.sentAt); !a.waiting && age > minUnresponsive && a.sentAt >= e.lastResponse {
+			overdue += math.Floor(min(age/(overdueFactor*a.expectedTime), 2))
 		}
 	}
-	if overdue >= 2 || g.owesNotes(e) { // two attempts, or one very old: one alone may be a bad plan
-		e.faults = faultHigh
-		g.distrust(e, "silent")
+	if overdue >= 2 || g.missesProgress(e) { // two attempts, or one very old: one alone may be a bad plan
+		e.faultShare = ejectionMargin
+		g.eject(e, "silent")
 	}
 }
 
-// owesNotes tells that notes on an attempt have stopped: a hung engine sends none.
-func (g *Gateway) owesNotes(e *engine) bool {
-	return g.set.ProgressInterval > 0 && slices.ContainsFunc(e.open, func(a *attempt) bool {
-		return g.now-max(a.sent, a.notedAt) > Micros(notesMissed*float64(g.set.ProgressInterval))
+// missesProgress tells that notes on an attempt have stopped: a hung engine sends none.
+func (g *Gateway) missesProgress(e *endpoint) bool {
+	return g.settings.ProgressInterval > 0 && slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+		return g.now-max(a.sentAt, a.progressAt) > Micros(maxMissedProgress*float64(g.settings.ProgressInterval))
 	})
 }
 
-// overdue answers a bad plan or a dead engine: a restart elsewhere while it can
+// checkOverdue answers a bad plan or a dead engine: a restart elsewhere while it can
 // still earn the worth and the budget lasts. Estimates stray, and a restart does not
 // make a query shorter: what an attempt called off had shown is what the next may take.
-func (g *Gateway) overdue(a *attempt) {
-	age, q, c := g.since(a.sent), a.q, a.q.class
-	lost := a.e.suspect && age > silentFloor && age > silentTimes*a.expect
-	expect := max(q.est/c.threads*math.Exp(max(a.e.slow, g.crowd.v, c.ratio.v, 0)), q.seen)
-	left := float64(q.Deadline-g.guard()-g.now) / micros
-	took, bad := age, age > max(silentTimes, math.Exp(strayTimes*c.stray))*expect
-	if a.total > 0 && age <= silentTimes*a.total { // a note that time has proven wrong holds no longer
-		took, bad = a.total, a.total > silentTimes*expect && a.total-age > planGain*expect
-		if !bad && a.total-age > planGain*left && g.set.CanCancel { // at its pace it earns nothing any more
-			g.giveUp(q)
+func (g *Gateway) checkOverdue(a *attempt) {
+	age, q, c := g.secondsSince(a.sentAt), a.request, a.request.class
+	lost := a.endpoint.ejected && age > minUnresponsive && age > overdueFactor*a.expectedTime
+	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.inflation.v, c.latencyRatio.v, 0)), q.observedTime)
+	left := float64(q.Deadline-g.deadlineGuard()-g.now) / microsPerSecond
+	took, bad := age, age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expect
+	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime { // a note that time has proven wrong holds no longer
+		took, bad = a.projectedTime, a.projectedTime > overdueFactor*expect && a.projectedTime-age > minRestartGain*expect
+		if !bad && a.projectedTime-age > minRestartGain*left && g.settings.CanCancel { // at its pace it earns nothing any more
+			g.shedOrFail(q)
 			return
 		}
 	}
-	if !lost && (!bad || age < planFloor) || a.standing {
+	if !lost && (!bad || age < minOverdueAge) || a.waiting {
 		return
 	}
-	enough := len(q.attempts) >= g.set.MaxAttempts || c.Effect == NonIdempotent || !g.inBudget()
-	if !enough && !q.redo && left >= c.service(q.est) && g.callOff(a) {
-		q.redo = true
+	enough := len(q.attempts) >= g.settings.MaxAttempts || c.Effect == NonIdempotent || !g.withinRetryBudget()
+	if !enough && !q.restarting && left >= c.serviceTime(q.work) && g.cancelAttempt(a) {
+		q.restarting = true
 		// It would have taken longer still: else a crowd is learned from its quick answers alone.
-		x := math.Log(age * c.threads / max(q.est, 1e-4))
-		c.strayed(x, slowClip, quantStep)
-		g.stretched(a.e, max(0, min(slowClip, x)), slowStep, slowFirst, reportFresh, crowdStep)
+		x := math.Log(age * c.threads / max(q.work, 1e-4))
+		c.recordDispersion(x, maxLogInflation, medianStep)
+		g.recordInflation(a.endpoint, max(0, min(maxLogInflation, x)), inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
 		if bad && !lost {
-			q.seen = took * seenPart
+			q.observedTime = took * observedTimeShare
 		}
-		if a.sent >= a.e.heard { // a restart must not hide that nothing comes from there
-			a.e.unanswered++
+		if a.sentAt >= a.endpoint.lastResponse { // a restart must not hide that nothing comes from there
+			a.endpoint.cancelledUnanswered++
 		}
 	}
 }
 
-// reprice recomputes the tolls from what was admitted and how long it waited.
-func (g *Gateway) reprice() {
-	span := max(g.since(g.priced), 1e-3)
-	g.inBudget() // what is older than the budget's span is forgotten, also while nothing is tried again
-	g.tally(span, rateStep)
-	if len(g.peers) > 0 {
-		g.part = g.rate / max(g.meanRate*float64(g.set.Peers), g.rate, 1e-9)
-	} else if demand := g.rate * g.meanTook.v * g.meanSent.v; demand > 0 && g.all.heard {
-		g.part = demand / max(g.all.threads/max(g.all.excess, 1), demand)
-	}
-	if n := g.ownOpen(); n > 0 { // of those in flight: heavy ones stay longer
-		g.meanThreads += (g.ownThreads()/n - g.meanThreads) * min(1, n*meanStep)
-		g.meanMB += (g.ownMB()/g.ownThreads() - g.meanMB) * min(1, n*meanStep)
-	}
-	g.slack = g.patience()
-	share := g.shareCores()
-	var lost [levels]float64 // delay cost that a second more of wait at a level adds, times that wait
+// updatePrices recomputes the tolls from what was admitted and how long it waited.
+func (g *Gateway) updatePrices() {
+	span := max(g.secondsSince(g.pricedAt), 1e-3)
+	g.withinRetryBudget() // what is older than the budget's span is forgotten, also while nothing is tried again
+	g.updateRates(span, rateSmoothing)
+	if len(g.peerReports) > 0 {
+		g.ownShare = g.rate / max(g.meanRate*float64(g.settings.Peers), g.rate, 1e-9)
+	} else if demand := g.rate * g.attemptLatency.v * g.sentThreads.v; demand > 0 && g.fleet.reported {
+		g.ownShare = demand / max(g.fleet.threads/max(g.fleet.occupancyExcess, 1), demand)
+	}
+	if n := g.attemptsInFlight(); n > 0 { // of those in flight: heavy ones stay longer
+		g.meanThreads += (g.threadsInFlight()/n - g.meanThreads) * min(1, n*meanSmoothing)
+		g.meanGrantMB += (g.grantsInFlightMB()/g.threadsInFlight() - g.meanGrantMB) * min(1, n*meanSmoothing)
+	}
+	g.slack = g.objectiveSlack()
+	share := g.coreShare()
+	var lost [priorityLevels]float64 // delay cost that a second more of wait at a level adds, times that wait
 	for i := range g.classes {
 		c := &g.classes[i]
-		for k := range levels {
-			c.rate[k] += (c.admitted[k]/span - c.rate[k]) * rateStep
-			if c.admitted[k] = 0; !c.refreshed[k] {
-				c.wait[k] /= 2
+		for k := range priorityLevels {
+			c.admittedRate[k] += (c.admitted[k]/span - c.admittedRate[k]) * rateSmoothing
+			if c.admitted[k] = 0; !c.waitRefreshed[k] {
+				c.queueWait[k] /= 2
 			}
-			c.refreshed[k] = false
-			lost[k] += c.delayCost() * c.rate[k] * c.wait[k]
+			c.waitRefreshed[k] = false
+			lost[k] += c.delayCost() * c.admittedRate[k] * c.queueWait[k]
 		}
 	}
 	for i := range g.classes {
 		c := &g.classes[i]
-		for k := range levels {
+		for k := range priorityLevels {
 			var r, above float64
-			for h := range levels {
+			for h := range priorityLevels {
 				above += g.threads[h]
 				if h >= k {
-					r += c.typical() / share * lost[h] / (1 - min(above/share, crowdCap))
+					r += c.typicalWork() / share * lost[h] / (1 - min(above/share, maxTollUtilization))
 				}
 			}
-			c.price[k] = priceStep*r + (1-priceStep)*c.price[k]
+			c.price[k] = priceSmoothing*r + (1-priceSmoothing)*c.price[k]
 		}
 	}
-	if g.since(g.roomAt) > priceEvery && g.ownOpen() == 0 { // else a narrow room lets no answer come again
-		g.crowd.v, g.room = g.crowd.v*forget, threadsACore+(g.room-threadsACore)*forget
+	if g.secondsSince(g.capacityAt) > priceInterval && g.attemptsInFlight() == 0 { // else a narrow room lets no answer come again
+		g.inflation.v, g.capacity = g.inflation.v*idleRetention, initialCapacity+(g.capacity-initialCapacity)*idleRetention
 	}
-	for _, e := range g.engines {
-		if g.since(e.heard) > reportFresh { // what is not heard of becomes average
-			e.slow = g.crowd.v + (e.slow-g.crowd.v)*forget
+	for _, e := range g.endpoints {
+		if g.secondsSince(e.lastResponse) > reportLifetime { // what is not heard of becomes average
+			e.inflation = g.inflation.v + (e.inflation-g.inflation.v)*idleRetention
 		}
-		if g.since(e.newsAt) > priceEvery {
-			e.newsAt, e.claimed, e.ticket = g.now, 0, g.rng.Float64()
+		if g.secondsSince(e.reportArrivedAt) > priceInterval {
+			e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
 		}
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// crowd is many gateways that share engines; answers come after a fixed time.
+// inflation is many gateways that share engines; answers come after a fixed time.
 type crowd struct {
 	t      *testing.T
 	gs     []*Gateway
@@ -63,8 +63,8 @@
 		switch a := a.(type) {
 		case Send:
 			c.sends[a.Endpoint] = append(c.sends[a.Endpoint], c.now)
-			q := c.gs[i].open[a.ID]
-			c.sent[a.Endpoint] += q.est
+			q := c.gs[i].requests[a.ID]
+			c.sent[a.Endpoint] += q.work
 			c.open[a.Endpoint] += q.class.threads
 			c.most[a.Endpoint] = max(c.most[a.Endpoint], c.open[a.Endpoint])
 			n := len(q.attempts) - 1
@@ -131,8 +131,8 @@
 	}
 	known := 0
 	for _, g := range c.gs {
-		for _, e := range g.engines {
-			if g.since(max(e.loadAt, e.heard)) < 3 {
+		for _, e := range g.endpoints {
+			if g.secondsSince(max(e.loadAt, e.lastResponse)) < 3 {
 				known++
 			}
 		}
@@ -156,12 +156,12 @@
 				e.Started = 100 * sec
 			}
 		})
-		s := c.gs[0].set
+		s := c.gs[0].settings
 		gap := sec * Micros(n) / 100
 		last, all := 0.0, 0.0
 		for range 4 { // windows of the rule's length; what it bears then rises evenly
 			share := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(c.now-100*sec)/float64(s.SlowStartDuration)
-			limit := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / micros
+			limit := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / microsPerSecond
 			c.run(s.OverloadDuration, gap)
 			if used := c.sent["e00"] - last; used > limit {
 				t.Errorf("%d gateways sent a cold engine %.2f s of work in a window of %.2f", n, used, limit)
@@ -185,7 +185,7 @@
 			}
 			rows = append(rows, *e)
 		})
-		s := c.gs[0].set
+		s := c.gs[0].settings
 		rng := rand.New(rand.NewPCG(1, uint64(n)))
 		for tick := 0; c.now < 100*sec+s.SlowStartDuration; tick++ {
 			c.now += 10000
@@ -218,7 +218,7 @@
 		sends, worst := c.sends["e00"], 0.0
 		for i, from := range sends {
 			share := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(from-100*sec)/float64(s.SlowStartDuration)
-			budget := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / micros / 0.1
+			budget := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / microsPerSecond / 0.1
 			count := 0.0
 			for _, at := range sends[i:] {
 				if at < from+s.OverloadDuration {
@@ -267,7 +267,7 @@
 		for _, s := range sends {
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: code, Final: true, Latency: 1000})
 		}
-		return b.g.engines[0].coldSince
+		return b.g.endpoints[0].slowStartSince
 	}
 	if lose(ConnectionReset, 1) != 0 {
 		t.Error("cold after one broken connection")
@@ -283,8 +283,8 @@
 	s := testSettings()
 	s.ProgressInterval = sec / 2
 	b := newBench(t, s, 2)
-	for _, e := range b.g.engines {
-		e.heard = b.now - 10*sec
+	for _, e := range b.g.endpoints {
+		e.lastResponse = b.now - 10*sec
 	}
 	q := b.request(1)
 	q.Cost = 20 * sec // nothing is overdue yet
@@ -293,11 +293,11 @@
 		b.now += sec / 2
 		b.step(Progress{ID: q.ID, Endpoint: at, Kind: FractionDone, Value: 0.1})
 	}
-	if b.g.byID[at].suspect {
+	if b.g.byID[at].ejected {
 		t.Fatal("suspect while notes come")
 	}
 	b.until(b.now + 2*sec)
-	if !b.g.byID[at].suspect {
+	if !b.g.byID[at].ejected {
 		t.Fatal("trusted though no note came for two seconds")
 	}
 }
@@ -306,13 +306,13 @@
 func TestLittleTimeLeftTakesAFasterLevel(t *testing.T) {
 	b := newBench(t, testSettings(), 2)
 	c := &b.g.classes[0]
-	c.mean.v, c.wait, c.price = 0.1, [levels]float64{0, 0, 3, 3}, [levels]float64{0.9, 0.9, 0, 0}
+	c.meanWork.v, c.queueWait, c.price = 0.1, [priorityLevels]float64{0, 0, 3, 3}, [priorityLevels]float64{0.9, 0.9, 0, 0}
 	for _, tt := range []struct {
 		left Micros
 		want int
 	}{{4 * sec, 2}, {sec, 1}} {
-		q := &request{class: c, est: 0.1, worth: 1, Request: Request{Deadline: b.now + tt.left}}
-		if level, _ := b.g.cheapest(q); level > tt.want || tt.want == 2 && level != 2 {
+		q := &request{class: c, work: 0.1, weight: 1, Request: Request{Deadline: b.now + tt.left}}
+		if level, _ := b.g.leastCostLevel(q); level > tt.want || tt.want == 2 && level != 2 {
 			t.Errorf("level %d with %d left", level, tt.left)
 		}
 	}
@@ -331,27 +331,27 @@
 }
 
 func TestMessagesCarryWhatIsKnown(t *testing.T) {
-	rows := []row{{key: 7, age: sec / 4, util: 0.5, held: 12, memory: -1, stretch: 0.5, threads: 3, granted: 0.2, group: 9},
-		{key: 9, age: 0, util: -1, held: -1, memory: -1, fault: true}}
-	data := encode([]float64{1.5, 2}, rows)
-	rates, got, ok := decode(data, 2)
-	if !ok || len(got) != 2 || rates[0] != 1.5 || got[0].held != 12 || got[0].group != 9 || !got[1].fault ||
-		got[1].util >= 0 || got[0].age != sec/4 {
+	rows := []gossipRow{{key: 7, age: sec / 4, utilization: 0.5, inFlight: 12, memory: -1, inflation: 0.5, threads: 3, grantedShare: 0.2, lockedGroup: 9},
+		{key: 9, age: 0, utilization: -1, inFlight: -1, memory: -1, fault: true}}
+	data := encodeGossip([]float64{1.5, 2}, rows)
+	rates, got, ok := decodeGossip(data, 2)
+	if !ok || len(got) != 2 || rates[0] != 1.5 || got[0].inFlight != 12 || got[0].lockedGroup != 9 || !got[1].fault ||
+		got[1].utilization >= 0 || got[0].age != sec/4 {
 		t.Fatalf("%v %v %v", rates, got, ok)
 	}
 	for n := range len(data) { // cut anywhere: skipped, or whole rows only
-		if _, rows, ok := decode(data[:n], 2); ok && len(rows) > 1 {
+		if _, rows, ok := decodeGossip(data[:n], 2); ok && len(rows) > 1 {
 			t.Fatalf("%d bytes of %d read as %v", n, len(data), rows)
 		}
 	}
-	if _, _, ok := decode(data, 3); ok {
+	if _, _, ok := decodeGossip(data, 3); ok {
 		t.Fatal("read with another number of tenants")
 	}
 }
 
 func FuzzHeard(f *testing.F) {
 	f.Add([]byte{}, 1)
-	f.Add(encode([]float64{1}, []row{{key: 1, util: 2.5, held: 254, memory: 2, stretch: 3, threads: 60, group: 255}}), 1)
+	f.Add(encodeGossip([]float64{1}, []gossipRow{{key: 1, utilization: 2.5, inFlight: 254, memory: 2, inflation: 3, threads: 60, lockedGroup: 255}}), 1)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
 		s := testSettings()
 		s.CanGossip, s.Peers = true, 5
@@ -405,14 +405,14 @@
 				b.Fatal(err)
 			}
 			var rows []Endpoint
-			var news []row
+			var news []gossipRow
 			for i := range size[1] {
 				rows = append(rows, Endpoint{ID: fmt.Sprintf("e%02d", i)})
-				news = append(news, row{key: hash(rows[i].ID), util: 0.5, held: 4, memory: -1, threads: 1})
+				news = append(news, gossipRow{key: wireID(rows[i].ID), utilization: 0.5, inFlight: 4, memory: -1, threads: 1})
 			}
 			now := 100 * sec
 			g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: rows}})
-			data := encode([]float64{1}, news)
+			data := encodeGossip([]float64{1}, news)
 			for i := 0; b.Loop(); i++ {
 				now += 20000
 				id := fmt.Sprint(i)
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -21,16 +21,16 @@
 func TestColdPartIsEqualWhereNobodyTalks(t *testing.T) {
 	b := sparse(t, 50, 1, nil)
 	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", Started: b.now}}})
-	b.g.part = 1
-	s := b.g.set
+	b.g.ownShare = 1
+	s := b.g.settings
 	work := 0.0
 	for end := b.now + s.OverloadDuration; b.now < end; {
 		b.now += 20000
 		for _, a := range only[Send](b.step(b.request(0))) {
-			work += b.g.open[a.ID].est
+			work += b.g.requests[a.ID].work
 		}
 	}
-	budget := s.OverloadMultiple * (s.SlowStartFloor + 0.2) * 8 * float64(s.OverloadDuration) / micros / 50
+	budget := s.OverloadMultiple * (s.SlowStartFloor + 0.2) * 8 * float64(s.OverloadDuration) / microsPerSecond / 50
 	if work > budget+0.1 { // one query may begin it
 		t.Fatalf("%.2f s of work sent of %.2f", work, budget)
 	}
@@ -52,8 +52,8 @@
 			c.play(i, Request{ID: fmt.Sprint(c.ids), Class: 1, Cost: 4 * sec, MemoryMB: 100, Deadline: c.now + 15*sec})
 		}
 		c.run(2*sec, 3600*sec)
-		s := c.gs[0].set
-		if c.sent["e00"] > s.OverloadMultiple*s.SlowStartFloor*8*float64(s.OverloadDuration)/micros {
+		s := c.gs[0].settings
+		if c.sent["e00"] > s.OverloadMultiple*s.SlowStartFloor*8*float64(s.OverloadDuration)/microsPerSecond {
 			over++
 		}
 	}
@@ -69,11 +69,11 @@
 	for i := range 100 {
 		q := b.request(0)
 		q.Cost = 100000 << (i % 8)
-		sum += float64(q.Cost) / micros
+		sum += float64(q.Cost) / microsPerSecond
 		b.step(q)
 	}
-	if c := &b.g.classes[0]; c.heft.v < 0.9*sum/100 {
-		t.Fatalf("usual work %.2f s, it is %.2f", c.heft.v, sum/100)
+	if c := &b.g.classes[0]; c.usualWork.v < 0.9*sum/100 {
+		t.Fatalf("usual work %.2f s, it is %.2f", c.usualWork.v, sum/100)
 	}
 }
 
@@ -84,8 +84,8 @@
 	sent := 0
 	for range 40 {
 		b.now += 50000
-		for _, e := range b.g.engines {
-			b.g.report(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+		for _, e := range b.g.endpoints {
+			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(only[Send](b.step(b.request(1))))
 	}
@@ -101,17 +101,17 @@
 func TestNarrowRoomWidensWithNothingOut(t *testing.T) {
 	b := sparse(t, 50, 4, nil)
 	b.step(b.request(0))
-	for _, q := range b.g.live {
+	for _, q := range b.g.active {
 		for _, a := range q.attempts {
-			b.step(AttemptResult{ID: q.ID, Attempt: a.n, Endpoint: a.e.ID, Final: true, Latency: 100000})
+			b.step(AttemptResult{ID: q.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Final: true, Latency: 100000})
 		}
 	}
-	b.g.room, b.g.all.busy, b.g.all.tells = roomLeast, 0.8, true
+	b.g.capacity, b.g.fleet.threadsPerCore, b.g.fleet.everReported = minCapacity, 0.8, true
 	sent := 0
 	for range 60 {
 		b.now += sec / 4
-		for _, e := range b.g.engines {
-			b.g.report(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+		for _, e := range b.g.endpoints {
+			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(only[Send](b.step(b.request(0))))
 	}
@@ -133,8 +133,8 @@
 				b.step(Progress{ID: q.ID, Endpoint: "e0", Kind: FractionDone, Value: 0.01})
 			}
 		}
-		if b.g.engines[0].suspect == noted {
-			t.Errorf("notes %v, suspect %v", noted, b.g.engines[0].suspect)
+		if b.g.endpoints[0].ejected == noted {
+			t.Errorf("notes %v, suspect %v", noted, b.g.endpoints[0].ejected)
 		}
 	}
 }
@@ -148,18 +148,18 @@
 	b.step(q)
 	cancelled := 0
 	for n := range 5 {
-		if len(b.g.open[q.ID].attempts) <= n {
+		if len(b.g.requests[q.ID].attempts) <= n {
 			break
 		}
-		a := b.g.open[q.ID].attempts[n]
+		a := b.g.requests[q.ID].attempts[n]
 		b.now += sec / 2
-		acts := b.step(Progress{ID: q.ID, Attempt: n, Endpoint: a.e.ID, Kind: FractionDone, Value: 0.08})
+		acts := b.step(Progress{ID: q.ID, Attempt: n, Endpoint: a.endpoint.ID, Kind: FractionDone, Value: 0.08})
 		acts = append(acts, b.until(b.now+sec/5)...)
 		if len(only[Cancel](acts)) == 0 {
 			break
 		}
 		cancelled++
-		b.step(AttemptResult{ID: q.ID, Attempt: n, Endpoint: a.e.ID, Code: Cancelled})
+		b.step(AttemptResult{ID: q.ID, Attempt: n, Endpoint: a.endpoint.ID, Code: Cancelled})
 		b.until(b.now + sec/10)
 	}
 	if cancelled != 1 {
@@ -178,8 +178,8 @@
 			b.step(AttemptResult{ID: q.ID, Endpoint: a.Endpoint, Final: true, Latency: 600000, WorkMicros: 300000, NeededMB: 10})
 		}
 	}
-	if c := &b.g.classes[0]; c.typical() < 0.25 || c.typical() > 0.35 {
-		t.Fatalf("work of 0.3 s is taken for %.2f", c.typical())
+	if c := &b.g.classes[0]; c.typicalWork() < 0.25 || c.typicalWork() > 0.35 {
+		t.Fatalf("work of 0.3 s is taken for %.2f", c.typicalWork())
 	}
 }
 
@@ -190,9 +190,9 @@
 		for i := range b.g.classes[0].price {
 			b.g.classes[0].price[i] = 100 // no worth covers that
 		}
-		b.g.meanCost.v, b.g.all.busy, b.g.all.tells = 0.1, 9, true
-		for _, e := range b.g.engines {
-			b.g.report(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+		b.g.meanWork.v, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
+		for _, e := range b.g.endpoints {
+			b.g.recordLoad(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		b.g.threads[0] = 50
 		r := only[Shed](b.step(b.request(0)))
@@ -208,17 +208,17 @@
 	q := b.request(1)
 	q.Cost = 60 * sec
 	for i := range b.g.classes { // as if such queries were usual here
-		b.g.classes[i].mean.v, b.g.classes[i].mean.n = 60, 100
+		b.g.classes[i].meanWork.v, b.g.classes[i].meanWork.n = 60, 100
 	}
 	b.step(q)
-	if len(b.g.open[q.ID].attempts) == 0 {
+	if len(b.g.requests[q.ID].attempts) == 0 {
 		t.Fatal("not sent")
 	}
-	a := b.g.open[q.ID].attempts[0]
+	a := b.g.requests[q.ID].attempts[0]
 	var acts []Action
 	for b.now < q.Deadline-4*sec {
 		b.now += sec / 2
-		acts = append(acts, b.step(Progress{ID: q.ID, Endpoint: a.e.ID, Kind: FractionDone, Value: 0.6 * b.g.since(a.sent) / 15})...)
+		acts = append(acts, b.step(Progress{ID: q.ID, Endpoint: a.endpoint.ID, Kind: FractionDone, Value: 0.6 * b.g.secondsSince(a.sentAt) / 15})...)
 	}
 	acts = append(acts, b.until(b.now+sec/10)...)
 	if finals(acts, q.ID) != 1 || len(only[Cancel](acts)) != 1 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -16,160 +16,160 @@
 
 // Gateway decides for one dispatcher. It is not safe for concurrent use.
 type Gateway struct {
-	set         Settings
-	rng         *rand.Rand
-	now         Micros
-	begun       bool
-	out         []Action
-	classes     []class
-	tenants     []tenant
-	engines     []*engine
-	byID        map[string]*engine
-	open        map[string]*request // looked up only, never ranged over
-	live        []*request          // in the order taken
-	held        []*request          // at the gate, waiting for room
-	turns       map[int64]*turn     // looked up only
-	taken       []Micros            // requests taken within the budget's span
-	further     []Micros            // further attempts within it
-	threads     [levels]float64     // own threads in flight at each level
-	priced      Micros
-	wakeAt      Micros
-	askAt       Micros // next call for the engine list
-	noted       Micros
-	noteEvery   float64 // least seconds between two log lines
-	pumpAt      Micros
-	tellAt      Micros
-	tellTo      int                // peer told last
-	peers       map[int]*peer      // those heard of late; looked up only
-	byKey       map[uint32]*engine // by short name; looked up only
-	heardFrom   []said             // messages of peers in the order heard
-	rate, count float64            // requests taken a second; since the last interval
-	askCredit   float64            // probes that own traffic has paid for
-	all         fleet
-	part        float64                    // our part of all traffic, as far as known
-	stretch     [2]float64                 // mean log stretch of answers where the group was not warm, was warm
-	meanThreads float64                    // of a query in flight
-	meanRate    float64                    // mean requests taken a second by a gateway
-	meanMB      float64                    // mean grant for each thread in flight
-	meanSent    average                    // mean threads of a query sent
-	meanStay    average                    // mean seconds from taking a query to its answer
-	meanEarned  average                    // mean worth of those answers
-	door        float64                    // worth of a second at the door, see doorPrice
-	meanTook    average                    // mean seconds of an answer
-	meanCost    average                    // mean cost of all queries, seconds of work
-	crowd       quantile                   // median log stretch of answers, ours or told
-	meanOpen    float64                    // own queries in flight, over some seconds
-	slack       float64                    // log stretch that the aims of all classes leave
-	recalled    map[string]LearnedEndpoint // of an earlier gateway, until their engines are met; looked up only
-	room        float64                    // threads a core that any engine may hold, everybody's
-	roomAt      Micros
+	settings          Settings
+	rng               *rand.Rand
+	now               Micros
+	started           bool
+	actions           []Action
+	classes           []class
+	tenants           []tenant
+	endpoints         []*endpoint
+	byID              map[string]*endpoint
+	requests          map[string]*request     // looked up only, never ranged over
+	active            []*request              // in the order taken
+	queue             []*request              // at the gate, waiting for room
+	keyOrders         map[int64]*keyOrder     // looked up only
+	receivedAt        []Micros                // requests taken within the budget's span
+	retriedAt         []Micros                // further attempts within it
+	threads           [priorityLevels]float64 // own threads in flight at each level
+	pricedAt          Micros
+	timerAt           Micros
+	pollAt            Micros // next call for the engine list
+	loggedAt          Micros
+	logInterval       float64 // least seconds between two log lines
+	queueAt           Micros
+	gossipAt          Micros
+	gossipTo          int                  // peer told last
+	peerReports       map[int]*peerReport  // those heard of late; looked up only
+	byWireID          map[uint32]*endpoint // by short name; looked up only
+	arrivals          []gossipArrival      // messages of peers in the order heard
+	rate, received    float64              // requests taken a second; since the last interval
+	healthCheckCredit float64              // probes that own traffic has paid for
+	fleet             fleetSummary
+	ownShare          float64                    // our part of all traffic, as far as known
+	warmthInflation   [2]float64                 // mean log stretch of answers where the group was not warm, was warm
+	meanThreads       float64                    // of a query in flight
+	meanRate          float64                    // mean requests taken a second by a gateway
+	meanGrantMB       float64                    // mean grant for each thread in flight
+	sentThreads       runningMean                // mean threads of a query sent
+	responseTime      runningMean                // mean seconds from taking a query to its answer
+	earnedPerRequest  runningMean                // mean worth of those answers
+	queuePrice        float64                    // worth of a second at the door, see admissionQueuePrice
+	attemptLatency    runningMean                // mean seconds of an answer
+	meanWork          runningMean                // mean cost of all queries, seconds of work
+	inflation         runningMedian              // median log stretch of answers, ours or told
+	meanInFlight      float64                    // own queries in flight, over some seconds
+	slack             float64                    // log stretch that the aims of all classes leave
+	restored          map[string]LearnedEndpoint // of an earlier gateway, until their engines are met; looked up only
+	capacity          float64                    // threads a core that any engine may hold, everybody's
+	capacityAt        Micros
 }
 
 // class is what was learned of one class.
 type class struct {
 	Class
-	threads   float64
-	mean      average  // mean fitted estimate, seconds
-	heft      average  // mean work, rather too high than too low, seconds
-	taken     float64  // requests taken
-	asked     quantile // median of log(estimate), of all that came
-	fit       fit      // uncrowded work as a power of the estimate
-	ratio     quantile // median of log(latency × threads ÷ fitted estimate)
-	memory    quantile // median of log(memory estimate)
-	stray     float64  // mean distance of log(latency × threads ÷ fitted estimate) from that
-	strayN    float64
-	margin    float64 // log of grant over fitted memory estimate
-	price     [levels]float64
-	rate      [levels]float64 // admitted a second
-	wait      [levels]float64 // seconds
-	admitted  [levels]float64 // since the last interval
-	refreshed [levels]bool    // an outcome came since the last interval
-}
-
-// fleet is what the engines are together, as far as heard.
-type fleet struct {
-	age            float64         // mean age of the last answer, seconds
-	busy           float64         // mean threads a core of engines heard of late
-	kinds          map[int]average // mean threads a core of those of a kind; looked up only
-	heard          bool            // some were
-	tells          bool            // a report told of threads, ever
-	excess         float64         // own queries in flight over those expected
-	trusted        int
-	faults         float64 // middle of the healthy engines' shares of faults
-	covered        float64 // share of peers whose own attempts we know
-	cores, threads float64 // of healthy engines: cores; all threads there, unheard ones as average
+	threads         float64
+	meanWork        runningMean   // mean fitted estimate, seconds
+	usualWork       runningMean   // mean work, rather too high than too low, seconds
+	received        float64       // requests taken
+	estimateMedian  runningMedian // median of log(estimate), of all that came
+	workFit         powerFit      // uncrowded work as a power of the estimate
+	latencyRatio    runningMedian // median of log(latency × threads ÷ fitted estimate)
+	memoryMedian    runningMedian // median of log(memory estimate)
+	dispersion      float64       // mean distance of log(latency × threads ÷ fitted estimate) from that
+	dispersionCount float64
+	grantMargin     float64 // log of grant over fitted memory estimate
+	price           [priorityLevels]float64
+	admittedRate    [priorityLevels]float64 // admitted a second
+	queueWait       [priorityLevels]float64 // seconds
+	admitted        [priorityLevels]float64 // since the last interval
+	waitRefreshed   [priorityLevels]bool    // an outcome came since the last interval
+}
+
+// fleetSummary is what the engines are together, as far as heard.
+type fleetSummary struct {
+	responseAge          float64             // mean age of the last answer, seconds
+	threadsPerCore       float64             // mean threads a core of engines heard of late
+	threadsPerCoreByKind map[int]runningMean // mean threads a core of those of a kind; looked up only
+	reported             bool                // some were
+	everReported         bool                // a report told of threads, ever
+	occupancyExcess      float64             // own queries in flight over those expected
+	trustedEndpoints     int
+	medianFaultShare     float64 // middle of the healthy engines' shares of faults
+	peerCoverage         float64 // share of peers whose own attempts we know
+	cores, threads       float64 // of healthy engines: cores; all threads there, unheard ones as average
 }
 
 // tenant is one tenant's traffic: here, and the mean over gateways.
 type tenant struct {
-	allowance, rate, count, mean float64
+	quota, rate, received, meanRate float64
 }
 
-// said is one message heard from a peer.
-type said struct {
+// gossipArrival is one message heard from a peer.
+type gossipArrival struct {
 	from int
 	at   Micros
 }
 
-// peer is what another gateway said last of its own attempts.
-type peer struct {
+// peerReport is what another gateway said last of its own attempts.
+type peerReport struct {
 	at   Micros
-	rows []row
+	rows []gossipRow
 }
 
-// hash is a short name for an engine.
-func hash(id string) uint32 {
+// wireID is a short name for an engine.
+func wireID(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32() >> 16 // two bytes
 }
 
-// engine is what is known of one engine.
-type engine struct {
+// endpoint is what is known of one engine.
+type endpoint struct {
 	Endpoint
-	key           uint32 // short name in messages to peers
-	cores, memory float64
-	open          []*attempt
-	threads       float64 // own, in flight
-	granted       float64 // own grants, in MB
-	load          Load
-	loadAt        Micros  // when the report last changed, here or at a peer; 0: never heard
-	newThreads    float64 // own threads sent since then
-	newGrants     float64 // own grants sent since then, in MB
-	told, toldMB  float64 // threads and grants that peers have there, by their word
-	newsAt        Micros  // when news of it last came
-	claimed       float64 // threads sent since then
-	ticket        float64 // chance drawn with each report, see hasRoom
-	slow          float64 // mean log stretch
-	faults        float64 // recent share of faults
-	last          float64 // log stretch of the last answer, here or at a peer
-	lastFault     bool    // that one was a fault
-	heard         Micros  // last answer, here or at a peer
-	resetAt       Micros  // last broken connection here
-	unanswered    float64 // attempts called off since
-	suspect       bool
-	trickleAt     Micros
-	coldSince     Micros
-	guessed       Micros          // when it seemed to have ended, without word of the list; 0: it did not
-	coldWas       Micros          // coldSince before that
-	drainBy       Micros          // what has its state there may be sent until then, while it drains
-	cold          []store         // for each class, while cold
-	warm          []int64         // groups read last, newest first
-	probeAt       Micros          // last probe
-	asked         bool            // that one has not answered yet
-	loads         map[byte]Micros // groups that loads hold there, by when last seen; looked up only
-}
-
-// drawOf ranks the engines for a group of tables, the same at every gateway.
-func drawOf(tables int64, e *engine) uint64 {
+	wireID                      uint32 // short name in messages to peers
+	cores, memoryMB             float64
+	attempts                    []*attempt
+	threads                     float64 // own, in flight
+	grantedMB                   float64 // own grants, in MB
+	load                        Load
+	loadAt                      Micros  // when the report last changed, here or at a peer; 0: never heard
+	unreportedThreads           float64 // own threads sent since then
+	unreportedMB                float64 // own grants sent since then, in MB
+	gossipedThreads, gossipedMB float64 // threads and grants that peers have there, by their word
+	reportArrivedAt             Micros  // when news of it last came
+	claimedThreads              float64 // threads sent since then
+	claimDraw                   float64 // chance drawn with each report, see hasCapacity
+	inflation                   float64 // mean log stretch
+	faultShare                  float64 // recent share of faults
+	lastInflation               float64 // log stretch of the last answer, here or at a peer
+	lastWasFault                bool    // that one was a fault
+	lastResponse                Micros  // last answer, here or at a peer
+	resetAt                     Micros  // last broken connection here
+	cancelledUnanswered         float64 // attempts called off since
+	ejected                     bool
+	nextTrialAt                 Micros
+	slowStartSince              Micros
+	restartGuessedAt            Micros          // when it seemed to have ended, without word of the list; 0: it did not
+	slowStartBefore             Micros          // slowStartSince before that
+	drainUntil                  Micros          // what has its state there may be sent until then, while it drains
+	slowStart                   []workBudget    // for each class, while cold
+	warmGroups                  []int64         // groups read last, newest first
+	healthCheckAt               Micros          // last probe
+	healthCheckPending          bool            // that one has not answered yet
+	tableLocks                  map[byte]Micros // groups that loads hold there, by when last seen; looked up only
+}
+
+// affinityHash ranks the engines for a group of tables, the same at every gateway.
+func affinityHash(tables int64, e *endpoint) uint64 {
 	h := fnv.New64a()
-	h.Write(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(tables)), e.key))
+	h.Write(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(tables)), e.wireID))
 	return h.Sum64()
 }
 
-// heldNow is how many requests are owed an answer.
-func (g *Gateway) heldNow() (n int) {
-	for _, q := range g.live {
+// countUnanswered is how many requests are owed an answer.
+func (g *Gateway) countUnanswered() (n int) {
+	for _, q := range g.active {
 		if !q.done {
 			n++
 		}
@@ -177,76 +177,76 @@
 	return n
 }
 
-// store is work of one class that may still be sent to a cold engine, seconds; under 0: none now.
-type store struct {
-	at   Micros // when it was last reckoned
-	left float64
+// slowStartBudget is work of one class that may still be sent to a cold engine, seconds; under 0: none now.
+type workBudget struct {
+	updatedAt Micros // when it was last reckoned
+	seconds   float64
 }
 
-// store is the one of a class.
-func (e *engine) store(class, classes int) *store {
-	if e.cold == nil {
-		e.cold = make([]store, classes)
+// slowStartBudget is the one of a class.
+func (e *endpoint) slowStartBudget(class, classes int) *workBudget {
+	if e.slowStart == nil {
+		e.slowStart = make([]workBudget, classes)
 	}
-	return &e.cold[class]
+	return &e.slowStart[class]
 }
 
 // demandShare is a class's share of the work asked for.
 func (g *Gateway) demandShare(c *class) float64 {
 	all := 0.0
 	for i := range g.classes {
-		all += g.classes[i].taken * g.classes[i].heft.v
+		all += g.classes[i].received * g.classes[i].usualWork.v
 	}
-	return c.taken * c.heft.v / max(all, 1e-9)
+	return c.received * c.usualWork.v / max(all, 1e-9)
 }
 
 // request is one request that is open here, or has attempts that are.
 type request struct {
 	Request
-	class    *class
-	taken    Micros
-	aim      Micros
-	est      float64 // estimated work, seconds
-	worth    float64
-	level    int
-	attempts []*attempt
-	open     int
-	ran      *attempt // first attempt that may have run
-	done     bool
-	held     bool
-	streamed bool
-	admitted bool
-	drawn    []*engine // engines asked for their state before the choice
-	redo     bool      // an attempt was called off to be made again
-	seen     float64   // seconds that an attempt called off showed it to take
+	class        *class
+	receivedAt   Micros
+	objectiveAt  Micros
+	work         float64 // estimated work, seconds
+	weight       float64
+	level        int
+	attempts     []*attempt
+	openAttempts int
+	firstRan     *attempt // first attempt that may have run
+	done         bool
+	queued       bool
+	streamed     bool
+	admitted     bool
+	candidates   []*endpoint // engines asked for their state before the choice
+	restarting   bool        // an attempt was called off to be made again
+	observedTime float64     // seconds that an attempt called off showed it to take
 }
 
 // attempt is one send.
 type attempt struct {
-	q        *request
-	n        int
-	e        *engine
-	sent     Micros
-	expect   float64 // seconds
-	level    int
-	grant    float64
-	quiet    bool // sent to an engine with free cores
-	closed   bool
-	called   bool    // cancelled
-	total    float64 // projected seconds from progress notes; 0: none
-	warm     bool    // its group was warm there
-	noted    bool    // progress notes came
-	spilt    bool    // it spilled
-	notedAt  Micros
-	standing bool // waits for memory or a load
-}
-
-// fit is a running line through log(work) over log(estimate). Estimates that
+	request          *request
+	number           int
+	endpoint         *endpoint
+	sentAt           Micros
+	expectedTime     float64 // seconds
+	level            int
+	grantMB          float64
+	uncontended      bool // sent to an engine with free cores
+	closed           bool
+	cancelled        bool    // cancelled
+	projectedTime    float64 // projected seconds from progress notes; 0: none
+	warm             bool    // its group was warm there
+	reportedProgress bool    // progress notes came
+	spilled          bool    // it spilled
+	progressAt       Micros
+	waiting          bool // waits for memory or a load
+}
+
+// workFit is a running line through log(work) over log(estimate). Estimates that
 // scatter widely say less than they seem to: the slope shrinks them towards the
 // class's middle. It starts at a given slope, as if from five answers.
-type fit struct{ n, x, y, xx, xy float64 }
+type powerFit struct{ n, x, y, xx, xy float64 }
 
-func (f *fit) add(est, work, least float64) {
+func (f *powerFit) add(est, work, least float64) {
 	x, y := math.Log(est), math.Log(work)
 	f.n++
 	w := max(least, 1/f.n)
@@ -257,14 +257,14 @@
 	f.xy = (1 - w) * (f.xy + w*dx*dy)
 }
 
-func (f *fit) slope(first float64) float64 {
+func (f *powerFit) slope(first float64) float64 {
 	n := min(f.n, 100)
 	return max(0, min(1, (f.xy*n+5*first)/(f.xx*n+5)))
 }
 
-// at is the work for an estimate; asked is the middle of log(estimate) until
+// predict is the work for an estimate; asked is the middle of log(estimate) until
 // answers come, least the least slope.
-func (f *fit) at(est, asked, first, least float64) float64 {
+func (f *powerFit) predict(est, asked, first, least float64) float64 {
 	if est <= 0 {
 		return est
 	}
@@ -275,18 +275,18 @@
 	return math.Exp(y + max(least, f.slope(first))*(math.Log(est)-x))
 }
 
-// turn keeps the order of one key.
-type turn struct {
-	queue []*request
-	open  int
-	rest  Micros
+// keyOrder keeps the order of one key.
+type keyOrder struct {
+	queue        []*request
+	openAttempts int
+	restUntil    Micros
 }
 
-// quantile follows one rank of a stream, moved by ranks alone: outliers weigh
+// runningMedian follows one rank of a stream, moved by ranks alone: outliers weigh
 // no more than their count.
-type quantile struct{ v, n float64 }
+type runningMedian struct{ v, n float64 }
 
-func (q *quantile) add(x, rank, least float64) {
+func (q *runningMedian) add(x, rank, least float64) {
 	if q.n++; q.n == 1 {
 		q.v = x
 		return
@@ -299,131 +299,131 @@
 	}
 }
 
-const micros = 1e6 // microseconds in a second
+const microsPerSecond = 1e6 // microseconds in a second
 
-func (g *Gateway) do(a Action) { g.out = append(g.out, a) }
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-func (g *Gateway) since(t Micros) float64 { return float64(g.now-t) / 1e6 }
+func (g *Gateway) secondsSince(t Micros) float64 { return float64(g.now-t) / 1e6 }
 
-// join puts a request that goes in turn into its key's line; leave takes it out.
-func (g *Gateway) join(q *request) {
+// joinKeyOrder puts a request that goes in turn into its key's line; leave takes it out.
+func (g *Gateway) joinKeyOrder(q *request) {
 	if q.class.Ordered && q.HasOrderKey {
-		if g.turns[q.OrderKey] == nil {
-			g.turns[q.OrderKey] = &turn{}
+		if g.keyOrders[q.OrderKey] == nil {
+			g.keyOrders[q.OrderKey] = &keyOrder{}
 		}
-		t := g.turns[q.OrderKey]
+		t := g.keyOrders[q.OrderKey]
 		t.queue = append(t.queue, q)
 	}
 }
 
-func (g *Gateway) leave(q *request) {
+func (g *Gateway) leaveKeyOrder(q *request) {
 	if q.class.Ordered && q.HasOrderKey {
-		t := g.turns[q.OrderKey]
+		t := g.keyOrders[q.OrderKey]
 		t.queue = slices.DeleteFunc(t.queue, func(o *request) bool { return o == q })
 	}
 }
 
-func (g *Gateway) hold(q *request) {
-	if !q.held {
-		q.held = true
-		g.held = append(g.held, q)
+func (g *Gateway) enqueue(q *request) {
+	if !q.queued {
+		q.queued = true
+		g.queue = append(g.queue, q)
 	}
 }
 
-func (g *Gateway) unhold(q *request) {
-	if q.held {
-		q.held = false
-		g.held = slices.DeleteFunc(g.held, func(o *request) bool { return o == q })
+func (g *Gateway) dequeue(q *request) {
+	if q.queued {
+		q.queued = false
+		g.queue = slices.DeleteFunc(g.queue, func(o *request) bool { return o == q })
 	}
 }
 
-// enter puts a new attempt on the books.
-func (g *Gateway) enter(a *attempt) {
-	q, e := a.q, a.e
+// openAttempt puts a new attempt on the books.
+func (g *Gateway) openAttempt(a *attempt) {
+	q, e := a.request, a.endpoint
 	if len(q.attempts) > 0 {
-		g.further = append(g.further, g.now)
+		g.retriedAt = append(g.retriedAt, g.now)
 	}
 	q.attempts = append(q.attempts, a)
-	q.open++
+	q.openAttempts++
 	if q.class.Ordered && q.HasOrderKey {
-		g.turns[q.OrderKey].open++
+		g.keyOrders[q.OrderKey].openAttempts++
 	}
-	e.open = append(e.open, a)
+	e.attempts = append(e.attempts, a)
 	e.threads += q.class.threads
-	e.newThreads += q.class.threads
-	e.newGrants += a.grant
-	e.granted += a.grant
+	e.unreportedThreads += q.class.threads
+	e.unreportedMB += a.grantMB
+	e.grantedMB += a.grantMB
 	g.threads[a.level] += q.class.threads
 }
 
-// close takes an attempt off the books.
-func (g *Gateway) close(a *attempt, code Code) {
-	q, e := a.q, a.e
+// closeAttempt takes an attempt off the books.
+func (g *Gateway) closeAttempt(a *attempt, code Code) {
+	q, e := a.request, a.endpoint
 	a.closed = true
-	q.open--
-	e.open = slices.DeleteFunc(e.open, func(o *attempt) bool { return o == a })
+	q.openAttempts--
+	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == a })
 	e.threads -= q.class.threads
-	if a.sent > e.loadAt {
-		e.newThreads -= q.class.threads
-		e.newGrants -= a.grant
+	if a.sentAt > e.loadAt {
+		e.unreportedThreads -= q.class.threads
+		e.unreportedMB -= a.grantMB
 	}
-	e.granted -= a.grant
+	e.grantedMB -= a.grantMB
 	g.threads[a.level] -= q.class.threads
-	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.ran == nil {
-		q.ran = a
+	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.firstRan == nil {
+		q.firstRan = a
 	}
 	if q.class.Ordered && q.HasOrderKey {
-		t := g.turns[q.OrderKey]
-		t.open--
+		t := g.keyOrders[q.OrderKey]
+		t.openAttempts--
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
-			t.rest = max(t.rest, g.now+g.set.OrderingGap)
+			t.restUntil = max(t.restUntil, g.now+g.settings.OrderingGap)
 		}
 	}
 }
 
-// tellMost is the wire's limit of a message to a peer, in bytes. A message is
+// maxGossipBytes is the wire's limit of a message to a peer, in bytes. A message is
 // the number of tenants, their mean rates, then rows, freshest first.
 const (
-	tellMost = 256
-	tellAge  = 32  // steps of an age of one second
-	tellUnit = 100 // steps of a share of one
-	tellLog  = 40  // steps of a log stretch of one
-	tellRate = 256 // steps of a rate of one a second
+	maxGossipBytes = 256
+	ageScale       = 32  // steps of an age of one second
+	shareScale     = 100 // steps of a share of one
+	inflationScale = 40  // steps of a log stretch of one
+	rateScale      = 256 // steps of a rate of one a second
 )
 
 // What a row holds: these of its parts follow its key, flags and age.
 const (
-	hasUtil = 1 << iota
-	hasHeld
+	hasUtilization = 1 << iota
+	hasInFlight
 	hasMemory
-	hasStretch
-	hasOwn
-	hasGroup
+	hasInflation
+	hasOwnAttempts
+	hasLockedGroup
 	isFault
 )
 
-// row is one engine's line in a message: the freshest that the sender knows, its
+// gossipRow is one engine's line in a message: the freshest that the sender knows, its
 // own attempts there, and one group that a load holds.
-type row struct {
-	key                uint32
-	age                Micros
-	util, held, memory float64 // report; negative: none
-	stretch            float64 // log stretch of the last answer
-	fault              bool    // that one was a fault
-	threads, granted   float64 // the sender's own; grants as a share of memory
-	group              byte    // low bits of a group that a load holds; 0: none
+type gossipRow struct {
+	key                           uint32
+	age                           Micros
+	utilization, inFlight, memory float64 // report; negative: none
+	inflation                     float64 // log stretch of the last answer
+	fault                         bool    // that one was a fault
+	threads, grantedShare         float64 // the sender's own; grants as a share of memory
+	lockedGroup                   byte    // low bits of a group that a load holds; 0: none
 }
 
-// groupOf is a short name for a group of tables, never 0.
-func groupOf(tables int64) byte { return byte(uint64(tables)%255) + 1 }
+// groupCode is a short name for a group of tables, never 0.
+func groupCode(tables int64) byte { return byte(uint64(tables)%255) + 1 }
 
-func octet(x, scale float64) byte { return byte(max(0, min(255, math.Round(x*scale)))) }
+func toByte(x, scale float64) byte { return byte(max(0, min(255, math.Round(x*scale)))) }
 
-// encode writes a message of the rows that fit.
-func encode(rates []float64, rows []row) []byte {
+// encodeGossip writes a message of the rows that fit.
+func encodeGossip(rates []float64, rows []gossipRow) []byte {
 	data := []byte{byte(len(rates))}
 	for _, r := range rates {
-		data = binary.BigEndian.AppendUint16(data, uint16(min(max(r, 0)*tellRate, math.MaxUint16)))
+		data = binary.BigEndian.AppendUint16(data, uint16(min(max(r, 0)*rateScale, math.MaxUint16)))
 	}
 	for _, r := range rows {
 		var flags byte
@@ -433,35 +433,35 @@
 				flags, rest = flags|flag, append(rest, bytes...)
 			}
 		}
-		put(hasUtil, r.util >= 0, octet(r.util, tellUnit))
-		put(hasHeld, r.held >= 0, octet(r.held, 1))
-		put(hasMemory, r.memory >= 0, octet(r.memory, tellUnit))
-		put(hasStretch, r.stretch != 0 && !r.fault, octet(r.stretch+3, tellLog))
-		put(hasOwn, r.threads > 0, octet(r.threads, 4), octet(r.granted, 255))
-		put(hasGroup, r.group > 0, r.group)
+		put(hasUtilization, r.utilization >= 0, toByte(r.utilization, shareScale))
+		put(hasInFlight, r.inFlight >= 0, toByte(r.inFlight, 1))
+		put(hasMemory, r.memory >= 0, toByte(r.memory, shareScale))
+		put(hasInflation, r.inflation != 0 && !r.fault, toByte(r.inflation+3, inflationScale))
+		put(hasOwnAttempts, r.threads > 0, toByte(r.threads, 4), toByte(r.grantedShare, 255))
+		put(hasLockedGroup, r.lockedGroup > 0, r.lockedGroup)
 		put(isFault, r.fault)
-		if len(data)+4+len(rest) > tellMost {
+		if len(data)+4+len(rest) > maxGossipBytes {
 			break
 		}
-		data = append(append(data, byte(r.key>>8), byte(r.key), flags, octet(float64(r.age)/1e6, tellAge)), rest...)
+		data = append(append(data, byte(r.key>>8), byte(r.key), flags, toByte(float64(r.age)/1e6, ageScale)), rest...)
 	}
 	return data
 }
 
-// decode reads a message of n rates; ok is false where it does not parse.
-func decode(data []byte, n int) (rates []float64, rows []row, ok bool) {
+// decodeGossip reads a message of n rates; ok is false where it does not parse.
+func decodeGossip(data []byte, n int) (rates []float64, rows []gossipRow, ok bool) {
 	if len(data) < 1+2*n || int(data[0]) != n {
 		return nil, nil, false
 	}
 	for data = data[1:]; len(rates) < n; data = data[2:] {
-		rates = append(rates, float64(binary.BigEndian.Uint16(data))/tellRate)
+		rates = append(rates, float64(binary.BigEndian.Uint16(data))/rateScale)
 	}
 	for len(data) > 0 {
 		if len(data) < 4 {
 			return nil, nil, false
 		}
-		r := row{key: uint32(data[0])<<8 | uint32(data[1]), util: -1, held: -1, memory: -1,
-			age: Micros(data[3]) * 1e6 / tellAge, fault: data[2]&isFault != 0}
+		r := gossipRow{key: uint32(data[0])<<8 | uint32(data[1]), utilization: -1, inFlight: -1, memory: -1,
+			age: Micros(data[3]) * 1e6 / ageScale, fault: data[2]&isFault != 0}
 		flags := data[2]
 		data = data[4:]
 		cut := false
@@ -474,24 +474,24 @@
 			}
 		}
 		var group float64
-		get(hasUtil, tellUnit, 0, &r.util)
-		get(hasHeld, 1, 0, &r.held)
-		get(hasMemory, tellUnit, 0, &r.memory)
-		get(hasStretch, tellLog, -3, &r.stretch)
-		get(hasOwn, 4, 0, &r.threads)
-		get(hasOwn, 255, 0, &r.granted)
-		get(hasGroup, 1, 0, &group)
+		get(hasUtilization, shareScale, 0, &r.utilization)
+		get(hasInFlight, 1, 0, &r.inFlight)
+		get(hasMemory, shareScale, 0, &r.memory)
+		get(hasInflation, inflationScale, -3, &r.inflation)
+		get(hasOwnAttempts, 4, 0, &r.threads)
+		get(hasOwnAttempts, 255, 0, &r.grantedShare)
+		get(hasLockedGroup, 1, 0, &group)
 		if cut {
 			return nil, nil, false
 		}
-		r.group = byte(group)
+		r.lockedGroup = byte(group)
 		rows = append(rows, r)
 	}
 	return rates, rows, true
 }
 
-// draw picks by weight.
-func (g *Gateway) draw(weights []float64, total float64) *engine {
+// drawEndpoint picks by weight.
+func (g *Gateway) drawEndpoint(weights []float64, total float64) *endpoint {
 	x, last := g.rng.Float64()*total, 0
 	for i, w := range weights {
 		if w > 0 {
@@ -501,153 +501,155 @@
 			break
 		}
 	}
-	return g.engines[last]
+	return g.endpoints[last]
 }
 
-// report takes a report of a moment, ours or a peer's.
-func (g *Gateway) report(e *engine, l Load, at Micros) {
-	e.load, e.loadAt, e.newThreads, e.newGrants = l, at, 0, 0
-	e.newsAt, e.claimed, e.ticket = g.now, 0, g.rng.Float64()
-	for _, a := range e.open {
-		if a.sent > at {
-			e.newThreads += a.q.class.threads
-			e.newGrants += a.grant
+// recordLoad takes a report of a moment, ours or a peer's.
+func (g *Gateway) recordLoad(e *endpoint, l Load, at Micros) {
+	e.load, e.loadAt, e.unreportedThreads, e.unreportedMB = l, at, 0, 0
+	e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
+	for _, a := range e.attempts {
+		if a.sentAt > at {
+			e.unreportedThreads += a.request.class.threads
+			e.unreportedMB += a.grantMB
 		}
 	}
 }
 
-// unsay forgets a peer's word on its own attempts.
-func (g *Gateway) unsay(n int) {
-	if p := g.peers[n]; p != nil {
+// forgetGossip forgets a peer's word on its own attempts.
+func (g *Gateway) forgetGossip(n int) {
+	if p := g.peerReports[n]; p != nil {
 		for _, r := range p.rows {
-			if e := g.byKey[r.key]; e != nil {
-				e.told, e.toldMB = max(0, e.told-r.threads), max(0, e.toldMB-r.granted*e.memory)
+			if e := g.byWireID[r.key]; e != nil {
+				e.gossipedThreads, e.gossipedMB = max(0, e.gossipedThreads-r.threads), max(0, e.gossipedMB-r.grantedShare*e.memoryMB)
 			}
 		}
 		p.rows = nil
 	}
 }
 
-func (c *class) delayCost() float64 { return c.PriorityWeight / (float64(c.Deadline) / micros) }
+func (c *class) delayCost() float64 {
+	return c.PriorityWeight / (float64(c.Deadline) / microsPerSecond)
+}
 
-// note writes a log line, rarely.
-func (g *Gateway) note(format string, args ...any) {
-	if g.noted == 0 || g.since(g.noted) >= g.noteEvery {
-		g.noted = g.now
-		g.do(LogLine{fmt.Sprintf(format, args...)})
+// logLine writes a log line, rarely.
+func (g *Gateway) logLine(format string, args ...any) {
+	if g.loggedAt == 0 || g.secondsSince(g.loggedAt) >= g.logInterval {
+		g.loggedAt = g.now
+		g.emit(LogLine{fmt.Sprintf(format, args...)})
 	}
 }
 
-// start begins a step.
-func (g *Gateway) start(now Micros) {
-	if g.now, g.out = now, nil; !g.begun {
-		g.begun, g.priced = true, now
+// beginStep begins a step.
+func (g *Gateway) beginStep(now Micros) {
+	if g.now, g.actions = now, nil; !g.started {
+		g.started, g.pricedAt = true, now
 	}
 }
 
-// dispatch hands an event to what decides on it.
-func (g *Gateway) dispatch(ev Event) {
+// handle hands an event to what decides on it.
+func (g *Gateway) handle(ev Event) {
 	switch ev := ev.(type) {
 	case EndpointUpdate:
-		g.list(ev)
+		g.handleEndpointUpdate(ev)
 	case Request:
-		g.take(ev)
+		g.handleRequest(ev)
 	case AttemptResult:
-		g.outcome(ev)
+		g.handleAttemptResult(ev)
 	case Progress:
-		g.progress(ev)
+		g.handleProgress(ev)
 	case HealthCheckResult:
-		g.probed(ev)
+		g.handleHealthCheckResult(ev)
 	case GossipReceived:
-		g.heard(ev)
+		g.handleGossip(ev)
 	case StreamStarted:
-		if q := g.open[ev.ID]; q != nil {
+		if q := g.requests[ev.ID]; q != nil {
 			q.streamed = true
 		}
 	case ClientDisconnected:
-		if q := g.open[ev.ID]; q != nil && !q.done {
-			g.end(q)
+		if q := g.requests[ev.ID]; q != nil && !q.done {
+			g.endRequest(q)
 		}
 	}
 }
 
-// survey sums up the fleet: peers' words older than word are forgotten, ages count to
+// summarizeFleet sums up the fleet: peers' words older than word are forgotten, ages count to
 // fresh at most, and the crowd shrinks to keep of itself while nothing is heard.
-func (g *Gateway) survey(word, fresh, keep float64) {
-	for ; len(g.heardFrom) > 0 && g.since(g.heardFrom[0].at) > word; g.heardFrom = g.heardFrom[1:] {
-		if h := g.heardFrom[0]; g.peers[h.from].at == h.at {
-			g.unsay(h.from)
+func (g *Gateway) summarizeFleet(word, fresh, keep float64) {
+	for ; len(g.arrivals) > 0 && g.secondsSince(g.arrivals[0].at) > word; g.arrivals = g.arrivals[1:] {
+		if h := g.arrivals[0]; g.peerReports[h.from].at == h.at {
+			g.forgetGossip(h.from)
 		}
 	}
-	f := fleet{excess: g.all.excess, tells: g.all.tells, kinds: map[int]average{}}
-	for _, h := range g.heardFrom {
-		if g.peers[h.from].at == h.at {
-			f.covered += 1 / float64(g.set.Peers-1)
+	f := fleetSummary{occupancyExcess: g.fleet.occupancyExcess, everReported: g.fleet.everReported, threadsPerCoreByKind: map[int]runningMean{}}
+	for _, h := range g.arrivals {
+		if g.peerReports[h.from].at == h.at {
+			f.peerCoverage += 1 / float64(g.settings.Peers-1)
 		}
 	}
-	f.covered = min(f.covered, 1)
+	f.peerCoverage = min(f.peerCoverage, 1)
 	var busy, age float64
 	var faults []float64
-	for _, e := range g.engines {
+	for _, e := range g.endpoints {
 		if e.State != Healthy {
 			continue
 		}
 		f.cores += e.cores
-		age += min(g.since(e.heard), fresh)
-		if !e.suspect {
-			f.trusted++
+		age += min(g.secondsSince(e.lastResponse), fresh)
+		if !e.ejected {
+			f.trustedEndpoints++
 		}
-		faults = append(faults, e.faults)
-		if k := g.known(e); k > 0 {
-			threads, _ := g.others(e)
+		faults = append(faults, e.faultShare)
+		if k := g.reportConfidence(e); k > 0 {
+			threads, _ := g.peerLoad(e)
 			busy += e.cores
 			f.threads += threads + e.threads
-			of := f.kinds[e.Kind]
+			of := f.threadsPerCoreByKind[e.Kind]
 			of.add((threads+e.threads)/e.cores, 0)
-			f.kinds[e.Kind] = of
+			f.threadsPerCoreByKind[e.Kind] = of
 		}
 	}
-	if f.busy = g.all.busy; busy > 0 {
-		f.busy, f.heard, f.tells = f.threads/busy, true, true
+	if f.threadsPerCore = g.fleet.threadsPerCore; busy > 0 {
+		f.threadsPerCore, f.reported, f.everReported = f.threads/busy, true, true
 	} else { // hearing nothing for long must not keep a gateway from trying
-		f.busy *= keep
-		if !f.tells { // no report ever does: what we have out, over our share, over some time
-			f.busy += (1 - keep) * g.ownThreads() / g.shareCores()
+		f.threadsPerCore *= keep
+		if !f.everReported { // no report ever does: what we have out, over our share, over some time
+			f.threadsPerCore += (1 - keep) * g.threadsInFlight() / g.coreShare()
 		}
 	}
 	if slices.Sort(faults); len(faults) > 0 {
-		f.faults = faults[(len(faults)-1)/2]
+		f.medianFaultShare = faults[(len(faults)-1)/2]
 	}
-	f.age = age / max(1, float64(len(g.engines)))
-	f.threads = f.busy * f.cores
-	g.all = f
+	f.responseAge = age / max(1, float64(len(g.endpoints)))
+	f.threads = f.threadsPerCore * f.cores
+	g.fleet = f
 }
 
-// rows is what to tell of the engines: what was heard within so many seconds, freshest first.
-func (g *Gateway) rows(known float64) []row {
-	var rows []row
-	for _, e := range g.engines {
-		at := max(e.loadAt, e.heard)
-		if g.since(at) > known && e.threads == 0 {
+// gossipRows is what to tell of the engines: what was heard within so many seconds, freshest first.
+func (g *Gateway) gossipRows(known float64) []gossipRow {
+	var rows []gossipRow
+	for _, e := range g.endpoints {
+		at := max(e.loadAt, e.lastResponse)
+		if g.secondsSince(at) > known && e.threads == 0 {
 			continue
 		}
-		r := row{key: e.key, age: g.now - at, util: -1, held: -1, memory: -1, stretch: e.last, fault: e.lastFault,
-			threads: e.threads, granted: e.granted / max(e.memory, 1), group: g.loadHere(e)}
+		r := gossipRow{key: e.wireID, age: g.now - at, utilization: -1, inFlight: -1, memory: -1, inflation: e.lastInflation, fault: e.lastWasFault,
+			threads: e.threads, grantedShare: e.grantedMB / max(e.memoryMB, 1), lockedGroup: g.sampleLockedGroup(e)}
 		if e.loadAt > 0 {
-			r.util, r.held, r.memory = e.load.Util, e.load.InFlight, e.load.Memory
+			r.utilization, r.inFlight, r.memory = e.load.Util, e.load.InFlight, e.load.Memory
 		}
 		rows = append(rows, r)
 	}
-	slices.SortStableFunc(rows, func(a, b row) int { return int(a.age - b.age) })
+	slices.SortStableFunc(rows, func(a, b gossipRow) int { return int(a.age - b.age) })
 	return rows
 }
 
-// loadHere is one group that a load of ours holds on an engine, another each time.
-func (g *Gateway) loadHere(e *engine) byte {
+// sampleLockedGroup is one group that a load of ours holds on an engine, another each time.
+func (g *Gateway) sampleLockedGroup(e *endpoint) byte {
 	var groups []byte
-	for _, a := range e.open {
-		if a.q.class.LocksTables {
-			groups = append(groups, groupOf(a.q.TableGroup))
+	for _, a := range e.attempts {
+		if a.request.class.LocksTables {
+			groups = append(groups, groupCode(a.request.TableGroup))
 		}
 	}
 	if len(groups) == 0 {
@@ -656,160 +658,160 @@
 	return groups[g.rng.IntN(len(groups))]
 }
 
-// byWorth is what is held, most worth for its work first.
-func (g *Gateway) byWorth() []*request {
-	queue := slices.Clone(g.held)
-	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.worth/b.est, a.worth/a.est) })
+// queueByWeight is what is held, most worth for its work first.
+func (g *Gateway) queueByWeight() []*request {
+	queue := slices.Clone(g.queue)
+	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.weight/b.work, a.weight/a.work) })
 	return queue
 }
 
-// missing marks what a whole list leaves out as gone.
-func (g *Gateway) missing(l EndpointUpdate) {
-	for _, e := range g.engines {
+// markRemoved marks what a whole list leaves out as gone.
+func (g *Gateway) markRemoved(l EndpointUpdate) {
+	for _, e := range g.endpoints {
 		if l.Complete && !slices.ContainsFunc(l.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
 			e.State = Removed
 		}
 	}
 }
 
-// sortEngines lists the engines that are not gone, by id. Of those that are, nothing is kept once no attempt is out there.
-func (g *Gateway) sortEngines() {
-	clear(g.engines)
-	g.engines = g.engines[:0]
+// sortEndpoints lists the engines that are not gone, by id. Of those that are, nothing is kept once no attempt is out there.
+func (g *Gateway) sortEndpoints() {
+	clear(g.endpoints)
+	g.endpoints = g.endpoints[:0]
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
 		switch e := g.byID[id]; {
 		case e.State != Removed:
-			g.engines = append(g.engines, e)
-		case len(e.open) == 0:
+			g.endpoints = append(g.endpoints, e)
+		case len(e.attempts) == 0:
 			delete(g.byID, id)
-			if g.byKey[e.key] == e {
-				delete(g.byKey, e.key)
+			if g.byWireID[e.wireID] == e {
+				delete(g.byWireID, e.wireID)
 			}
 		}
 	}
 }
 
-// meet puts a new engine on the books.
-func (g *Gateway) meet(r Endpoint) *engine {
-	e := &engine{Endpoint: r, cores: 1, heard: g.now, key: hash(r.ID), loads: map[byte]Micros{}}
-	if r.Kind >= 0 && r.Kind < len(g.set.Kinds) {
-		e.cores, e.memory = float64(max(g.set.Kinds[r.Kind].Cores, 1)), g.set.Kinds[r.Kind].MemoryMB
+// addEndpoint puts a new engine on the books.
+func (g *Gateway) addEndpoint(r Endpoint) *endpoint {
+	e := &endpoint{Endpoint: r, cores: 1, lastResponse: g.now, wireID: wireID(r.ID), tableLocks: map[byte]Micros{}}
+	if r.Kind >= 0 && r.Kind < len(g.settings.Kinds) {
+		e.cores, e.memoryMB = float64(max(g.settings.Kinds[r.Kind].Cores, 1)), g.settings.Kinds[r.Kind].MemoryMB
 	}
-	g.byID[r.ID], g.byKey[e.key] = e, e
+	g.byID[r.ID], g.byWireID[e.wireID] = e, e
 	return e
 }
 
-// reads notes that an engine reads a group; it keeps so many warm.
-func (e *engine) reads(tables int64, keep int) {
-	e.warm = slices.DeleteFunc(e.warm, func(t int64) bool { return t == tables })
-	e.warm = slices.Insert(e.warm, 0, tables)
-	e.warm = e.warm[:min(len(e.warm), keep)]
+// recordRead notes that an engine reads a group; it keeps so many warm.
+func (e *endpoint) recordRead(tables int64, keep int) {
+	e.warmGroups = slices.DeleteFunc(e.warmGroups, func(t int64) bool { return t == tables })
+	e.warmGroups = slices.Insert(e.warmGroups, 0, tables)
+	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), keep)]
 }
 
-// own puts a peer's word on its own attempts on the books, in place of its last.
-func (g *Gateway) own(from int, rows []row) {
-	g.unsay(from)
-	p := &peer{at: g.now}
-	g.peers[from], g.heardFrom = p, append(g.heardFrom, said{from, g.now})
+// recordPeerAttempts puts a peer's word on its own attempts on the books, in place of its last.
+func (g *Gateway) recordPeerAttempts(from int, rows []gossipRow) {
+	g.forgetGossip(from)
+	p := &peerReport{at: g.now}
+	g.peerReports[from], g.arrivals = p, append(g.arrivals, gossipArrival{from, g.now})
 	for _, r := range rows {
-		if e := g.byKey[r.key]; e != nil && r.threads > 0 {
-			e.told, e.toldMB = e.told+r.threads, e.toldMB+r.granted*e.memory
+		if e := g.byWireID[r.key]; e != nil && r.threads > 0 {
+			e.gossipedThreads, e.gossipedMB = e.gossipedThreads+r.threads, e.gossipedMB+r.grantedShare*e.memoryMB
 			p.rows = append(p.rows, r)
 		}
 	}
 }
 
-// after drops the times up to a moment.
-func after(times []Micros, at Micros) []Micros {
+// dropUntil drops the times up to a moment.
+func dropUntil(times []Micros, at Micros) []Micros {
 	for len(times) > 0 && times[0] <= at {
 		times = times[1:]
 	}
 	return times
 }
 
-// ownThreads, ownMB and ownOpen count what this gateway has out.
-func (g *Gateway) ownThreads() (n float64) {
+// threadsInFlight, grantsInFlightMB and attemptsInFlight count what this gateway has out.
+func (g *Gateway) threadsInFlight() (n float64) {
 	for _, t := range g.threads {
 		n += t
 	}
 	return n
 }
 
-func (g *Gateway) ownMB() (n float64) {
-	for _, e := range g.engines {
-		n += e.granted
+func (g *Gateway) grantsInFlightMB() (n float64) {
+	for _, e := range g.endpoints {
+		n += e.grantedMB
 	}
 	return n
 }
 
-func (g *Gateway) ownOpen() (n float64) {
-	for _, e := range g.engines {
-		n += float64(len(e.open))
+func (g *Gateway) attemptsInFlight() (n float64) {
+	for _, e := range g.endpoints {
+		n += float64(len(e.attempts))
 	}
 	return n
 }
 
-// progress learns from notes: projected time, memory missing, waits.
-func (g *Gateway) progress(p Progress) {
-	q := g.open[p.ID]
+// handleProgress learns from notes: projected time, memory missing, waits.
+func (g *Gateway) handleProgress(p Progress) {
+	q := g.requests[p.ID]
 	if q == nil || p.Attempt < 0 || p.Attempt >= len(q.attempts) || q.attempts[p.Attempt].closed {
 		return
 	}
 	a := q.attempts[p.Attempt]
-	a.notedAt, a.e.heard = g.now, max(a.e.heard, g.now)
-	a.e.lives(a)
+	a.progressAt, a.endpoint.lastResponse = g.now, max(a.endpoint.lastResponse, g.now)
+	a.endpoint.confirmAlive(a)
 	switch p.Kind {
 	case FractionDone:
-		a.standing, a.noted = false, true
+		a.waiting, a.reportedProgress = false, true
 		if p.Value > 0 {
-			a.total = g.since(a.sent) / min(p.Value, 1)
+			a.projectedTime = g.secondsSince(a.sentAt) / min(p.Value, 1)
 		}
 	case MemorySpilled:
-		a.spilt = true
+		a.spilled = true
 	default:
-		a.standing = true
+		a.waiting = true
 		if p.Kind == WaitingForTables { // somebody's load holds the group there
-			a.e.loads[groupOf(q.TableGroup)] = g.now
+			a.endpoint.tableLocks[groupCode(q.TableGroup)] = g.now
 		}
 	}
 }
 
-// end forgets a request; what is still out is called off.
-func (g *Gateway) end(q *request) {
+// endRequest forgets a request; what is still out is called off.
+func (g *Gateway) endRequest(q *request) {
 	q.done = true
-	g.unhold(q)
+	g.dequeue(q)
 	for _, a := range q.attempts {
-		g.callOff(a)
+		g.cancelAttempt(a)
 	}
-	g.leave(q)
-	if q.open == 0 {
-		delete(g.open, q.ID)
+	g.leaveKeyOrder(q)
+	if q.openAttempts == 0 {
+		delete(g.requests, q.ID)
 	}
 }
 
-// begin opens the books; margin is the log of grant over memory estimate at first.
-func (g *Gateway) begin(margin float64) {
-	g.byID, g.byKey, g.peers = map[string]*engine{}, map[uint32]*engine{}, map[int]*peer{}
-	g.open, g.turns = map[string]*request{}, map[int64]*turn{}
-	for _, c := range g.set.Classes {
+// initialize opens the books; margin is the log of grant over memory estimate at first.
+func (g *Gateway) initialize(margin float64) {
+	g.byID, g.byWireID, g.peerReports = map[string]*endpoint{}, map[uint32]*endpoint{}, map[int]*peerReport{}
+	g.requests, g.keyOrders = map[string]*request{}, map[int64]*keyOrder{}
+	for _, c := range g.settings.Classes {
 		threads := float64(max(c.Threads, 1))
-		g.meanThreads += threads / float64(len(g.set.Classes))
-		g.classes = append(g.classes, class{Class: c, threads: threads, margin: margin})
+		g.meanThreads += threads / float64(len(g.settings.Classes))
+		g.classes = append(g.classes, class{Class: c, threads: threads, grantMargin: margin})
 	}
-	for _, t := range g.set.Tenants {
-		g.tenants = append(g.tenants, tenant{allowance: t.Quota})
+	for _, t := range g.settings.Tenants {
+		g.tenants = append(g.tenants, tenant{quota: t.Quota})
 	}
 }
 
-// asking tells that engines drawn for a query were asked within wait and have not answered.
-func (g *Gateway) asking(q *request, wait float64) bool {
-	return slices.ContainsFunc(q.drawn, func(e *engine) bool { return e.asked && g.since(e.probeAt) < wait })
+// awaitsHealthCheck tells that engines drawn for a query were asked within wait and have not answered.
+func (g *Gateway) awaitsHealthCheck(q *request, wait float64) bool {
+	return slices.ContainsFunc(q.candidates, func(e *endpoint) bool { return e.healthCheckPending && g.secondsSince(e.healthCheckAt) < wait })
 }
 
-// best is the one of the engines that weighs most; nil if none weighs.
-func (g *Gateway) best(weights []float64, of []*engine) (best *engine) {
+// bestEndpoint is the one of the engines that weighs most; nil if none weighs.
+func (g *Gateway) bestEndpoint(weights []float64, of []*endpoint) (best *endpoint) {
 	most := 0.0
-	for i, e := range g.engines {
+	for i, e := range g.endpoints {
 		if weights[i] > most && slices.Contains(of, e) {
 			best, most = e, weights[i]
 		}
@@ -817,111 +819,111 @@
 	return best
 }
 
-// rates is what to tell of traffic: the mean gateway's by tenant, and in all.
-func (g *Gateway) rates() (rates []float64) {
+// gossipRates is what to tell of traffic: the mean gateway's by tenant, and in all.
+func (g *Gateway) gossipRates() (rates []float64) {
 	for _, t := range g.tenants {
-		rates = append(rates, t.mean)
+		rates = append(rates, t.meanRate)
 	}
 	return append(rates, g.meanRate)
 }
 
-// tally turns what was counted in a span into rates.
-func (g *Gateway) tally(span, step float64) {
-	g.rate += (g.count/span - g.rate) * step
-	g.meanRate += (g.count/span - g.meanRate) * step // as fast as ours: at a start the share is right at once
-	g.count = 0
+// updateRates turns what was counted in a span into rates.
+func (g *Gateway) updateRates(span, step float64) {
+	g.rate += (g.received/span - g.rate) * step
+	g.meanRate += (g.received/span - g.meanRate) * step // as fast as ours: at a start the share is right at once
+	g.received = 0
 	for i := range g.tenants {
 		t := &g.tenants[i]
-		t.rate += (t.count/span - t.rate) * step
-		t.mean += (t.count/span - t.mean) * step
-		t.count = 0
+		t.rate += (t.received/span - t.rate) * step
+		t.meanRate += (t.received/span - t.meanRate) * step
+		t.received = 0
 	}
 }
 
-// mix moves what is known of the mean gateway towards a peer's word.
-func (g *Gateway) mix(rates []float64, step float64) {
+// mergeRates moves what is known of the mean gateway towards a peer's word.
+func (g *Gateway) mergeRates(rates []float64, step float64) {
 	for i := range g.tenants {
-		g.tenants[i].mean += (rates[i] - g.tenants[i].mean) * step
+		g.tenants[i].meanRate += (rates[i] - g.tenants[i].meanRate) * step
 	}
 	g.meanRate += (rates[len(g.tenants)] - g.meanRate) * step
 }
 
-// stretched notes the log stretch of an answer from an engine, there and for the fleet,
+// recordInflation notes the log stretch of an answer from an engine, there and for the fleet,
 // whose middle is followed: lost answers and bad plans are fewer than half.
-func (g *Gateway) stretched(e *engine, x, step, first, fresh, fleetStep float64) {
-	step += (first - step) * min(1, g.since(e.heard)/fresh) // more where little was heard of late
-	g.crowd.add(x, 0.5, fleetStep)
-	e.last = x
-	e.slow += (x - e.slow) * step
+func (g *Gateway) recordInflation(e *endpoint, x, step, first, fresh, fleetStep float64) {
+	step += (first - step) * min(1, g.secondsSince(e.lastResponse)/fresh) // more where little was heard of late
+	g.inflation.add(x, 0.5, fleetStep)
+	e.lastInflation = x
+	e.inflation += (x - e.inflation) * step
 }
 
-// strayed notes the log of an answer's time over its estimate: their middle, and how
+// recordDispersion notes the log of an answer's time over its estimate: their middle, and how
 // far they lie from it, each up to most.
-func (c *class) strayed(x, most, step float64) {
-	c.ratio.add(x, 0.5, step)
-	c.strayN++
-	c.stray += (min(math.Abs(x-c.ratio.v), most) - c.stray) * max(step, 1/c.strayN)
+func (c *class) recordDispersion(x, most, step float64) {
+	c.latencyRatio.add(x, 0.5, step)
+	c.dispersionCount++
+	c.dispersion += (min(math.Abs(x-c.latencyRatio.v), most) - c.dispersion) * max(step, 1/c.dispersionCount)
 }
 
-// warmed notes it for what warmth saves.
-func (g *Gateway) warmed(warm bool, x, step float64) {
+// recordWarmth notes it for what warmth saves.
+func (g *Gateway) recordWarmth(warm bool, x, step float64) {
 	i := 0
 	if warm {
 		i = 1
 	}
-	g.stretch[i] += (x - g.stretch[i]) * step
+	g.warmthInflation[i] += (x - g.warmthInflation[i]) * step
 }
 
-// enrol puts a request on the books.
-func (g *Gateway) enrol(r Request, c *class) *request {
-	q := &request{Request: r, class: c, taken: g.now}
-	g.open[r.ID] = q
-	if g.live = append(g.live, q); g.set.RetryBudgetWindow > 0 {
-		g.taken = append(g.taken, g.now)
+// register puts a request on the books.
+func (g *Gateway) register(r Request, c *class) *request {
+	q := &request{Request: r, class: c, receivedAt: g.now}
+	g.requests[r.ID] = q
+	if g.active = append(g.active, q); g.settings.RetryBudgetWindow > 0 {
+		g.receivedAt = append(g.receivedAt, g.now)
 	}
-	g.count++
-	c.taken++
+	g.received++
+	c.received++
 	if r.Tenant >= 0 && r.Tenant < len(g.tenants) {
-		g.tenants[r.Tenant].count++
+		g.tenants[r.Tenant].received++
 	}
 	return q
 }
 
-// patience is the log stretch of answers that the aims leave, of the class with the least.
-func (g *Gateway) patience() float64 {
+// objectiveSlack is the log stretch of answers that the aims leave, of the class with the least.
+func (g *Gateway) objectiveSlack() float64 {
 	least := math.Inf(1)
 	for i := range g.classes {
 		c := &g.classes[i]
-		least = min(least, math.Log1p(float64(c.LatencyObjective)/micros*c.threads/c.typical()+c.ObjectiveStretch))
+		least = min(least, math.Log1p(float64(c.LatencyObjective)/microsPerSecond*c.threads/c.typicalWork()+c.ObjectiveStretch))
 	}
 	return least
 }
 
-// busyOf is the mean of a kind's engines, as far as any was heard of late; else the fleet's.
-func (f *fleet) busyOf(kind int) float64 {
-	if of, ok := f.kinds[kind]; ok {
+// threadsPerCoreOf is the mean of a kind's engines, as far as any was heard of late; else the fleet's.
+func (f *fleetSummary) threadsPerCoreOf(kind int) float64 {
+	if of, ok := f.threadsPerCoreByKind[kind]; ok {
 		return of.v
 	}
-	return f.busy
+	return f.threadsPerCore
 }
 
-// free tells that a request is first in its key's line and nothing else of the key is out.
-func (t *turn) free(q *request, now Micros) bool {
-	return t.queue[0] == q && t.open <= q.open && (now >= t.rest || len(q.attempts) > 0)
+// isNext tells that a request is first in its key's line and nothing else of the key is out.
+func (t *keyOrder) isNext(q *request, now Micros) bool {
+	return t.queue[0] == q && t.openAttempts <= q.openAttempts && (now >= t.restUntil || len(q.attempts) > 0)
 }
 
-// anyEngine picks blindly; nil if there is none.
-func (g *Gateway) anyEngine() *engine {
-	if len(g.engines) == 0 {
+// anyEndpoint picks blindly; nil if there is none.
+func (g *Gateway) anyEndpoint() *endpoint {
+	if len(g.endpoints) == 0 {
 		return nil
 	}
-	return g.engines[g.rng.IntN(len(g.engines))]
+	return g.endpoints[g.rng.IntN(len(g.endpoints))]
 }
 
-// average is a running mean: of all at first, later one that forgets.
-type average struct{ v, n float64 }
+// runningMean is a running mean: of all at first, later one that forgets.
+type runningMean struct{ v, n float64 }
 
-func (a *average) add(x, step float64) {
+func (a *runningMean) add(x, step float64) {
 	a.n++
 	a.v += (x - a.v) * max(step, 1/a.n)
 }
--- a/policy/toll_test.go
+++ b/policy/toll_test.go
@@ -21,24 +21,24 @@
 	b := newBench(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
-	c.mean.v = 2
-	c.admitted[1], c.refreshed[1], c.refreshed[3] = 3, true, true
-	c.wait[1], c.wait[3] = 0.5, 2
+	c.meanWork.v = 2
+	c.admitted[1], c.waitRefreshed[1], c.waitRefreshed[3] = 3, true, true
+	c.queueWait[1], c.queueWait[3] = 0.5, 2
 	g.threads[1] = 4
-	g.priced = b.now - sec
+	g.pricedAt = b.now - sec
 	g.now = b.now
-	g.reprice()
-	rate := 3 * rateStep // smoothed from zero
+	g.updatePrices()
+	rate := 3 * rateSmoothing // smoothed from zero
 	delta := 10.0 / 15
 	// At level 1 and below only class 0's wait at level 1 carries a rate; u = 4 of 8 cores.
 	r := 2.0 / 8 * delta * rate * 0.5 / (1 - 0.5)
 	near(t, "toll at level 1", c.price[1], 0.1*r)
 	near(t, "toll at level 0, which delays level 1 as well", c.price[0], 0.1*r)
 	near(t, "toll at level 2: nothing admitted at or below", c.price[2], 0)
-	near(t, "rate", c.rate[1], rate)
+	near(t, "rate", c.admittedRate[1], rate)
 	g.now += sec
-	g.reprice()
-	near(t, "a wait without fresh outcomes halves", c.wait[1], 0.25)
+	g.updatePrices()
+	near(t, "a wait without fresh outcomes halves", c.queueWait[1], 0.25)
 }
 
 func TestUtilisationInTollsIsCapped(t *testing.T) {
@@ -47,22 +47,22 @@
 	b := newBench(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
-	c.mean.v, c.admitted[0], c.wait[0], c.refreshed[0] = 2, 3, 0.5, true
+	c.meanWork.v, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
 	g.threads[0] = 80
-	g.priced, g.now = b.now-sec, b.now
-	g.reprice()
-	near(t, "toll at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateStep)*0.5/(1-0.9))
+	g.pricedAt, g.now = b.now-sec, b.now
+	g.updatePrices()
+	near(t, "toll at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
 }
 
 func TestAdmissionByHand(t *testing.T) {
 	b := newBench(t, testSettings(), 2)
 	g := b.g
 	c := &g.classes[1] // worth 10 over 15 s, 4 threads
-	c.mean.v = 3
-	c.wait = [levels]float64{1, 0.2, 2, 4}
-	c.price = [levels]float64{5, 4, 1, 0.5}
-	q := &request{class: c, est: 6, worth: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
-	level, net := g.cheapest(q)
+	c.meanWork.v = 3
+	c.queueWait = [priorityLevels]float64{1, 0.2, 2, 4}
+	c.price = [priorityLevels]float64{5, 4, 1, 0.5}
+	q := &request{class: c, work: 6, weight: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
+	level, net := g.leastCostLevel(q)
 	delta := 10.0 / 15
 	if level != 2 {
 		t.Fatalf("level %d, want 2", level)
@@ -89,10 +89,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBench(t, testSettings(), 2)
 			for i := range b.g.classes {
-				b.g.classes[i].price = [levels]float64{99, 99, 99, 99}
-				b.g.classes[i].mean.v = 0.1
+				b.g.classes[i].price = [priorityLevels]float64{99, 99, 99, 99}
+				b.g.classes[i].meanWork.v = 0.1
 			}
-			for _, e := range b.g.engines {
+			for _, e := range b.g.endpoints {
 				e.load, e.loadAt = Load{Util: tt.util, InFlight: -1}, b.now
 			}
 			b.g.threads[0] = tt.own
