--- a/policy/change.go
+++ b/policy/change.go
@@ -6,12 +6,11 @@
 	"slices"
 )
 
-// This file puts new settings in force in a running gateway. It decides nothing: what was learned and what is on the
-// books (order, budget, cold stores, drains, the list) stays, under the new numbers of classes and tenants.
-
-// Change takes new settings between two steps. Classes and Tenants tell for each new one which old one it continues,
-// -1 for none. A request that is open keeps the class it was taken under where its rules differ now. Zones and kinds
-// keep their numbers: a setting may add kinds, never take one away. The error names what cannot change; nothing has
+// Change takes new settings between two steps. It decides nothing: what was learned, and what is open
+// (order, budgets, drains, the endpoint list), stays under the new indexes of classes and tenants. Classes
+// and Tenants give for each new one the index of the old one that it continues, -1 for none. An open
+// request keeps the class it was received under where its rules differ now. Zones and kinds keep their
+// indexes: a setting may add kinds, never remove one. The error names what cannot change; nothing has
 // changed then.
 func (g *Gateway) Change(s Settings, classes, tenants []int) error {
 	if err := s.validate(); err != nil {
@@ -88,14 +87,15 @@
 	}
 }
 
-// sameRules tells that an open request may go on under a class's new form: all that is counted on the books is equal.
+// sameRules says that an open request may continue under a class's new form: all that the ledgers count is
+// equal.
 func sameRules(a, b Class) bool {
 	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow &&
 		a.Ordered == b.Ordered && a.LocksTables == b.LocksTables && a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
-// newNumbers turns "which old one" into "which new one", -1 for those that end.
+// newNumbers inverts "which old index" into "which new index", -1 for those that end.
 func newNumbers(field string, from []int, old int) ([]int, error) {
 	out := make([]int, old)
 	for i := range out {
@@ -113,6 +113,7 @@
 	return out, nil
 }
 
+// renumber maps an index; one out of range stays.
 func renumber(to []int, i int) int {
 	if i < 0 || i >= len(to) {
 		return i
@@ -120,8 +121,8 @@
 	return to[i]
 }
 
-// Outstanding tells what of the rules' counts is out: further attempts and requests taken within the budget's span, and whether
-// any order key has an attempt out or rests.
+// Outstanding says what the rules count as outstanding: retries and requests received within the retry
+// budget's window, and whether any order key has an attempt in flight or pauses.
 func (g *Gateway) Outstanding() (further, taken int, resting bool) {
 	since := g.now - g.settings.RetryBudgetWindow
 	for _, at := range g.retriedAt {
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,13 +2,12 @@
 
 import "fmt"
 
-// This file writes down what a gateway has learned and takes it in again. It decides nothing: what is too old to be taken
-// is the caller's word.
-
-// LearnedVersion is the form of Learned; another one is refused.
+// LearnedVersion is the version of the stored form of Learned; another one is rejected.
 const LearnedVersion = 1
 
-// Learned is what a gateway knows beside what is open: of its classes, of the fleet as a whole and of single engines.
+// Learned is what a gateway has learned, apart from what is open: of its classes, of the fleet and of
+// single endpoints. The json tags are the stored form, in recordings and in files of what was learned: a
+// renamed field keeps its key.
 type Learned struct {
 	Version   int               `json:"Version"`
 	Classes   []LearnedClass    `json:"Classes"`
@@ -16,7 +15,7 @@
 	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the list
 }
 
-// Running is a mean or rank with the count behind it.
+// Running is a running mean or median with the number of its values.
 type Running struct {
 	Value float64 `json:"V"`
 	Count float64 `json:"N"`
@@ -39,7 +38,7 @@
 	QueueWait       [priorityLevels]float64 `json:"Wait"`
 }
 
-// LearnedFleet is what was learned of all engines together and of own traffic.
+// LearnedFleet is what was learned of all endpoints together and of own traffic.
 type LearnedFleet struct {
 	WarmthInflation [2]float64 `json:"Stretch"`
 	Threads         float64    `json:"Threads"`
@@ -54,7 +53,7 @@
 	InFlight        float64    `json:"Open"`
 }
 
-// LearnedEndpoint is what was learned of one engine in its present life.
+// LearnedEndpoint is what was learned of one endpoint since its last start.
 type LearnedEndpoint struct {
 	ID      string  `json:"ID"`
 	Started Micros  `json:"Started"`
@@ -62,7 +61,7 @@
 	Faults  float64 `json:"Faults"`
 }
 
-// Learned returns what the gateway knows now.
+// Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
 	run := func(a runningMean) Running { return Running{a.v, a.n} }
 	rank := func(q runningMedian) Running { return Running{q.v, q.n} }
@@ -80,8 +79,9 @@
 	return l
 }
 
-// Restore takes in what another gateway has learned: of classes of the same name always; prices and waits, the fleet's state
-// and single engines' where fresh says that they still hold. It must come before the first Step.
+// Restore takes what another gateway has learned. Classes of the same name are always restored; prices and
+// waits, the state of the fleet and of single endpoints only where fresh says that they still hold. It must
+// precede the first Step.
 func (g *Gateway) Restore(l Learned, fresh bool) error {
 	if g.started || g.now != 0 {
 		return fmt.Errorf("policy: what was learned must be recalled before the first step")
@@ -118,10 +118,10 @@
 	return nil
 }
 
-// sameStartTolerance is how far two clocks may be apart on one start of an engine.
+// sameStartTolerance is how far two clocks may differ on the same start of an endpoint.
 const sameStartTolerance = Micros(microsPerSecond)
 
-// restoreEndpoint gives an engine that is met for the first time what was known of it in this life.
+// restoreEndpoint gives a new endpoint what was learned of it before, if it has not restarted since.
 func (g *Gateway) restoreEndpoint(e *endpoint) {
 	if k, ok := g.restored[e.ID]; ok {
 		delete(g.restored, e.ID)
--- /dev/null
+++ b/policy/outlier.go
@@ -0,0 +1,102 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// Outlier detection: fault shares, ejection, trial requests.
+const (
+	faultSmoothing    = 0.25 // weight of one result in an endpoint's fault share: two in a row are a pattern
+	ejectionMargin    = 0.4  // fault share over the fleet's median at which an endpoint is ejected
+	readmissionMargin = 0.1  // fault share over the fleet's median below which it is readmitted
+	trialInterval     = 0.5  // seconds between trial requests to an ejected endpoint
+	maxMissedProgress = 3.0  // progress reports in a row that may be missing
+	unresponsiveAges  = 2.0  // multiple of the fleet's mean response age that is not yet unresponsive
+	minUnresponsive   = 0.6  // seconds without a response below which overdue attempts prove nothing (pauses)
+)
+
+// Latency inflation: log of an answer's time over what its work would take on free cores.
+const (
+	inflationSmoothing     = 0.15 // weight of one answer in an endpoint's inflation
+	rareInflationSmoothing = 0.5  // the same where none came for as long as reports are believed
+	fleetInflationStep     = 0.2  // minimum step of the fleet's median: a few seconds of a small gateway
+	inflationTolerance     = 0.4  // log inflation over the fleet's that is noise
+	maxLogInflation        = 2.5  // maximum that one answer counts: bad plans are not the endpoint's fault
+	minSpeed               = 0.1  // minimum speed of a slow endpoint, so that its recovery is seen
+)
+
+// updateOutlier ejects and readmits an endpoint by its share of faults, by our results and by gossip, over
+// the fleet's median: faults that all endpoints have are not its own (a bad network), and there is nothing
+// better to send to.
+func (g *Gateway) updateOutlier(e *endpoint) {
+	if !e.ejected && e.faultShare > ejectionMargin+g.fleet.medianFaultShare {
+		g.eject(e, "faults")
+	} else if e.ejected && e.faultShare < readmissionMargin+g.fleet.medianFaultShare {
+		e.ejected = false
+		g.logLine("trust %s again", e.ID)
+	}
+}
+
+// eject keeps all but trial requests from an endpoint that fails fast (and looks idle), hangs or vanishes.
+func (g *Gateway) eject(e *endpoint, why string) {
+	e.ejected, e.nextTrialAt = true, g.now+Micros(trialInterval*microsPerSecond)
+	g.logLine("distrust %s: %s", e.ID, why)
+}
+
+// outlierAllows restricts ejected endpoints to trials with light repeatable queries, unless most are
+// ejected.
+func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
+	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints) ||
+		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.meanWork.v
+}
+
+// detectUnresponsive ejects an endpoint whose attempts in flight are all far past expectation, or that
+// misses progress reports of one. Where gateways gossip, the time without a response must exceed the
+// fleet's usual one.
+func (g *Gateway) detectUnresponsive(e *endpoint) {
+	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+unresponsiveAges*g.fleet.responseAge*float64(min(1, len(g.peerReports))) {
+		return
+	}
+	overdue := e.cancelledUnanswered
+	for _, a := range e.attempts {
+		if age := g.secondsSince(a.sentAt); !a.waiting && age > minUnresponsive && a.sentAt >= e.lastResponse {
+			overdue += math.Floor(min(age/(overdueFactor*a.expectedTime), 2))
+		}
+	}
+	if overdue >= 2 || g.missesProgress(e) { // two attempts, or one very old: one alone may be a bad plan
+		e.faultShare = ejectionMargin
+		g.eject(e, "silent")
+	}
+}
+
+// missesProgress says that the progress reports of an attempt have stopped: a hung endpoint sends none.
+func (g *Gateway) missesProgress(e *endpoint) bool {
+	return g.settings.ProgressInterval > 0 && slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+		return g.now-max(a.sentAt, a.progressAt) > Micros(maxMissedProgress*float64(g.settings.ProgressInterval))
+	})
+}
+
+// confirmAlive takes a response of an attempt: where that was sent before its endpoint seemed to restart,
+// the endpoint never did. It guards against networks that break single connections: each pair of them would
+// put an endpoint into slow start.
+func (e *endpoint) confirmAlive(a *attempt) {
+	if e.restartGuessedAt > a.sentAt {
+		e.slowStartSince, e.restartGuessedAt = e.slowStartBefore, 0
+	}
+}
+
+// recordInflation learns the log inflation x of an answer, for the endpoint and for the fleet, whose median
+// is followed: lost answers and bad plans are fewer than half.
+func (g *Gateway) recordInflation(e *endpoint, x, step, first, fresh, fleetStep float64) {
+	step += (first - step) * min(1, g.secondsSince(e.lastResponse)/fresh) // more where little was heard of late
+	g.inflation.add(x, 0.5, fleetStep)
+	e.lastInflation = x
+	e.inflation += (x - e.inflation) * step
+}
+
+// relativeSpeed is an endpoint's speed relative to the fleet, as seen in answers. It guards against
+// endpoints that slow down, whatever the cause: a noisy neighbor, a failing disk, congestion.
+func (g *Gateway) relativeSpeed(e *endpoint) float64 {
+	return min(1, max(minSpeed, math.Exp(g.inflation.v+inflationTolerance-e.inflation)))
+}
--- /dev/null
+++ b/policy/table_affinity.go
@@ -0,0 +1,89 @@
+package policy
+
+import (
+	"encoding/binary"
+	"hash/fnv"
+	"slices"
+)
+
+// Table affinity: loads lock their table group on an endpoint; queries that have read a group find it cached.
+const (
+	lockedTablesWeight = 0.1 // weight of endpoints where a load locks the group, for classes that wait
+	affinityShare      = 0.5 // share of the endpoints that take the loads of one group
+	maxWarmGroups      = 4   // table groups assumed to be cached on an endpoint
+	warmthTolerance    = 0.1 // log time saved below which caching is taken for noise
+	warmthExponent     = 2.0 // exponent of the time saved by caching in the draw
+)
+
+// inAffinitySubset says whether an endpoint takes loads of a table group, the same at every gateway
+// (rendezvous hashing): loads of one group on all endpoints would leave none for the queries that wait for
+// them, and on a single endpoint they would block each other.
+func (g *Gateway) inAffinitySubset(tables int64, e *endpoint) bool {
+	healthy, before := 0, 0
+	for _, o := range g.endpoints {
+		if o.State == Healthy && !o.ejected {
+			healthy++
+			if o != e && affinityHash(tables, o) > affinityHash(tables, e) {
+				before++
+			}
+		}
+	}
+	return before < max(1, int(affinityShare*float64(healthy)))
+}
+
+// affinityHash ranks the endpoints for a table group, the same at every gateway.
+func affinityHash(tables int64, e *endpoint) uint64 {
+	h := fnv.New64a()
+	h.Write(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(tables)), e.wireID))
+	return h.Sum64()
+}
+
+// holdsOwnTableLock says that a load of this gateway locks a group on the endpoint, or waits for the lock.
+func (e *endpoint) holdsOwnTableLock(tables int64) bool {
+	return slices.ContainsFunc(e.attempts, func(a *attempt) bool {
+		return a.request.class.LocksTables && a.request.TableGroup == tables
+	})
+}
+
+// tablesLocked says that a load locks a group on an endpoint: one of ours, or one known from a recent
+// progress report or gossip. It guards against blocked queries.
+func (g *Gateway) tablesLocked(e *endpoint, tables int64) bool {
+	if e.holdsOwnTableLock(tables) {
+		return true
+	}
+	at := e.tableLocks[groupCode(tables)]
+	return at > 0 && g.secondsSince(at) < gossipLifetime
+}
+
+// sampleLockedGroup draws one group that a load of ours locks on an endpoint, for gossip; 0: none.
+func (g *Gateway) sampleLockedGroup(e *endpoint) byte {
+	var groups []byte
+	for _, a := range e.attempts {
+		if a.request.class.LocksTables {
+			groups = append(groups, groupCode(a.request.TableGroup))
+		}
+	}
+	if len(groups) == 0 {
+		return 0
+	}
+	return groups[g.rng.IntN(len(groups))]
+}
+
+// groupCode is the wire form of a table group, never 0.
+func groupCode(tables int64) byte { return byte(uint64(tables)%255) + 1 }
+
+// recordRead marks a table group as the one read last; the endpoint caches maxGroups of them.
+func (e *endpoint) recordRead(tables int64, keep int) {
+	e.warmGroups = slices.DeleteFunc(e.warmGroups, func(t int64) bool { return t == tables })
+	e.warmGroups = slices.Insert(e.warmGroups, 0, tables)
+	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), keep)]
+}
+
+// recordWarmth learns the log inflation x of an answer, by whether its group was cached.
+func (g *Gateway) recordWarmth(warm bool, x, step float64) {
+	i := 0
+	if warm {
+		i = 1
+	}
+	g.warmthInflation[i] += (x - g.warmthInflation[i]) * step
+}
