--- a/policy/admission.go
+++ b/policy/admission.go
@@ -7,7 +7,7 @@
 
 // handleRequest takes a request into the ledger and admits, queues or sheds it.
 func (g *Gateway) handleRequest(r Request) {
-	if g.requests[r.ID] != nil || r.Class < 0 || r.Class >= len(g.classes) {
+	if g.ledger.requests[r.ID] != nil || r.Class < 0 || r.Class >= len(g.classes) {
 		return
 	}
 	c := &g.classes[r.Class]
@@ -25,10 +25,10 @@
 	c.meanWork.add(q.work, meanSmoothing)
 	// The usual work, for the cold rule: the fit's shrunk estimates lie nearer its middle.
 	c.usualWork.add(max(q.work, c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.v, 1, 1)), meanSmoothing)
-	g.meanWork.add(q.work, meanSmoothing)
+	g.queries.work.add(q.work, meanSmoothing)
 	q.weight = g.weightOf(q)
 	q.objectiveAt = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.work/c.threads*microsPerSecond)
-	g.healthCheckCredit = min(maxHealthCheckCredit, g.healthCheckCredit+healthChecksPerRequest*min(1, max(minHealthCheckShare, g.fleet.threadsPerCore*g.fleet.threadsPerCore)))
+	g.healthChecks.credit = min(maxHealthCheckCredit, g.healthChecks.credit+healthChecksPerRequest*min(1, max(minHealthCheckShare, g.fleet.threadsPerCore*g.fleet.threadsPerCore)))
 	g.joinKeyOrder(q)
 	if q.StickyTo != "" && g.cannotEarn(q) {
 		g.shedOrFail(q)
@@ -66,12 +66,12 @@
 	if g.settings.WeightByWork {
 		w *= q.work / q.class.typicalWork()
 	}
-	if q.Tenant < 0 || q.Tenant >= len(g.tenants) {
+	if q.Tenant < 0 || q.Tenant >= len(g.traffic.tenants) {
 		return w
 	}
-	t := g.tenants[q.Tenant]
+	t := g.traffic.tenants[q.Tenant]
 	rate := t.rate / g.trafficShare()
-	if len(g.peerReports) > 0 {
+	if len(g.gossip.reports) > 0 {
 		rate = max(t.rate, t.meanRate*float64(g.settings.Peers))
 	}
 	if t.quota <= 0 || rate <= t.quota {
@@ -85,7 +85,7 @@
 // below its share of the cores, or the endpoint picked is below freeCoreUtilization. It then delays nobody.
 func (g *Gateway) passesFreeCore(q *request, e *endpoint) bool {
 	tau := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
-	if tau > float64(q.Deadline-g.now)/microsPerSecond || q.work > veryLongFactor*q.class.typicalWork() || q.weight < g.queuePrice*tau {
+	if tau > float64(q.Deadline-g.now)/microsPerSecond || q.work > veryLongFactor*q.class.typicalWork() || q.weight < g.queue.price*tau {
 		return false
 	}
 	return g.threadsInFlight()+q.class.threads <= g.coreShare() || e != nil && g.utilization(e) < freeCoreUtilization
@@ -106,7 +106,7 @@
 	if q.openAttempts > 0 {
 		return false
 	}
-	if e := g.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.isEligible(q, e)) { // nobody else has its state
+	if e := g.endpoints.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.isEligible(q, e)) { // nobody else has its state
 		return true
 	}
 	if len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent && q.firstRan != nil {
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -11,11 +11,17 @@
 	residualAgeShare = 0.5 // share of its age that a query past its expected end is assumed to stay on
 )
 
+// admissionQueue holds the requests that wait for capacity.
+type admissionQueue struct {
+	requests []*request // in the order queued
+	price    float64    // weight a second of an open request's place, see admissionQueuePrice
+}
+
 // enqueue adds a request to the admission queue.
 func (g *Gateway) enqueue(q *request) {
 	if !q.queued {
 		q.queued = true
-		g.queue = append(g.queue, q)
+		g.queue.requests = append(g.queue.requests, q)
 	}
 }
 
@@ -23,13 +29,13 @@
 func (g *Gateway) dequeue(q *request) {
 	if q.queued {
 		q.queued = false
-		g.queue = slices.DeleteFunc(g.queue, func(o *request) bool { return o == q })
+		g.queue.requests = slices.DeleteFunc(g.queue.requests, func(o *request) bool { return o == q })
 	}
 }
 
 // queueByWeight is the admission queue, highest weight for its work first.
 func (g *Gateway) queueByWeight() []*request {
-	queue := slices.Clone(g.queue)
+	queue := slices.Clone(g.queue.requests)
 	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.weight/b.work, a.weight/a.work) })
 	return queue
 }
@@ -37,8 +43,8 @@
 // drainQueue sends queued requests where there is capacity, highest weight for their work first, or sheds
 // them.
 func (g *Gateway) drainQueue() {
-	g.queueAt = g.now + Micros(healthCheckTimeout*microsPerSecond)
-	if len(g.queue) == 0 {
+	g.schedule.drainQueueAt = g.now + Micros(healthCheckTimeout*microsPerSecond)
+	if len(g.queue.requests) == 0 {
 		return
 	}
 	full := make([]bool, len(g.classes)) // no room for one is none for the heavier ones behind it
@@ -63,15 +69,15 @@
 // second. It guards against blocked queries that keep other clients from sending.
 func (g *Gateway) admissionQueuePrice(held int) float64 {
 	full := float64(held)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
-	if g.settings.MaxInFlight == 0 || full <= 0 || g.responseTime.v <= 0 {
+	if g.settings.MaxInFlight == 0 || full <= 0 || g.queries.responseTime.v <= 0 {
 		return 0
 	}
-	return min(1, full/(1-freeQueueShare)) * g.earnedPerRequest.v / g.responseTime.v
+	return min(1, full/(1-freeQueueShare)) * g.queries.earned.v / g.queries.responseTime.v
 }
 
 // belowQueuePrice says that a queued request earns less than its place in the queue costs.
 func (g *Gateway) belowQueuePrice(q *request) bool {
 	stay := g.secondsSince(q.receivedAt)
 	left := max(q.class.queueWait[q.level]+q.class.serviceTime(q.work)-stay, stay*residualAgeShare)
-	return q.openAttempts == 0 && g.queuePrice > 0 && g.earnedWeight(q, g.now+Micros(left*microsPerSecond)) < g.queuePrice*left
+	return q.openAttempts == 0 && g.queue.price > 0 && g.earnedWeight(q, g.now+Micros(left*microsPerSecond)) < g.queue.price*left
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -36,7 +36,7 @@
 	a.grantMB = g.memoryGrant(q, e)
 	g.openAttempt(a)
 	e.claimedThreads += c.threads
-	g.sentThreads.add(c.threads, meanSmoothing)
+	g.queries.sentThreads.add(c.threads, meanSmoothing)
 	e.nextTrialAt = g.now + Micros(trialInterval*microsPerSecond)
 	if e.slowStartSince > 0 {
 		e.slowStartBudget(q.Class, len(g.classes)).seconds -= g.slowStartCharge(c, g.slowStartRate(e))
@@ -56,7 +56,7 @@
 func (g *Gateway) openAttempt(a *attempt) {
 	q, e := a.request, a.endpoint
 	if len(q.attempts) > 0 {
-		g.retriedAt = append(g.retriedAt, g.now)
+		g.retryBudget.retriedAt = append(g.retryBudget.retriedAt, g.now)
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
@@ -111,7 +111,7 @@
 
 // handleAttemptResult closes an attempt, learns from its result and decides what follows.
 func (g *Gateway) handleAttemptResult(o AttemptResult) {
-	q := g.requests[o.ID]
+	q := g.ledger.requests[o.ID]
 	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].closed {
 		return
 	}
@@ -125,14 +125,14 @@
 		g.endRequest(q)
 	}
 	if q.done && q.openAttempts == 0 {
-		delete(g.requests, q.ID)
+		delete(g.ledger.requests, q.ID)
 	}
 	if q.done || q.openAttempts > 0 {
 		return
 	}
 	q.restarting = false
 	g.enqueue(q) // pump sends it again, or gives up
-	g.queueAt = g.now
+	g.schedule.drainQueueAt = g.now
 }
 
 // learnFromResult learns from a result: the class's estimates and waits, the endpoint's health.
@@ -149,13 +149,13 @@
 			work = float64(o.WorkMicros) / microsPerSecond
 			clipped = max(-maxLogInflation, min(maxLogInflation, math.Log(took*c.threads/work)))
 		} else if a.uncontended || c.workFit.n < minFitAnswers {
-			work = a.request.work * math.Exp(min(clipped, shrinkSlackShare*g.slack))
+			work = a.request.work * math.Exp(min(clipped, shrinkSlackShare*g.congestion.slack))
 		}
 		g.recordInflation(e, clipped, inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
 		g.recordWarmth(a.warm, clipped, meanSmoothing)
-		g.attemptLatency.add(took, meanSmoothing)
-		g.responseTime.add(g.secondsSince(a.request.receivedAt), meanSmoothing)
-		g.earnedPerRequest.add(g.earnedWeight(a.request, g.now), meanSmoothing)
+		g.queries.latency.add(took, meanSmoothing)
+		g.queries.responseTime.add(g.secondsSince(a.request.receivedAt), meanSmoothing)
+		g.queries.earned.add(g.earnedWeight(a.request, g.now), meanSmoothing)
 		if a.request.Cost > 0 && work > 0 {
 			c.workFit.add(float64(a.request.Cost)/microsPerSecond, work, fitSmoothing)
 		}
@@ -193,7 +193,7 @@
 
 // handleProgress learns from a progress report: projected time, spills, waits.
 func (g *Gateway) handleProgress(p Progress) {
-	q := g.requests[p.ID]
+	q := g.ledger.requests[p.ID]
 	if q == nil || p.Attempt < 0 || p.Attempt >= len(q.attempts) || q.attempts[p.Attempt].closed {
 		return
 	}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -19,18 +19,27 @@
 	maxMemoryShare      = 0.95 // share of memory granted above which nothing more is sent
 )
 
+// congestion is the state of the control loop that sets the capacity of all endpoints: it compares the
+// latency inflation of answers with what the latency objectives leave.
+type congestion struct {
+	inflation  runningMedian // log latency inflation of answers, ours or gossiped
+	slack      float64       // log latency inflation that the objectives leave, see objectiveSlack
+	capacity   float64       // threads a core that an endpoint may hold, of all gateways
+	adjustedAt Micros
+}
+
 // hasCapacity keeps an endpoint below the load at which all work there slows down. A gateway claims only
 // its share of what the last report leaves free and of what has ended since, by chance where that is less
 // than one query: all gateways that gossip see the same free capacity and would fill it several times over.
 func (g *Gateway) hasCapacity(q *request, e *endpoint) bool {
-	room := g.capacity * e.cores * g.relativeSpeed(e)
+	room := g.congestion.capacity * e.cores * g.relativeSpeed(e)
 	if q.class.LocksTables && (!g.inAffinitySubset(q.TableGroup, e) || e.holdsOwnTableLock(q.TableGroup)) { // the next would stand behind it
 		return false
 	}
 	switch {
 	case q.work > veryLongFactor*q.class.typicalWork(): // it would hold the room for many others
 		room *= longCapacityFactor
-	case q.work < g.meanWork.v:
+	case q.work < g.queries.work.v:
 		room *= lightCapacityFactor
 	}
 	k, grant := g.reportConfidence(e), g.memoryGrant(q, e)
@@ -42,11 +51,11 @@
 	}
 	threads, granted := g.peerLoad(e)
 	free := max(0, room-threads-e.threads+e.claimedThreads)
-	if g.attemptLatency.v > 0 {
-		ends := (threads + e.threads) / g.meanThreads / g.attemptLatency.v * g.sentThreads.v // threads a second
+	if g.queries.latency.v > 0 {
+		ends := (threads + e.threads) / g.queries.threads / g.queries.latency.v * g.queries.sentThreads.v // threads a second
 		free += ends * min(g.secondsSince(e.reportArrivedAt), reportLifetime)
 	}
-	if len(g.peerReports) > 0 {
+	if len(g.gossip.reports) > 0 {
 		claim := g.trafficShare() / (g.trafficShare() + (1-g.trafficShare())*(1-g.fleet.peerCoverage)) // ours against those not heard
 		if e.claimedThreads+e.claimDraw*q.class.threads > free*claim/min(1, math.Pow(g.fleet.threadsPerCore, claimExponent)) {
 			return false
@@ -61,14 +70,14 @@
 // and grows it in full use (multiplicative both ways). It is the fleet's: one gateway of many seldom has an
 // answer from one endpoint; relativeSpeed covers single ones.
 func (g *Gateway) adjustCapacity() {
-	if g.secondsSince(g.capacityAt) < capacityInterval {
+	if g.secondsSince(g.congestion.adjustedAt) < capacityInterval {
 		return
 	}
-	if g.capacityAt = g.now; g.inflation.v > shrinkSlackShare*g.slack {
-		g.capacity = max(g.capacity*capacityBackoff, minCapacity)
-	} else if g.inflation.v < growSlackShare*g.slack && g.fleet.threadsPerCore > g.capacity/2 {
+	if g.congestion.adjustedAt = g.now; g.congestion.inflation.v > shrinkSlackShare*g.congestion.slack {
+		g.congestion.capacity = max(g.congestion.capacity*capacityBackoff, minCapacity)
+	} else if g.congestion.inflation.v < growSlackShare*g.congestion.slack && g.fleet.threadsPerCore > g.congestion.capacity/2 {
 		most := initialCapacity + (maxCapacity-initialCapacity)*g.fleet.peerCoverage // less where others are guessed
-		g.capacity = min(g.capacity/capacityBackoff, most)
+		g.congestion.capacity = min(g.congestion.capacity/capacityBackoff, most)
 	}
 }
 
--- a/policy/change.go
+++ b/policy/change.go
@@ -27,11 +27,11 @@
 	if err != nil {
 		return err
 	}
-	newTenant, err := newNumbers("Tenants", tenants, len(g.tenants))
+	newTenant, err := newNumbers("Tenants", tenants, len(g.traffic.tenants))
 	if err != nil {
 		return err
 	}
-	open := slices.DeleteFunc(slices.Clone(g.active), func(q *request) bool { return q.done && q.openAttempts == 0 })
+	open := slices.DeleteFunc(slices.Clone(g.ledger.active), func(q *request) bool { return q.done && q.openAttempts == 0 })
 	for _, q := range open {
 		if newClass[q.Class] < 0 {
 			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
@@ -39,7 +39,7 @@
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
 	old := g.classes
-	g.active = open
+	g.ledger.active = open
 	g.settings, g.classes = s, make([]class, len(s.Classes))
 	for i, c := range s.Classes {
 		fresh := class{threads: float64(max(c.Threads, 1)), grantMargin: old[0].grantMargin}
@@ -58,7 +58,7 @@
 		q.Tenant = renumber(newTenant, q.Tenant)
 	}
 	g.renumberTenants(tenants)
-	for _, e := range g.byID { // each by itself: the order does not matter
+	for _, e := range g.endpoints.byID { // each by itself: the order does not matter
 		if e.Kind >= 0 && e.Kind < len(s.Kinds) {
 			e.cores, e.memoryMB = float64(max(s.Kinds[e.Kind].Cores, 1)), s.Kinds[e.Kind].MemoryMB
 		}
@@ -71,19 +71,19 @@
 			}
 		}
 	}
-	g.slack = g.objectiveSlack()
+	g.congestion.slack = g.objectiveSlack()
 	return nil
 }
 
 // renumberTenants carries the traffic of tenants over.
 func (g *Gateway) renumberTenants(from []int) {
-	old := g.tenants
-	g.tenants = make([]tenant, len(from))
+	old := g.traffic.tenants
+	g.traffic.tenants = make([]tenant, len(from))
 	for i, f := range from {
 		if f >= 0 {
-			g.tenants[i] = old[f]
+			g.traffic.tenants[i] = old[f]
 		}
-		g.tenants[i].quota = g.settings.Tenants[i].Quota
+		g.traffic.tenants[i].quota = g.settings.Tenants[i].Quota
 	}
 }
 
@@ -125,12 +125,12 @@
 // budget's window, and whether any order key has an attempt in flight or pauses.
 func (g *Gateway) Outstanding() (further, taken int, resting bool) {
 	since := g.now - g.settings.RetryBudgetWindow
-	for _, at := range g.retriedAt {
+	for _, at := range g.retryBudget.retriedAt {
 		if at > since {
 			further++
 		}
 	}
-	for _, at := range g.receivedAt {
+	for _, at := range g.retryBudget.receivedAt {
 		if at > since {
 			taken++
 		}
--- a/policy/change_test.go
+++ b/policy/change_test.go
@@ -60,13 +60,13 @@
 	if n := g.threadsInFlight(); n != 0 {
 		t.Errorf("%v threads are left on the books", n)
 	}
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		if e.threads != 0 || len(e.attempts) != 0 {
 			t.Errorf("%s has %v threads, %d attempts on the books", e.ID, e.threads, len(e.attempts))
 		}
 	}
-	if g.byID["e2"].State != Draining || g.classes[0].received != 2 || g.classes[2].received != 1 {
-		t.Errorf("drain or learning lost: %v, %v, %v", g.byID["e2"].State, g.classes[0].received, g.classes[2].received)
+	if g.endpoints.byID["e2"].State != Draining || g.classes[0].received != 2 || g.classes[2].received != 1 {
+		t.Errorf("drain or learning lost: %v, %v, %v", g.endpoints.byID["e2"].State, g.classes[0].received, g.classes[2].received)
 	}
 }
 
@@ -94,7 +94,7 @@
 			t.Errorf("%s: taken", name)
 		}
 	}
-	if len(g.classes) != 1 || g.requests["q"].class != &g.classes[0] || len(g.settings.Kinds) != 1 {
+	if len(g.classes) != 1 || g.ledger.requests["q"].class != &g.classes[0] || len(g.settings.Kinds) != 1 {
 		t.Error("something changed")
 	}
 }
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -127,12 +127,12 @@
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
-	if out.Endpoint == "" || len(b.g.byID) != 2 || len(b.g.byWireID) != 2 || b.g.byID[out.Endpoint] == nil {
-		t.Errorf("%d engines on the books, want the one in the list and %q", len(b.g.byID), out.Endpoint)
+	if out.Endpoint == "" || len(b.g.endpoints.byID) != 2 || len(b.g.endpoints.byWireID) != 2 || b.g.endpoints.byID[out.Endpoint] == nil {
+		t.Errorf("%d engines on the books, want the one in the list and %q", len(b.g.endpoints.byID), out.Endpoint)
 	}
 	b.step(AttemptResult{ID: out.ID, Endpoint: out.Endpoint, Final: true, Latency: 100000})
-	if b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "last"}}}); len(b.g.byID) != 1 {
-		t.Errorf("%d engines on the books at last", len(b.g.byID))
+	if b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "last"}}}); len(b.g.endpoints.byID) != 1 {
+		t.Errorf("%d engines on the books at last", len(b.g.endpoints.byID))
 	}
 }
 
@@ -149,8 +149,8 @@
 				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
 		}
-		if most := int(span/10000) + 200; len(b.g.receivedAt) > most {
-			t.Errorf("span %d: %d of 5000 requests on the books, at most %d in the span", span, len(b.g.receivedAt), most)
+		if most := int(span/10000) + 200; len(b.g.retryBudget.receivedAt) > most {
+			t.Errorf("span %d: %d of 5000 requests on the books, at most %d in the span", span, len(b.g.retryBudget.receivedAt), most)
 		}
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -8,6 +8,13 @@
 // minPollInterval is the minimum seconds between two calls for the endpoint list.
 const minPollInterval = 1.0
 
+// endpointTable holds the endpoints of the list, and removed ones that still have attempts in flight.
+type endpointTable struct {
+	list     []*endpoint          // not removed, by ID
+	byID     map[string]*endpoint // all
+	byWireID map[uint32]*endpoint // all, by their name in gossip; looked up only
+}
+
 // endpoint is what is known of one endpoint.
 type endpoint struct {
 	Endpoint
@@ -47,18 +54,18 @@
 // handleEndpointUpdate takes a watch event of the endpoint list.
 func (g *Gateway) handleEndpointUpdate(l EndpointUpdate) {
 	if l.Failed {
-		g.pollAt = min(g.pollAt, g.now+Micros(minPollInterval*microsPerSecond))
+		g.schedule.pollAt = min(g.schedule.pollAt, g.now+Micros(minPollInterval*microsPerSecond))
 	}
 	g.markRemoved(l)
 	for _, r := range l.Endpoints {
-		e := g.byID[r.ID]
+		e := g.endpoints.byID[r.ID]
 		if e == nil {
 			e = g.addEndpoint(r)
-			e.slowStartSince, e.inflation = r.Started, g.inflation.v
+			e.slowStartSince, e.inflation = r.Started, g.congestion.inflation.v
 			g.restoreEndpoint(e)
 		} else if r.Started != e.Started { // restarted: nothing learned holds any more
 			e.slowStartSince, e.ejected, e.warmGroups = max(r.Started, e.slowStartSince), false, nil
-			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.inflation.v, 0
+			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.congestion.inflation.v, 0
 		}
 		if r.State == Draining && e.State != Draining {
 			e.drainUntil = g.now + g.settings.DrainGrace - g.deadlineGuard()
@@ -71,7 +78,7 @@
 
 // markRemoved marks the endpoints that a complete list does not contain as removed.
 func (g *Gateway) markRemoved(l EndpointUpdate) {
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		if l.Complete && !slices.ContainsFunc(l.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
 			e.State = Removed
 		}
@@ -81,16 +88,16 @@
 // sortEndpoints lists the endpoints that are not removed, by ID. Removed ones are forgotten once no attempt
 // is in flight there.
 func (g *Gateway) sortEndpoints() {
-	clear(g.endpoints)
-	g.endpoints = g.endpoints[:0]
-	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
-		switch e := g.byID[id]; {
+	clear(g.endpoints.list)
+	g.endpoints.list = g.endpoints.list[:0]
+	for _, id := range slices.Sorted(maps.Keys(g.endpoints.byID)) {
+		switch e := g.endpoints.byID[id]; {
 		case e.State != Removed:
-			g.endpoints = append(g.endpoints, e)
+			g.endpoints.list = append(g.endpoints.list, e)
 		case len(e.attempts) == 0:
-			delete(g.byID, id)
-			if g.byWireID[e.wireID] == e {
-				delete(g.byWireID, e.wireID)
+			delete(g.endpoints.byID, id)
+			if g.endpoints.byWireID[e.wireID] == e {
+				delete(g.endpoints.byWireID, e.wireID)
 			}
 		}
 	}
@@ -102,6 +109,6 @@
 	if r.Kind >= 0 && r.Kind < len(g.settings.Kinds) {
 		e.cores, e.memoryMB = float64(max(g.settings.Kinds[r.Kind].Cores, 1)), g.settings.Kinds[r.Kind].MemoryMB
 	}
-	g.byID[r.ID], g.byWireID[e.wireID] = e, e
+	g.endpoints.byID[r.ID], g.endpoints.byWireID[e.wireID] = e, e
 	return e
 }
--- a/policy/failures_test.go
+++ b/policy/failures_test.go
@@ -72,7 +72,7 @@
 		b.now += 25000
 		b.step(b.request(0))
 	}
-	for _, e := range b.g.endpoints {
+	for _, e := range b.g.endpoints.list {
 		if e.ejected {
 			t.Fatalf("%s is suspect after half a second", e.ID)
 		}
@@ -84,12 +84,12 @@
 func TestBadPlanIsRestarted(t *testing.T) {
 	for _, slow := range []float64{0, 2} {
 		b := newBench(t, testSettings(), 2)
-		for _, e := range b.g.endpoints {
+		for _, e := range b.g.endpoints.list {
 			e.inflation, e.lastResponse = slow, b.now
 		}
 		q := b.request(0)
 		b.step(q)
-		for _, e := range b.g.endpoints {
+		for _, e := range b.g.endpoints.list {
 			e.lastResponse = b.now + 1 // answers of others keep coming
 		}
 		acts := b.until(b.now + 6*sec/10)
@@ -105,7 +105,7 @@
 	s := only[Send](b.step(b.request(0)))[0]
 	b.now += 20000
 	b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: FractionDone, Value: 1})
-	for _, e := range b.g.endpoints {
+	for _, e := range b.g.endpoints.list {
 		e.lastResponse = b.now + 1 // answers of others keep coming
 	}
 	if acts := b.until(b.now + 6*sec/10); len(only[Cancel](acts)) == 0 {
@@ -169,12 +169,12 @@
 	}
 	b.now = a.now
 	b.step(GossipReceived{From: 0, Data: told[len(told)-1].Data})
-	there := a.g.endpoints[0].threads // one query may have gone out since the message
-	if threads, _ := b.g.peerLoad(b.g.endpoints[0]); threads < there-4 || threads > there || threads == 0 {
+	there := a.g.endpoints.list[0].threads // one query may have gone out since the message
+	if threads, _ := b.g.peerLoad(b.g.endpoints.list[0]); threads < there-4 || threads > there || threads == 0 {
 		t.Fatalf("heard of %v threads, there are %v", threads, there)
 	}
 	b.until(b.now + 5*sec)
-	if threads, _ := b.g.peerLoad(b.g.endpoints[0]); threads != 0 {
+	if threads, _ := b.g.peerLoad(b.g.endpoints.list[0]); threads != 0 {
 		t.Fatal("a silent peer still counts")
 	}
 }
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -19,21 +19,21 @@
 // summarizeFleet sums up the fleet: gossip older than gossipAge seconds is forgotten, response ages count
 // up to maxAge seconds, and the load shrinks to keep of itself while nothing is reported.
 func (g *Gateway) summarizeFleet(word, fresh, keep float64) {
-	for ; len(g.arrivals) > 0 && g.secondsSince(g.arrivals[0].at) > word; g.arrivals = g.arrivals[1:] {
-		if h := g.arrivals[0]; g.peerReports[h.from].at == h.at {
+	for ; len(g.gossip.arrivals) > 0 && g.secondsSince(g.gossip.arrivals[0].at) > word; g.gossip.arrivals = g.gossip.arrivals[1:] {
+		if h := g.gossip.arrivals[0]; g.gossip.reports[h.from].at == h.at {
 			g.forgetGossip(h.from)
 		}
 	}
 	f := fleetSummary{occupancyExcess: g.fleet.occupancyExcess, everReported: g.fleet.everReported, threadsPerCoreByKind: map[int]runningMean{}}
-	for _, h := range g.arrivals {
-		if g.peerReports[h.from].at == h.at {
+	for _, h := range g.gossip.arrivals {
+		if g.gossip.reports[h.from].at == h.at {
 			f.peerCoverage += 1 / float64(g.settings.Peers-1)
 		}
 	}
 	f.peerCoverage = min(f.peerCoverage, 1)
 	var busy, age float64
 	var faults []float64
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		if e.State != Healthy {
 			continue
 		}
@@ -63,7 +63,7 @@
 	if slices.Sort(faults); len(faults) > 0 {
 		f.medianFaultShare = faults[(len(faults)-1)/2]
 	}
-	f.responseAge = age / max(1, float64(len(g.endpoints)))
+	f.responseAge = age / max(1, float64(len(g.endpoints.list)))
 	f.threads = f.threadsPerCore * f.cores
 	g.fleet = f
 }
@@ -86,7 +86,7 @@
 
 // grantsInFlightMB sums own memory grants in flight.
 func (g *Gateway) grantsInFlightMB() (n float64) {
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		n += e.grantedMB
 	}
 	return n
@@ -94,7 +94,7 @@
 
 // attemptsInFlight counts own attempts in flight.
 func (g *Gateway) attemptsInFlight() (n float64) {
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		n += float64(len(e.attempts))
 	}
 	return n
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -10,6 +10,14 @@
 	gossipRateSmoothing = 0.5  // weight of a peer's rates against ours
 )
 
+// gossipState is what peers gossiped lately, and whom to tell next.
+type gossipState struct {
+	reports  map[int]*peerReport // by peer; looked up only
+	arrivals []gossipArrival     // in the order received
+	nextAt   Micros              // next message to send
+	lastPeer int                 // peer sent the last one, counted without this gateway
+}
+
 // gossipArrival is one message received from a peer.
 type gossipArrival struct {
 	from int
@@ -26,17 +34,17 @@
 // by gossip, and our own attempts there. Its rate is bounded by own traffic.
 func (g *Gateway) sendGossip() {
 	others := g.settings.Peers - 1
-	gap := max(gossipInterval/float64(others), 1/max(gossipPerRequest*g.rate, 1/priceInterval))
-	g.gossipAt = g.now + Micros(gap*microsPerSecond)
+	gap := max(gossipInterval/float64(others), 1/max(gossipPerRequest*g.traffic.rate, 1/priceInterval))
+	g.gossip.nextAt = g.now + Micros(gap*microsPerSecond)
 	// Each peer in turn, from a place by chance: else all gateways tell the same one.
-	g.gossipTo = (g.gossipTo + 1 + others) % others
-	g.emit(SendGossip{To: (g.settings.PeerIndex + 1 + g.gossipTo) % g.settings.Peers, Data: encodeGossip(g.gossipRates(), g.gossipRows(reportLifetime))})
+	g.gossip.lastPeer = (g.gossip.lastPeer + 1 + others) % others
+	g.emit(SendGossip{To: (g.settings.PeerIndex + 1 + g.gossip.lastPeer) % g.settings.Peers, Data: encodeGossip(g.gossipRates(), g.gossipRows(reportLifetime))})
 }
 
 // gossipRows is what to gossip of the endpoints: what was reported within maxAge seconds, freshest first.
 func (g *Gateway) gossipRows(known float64) []gossipRow {
 	var rows []gossipRow
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		at := max(e.loadAt, e.lastResponse)
 		if g.secondsSince(at) > known && e.threads == 0 {
 			continue
@@ -58,14 +66,14 @@
 	if h.From < 0 || h.From >= g.settings.Peers || h.From == g.settings.PeerIndex {
 		return
 	}
-	rates, rows, ok := decodeGossip(h.Data, len(g.tenants)+1)
+	rates, rows, ok := decodeGossip(h.Data, len(g.traffic.tenants)+1)
 	if !ok {
 		return
 	}
 	g.mergeRates(rates, gossipRateSmoothing)
 	g.recordPeerAttempts(h.From, rows)
 	for _, r := range rows {
-		e := g.byWireID[r.key]
+		e := g.endpoints.byWireID[r.key]
 		if e == nil {
 			continue
 		}
@@ -95,9 +103,9 @@
 func (g *Gateway) recordPeerAttempts(from int, rows []gossipRow) {
 	g.forgetGossip(from)
 	p := &peerReport{at: g.now}
-	g.peerReports[from], g.arrivals = p, append(g.arrivals, gossipArrival{from, g.now})
+	g.gossip.reports[from], g.gossip.arrivals = p, append(g.gossip.arrivals, gossipArrival{from, g.now})
 	for _, r := range rows {
-		if e := g.byWireID[r.key]; e != nil && r.threads > 0 {
+		if e := g.endpoints.byWireID[r.key]; e != nil && r.threads > 0 {
 			e.gossipedThreads, e.gossipedMB = e.gossipedThreads+r.threads, e.gossipedMB+r.grantedShare*e.memoryMB
 			p.rows = append(p.rows, r)
 		}
@@ -106,9 +114,9 @@
 
 // forgetGossip forgets what a peer gossiped of its own attempts.
 func (g *Gateway) forgetGossip(n int) {
-	if p := g.peerReports[n]; p != nil {
+	if p := g.gossip.reports[n]; p != nil {
 		for _, r := range p.rows {
-			if e := g.byWireID[r.key]; e != nil {
+			if e := g.endpoints.byWireID[r.key]; e != nil {
 				e.gossipedThreads, e.gossipedMB = max(0, e.gossipedThreads-r.threads), max(0, e.gossipedMB-r.grantedShare*e.memoryMB)
 			}
 		}
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -12,13 +12,16 @@
 	healthCheckTimeout     = 0.05 // seconds to wait for health checks, and between attempts to drain the queue
 )
 
+// healthCheckCredit is the number of health checks that own traffic has paid for.
+type healthCheckCredit struct{ credit float64 }
+
 // startHealthChecks checks the endpoints drawn for a request.
 func (g *Gateway) startHealthChecks(q *request, drawn ...*endpoint) {
 	q.candidates = drawn
 	for _, e := range drawn {
 		if g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval {
 			e.healthCheckAt, e.healthCheckPending = g.now, true
-			g.healthCheckCredit--
+			g.healthChecks.credit--
 			g.emit(HealthCheck{Endpoint: e.ID})
 		}
 	}
@@ -27,11 +30,11 @@
 // mayCheckHealth says whether the candidates of a request are checked before the choice.
 func (g *Gateway) mayCheckHealth(q *request, e *endpoint) bool {
 	need := 1.0
-	if q.work < g.meanWork.v {
+	if q.work < g.queries.work.v {
 		need = lightHealthCheckCredit
 	}
 	stale := g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval
-	return g.settings.CanHealthCheck && len(q.attempts) == 0 && g.healthCheckCredit >= need && stale
+	return g.settings.CanHealthCheck && len(q.attempts) == 0 && g.healthChecks.credit >= need && stale
 }
 
 // awaitsHealthCheck says that a candidate of a request was checked within timeout seconds and has not
@@ -42,11 +45,11 @@
 
 // handleHealthCheckResult takes the report of a health check; requests that waited for it are sent at once.
 func (g *Gateway) handleHealthCheckResult(p HealthCheckResult) {
-	e := g.byID[p.Endpoint]
+	e := g.endpoints.byID[p.Endpoint]
 	if e == nil {
 		return
 	}
-	if e.healthCheckPending, g.queueAt = false, g.now; p.Code == OK && p.Load != nil {
+	if e.healthCheckPending, g.schedule.drainQueueAt = false, g.now; p.Code == OK && p.Load != nil {
 		g.recordLoad(e, *p.Load, g.now)
 	}
 }
--- a/policy/lane_test.go
+++ b/policy/lane_test.go
@@ -71,8 +71,8 @@
 	a, b := newBench(t, loadSettings(), 6), newBench(t, loadSettings(), 6)
 	differ := false
 	for tables := range int64(20) {
-		for i, e := range a.g.endpoints {
-			if a.g.inAffinitySubset(tables, e) != b.g.inAffinitySubset(tables, b.g.endpoints[i]) {
+		for i, e := range a.g.endpoints.list {
+			if a.g.inAffinitySubset(tables, e) != b.g.inAffinitySubset(tables, b.g.endpoints.list[i]) {
 				t.Errorf("group %d, %s: two gateways do not agree", tables, e.ID)
 			}
 			differ = differ || a.g.inAffinitySubset(tables, e) != a.g.inAffinitySubset(0, e)
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -65,15 +65,15 @@
 func (g *Gateway) Learned() Learned {
 	run := func(a runningMean) Running { return Running{a.v, a.n} }
 	rank := func(q runningMedian) Running { return Running{q.v, q.n} }
-	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.warmthInflation, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
-		GrantMB: g.meanGrantMB, SentThreads: run(g.sentThreads), Latency: run(g.attemptLatency), Cost: run(g.meanWork), Inflation: rank(g.inflation), Capacity: g.capacity, InFlight: g.meanInFlight}}
+	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.warmth.inflation, Threads: g.queries.threads, Rate: g.traffic.rate, MeanRate: g.traffic.meanRate,
+		GrantMB: g.queries.grantMB, SentThreads: run(g.queries.sentThreads), Latency: run(g.queries.latency), Cost: run(g.queries.work), Inflation: rank(g.congestion.inflation), Capacity: g.congestion.capacity, InFlight: g.queries.inFlight}}
 	for i := range g.classes {
 		c := &g.classes[i]
 		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.meanWork), UsualWork: run(c.usualWork), EstimateMedian: rank(c.estimateMedian), Ratio: rank(c.latencyRatio),
 			Memory: rank(c.memoryMedian), Received: c.received, Dispersion: c.dispersion, DispersionCount: c.dispersionCount, Margin: c.grantMargin,
 			Fit: [5]float64{c.workFit.n, c.workFit.x, c.workFit.y, c.workFit.xx, c.workFit.xy}, Price: c.price, QueueWait: c.queueWait})
 	}
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.inflation, e.faultShare})
 	}
 	return l
@@ -106,11 +106,11 @@
 		}
 	}
 	f := l.Fleet
-	g.warmthInflation, g.meanThreads, g.sentThreads, g.attemptLatency, g.meanWork, g.meanGrantMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
+	g.warmth.inflation, g.queries.threads, g.queries.sentThreads, g.queries.latency, g.queries.work, g.queries.grantMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
 	if !fresh {
 		return nil
 	}
-	g.rate, g.meanRate, g.inflation, g.capacity, g.meanInFlight = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
+	g.traffic.rate, g.traffic.meanRate, g.congestion.inflation, g.congestion.capacity, g.queries.inFlight = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
 	g.restored = map[string]LearnedEndpoint{}
 	for _, e := range l.Endpoints {
 		g.restored[e.ID] = e
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -47,9 +47,9 @@
 			t.Errorf("the class: %+v, want %+v", got, l.Classes[0])
 		}
 	}
-	slow := b.g.byID["e1"].inflation
-	if slow == 0 || warm.byID["e1"].inflation != slow || stale.byID["e1"].inflation != 0 || warm.byID["e2"].inflation != warm.inflation.v {
-		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.byID["e1"].inflation, stale.byID["e1"].inflation, warm.byID["e2"].inflation)
+	slow := b.g.endpoints.byID["e1"].inflation
+	if slow == 0 || warm.endpoints.byID["e1"].inflation != slow || stale.endpoints.byID["e1"].inflation != 0 || warm.endpoints.byID["e2"].inflation != warm.congestion.inflation.v {
+		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.endpoints.byID["e1"].inflation, stale.endpoints.byID["e1"].inflation, warm.endpoints.byID["e2"].inflation)
 	}
 	if err := warm.Restore(l, true); err == nil {
 		t.Error("recalled after the first step")
--- a/policy/load.go
+++ b/policy/load.go
@@ -59,11 +59,11 @@
 	unheard := (1-weight)*usual + weight*e.threads*(1/share-1)
 	switch full := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Util + saturatedThreadSlope*max(0, e.load.Util-saturatedUtilization)); {
 	case k > 0 && e.load.InFlight >= 0:
-		unheard = e.load.InFlight*g.meanThreads - own
+		unheard = e.load.InFlight*g.queries.threads - own
 	case k > 0 && e.load.Util >= 0:
 		unheard = (k*(full*e.cores-own) + (1-k)*unheard) * (1 - g.fleet.peerCoverage)
 	}
-	theirs := unheard * g.meanGrantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
+	theirs := unheard * g.queries.grantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
 	return max(e.gossipedThreads, unheard), max(e.gossipedMB, theirs)
 }
 
@@ -71,8 +71,8 @@
 // core lead us to expect; gateways that do not gossip are assumed to see the same. It guards against
 // congestion that looks idle: utilization says little of queries that wait for disks.
 func (g *Gateway) occupancyExcess(busy float64) float64 {
-	expected := busy * g.coreShare() / g.meanThreads
+	expected := busy * g.coreShare() / g.queries.threads
 	now := (localAttemptsPrior + g.attemptsInFlight()) / (localAttemptsPrior + expected)
-	lately := (recentOccupancyPrior + g.meanInFlight) / (recentOccupancyPrior + expected)
+	lately := (recentOccupancyPrior + g.queries.inFlight) / (recentOccupancyPrior + expected)
 	return math.Pow(max(1, now, lately), 1-g.fleet.peerCoverage)
 }
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -9,25 +9,25 @@
 // all that is open: deadlines and overdue attempts.
 func (g *Gateway) runMaintenance() {
 	keep := math.Pow(idleRetention, timerInterval)
-	g.meanInFlight += (g.attemptsInFlight() - g.meanInFlight) * (1 - keep)
+	g.queries.inFlight += (g.attemptsInFlight() - g.queries.inFlight) * (1 - keep)
 	g.summarizeFleet(gossipLifetime, reportLifetime, keep)
 	g.fleet.occupancyExcess = g.occupancyExcess(g.fleet.threadsPerCore / max(g.fleet.occupancyExcess, 1))
-	if g.secondsSince(g.pricedAt) >= priceInterval {
+	if g.secondsSince(g.schedule.pricedAt) >= priceInterval {
 		g.updatePrices()
-		g.pricedAt = g.now
+		g.schedule.pricedAt = g.now
 	}
-	if g.settings.PollEndpoints && g.now >= g.pollAt { // a failed call may have ended the subscription
-		g.pollAt = g.now + max(g.settings.MaxPollInterval/4, Micros(minPollInterval*microsPerSecond))
+	if g.settings.PollEndpoints && g.now >= g.schedule.pollAt { // a failed call may have ended the subscription
+		g.schedule.pollAt = g.now + max(g.settings.MaxPollInterval/4, Micros(minPollInterval*microsPerSecond))
 		g.emit(WatchEndpoints{})
 	}
-	if g.settings.CanGossip && g.settings.Peers > 1 && g.now >= g.gossipAt {
+	if g.settings.CanGossip && g.settings.Peers > 1 && g.now >= g.gossip.nextAt {
 		g.sendGossip()
 	}
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		g.detectUnresponsive(e)
 	}
-	g.queuePrice = g.admissionQueuePrice(g.countUnanswered())
-	for _, q := range g.active {
+	g.queue.price = g.admissionQueuePrice(g.countUnanswered())
+	for _, q := range g.ledger.active {
 		if q.done || q.streamed {
 			continue
 		}
@@ -41,5 +41,5 @@
 			}
 		}
 	}
-	g.active = slices.DeleteFunc(g.active, func(q *request) bool { return q.done && q.openAttempts == 0 })
+	g.ledger.active = slices.DeleteFunc(g.ledger.active, func(q *request) bool { return q.done && q.openAttempts == 0 })
 }
--- a/policy/network_test.go
+++ b/policy/network_test.go
@@ -32,7 +32,7 @@
 		for _, s := range sends {
 			open = append(open, out{s, b.now + 100000})
 		}
-		for _, e := range b.g.endpoints {
+		for _, e := range b.g.endpoints.list {
 			if looks++; e.slowStartSince > 0 && b.now-e.slowStartSince < b.g.settings.SlowStartDuration {
 				cold++
 			}
@@ -58,7 +58,7 @@
 		b.now += 1000
 		sends = append(sends, only[Send](b.step(b.request(0)))...)
 	}
-	e := b.g.endpoints[0]
+	e := b.g.endpoints.list[0]
 	for _, s := range sends[:2] {
 		b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: ConnectionReset})
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -47,15 +47,15 @@
 // outlierAllows restricts ejected endpoints to trials with light repeatable queries, unless most are
 // ejected.
 func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
-	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints) ||
-		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.meanWork.v
+	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) ||
+		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.queries.work.v
 }
 
 // detectUnresponsive ejects an endpoint whose attempts in flight are all far past expectation, or that
 // misses progress reports of one. Where gateways gossip, the time without a response must exceed the
 // fleet's usual one.
 func (g *Gateway) detectUnresponsive(e *endpoint) {
-	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+unresponsiveAges*g.fleet.responseAge*float64(min(1, len(g.peerReports))) {
+	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+unresponsiveAges*g.fleet.responseAge*float64(min(1, len(g.gossip.reports))) {
 		return
 	}
 	overdue := e.cancelledUnanswered
@@ -90,7 +90,7 @@
 // is followed: lost answers and bad plans are fewer than half.
 func (g *Gateway) recordInflation(e *endpoint, x, step, first, fresh, fleetStep float64) {
 	step += (first - step) * min(1, g.secondsSince(e.lastResponse)/fresh) // more where little was heard of late
-	g.inflation.add(x, 0.5, fleetStep)
+	g.congestion.inflation.add(x, 0.5, fleetStep)
 	e.lastInflation = x
 	e.inflation += (x - e.inflation) * step
 }
@@ -98,5 +98,5 @@
 // relativeSpeed is an endpoint's speed relative to the fleet, as seen in answers. It guards against
 // endpoints that slow down, whatever the cause: a noisy neighbor, a failing disk, congestion.
 func (g *Gateway) relativeSpeed(e *endpoint) float64 {
-	return min(1, max(minSpeed, math.Exp(g.inflation.v+inflationTolerance-e.inflation)))
+	return min(1, max(minSpeed, math.Exp(g.congestion.inflation.v+inflationTolerance-e.inflation)))
 }
--- a/policy/pricing.go
+++ b/policy/pricing.go
@@ -17,12 +17,12 @@
 func (g *Gateway) leastCostLevel(q *request) (level int, net float64) {
 	c, best := q.class, math.Inf(1)
 	scale, plain := q.work/c.typicalWork(), 1 // taken while prices and waits tell no difference
-	if q.work > g.meanWork.v {
+	if q.work > g.queries.work.v {
 		plain = 2
 	}
 	for k := range priorityLevels {
 		tau := c.queueWait[k] + c.serviceTime(q.work)
-		cost := (c.delayCost()+g.queuePrice)*tau + c.price[k]*scale
+		cost := (c.delayCost()+g.queue.price)*tau + c.price[k]*scale
 		if tau > float64(q.Deadline-g.now)/microsPerSecond { // clients that come late or leave early: it would earn nothing
 			cost += q.weight
 		}
@@ -35,19 +35,19 @@
 
 // updatePrices recomputes the prices from what was admitted and how long it waited, and the rates.
 func (g *Gateway) updatePrices() {
-	span := max(g.secondsSince(g.pricedAt), 1e-3)
+	span := max(g.secondsSince(g.schedule.pricedAt), 1e-3)
 	g.withinRetryBudget() // what is older than the budget's span is forgotten, also while nothing is tried again
 	g.updateRates(span, rateSmoothing)
-	if len(g.peerReports) > 0 {
-		g.ownShare = g.rate / max(g.meanRate*float64(g.settings.Peers), g.rate, 1e-9)
-	} else if demand := g.rate * g.attemptLatency.v * g.sentThreads.v; demand > 0 && g.fleet.reported {
-		g.ownShare = demand / max(g.fleet.threads/max(g.fleet.occupancyExcess, 1), demand)
+	if len(g.gossip.reports) > 0 {
+		g.traffic.share = g.traffic.rate / max(g.traffic.meanRate*float64(g.settings.Peers), g.traffic.rate, 1e-9)
+	} else if demand := g.traffic.rate * g.queries.latency.v * g.queries.sentThreads.v; demand > 0 && g.fleet.reported {
+		g.traffic.share = demand / max(g.fleet.threads/max(g.fleet.occupancyExcess, 1), demand)
 	}
 	if n := g.attemptsInFlight(); n > 0 { // of those in flight: heavy ones stay longer
-		g.meanThreads += (g.threadsInFlight()/n - g.meanThreads) * min(1, n*meanSmoothing)
-		g.meanGrantMB += (g.grantsInFlightMB()/g.threadsInFlight() - g.meanGrantMB) * min(1, n*meanSmoothing)
+		g.queries.threads += (g.threadsInFlight()/n - g.queries.threads) * min(1, n*meanSmoothing)
+		g.queries.grantMB += (g.grantsInFlightMB()/g.threadsInFlight() - g.queries.grantMB) * min(1, n*meanSmoothing)
 	}
-	g.slack = g.objectiveSlack()
+	g.congestion.slack = g.objectiveSlack()
 	share := g.coreShare()
 	var lost [priorityLevels]float64 // delay cost that a second more of wait at a level adds, times that wait
 	for i := range g.classes {
@@ -74,12 +74,12 @@
 			c.price[k] = priceSmoothing*r + (1-priceSmoothing)*c.price[k]
 		}
 	}
-	if g.secondsSince(g.capacityAt) > priceInterval && g.attemptsInFlight() == 0 { // else a narrow room lets no answer come again
-		g.inflation.v, g.capacity = g.inflation.v*idleRetention, initialCapacity+(g.capacity-initialCapacity)*idleRetention
+	if g.secondsSince(g.congestion.adjustedAt) > priceInterval && g.attemptsInFlight() == 0 { // else a narrow room lets no answer come again
+		g.congestion.inflation.v, g.congestion.capacity = g.congestion.inflation.v*idleRetention, initialCapacity+(g.congestion.capacity-initialCapacity)*idleRetention
 	}
-	for _, e := range g.endpoints {
+	for _, e := range g.endpoints.list {
 		if g.secondsSince(e.lastResponse) > reportLifetime { // what is not heard of becomes average
-			e.inflation = g.inflation.v + (e.inflation-g.inflation.v)*idleRetention
+			e.inflation = g.congestion.inflation.v + (e.inflation-g.congestion.inflation.v)*idleRetention
 		}
 		if g.secondsSince(e.reportArrivedAt) > priceInterval {
 			e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -2,6 +2,12 @@
 
 import "math"
 
+// ledger holds the requests that are open, or have attempts that are.
+type ledger struct {
+	requests map[string]*request // by ID; looked up only, never ranged over
+	active   []*request          // in the order received
+}
+
 // request is one request that is open here, or has attempts that are.
 type request struct {
 	Request
@@ -47,14 +53,14 @@
 // register puts a request into the ledger and counts it.
 func (g *Gateway) register(r Request, c *class) *request {
 	q := &request{Request: r, class: c, receivedAt: g.now}
-	g.requests[r.ID] = q
-	if g.active = append(g.active, q); g.settings.RetryBudgetWindow > 0 {
-		g.receivedAt = append(g.receivedAt, g.now)
+	g.ledger.requests[r.ID] = q
+	if g.ledger.active = append(g.ledger.active, q); g.settings.RetryBudgetWindow > 0 {
+		g.retryBudget.receivedAt = append(g.retryBudget.receivedAt, g.now)
 	}
-	g.received++
+	g.traffic.received++
 	c.received++
-	if r.Tenant >= 0 && r.Tenant < len(g.tenants) {
-		g.tenants[r.Tenant].received++
+	if r.Tenant >= 0 && r.Tenant < len(g.traffic.tenants) {
+		g.traffic.tenants[r.Tenant].received++
 	}
 	return q
 }
@@ -69,13 +75,13 @@
 	}
 	g.leaveKeyOrder(q)
 	if q.openAttempts == 0 {
-		delete(g.requests, q.ID)
+		delete(g.ledger.requests, q.ID)
 	}
 }
 
 // countUnanswered is how many requests are owed a final answer.
 func (g *Gateway) countUnanswered() (n int) {
-	for _, q := range g.active {
+	for _, q := range g.ledger.active {
 		if !q.done {
 			n++
 		}
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -11,16 +11,23 @@
 	minOverdueAge      = 0.3 // seconds below which no attempt is overdue by its plan
 )
 
+// retryBudget counts requests and retries in a sliding window: retries may be RetryBudgetFloor plus
+// RetryBudgetRatio times the requests received within RetryBudgetWindow.
+type retryBudget struct {
+	receivedAt []Micros // requests received, oldest first
+	retriedAt  []Micros // retries sent, oldest first
+}
+
 // withinRetryBudget says whether one more retry is within the retry budget.
 func (g *Gateway) withinRetryBudget() bool {
 	s := &g.settings
 	if s.RetryBudgetWindow == 0 {
 		return true
 	}
-	slack := Micros(timerInterval * microsPerSecond) // both ends of the span are read strictly
+	slack := timerMicros // both ends of the span are read strictly
 	since := g.now - s.RetryBudgetWindow
-	g.receivedAt, g.retriedAt = dropUntil(g.receivedAt, since+slack), dropUntil(g.retriedAt, since-slack-1)
-	return float64(len(g.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.receivedAt))
+	g.retryBudget.receivedAt, g.retryBudget.retriedAt = dropUntil(g.retryBudget.receivedAt, since+slack), dropUntil(g.retryBudget.retriedAt, since-slack-1)
+	return float64(len(g.retryBudget.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.retryBudget.receivedAt))
 }
 
 // dropUntil drops the leading times up to and including at.
@@ -37,7 +44,7 @@
 func (g *Gateway) checkOverdue(a *attempt) {
 	age, q, c := g.secondsSince(a.sentAt), a.request, a.request.class
 	lost := a.endpoint.ejected && age > minUnresponsive && age > overdueFactor*a.expectedTime
-	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.inflation.v, c.latencyRatio.v, 0)), q.observedTime)
+	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.congestion.inflation.v, c.latencyRatio.v, 0)), q.observedTime)
 	left := float64(q.Deadline-g.deadlineGuard()-g.now) / microsPerSecond
 	took, bad := age, age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expect
 	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime { // a note that time has proven wrong holds no longer
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -19,8 +19,8 @@
 	if g.awaitsHealthCheck(q, healthCheckTimeout) || !g.mayStartAttempt(q) {
 		return nil
 	}
-	weights, total := make([]float64, len(g.endpoints)), 0.0
-	for i, e := range g.endpoints {
+	weights, total := make([]float64, len(g.endpoints.list)), 0.0
+	for i, e := range g.endpoints.list {
 		if g.isEligible(q, e) && g.outlierAllows(q, e) && g.hasCapacity(q, e) && g.hasSlowStartCapacity(q, e) {
 			weights[i] = g.drawWeight(q, e)
 			total += weights[i]
@@ -85,7 +85,7 @@
 		w *= localZoneWeight
 	}
 	if slices.Contains(e.warmGroups, q.TableGroup) {
-		w *= math.Exp(warmthExponent * max(0, g.warmthInflation[0]-g.warmthInflation[1]-warmthTolerance))
+		w *= math.Exp(warmthExponent * max(0, g.warmth.inflation[0]-g.warmth.inflation[1]-warmthTolerance))
 	}
 	if (q.class.WaitsForTables || q.class.LocksTables) && g.tablesLocked(e, q.TableGroup) {
 		w *= lockedTablesWeight * lockedTablesWeight
@@ -112,13 +112,13 @@
 			break
 		}
 	}
-	return g.endpoints[last]
+	return g.endpoints.list[last]
 }
 
 // bestEndpoint is the candidate of highest weight; nil if none has any.
 func (g *Gateway) bestEndpoint(weights []float64, of []*endpoint) (best *endpoint) {
 	most := 0.0
-	for i, e := range g.endpoints {
+	for i, e := range g.endpoints.list {
 		if weights[i] > most && slices.Contains(of, e) {
 			best, most = e, weights[i]
 		}
@@ -128,8 +128,8 @@
 
 // anyEndpoint draws among all endpoints alike; nil if there is none.
 func (g *Gateway) anyEndpoint() *endpoint {
-	if len(g.endpoints) == 0 {
+	if len(g.endpoints.list) == 0 {
 		return nil
 	}
-	return g.endpoints[g.rng.IntN(len(g.endpoints))]
+	return g.endpoints.list[g.rng.IntN(len(g.endpoints.list))]
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -102,10 +102,10 @@
 		t.Fatalf("%d further sends, want %d", len(again), wanted)
 	}
 	for _, a := range again {
-		if until := a.StartBefore; stays && until != b.g.requests[q.ID].firstRan.sentAt+b.g.classes[0].DedupWindow || !stays && until != 0 && b.g.classes[0].Effect != IdempotentByKey {
+		if until := a.StartBefore; stays && until != b.g.ledger.requests[q.ID].firstRan.sentAt+b.g.classes[0].DedupWindow || !stays && until != 0 && b.g.classes[0].Effect != IdempotentByKey {
 			t.Fatalf("another attempt may begin until %d", until)
 		}
-		if stays && b.g.byID[a.Endpoint].PlacementGroup != b.g.byID[first.Endpoint].PlacementGroup {
+		if stays && b.g.endpoints.byID[a.Endpoint].PlacementGroup != b.g.endpoints.byID[first.Endpoint].PlacementGroup {
 			t.Fatalf("sent to another cell: %v after %v", a, first)
 		}
 	}
@@ -116,7 +116,7 @@
 	for i := range again { // let the engines be trusted again
 		b.step(AttemptResult{ID: q.ID, Attempt: 1 + i, Endpoint: again[i].Endpoint, Final: true, Latency: 100000})
 	}
-	for _, e := range b.g.endpoints {
+	for _, e := range b.g.endpoints.list {
 		e.faultShare, e.ejected, e.slowStartSince = 0, false, 0
 	}
 }
@@ -212,7 +212,7 @@
 	for i := range 100 {
 		b.now += 50000
 		for _, a := range only[Send](b.step(b.request(i % 2))) {
-			if (a.ID != "" && a.Endpoint != want[0] && a.Endpoint != want[1]) || b.g.requests[a.ID].Class != index(want, a.Endpoint) {
+			if (a.ID != "" && a.Endpoint != want[0] && a.Endpoint != want[1]) || b.g.ledger.requests[a.ID].Class != index(want, a.Endpoint) {
 				t.Fatalf("%v breaks placement", a)
 			}
 			code := OK
@@ -308,8 +308,8 @@
 	}
 	bare := b.request(0)
 	bare.Cost, bare.MemoryMB, bare.Tenant = 0, 0, 0
-	if len(only[Send](b.step(bare))) != 1 || b.g.requests[bare.ID].work <= 0 {
-		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.requests[bare.ID].work))
+	if len(only[Send](b.step(bare))) != 1 || b.g.ledger.requests[bare.ID].work <= 0 {
+		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.ledger.requests[bare.ID].work))
 	}
 }
 
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -63,7 +63,7 @@
 		switch a := a.(type) {
 		case Send:
 			c.sends[a.Endpoint] = append(c.sends[a.Endpoint], c.now)
-			q := c.gs[i].requests[a.ID]
+			q := c.gs[i].ledger.requests[a.ID]
 			c.sent[a.Endpoint] += q.work
 			c.open[a.Endpoint] += q.class.threads
 			c.most[a.Endpoint] = max(c.most[a.Endpoint], c.open[a.Endpoint])
@@ -131,7 +131,7 @@
 	}
 	known := 0
 	for _, g := range c.gs {
-		for _, e := range g.endpoints {
+		for _, e := range g.endpoints.list {
 			if g.secondsSince(max(e.loadAt, e.lastResponse)) < 3 {
 				known++
 			}
@@ -267,7 +267,7 @@
 		for _, s := range sends {
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Code: code, Final: true, Latency: 1000})
 		}
-		return b.g.endpoints[0].slowStartSince
+		return b.g.endpoints.list[0].slowStartSince
 	}
 	if lose(ConnectionReset, 1) != 0 {
 		t.Error("cold after one broken connection")
@@ -283,7 +283,7 @@
 	s := testSettings()
 	s.ProgressInterval = sec / 2
 	b := newBench(t, s, 2)
-	for _, e := range b.g.endpoints {
+	for _, e := range b.g.endpoints.list {
 		e.lastResponse = b.now - 10*sec
 	}
 	q := b.request(1)
@@ -293,11 +293,11 @@
 		b.now += sec / 2
 		b.step(Progress{ID: q.ID, Endpoint: at, Kind: FractionDone, Value: 0.1})
 	}
-	if b.g.byID[at].ejected {
+	if b.g.endpoints.byID[at].ejected {
 		t.Fatal("suspect while notes come")
 	}
 	b.until(b.now + 2*sec)
-	if !b.g.byID[at].ejected {
+	if !b.g.endpoints.byID[at].ejected {
 		t.Fatal("trusted though no note came for two seconds")
 	}
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -40,8 +40,8 @@
 	if s.updatedAt < e.slowStartSince {
 		s.updatedAt, s.seconds = g.now, -g.rng.Float64()*g.slowStartCharge(q.class, rate)
 	}
-	part := g.ownShare
-	if len(g.peerReports) == 0 { // what cannot be compared with others' is no more than an equal part
+	part := g.traffic.share
+	if len(g.gossip.reports) == 0 { // what cannot be compared with others' is no more than an equal part
 		part = 1 / float64(g.settings.Peers)
 	}
 	fills := rate * (1 - chernoffExponent/chernoffTilt) * part * g.demandShare(q.class)
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -21,13 +21,13 @@
 func TestColdPartIsEqualWhereNobodyTalks(t *testing.T) {
 	b := sparse(t, 50, 1, nil)
 	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", Started: b.now}}})
-	b.g.ownShare = 1
+	b.g.traffic.share = 1
 	s := b.g.settings
 	work := 0.0
 	for end := b.now + s.OverloadDuration; b.now < end; {
 		b.now += 20000
 		for _, a := range only[Send](b.step(b.request(0))) {
-			work += b.g.requests[a.ID].work
+			work += b.g.ledger.requests[a.ID].work
 		}
 	}
 	budget := s.OverloadMultiple * (s.SlowStartFloor + 0.2) * 8 * float64(s.OverloadDuration) / microsPerSecond / 50
@@ -84,7 +84,7 @@
 	sent := 0
 	for range 40 {
 		b.now += 50000
-		for _, e := range b.g.endpoints {
+		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(only[Send](b.step(b.request(1))))
@@ -101,16 +101,16 @@
 func TestNarrowRoomWidensWithNothingOut(t *testing.T) {
 	b := sparse(t, 50, 4, nil)
 	b.step(b.request(0))
-	for _, q := range b.g.active {
+	for _, q := range b.g.ledger.active {
 		for _, a := range q.attempts {
 			b.step(AttemptResult{ID: q.ID, Attempt: a.number, Endpoint: a.endpoint.ID, Final: true, Latency: 100000})
 		}
 	}
-	b.g.capacity, b.g.fleet.threadsPerCore, b.g.fleet.everReported = minCapacity, 0.8, true
+	b.g.congestion.capacity, b.g.fleet.threadsPerCore, b.g.fleet.everReported = minCapacity, 0.8, true
 	sent := 0
 	for range 60 {
 		b.now += sec / 4
-		for _, e := range b.g.endpoints {
+		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(only[Send](b.step(b.request(0))))
@@ -133,8 +133,8 @@
 				b.step(Progress{ID: q.ID, Endpoint: "e0", Kind: FractionDone, Value: 0.01})
 			}
 		}
-		if b.g.endpoints[0].ejected == noted {
-			t.Errorf("notes %v, suspect %v", noted, b.g.endpoints[0].ejected)
+		if b.g.endpoints.list[0].ejected == noted {
+			t.Errorf("notes %v, suspect %v", noted, b.g.endpoints.list[0].ejected)
 		}
 	}
 }
@@ -148,10 +148,10 @@
 	b.step(q)
 	cancelled := 0
 	for n := range 5 {
-		if len(b.g.requests[q.ID].attempts) <= n {
+		if len(b.g.ledger.requests[q.ID].attempts) <= n {
 			break
 		}
-		a := b.g.requests[q.ID].attempts[n]
+		a := b.g.ledger.requests[q.ID].attempts[n]
 		b.now += sec / 2
 		acts := b.step(Progress{ID: q.ID, Attempt: n, Endpoint: a.endpoint.ID, Kind: FractionDone, Value: 0.08})
 		acts = append(acts, b.until(b.now+sec/5)...)
@@ -190,8 +190,8 @@
 		for i := range b.g.classes[0].price {
 			b.g.classes[0].price[i] = 100 // no worth covers that
 		}
-		b.g.meanWork.v, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
-		for _, e := range b.g.endpoints {
+		b.g.queries.work.v, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
+		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		b.g.threads[0] = 50
@@ -211,10 +211,10 @@
 		b.g.classes[i].meanWork.v, b.g.classes[i].meanWork.n = 60, 100
 	}
 	b.step(q)
-	if len(b.g.requests[q.ID].attempts) == 0 {
+	if len(b.g.ledger.requests[q.ID].attempts) == 0 {
 		t.Fatal("not sent")
 	}
-	a := b.g.requests[q.ID].attempts[0]
+	a := b.g.ledger.requests[q.ID].attempts[0]
 	var acts []Action
 	for b.now < q.Deadline-4*sec {
 		b.now += sec / 2
--- a/policy/table_affinity.go
+++ b/policy/table_affinity.go
@@ -20,7 +20,7 @@
 // them, and on a single endpoint they would block each other.
 func (g *Gateway) inAffinitySubset(tables int64, e *endpoint) bool {
 	healthy, before := 0, 0
-	for _, o := range g.endpoints {
+	for _, o := range g.endpoints.list {
 		if o.State == Healthy && !o.ejected {
 			healthy++
 			if o != e && affinityHash(tables, o) > affinityHash(tables, e) {
@@ -79,11 +79,14 @@
 	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), keep)]
 }
 
+// warmthEffect is the mean log latency inflation of answers whose table group was not cached, and was.
+type warmthEffect struct{ inflation [2]float64 }
+
 // recordWarmth learns the log inflation x of an answer, by whether its group was cached.
 func (g *Gateway) recordWarmth(warm bool, x, step float64) {
 	i := 0
 	if warm {
 		i = 1
 	}
-	g.warmthInflation[i] += (x - g.warmthInflation[i]) * step
+	g.warmth.inflation[i] += (x - g.warmth.inflation[i]) * step
 }
--- a/policy/toll_test.go
+++ b/policy/toll_test.go
@@ -25,7 +25,7 @@
 	c.admitted[1], c.waitRefreshed[1], c.waitRefreshed[3] = 3, true, true
 	c.queueWait[1], c.queueWait[3] = 0.5, 2
 	g.threads[1] = 4
-	g.pricedAt = b.now - sec
+	g.schedule.pricedAt = b.now - sec
 	g.now = b.now
 	g.updatePrices()
 	rate := 3 * rateSmoothing // smoothed from zero
@@ -49,7 +49,7 @@
 	c := &g.classes[0]
 	c.meanWork.v, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
 	g.threads[0] = 80
-	g.pricedAt, g.now = b.now-sec, b.now
+	g.schedule.pricedAt, g.now = b.now-sec, b.now
 	g.updatePrices()
 	near(t, "toll at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
 }
@@ -92,7 +92,7 @@
 				b.g.classes[i].price = [priorityLevels]float64{99, 99, 99, 99}
 				b.g.classes[i].meanWork.v = 0.1
 			}
-			for _, e := range b.g.endpoints {
+			for _, e := range b.g.endpoints.list {
 				e.load, e.loadAt = Load{Util: tt.util, InFlight: -1}, b.now
 			}
 			b.g.threads[0] = tt.own
