--- a/policy/admission.go
+++ b/policy/admission.go
@@ -15,7 +15,7 @@
 	if r.Cost > 0 {
 		c.estimateMedian.add(math.Log(float64(r.Cost)/microsPerSecond), 0.5, medianStep)
 	}
-	q.work = c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.v, initialSlope, 0)
+	q.work = c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.value, initialSlope, 0)
 	if r.Cost <= 0 { // a missing estimate is never zero work
 		q.work = c.typicalWork()
 	}
@@ -24,7 +24,7 @@
 	}
 	c.meanWork.add(q.work, meanSmoothing)
 	// The usual work, for the cold rule: the fit's shrunk estimates lie nearer its middle.
-	c.usualWork.add(max(q.work, c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.v, 1, 1)), meanSmoothing)
+	c.usualWork.add(max(q.work, c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.value, 1, 1)), meanSmoothing)
 	g.queries.work.add(q.work, meanSmoothing)
 	q.weight = g.weightOf(q)
 	q.objectiveAt = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.work/c.threads*microsPerSecond)
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -69,10 +69,10 @@
 // second. It guards against blocked queries that keep other clients from sending.
 func (g *Gateway) admissionQueuePrice(held int) float64 {
 	full := float64(held)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
-	if g.settings.MaxInFlight == 0 || full <= 0 || g.queries.responseTime.v <= 0 {
+	if g.settings.MaxInFlight == 0 || full <= 0 || g.queries.responseTime.value <= 0 {
 		return 0
 	}
-	return min(1, full/(1-freeQueueShare)) * g.queries.earned.v / g.queries.responseTime.v
+	return min(1, full/(1-freeQueueShare)) * g.queries.earned.value / g.queries.responseTime.value
 }
 
 // belowQueuePrice says that a queued request earns less than its place in the queue costs.
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -91,7 +91,7 @@
 		t := g.keyOrders[q.OrderKey]
 		t.openAttempts--
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
-			t.restUntil = max(t.restUntil, g.now+g.settings.OrderingGap)
+			t.pausedUntil = max(t.pausedUntil, g.now+g.settings.OrderingGap)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		if o.WorkMicros > 0 { // it is told: the crowd is known apart from the estimate
 			work = float64(o.WorkMicros) / microsPerSecond
 			clipped = max(-maxLogInflation, min(maxLogInflation, math.Log(took*c.threads/work)))
-		} else if a.uncontended || c.workFit.n < minFitAnswers {
+		} else if a.uncontended || c.workFit.count < minFitAnswers {
 			work = a.request.work * math.Exp(min(clipped, shrinkSlackShare*g.congestion.slack))
 		}
 		g.recordInflation(e, clipped, inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -39,7 +39,7 @@
 	switch {
 	case q.work > veryLongFactor*q.class.typicalWork(): // it would hold the room for many others
 		room *= longCapacityFactor
-	case q.work < g.queries.work.v:
+	case q.work < g.queries.work.value:
 		room *= lightCapacityFactor
 	}
 	k, grant := g.reportConfidence(e), g.memoryGrant(q, e)
@@ -51,8 +51,8 @@
 	}
 	threads, granted := g.peerLoad(e)
 	free := max(0, room-threads-e.threads+e.claimedThreads)
-	if g.queries.latency.v > 0 {
-		ends := (threads + e.threads) / g.queries.threads / g.queries.latency.v * g.queries.sentThreads.v // threads a second
+	if g.queries.latency.value > 0 {
+		ends := (threads + e.threads) / g.queries.threads / g.queries.latency.value * g.queries.sentThreads.value // threads a second
 		free += ends * min(g.secondsSince(e.reportArrivedAt), reportLifetime)
 	}
 	if len(g.gossip.reports) > 0 {
@@ -73,9 +73,9 @@
 	if g.secondsSince(g.congestion.adjustedAt) < capacityInterval {
 		return
 	}
-	if g.congestion.adjustedAt = g.now; g.congestion.inflation.v > shrinkSlackShare*g.congestion.slack {
+	if g.congestion.adjustedAt = g.now; g.congestion.inflation.value > shrinkSlackShare*g.congestion.slack {
 		g.congestion.capacity = max(g.congestion.capacity*capacityBackoff, minCapacity)
-	} else if g.congestion.inflation.v < growSlackShare*g.congestion.slack && g.fleet.threadsPerCore > g.congestion.capacity/2 {
+	} else if g.congestion.inflation.value < growSlackShare*g.congestion.slack && g.fleet.threadsPerCore > g.congestion.capacity/2 {
 		most := initialCapacity + (maxCapacity-initialCapacity)*g.fleet.peerCoverage // less where others are guessed
 		g.congestion.capacity = min(g.congestion.capacity/capacityBackoff, most)
 	}
--- a/policy/change.go
+++ b/policy/change.go
@@ -136,7 +136,7 @@
 		}
 	}
 	for _, t := range g.keyOrders { // any of them: the order does not matter
-		resting = resting || t.openAttempts > 0 || g.now < t.restUntil
+		resting = resting || t.openAttempts > 0 || g.now < t.pausedUntil
 	}
 	return further, taken, resting
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -61,11 +61,11 @@
 		e := g.endpoints.byID[r.ID]
 		if e == nil {
 			e = g.addEndpoint(r)
-			e.slowStartSince, e.inflation = r.Started, g.congestion.inflation.v
+			e.slowStartSince, e.inflation = r.Started, g.congestion.inflation.value
 			g.restoreEndpoint(e)
 		} else if r.Started != e.Started { // restarted: nothing learned holds any more
 			e.slowStartSince, e.ejected, e.warmGroups = max(r.Started, e.slowStartSince), false, nil
-			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.congestion.inflation.v, 0
+			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.congestion.inflation.value, 0
 		}
 		if r.State == Draining && e.State != Draining {
 			e.drainUntil = g.now + g.settings.DrainGrace - g.deadlineGuard()
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -11,53 +11,53 @@
 )
 
 // runningMean is a mean of all values at first, and an exponentially weighted one later.
-type runningMean struct{ v, n float64 }
+type runningMean struct{ value, count float64 }
 
 // add takes a value; smoothing is its minimum weight.
 func (a *runningMean) add(x, step float64) {
-	a.n++
-	a.v += (x - a.v) * max(step, 1/a.n)
+	a.count++
+	a.value += (x - a.value) * max(step, 1/a.count)
 }
 
 // runningMedian follows the median of a stream, moved by ranks alone: outliers weigh no more than their
 // count.
-type runningMedian struct{ v, n float64 }
+type runningMedian struct{ value, count float64 }
 
 // add takes a value; minStep is the minimum step towards it.
 func (q *runningMedian) add(x, rank, least float64) {
-	if q.n++; q.n == 1 {
-		q.v = x
+	if q.count++; q.count == 1 {
+		q.value = x
 		return
 	}
-	step := max(least, 1/q.n)
-	if x > q.v {
-		q.v += step * rank
+	step := max(least, 1/q.count)
+	if x > q.value {
+		q.value += step * rank
 	} else {
-		q.v -= step * (1 - rank)
+		q.value -= step * (1 - rank)
 	}
 }
 
 // powerFit is a running linear regression of log(work) on log(estimate). Estimates that scatter widely say
 // less than they seem to: the slope shrinks them towards the class's middle. It starts at a given slope, as
 // if from five answers.
-type powerFit struct{ n, x, y, xx, xy float64 }
+type powerFit struct{ count, meanX, meanY, varX, covXY float64 }
 
 // add takes the work of one answer and its estimate, both in seconds; minWeight is its minimum weight.
 func (f *powerFit) add(est, work, least float64) {
 	x, y := math.Log(est), math.Log(work)
-	f.n++
-	w := max(least, 1/f.n)
-	dx, dy := x-f.x, y-f.y
-	f.x += w * dx
-	f.y += w * dy
-	f.xx = (1 - w) * (f.xx + w*dx*dx)
-	f.xy = (1 - w) * (f.xy + w*dx*dy)
+	f.count++
+	w := max(least, 1/f.count)
+	dx, dy := x-f.meanX, y-f.meanY
+	f.meanX += w * dx
+	f.meanY += w * dy
+	f.varX = (1 - w) * (f.varX + w*dx*dx)
+	f.covXY = (1 - w) * (f.covXY + w*dx*dy)
 }
 
 // slope is the exponent of the fit, between 0 and 1; initial weighs as five answers.
 func (f *powerFit) slope(first float64) float64 {
-	n := min(f.n, 100)
-	return max(0, min(1, (f.xy*n+5*first)/(f.xx*n+5)))
+	n := min(f.count, 100)
+	return max(0, min(1, (f.covXY*n+5*first)/(f.varX*n+5)))
 }
 
 // predict is the work for an estimate, both in seconds; median is that of log(estimate) until answers come,
@@ -66,8 +66,8 @@
 	if est <= 0 {
 		return est
 	}
-	x, y := f.x, f.y
-	if f.n == 0 {
+	x, y := f.meanX, f.meanY
+	if f.count == 0 {
 		x, y = asked, asked
 	}
 	return math.Exp(y + max(least, f.slope(first))*(math.Log(est)-x))
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -71,7 +71,7 @@
 // threadsPerCoreOf is the mean of a kind's endpoints, where any was reported lately; else the fleet's.
 func (f *fleetSummary) threadsPerCoreOf(kind int) float64 {
 	if of, ok := f.threadsPerCoreByKind[kind]; ok {
-		return of.v
+		return of.value
 	}
 	return f.threadsPerCore
 }
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -49,7 +49,7 @@
 		if g.secondsSince(at) > known && e.threads == 0 {
 			continue
 		}
-		r := gossipRow{key: e.wireID, age: g.now - at, utilization: -1, inFlight: -1, memory: -1, inflation: e.lastInflation, fault: e.lastWasFault,
+		r := gossipRow{wireID: e.wireID, age: g.now - at, utilization: -1, inFlight: -1, memory: -1, inflation: e.lastInflation, fault: e.lastWasFault,
 			threads: e.threads, grantedShare: e.grantedMB / max(e.memoryMB, 1), lockedGroup: g.sampleLockedGroup(e)}
 		if e.loadAt > 0 {
 			r.utilization, r.inFlight, r.memory = e.load.Util, e.load.InFlight, e.load.Memory
@@ -73,7 +73,7 @@
 	g.mergeRates(rates, gossipRateSmoothing)
 	g.recordPeerAttempts(h.From, rows)
 	for _, r := range rows {
-		e := g.endpoints.byWireID[r.key]
+		e := g.endpoints.byWireID[r.wireID]
 		if e == nil {
 			continue
 		}
@@ -105,7 +105,7 @@
 	p := &peerReport{at: g.now}
 	g.gossip.reports[from], g.gossip.arrivals = p, append(g.gossip.arrivals, gossipArrival{from, g.now})
 	for _, r := range rows {
-		if e := g.endpoints.byWireID[r.key]; e != nil && r.threads > 0 {
+		if e := g.endpoints.byWireID[r.wireID]; e != nil && r.threads > 0 {
 			e.gossipedThreads, e.gossipedMB = e.gossipedThreads+r.threads, e.gossipedMB+r.grantedShare*e.memoryMB
 			p.rows = append(p.rows, r)
 		}
@@ -116,7 +116,7 @@
 func (g *Gateway) forgetGossip(n int) {
 	if p := g.gossip.reports[n]; p != nil {
 		for _, r := range p.rows {
-			if e := g.endpoints.byWireID[r.key]; e != nil {
+			if e := g.endpoints.byWireID[r.wireID]; e != nil {
 				e.gossipedThreads, e.gossipedMB = max(0, e.gossipedThreads-r.threads), max(0, e.gossipedMB-r.grantedShare*e.memoryMB)
 			}
 		}
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -30,7 +30,7 @@
 // gossipRow is one endpoint's entry in a message: the freshest report that the sender knows, its own
 // attempts there, and one table group that a load locks.
 type gossipRow struct {
-	key                           uint32
+	wireID                        uint32
 	age                           Micros
 	utilization, inFlight, memory float64 // report; negative: none
 	inflation                     float64 // log stretch of the last answer
@@ -73,7 +73,7 @@
 		if len(data)+4+len(rest) > maxGossipBytes {
 			break
 		}
-		data = append(append(data, byte(r.key>>8), byte(r.key), flags, toByte(float64(r.age)/1e6, ageScale)), rest...)
+		data = append(append(data, byte(r.wireID>>8), byte(r.wireID), flags, toByte(float64(r.age)/1e6, ageScale)), rest...)
 	}
 	return data
 }
@@ -90,7 +90,7 @@
 		if len(data) < 4 {
 			return nil, nil, false
 		}
-		r := gossipRow{key: uint32(data[0])<<8 | uint32(data[1]), utilization: -1, inFlight: -1, memory: -1,
+		r := gossipRow{wireID: uint32(data[0])<<8 | uint32(data[1]), utilization: -1, inFlight: -1, memory: -1,
 			age: Micros(data[3]) * 1e6 / ageScale, fault: data[2]&isFault != 0}
 		flags := data[2]
 		data = data[4:]
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -30,7 +30,7 @@
 // mayCheckHealth says whether the candidates of a request are checked before the choice.
 func (g *Gateway) mayCheckHealth(q *request, e *endpoint) bool {
 	need := 1.0
-	if q.work < g.queries.work.v {
+	if q.work < g.queries.work.value {
 		need = lightHealthCheckCredit
 	}
 	stale := g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval
--- a/policy/key_order.go
+++ b/policy/key_order.go
@@ -6,13 +6,13 @@
 type keyOrder struct {
 	queue        []*request
 	openAttempts int
-	restUntil    Micros
+	pausedUntil  Micros
 }
 
 // isNext says that a request is first in its key's queue, and that no attempt of another is in flight or
 // may still run.
 func (t *keyOrder) isNext(q *request, now Micros) bool {
-	return t.queue[0] == q && t.openAttempts <= q.openAttempts && (now >= t.restUntil || len(q.attempts) > 0)
+	return t.queue[0] == q && t.openAttempts <= q.openAttempts && (now >= t.pausedUntil || len(q.attempts) > 0)
 }
 
 // joinKeyOrder appends a request to its key's queue, where its class is ordered.
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -63,15 +63,15 @@
 
 // Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
-	run := func(a runningMean) Running { return Running{a.v, a.n} }
-	rank := func(q runningMedian) Running { return Running{q.v, q.n} }
+	run := func(a runningMean) Running { return Running{a.value, a.count} }
+	rank := func(q runningMedian) Running { return Running{q.value, q.count} }
 	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.warmth.inflation, Threads: g.queries.threads, Rate: g.traffic.rate, MeanRate: g.traffic.meanRate,
 		GrantMB: g.queries.grantMB, SentThreads: run(g.queries.sentThreads), Latency: run(g.queries.latency), Cost: run(g.queries.work), Inflation: rank(g.congestion.inflation), Capacity: g.congestion.capacity, InFlight: g.queries.inFlight}}
 	for i := range g.classes {
 		c := &g.classes[i]
 		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.meanWork), UsualWork: run(c.usualWork), EstimateMedian: rank(c.estimateMedian), Ratio: rank(c.latencyRatio),
 			Memory: rank(c.memoryMedian), Received: c.received, Dispersion: c.dispersion, DispersionCount: c.dispersionCount, Margin: c.grantMargin,
-			Fit: [5]float64{c.workFit.n, c.workFit.x, c.workFit.y, c.workFit.xx, c.workFit.xy}, Price: c.price, QueueWait: c.queueWait})
+			Fit: [5]float64{c.workFit.count, c.workFit.meanX, c.workFit.meanY, c.workFit.varX, c.workFit.covXY}, Price: c.price, QueueWait: c.queueWait})
 	}
 	for _, e := range g.endpoints.list {
 		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.inflation, e.faultShare})
@@ -89,7 +89,7 @@
 	if l.Version != LearnedVersion {
 		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
-	run := func(r Running) runningMean { return runningMean{v: r.Value, n: r.Count} }
+	run := func(r Running) runningMean { return runningMean{value: r.Value, count: r.Count} }
 	rank := func(r Running) runningMedian { return runningMedian{r.Value, r.Count} }
 	for _, k := range l.Classes {
 		for i := range g.classes {
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	slow := b.g.endpoints.byID["e1"].inflation
-	if slow == 0 || warm.endpoints.byID["e1"].inflation != slow || stale.endpoints.byID["e1"].inflation != 0 || warm.endpoints.byID["e2"].inflation != warm.congestion.inflation.v {
+	if slow == 0 || warm.endpoints.byID["e1"].inflation != slow || stale.endpoints.byID["e1"].inflation != 0 || warm.endpoints.byID["e2"].inflation != warm.congestion.inflation.value {
 		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.endpoints.byID["e1"].inflation, stale.endpoints.byID["e1"].inflation, warm.endpoints.byID["e2"].inflation)
 	}
 	if err := warm.Restore(l, true); err == nil {
--- a/policy/memory_grants.go
+++ b/policy/memory_grants.go
@@ -20,7 +20,7 @@
 		return 0
 	}
 	c := q.class
-	need := math.Exp(c.memoryMedian.v + c.workFit.slope(initialSlope)*(math.Log(q.MemoryMB)-c.memoryMedian.v) + c.grantMargin)
+	need := math.Exp(c.memoryMedian.value + c.workFit.slope(initialSlope)*(math.Log(q.MemoryMB)-c.memoryMedian.value) + c.grantMargin)
 	if g.settings.Shortage == ShortageSwaps { // what passes the need is not lost to others
 		need *= swapGrantFactor
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -48,7 +48,7 @@
 // ejected.
 func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
 	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) ||
-		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.queries.work.v
+		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.queries.work.value
 }
 
 // detectUnresponsive ejects an endpoint whose attempts in flight are all far past expectation, or that
@@ -98,5 +98,5 @@
 // relativeSpeed is an endpoint's speed relative to the fleet, as seen in answers. It guards against
 // endpoints that slow down, whatever the cause: a noisy neighbor, a failing disk, congestion.
 func (g *Gateway) relativeSpeed(e *endpoint) float64 {
-	return min(1, max(minSpeed, math.Exp(g.congestion.inflation.v+inflationTolerance-e.inflation)))
+	return min(1, max(minSpeed, math.Exp(g.congestion.inflation.value+inflationTolerance-e.inflation)))
 }
--- a/policy/pricing.go
+++ b/policy/pricing.go
@@ -17,7 +17,7 @@
 func (g *Gateway) leastCostLevel(q *request) (level int, net float64) {
 	c, best := q.class, math.Inf(1)
 	scale, plain := q.work/c.typicalWork(), 1 // taken while prices and waits tell no difference
-	if q.work > g.queries.work.v {
+	if q.work > g.queries.work.value {
 		plain = 2
 	}
 	for k := range priorityLevels {
@@ -40,7 +40,7 @@
 	g.updateRates(span, rateSmoothing)
 	if len(g.gossip.reports) > 0 {
 		g.traffic.share = g.traffic.rate / max(g.traffic.meanRate*float64(g.settings.Peers), g.traffic.rate, 1e-9)
-	} else if demand := g.traffic.rate * g.queries.latency.v * g.queries.sentThreads.v; demand > 0 && g.fleet.reported {
+	} else if demand := g.traffic.rate * g.queries.latency.value * g.queries.sentThreads.value; demand > 0 && g.fleet.reported {
 		g.traffic.share = demand / max(g.fleet.threads/max(g.fleet.occupancyExcess, 1), demand)
 	}
 	if n := g.attemptsInFlight(); n > 0 { // of those in flight: heavy ones stay longer
@@ -75,11 +75,11 @@
 		}
 	}
 	if g.secondsSince(g.congestion.adjustedAt) > priceInterval && g.attemptsInFlight() == 0 { // else a narrow room lets no answer come again
-		g.congestion.inflation.v, g.congestion.capacity = g.congestion.inflation.v*idleRetention, initialCapacity+(g.congestion.capacity-initialCapacity)*idleRetention
+		g.congestion.inflation.value, g.congestion.capacity = g.congestion.inflation.value*idleRetention, initialCapacity+(g.congestion.capacity-initialCapacity)*idleRetention
 	}
 	for _, e := range g.endpoints.list {
 		if g.secondsSince(e.lastResponse) > reportLifetime { // what is not heard of becomes average
-			e.inflation = g.congestion.inflation.v + (e.inflation-g.congestion.inflation.v)*idleRetention
+			e.inflation = g.congestion.inflation.value + (e.inflation-g.congestion.inflation.value)*idleRetention
 		}
 		if g.secondsSince(e.reportArrivedAt) > priceInterval {
 			e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -92,20 +92,22 @@
 // typicalWork is the class's mean estimated work in seconds, or a quarter of what its latency objective
 // allows.
 func (c *class) typicalWork() float64 {
-	if c.meanWork.v > 0 {
-		return c.meanWork.v
+	if c.meanWork.value > 0 {
+		return c.meanWork.value
 	}
 	return max(float64(c.LatencyObjective), 1) / microsPerSecond / 4 * c.threads
 }
 
 // serviceTime is the expected seconds of a query of so much work on its threads, at the class's usual
 // latency inflation.
-func (c *class) serviceTime(est float64) float64 { return est * math.Exp(c.latencyRatio.v) / c.threads }
+func (c *class) serviceTime(est float64) float64 {
+	return est * math.Exp(c.latencyRatio.value) / c.threads
+}
 
 // recordDispersion learns from the log ratio x of an answer's time to its estimate: the median, and the
 // mean distance from it, each answer counting at most maxDistance.
 func (c *class) recordDispersion(x, most, step float64) {
 	c.latencyRatio.add(x, 0.5, step)
 	c.dispersionCount++
-	c.dispersion += (min(math.Abs(x-c.latencyRatio.v), most) - c.dispersion) * max(step, 1/c.dispersionCount)
+	c.dispersion += (min(math.Abs(x-c.latencyRatio.value), most) - c.dispersion) * max(step, 1/c.dispersionCount)
 }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -44,7 +44,7 @@
 func (g *Gateway) checkOverdue(a *attempt) {
 	age, q, c := g.secondsSince(a.sentAt), a.request, a.request.class
 	lost := a.endpoint.ejected && age > minUnresponsive && age > overdueFactor*a.expectedTime
-	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.congestion.inflation.v, c.latencyRatio.v, 0)), q.observedTime)
+	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)), q.observedTime)
 	left := float64(q.Deadline-g.deadlineGuard()-g.now) / microsPerSecond
 	took, bad := age, age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expect
 	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime { // a note that time has proven wrong holds no longer
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -306,7 +306,7 @@
 func TestLittleTimeLeftTakesAFasterLevel(t *testing.T) {
 	b := newBench(t, testSettings(), 2)
 	c := &b.g.classes[0]
-	c.meanWork.v, c.queueWait, c.price = 0.1, [priorityLevels]float64{0, 0, 3, 3}, [priorityLevels]float64{0.9, 0.9, 0, 0}
+	c.meanWork.value, c.queueWait, c.price = 0.1, [priorityLevels]float64{0, 0, 3, 3}, [priorityLevels]float64{0.9, 0.9, 0, 0}
 	for _, tt := range []struct {
 		left Micros
 		want int
@@ -331,8 +331,8 @@
 }
 
 func TestMessagesCarryWhatIsKnown(t *testing.T) {
-	rows := []gossipRow{{key: 7, age: sec / 4, utilization: 0.5, inFlight: 12, memory: -1, inflation: 0.5, threads: 3, grantedShare: 0.2, lockedGroup: 9},
-		{key: 9, age: 0, utilization: -1, inFlight: -1, memory: -1, fault: true}}
+	rows := []gossipRow{{wireID: 7, age: sec / 4, utilization: 0.5, inFlight: 12, memory: -1, inflation: 0.5, threads: 3, grantedShare: 0.2, lockedGroup: 9},
+		{wireID: 9, age: 0, utilization: -1, inFlight: -1, memory: -1, fault: true}}
 	data := encodeGossip([]float64{1.5, 2}, rows)
 	rates, got, ok := decodeGossip(data, 2)
 	if !ok || len(got) != 2 || rates[0] != 1.5 || got[0].inFlight != 12 || got[0].lockedGroup != 9 || !got[1].fault ||
@@ -351,7 +351,7 @@
 
 func FuzzHeard(f *testing.F) {
 	f.Add([]byte{}, 1)
-	f.Add(encodeGossip([]float64{1}, []gossipRow{{key: 1, utilization: 2.5, inFlight: 254, memory: 2, inflation: 3, threads: 60, lockedGroup: 255}}), 1)
+	f.Add(encodeGossip([]float64{1}, []gossipRow{{wireID: 1, utilization: 2.5, inFlight: 254, memory: 2, inflation: 3, threads: 60, lockedGroup: 255}}), 1)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
 		s := testSettings()
 		s.CanGossip, s.Peers = true, 5
@@ -408,7 +408,7 @@
 			var news []gossipRow
 			for i := range size[1] {
 				rows = append(rows, Endpoint{ID: fmt.Sprintf("e%02d", i)})
-				news = append(news, gossipRow{key: wireID(rows[i].ID), utilization: 0.5, inFlight: 4, memory: -1, threads: 1})
+				news = append(news, gossipRow{wireID: wireID(rows[i].ID), utilization: 0.5, inFlight: 4, memory: -1, threads: 1})
 			}
 			now := 100 * sec
 			g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: rows}})
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -60,14 +60,14 @@
 // then, so the share of a window that one takes weighs as in Chernoff's bound.
 func (g *Gateway) slowStartCharge(c *class, rate float64) float64 {
 	window := rate * max(float64(g.settings.OverloadDuration), 1) / microsPerSecond
-	return window / chernoffTilt * math.Expm1(chernoffTilt*max(c.usualWork.v, c.typicalWork())/window)
+	return window / chernoffTilt * math.Expm1(chernoffTilt*max(c.usualWork.value, c.typicalWork())/window)
 }
 
 // demandShare is a class's share of the work requested.
 func (g *Gateway) demandShare(c *class) float64 {
 	all := 0.0
 	for i := range g.classes {
-		all += g.classes[i].received * g.classes[i].usualWork.v
+		all += g.classes[i].received * g.classes[i].usualWork.value
 	}
-	return c.received * c.usualWork.v / max(all, 1e-9)
+	return c.received * c.usualWork.value / max(all, 1e-9)
 }
--- a/policy/sparse_test.go
+++ b/policy/sparse_test.go
@@ -72,8 +72,8 @@
 		sum += float64(q.Cost) / microsPerSecond
 		b.step(q)
 	}
-	if c := &b.g.classes[0]; c.usualWork.v < 0.9*sum/100 {
-		t.Fatalf("usual work %.2f s, it is %.2f", c.usualWork.v, sum/100)
+	if c := &b.g.classes[0]; c.usualWork.value < 0.9*sum/100 {
+		t.Fatalf("usual work %.2f s, it is %.2f", c.usualWork.value, sum/100)
 	}
 }
 
@@ -190,7 +190,7 @@
 		for i := range b.g.classes[0].price {
 			b.g.classes[0].price[i] = 100 // no worth covers that
 		}
-		b.g.queries.work.v, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
+		b.g.queries.work.value, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
 		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
@@ -208,7 +208,7 @@
 	q := b.request(1)
 	q.Cost = 60 * sec
 	for i := range b.g.classes { // as if such queries were usual here
-		b.g.classes[i].meanWork.v, b.g.classes[i].meanWork.n = 60, 100
+		b.g.classes[i].meanWork.value, b.g.classes[i].meanWork.count = 60, 100
 	}
 	b.step(q)
 	if len(b.g.ledger.requests[q.ID].attempts) == 0 {
--- a/policy/toll_test.go
+++ b/policy/toll_test.go
@@ -21,7 +21,7 @@
 	b := newBench(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
-	c.meanWork.v = 2
+	c.meanWork.value = 2
 	c.admitted[1], c.waitRefreshed[1], c.waitRefreshed[3] = 3, true, true
 	c.queueWait[1], c.queueWait[3] = 0.5, 2
 	g.threads[1] = 4
@@ -47,7 +47,7 @@
 	b := newBench(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
-	c.meanWork.v, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
+	c.meanWork.value, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
 	g.threads[0] = 80
 	g.schedule.pricedAt, g.now = b.now-sec, b.now
 	g.updatePrices()
@@ -58,7 +58,7 @@
 	b := newBench(t, testSettings(), 2)
 	g := b.g
 	c := &g.classes[1] // worth 10 over 15 s, 4 threads
-	c.meanWork.v = 3
+	c.meanWork.value = 3
 	c.queueWait = [priorityLevels]float64{1, 0.2, 2, 4}
 	c.price = [priorityLevels]float64{5, 4, 1, 0.5}
 	q := &request{class: c, work: 6, weight: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
@@ -90,7 +90,7 @@
 			b := newBench(t, testSettings(), 2)
 			for i := range b.g.classes {
 				b.g.classes[i].price = [priorityLevels]float64{99, 99, 99, 99}
-				b.g.classes[i].meanWork.v = 0.1
+				b.g.classes[i].meanWork.value = 0.1
 			}
 			for _, e := range b.g.endpoints.list {
 				e.load, e.loadAt = Load{Util: tt.util, InFlight: -1}, b.now
