--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,7 +1,5 @@
 package policy
 
-import "math"
-
 // freeCoreUtilization is the utilization below which an endpoint has a free core (docs/design.md).
 const freeCoreUtilization = 0.7
 
@@ -12,24 +10,12 @@
 	}
 	c := &g.classes[r.Class]
 	q := g.register(r, c)
-	if r.Cost > 0 {
-		c.estimateMedian.add(math.Log(float64(r.Cost)/microsPerSecond), 0.5, medianStep)
-	}
-	q.work = c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.value, initialSlope, 0)
-	if r.Cost <= 0 { // a missing estimate is never zero work
-		q.work = c.typicalWork()
-	}
-	if r.MemoryMB > 0 {
-		c.memoryMedian.add(math.Log(r.MemoryMB), 0.5, medianStep)
-	}
-	c.meanWork.add(q.work, meanSmoothing)
-	// The usual work, for the cold rule: the fit's shrunk estimates lie nearer its middle.
-	c.usualWork.add(max(q.work, c.workFit.predict(float64(r.Cost)/microsPerSecond, c.estimateMedian.value, 1, 1)), meanSmoothing)
+	c.estimateWork(q)
 	g.queries.work.add(q.work, meanSmoothing)
 	q.weight = g.weightOf(q)
-	q.objectiveAt = g.now + c.LatencyObjective + Micros(c.ObjectiveStretch*q.work/c.threads*microsPerSecond)
-	g.healthChecks.credit = min(maxHealthCheckCredit, g.healthChecks.credit+healthChecksPerRequest*min(1, max(minHealthCheckShare, g.fleet.threadsPerCore*g.fleet.threadsPerCore)))
-	g.joinKeyOrder(q)
+	q.objectiveAt = g.now + c.LatencyObjective + toMicros(c.ObjectiveStretch*q.work/c.threads)
+	g.healthChecks.earn(g.fleet.threadsPerCore)
+	g.keyOrders.join(q)
 	if q.StickyTo != "" && g.cannotEarn(q) {
 		g.shedOrFail(q)
 		return
@@ -37,25 +23,25 @@
 	g.admit(q)
 }
 
-// admit sends, queues or sheds a request by its net value: priority weight less delay cost and price at the
-// best level (docs/design.md).
+// admit sends, queues or sheds a request by its net value: priority weight less delay cost and price at
+// the best level (docs/design.md). A request that waits for health checks is decided on after them.
 func (g *Gateway) admit(q *request) {
 	level, net := g.leastCostLevel(q)
 	q.level = level
 	e := g.pickEndpoint(q)
-	asking := e == nil && g.awaitsHealthCheck(q, healthCheckTimeout)
-	if net < 0 && !asking && !g.passesFreeCore(q, e) {
+	waits := e == nil && g.awaitsHealthCheck(q)
+	if net < 0 && !waits && !g.passesFreeCore(q, e) {
 		g.shedOrFail(q)
 		return
 	}
-	if !asking {
+	if !waits {
 		q.admitted = true
 		q.class.admitted[level]++
 	}
 	if e != nil {
 		g.sendAttempt(q, e)
 	} else {
-		g.enqueue(q)
+		g.queue.add(q)
 	}
 }
 
@@ -82,17 +68,19 @@
 }
 
 // passesFreeCore admits a request whatever its price while cores are free: while this gateway's threads are
-// below its share of the cores, or the endpoint picked is below freeCoreUtilization. It then delays nobody.
+// below its share of the cores, or the endpoint picked is below freeCoreUtilization. It then delays nobody,
+// unless it is very long or takes a place in a full queue.
 func (g *Gateway) passesFreeCore(q *request, e *endpoint) bool {
-	tau := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
-	if tau > float64(q.Deadline-g.now)/microsPerSecond || q.work > veryLongFactor*q.class.typicalWork() || q.weight < g.queue.price*tau {
+	delay := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
+	if delay > seconds(q.Deadline-g.now) || q.work > veryLongFactor*q.class.typicalWork() ||
+		q.weight < g.queue.price*delay {
 		return false
 	}
 	return g.threadsInFlight()+q.class.threads <= g.coreShare() || e != nil && g.utilization(e) < freeCoreUtilization
 }
 
-// earnedWeight is the value of an answer at a time: the full weight within the objective, LateWeight of it
-// after.
+// earnedWeight is the value of an answer at a time: the full weight within the objective, LateWeight of
+// it after.
 func (g *Gateway) earnedWeight(q *request, at Micros) float64 {
 	if at > q.objectiveAt {
 		return q.weight * q.class.LateWeight
@@ -106,8 +94,10 @@
 	if q.openAttempts > 0 {
 		return false
 	}
-	if e := g.endpoints.byID[q.StickyTo]; q.StickyTo != "" && (e == nil || !g.isEligible(q, e)) { // nobody else has its state
-		return true
+	if q.StickyTo != "" {
+		if e := g.endpoints.byID[q.StickyTo]; e == nil || !g.isEligible(q, e) {
+			return true
+		}
 	}
 	if len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent && q.firstRan != nil {
 		return true
@@ -116,15 +106,17 @@
 	if q.class.LateWeight == 0 {
 		end = min(end, q.objectiveAt)
 	}
-	return float64(end-g.now)/microsPerSecond < q.class.serviceTime(q.work)
+	return seconds(end-g.now) < q.class.serviceTime(q.work)
 }
 
-// shedOrFail answers at once: Shed where a client's retry is harmless, else Fail.
+// shedOrFail answers at once: Shed where a client's retry is harmless, else Fail. The time to retry is when
+// one like it has ended and may have left capacity.
 func (g *Gateway) shedOrFail(q *request) {
 	c := q.class
-	if c.Effect == Idempotent || q.firstRan == nil && q.openAttempts == 0 || c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
-		wait := max(c.queueWait[q.level], c.serviceTime(q.work)) // room may be free when one like it has ended
-		g.emit(Shed{ID: q.ID, RetryAfter: min(Micros(wait*microsPerSecond), g.settings.MaxRetryAfter)})
+	if c.Effect == Idempotent || q.firstRan == nil && q.openAttempts == 0 ||
+		c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
+		wait := max(c.queueWait[q.level], c.serviceTime(q.work))
+		g.emit(Shed{ID: q.ID, RetryAfter: min(toMicros(wait), g.settings.MaxRetryAfter)})
 	} else {
 		g.emit(Fail{ID: q.ID})
 	}
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Admission queue: see admissionQueuePrice.
+// Price of a place in the admission queue: see admissionQueuePrice.
 const (
-	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place in the queue costs nothing
+	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place costs nothing
 	residualAgeShare = 0.5 // share of its age that a query past its expected end is assumed to stay on
 )
 
@@ -17,38 +17,38 @@
 	price    float64    // weight a second of an open request's place, see admissionQueuePrice
 }
 
-// enqueue adds a request to the admission queue.
-func (g *Gateway) enqueue(q *request) {
+// add appends a request, where it isn't queued already.
+func (u *admissionQueue) add(q *request) {
 	if !q.queued {
 		q.queued = true
-		g.queue.requests = append(g.queue.requests, q)
+		u.requests = append(u.requests, q)
 	}
 }
 
-// dequeue removes a request from the admission queue.
-func (g *Gateway) dequeue(q *request) {
+// remove removes a request, where it is queued.
+func (u *admissionQueue) remove(q *request) {
 	if q.queued {
 		q.queued = false
-		g.queue.requests = slices.DeleteFunc(g.queue.requests, func(o *request) bool { return o == q })
+		u.requests = slices.DeleteFunc(u.requests, func(other *request) bool { return other == q })
 	}
 }
 
-// queueByWeight is the admission queue, highest weight for its work first.
-func (g *Gateway) queueByWeight() []*request {
-	queue := slices.Clone(g.queue.requests)
-	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.weight/b.work, a.weight/a.work) })
-	return queue
+// byWeight is the queued requests, highest weight for their work first.
+func (u *admissionQueue) byWeight() []*request {
+	sorted := slices.Clone(u.requests)
+	slices.SortStableFunc(sorted, func(a, b *request) int { return cmp.Compare(b.weight/b.work, a.weight/a.work) })
+	return sorted
 }
 
-// drainQueue sends queued requests where there is capacity, highest weight for their work first, or sheds
-// them.
+// drainQueue sends queued requests where there is capacity, highest weight for their work first, or
+// sheds them.
 func (g *Gateway) drainQueue() {
 	g.schedule.drainQueueAt = g.now + Micros(healthCheckTimeout*microsPerSecond)
 	if len(g.queue.requests) == 0 {
 		return
 	}
-	full := make([]bool, len(g.classes)) // no room for one is none for the heavier ones behind it
-	for _, q := range g.queueByWeight() {
+	full := make([]bool, len(g.classes)) // no capacity for one is none for the heavier ones behind it
+	for _, q := range g.queue.byWeight() {
 		if g.cannotEarn(q) {
 			g.shedOrFail(q)
 		} else if full[q.Class] && q.StickyTo == "" {
@@ -58,17 +58,17 @@
 		} else if e := g.pickEndpoint(q); e != nil {
 			g.sendAttempt(q, e)
 		}
-		if q.StickyTo == "" && !q.class.LocksTables { // a queue behind one engine, or for one group, holds nobody else
-			full[q.Class] = q.queued && g.mayStartAttempt(q) && !g.awaitsHealthCheck(q, healthCheckTimeout)
+		if q.StickyTo == "" && !q.class.LocksTables { // what waits for one endpoint or group blocks no others
+			full[q.Class] = q.queued && g.mayStartAttempt(q) && !g.awaitsHealthCheck(q)
 		}
 	}
 }
 
-// admissionQueuePrice is the value of a second of an open request's place to others, in weight a second:
+// admissionQueuePrice is the value to others of a second of an open request's place, in weight a second:
 // nothing up to freeQueueShare of MaxInFlight, then rising linearly to what answered requests earn a
 // second. It guards against blocked queries that keep other clients from sending.
-func (g *Gateway) admissionQueuePrice(held int) float64 {
-	full := float64(held)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
+func (g *Gateway) admissionQueuePrice(open int) float64 {
+	full := float64(open)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
 	if g.settings.MaxInFlight == 0 || full <= 0 || g.queries.responseTime.value <= 0 {
 		return 0
 	}
@@ -77,7 +77,8 @@
 
 // belowQueuePrice says that a queued request earns less than its place in the queue costs.
 func (g *Gateway) belowQueuePrice(q *request) bool {
-	stay := g.secondsSince(q.receivedAt)
-	left := max(q.class.queueWait[q.level]+q.class.serviceTime(q.work)-stay, stay*residualAgeShare)
-	return q.openAttempts == 0 && g.queue.price > 0 && g.earnedWeight(q, g.now+Micros(left*microsPerSecond)) < g.queue.price*left
+	age := g.secondsSince(q.receivedAt)
+	remains := max(q.class.queueWait[q.level]+q.class.serviceTime(q.work)-age, age*residualAgeShare)
+	return q.openAttempts == 0 && g.queue.price > 0 &&
+		g.earnedWeight(q, g.now+toMicros(remains)) < g.queue.price*remains
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,41 +7,43 @@
 
 // attempt is one send of a request to an endpoint.
 type attempt struct {
-	request          *request
-	number           int
-	endpoint         *endpoint
-	sentAt           Micros
-	expectedTime     float64 // seconds
-	level            int
-	grantMB          float64
-	uncontended      bool // sent to an engine with free cores
-	closed           bool
-	cancelled        bool    // cancelled
-	projectedTime    float64 // projected seconds from progress notes; 0: none
-	warm             bool    // its group was warm there
-	reportedProgress bool    // progress notes came
-	spilled          bool    // it spilled
-	progressAt       Micros
-	waiting          bool // waits for memory or a load
+	request      *request
+	number       int // 0 for the first of its request
+	endpoint     *endpoint
+	sentAt       Micros
+	expectedTime float64 // seconds
+	level        int
+	grantMB      float64
+	uncontended  bool // sent to an endpoint with free cores
+	warm         bool // its table group was cached there
+	closed       bool
+	cancelled    bool
+
+	progressAt       Micros  // last progress report
+	reportedProgress bool    // one came with a share done
+	projectedTime    float64 // seconds in all, by that; 0: none
+	spilled          bool
+	waiting          bool // blocked for memory or a table lock
 }
 
 // sendAttempt starts an attempt at the level of lowest cost.
 func (g *Gateway) sendAttempt(q *request, e *endpoint) {
 	c := q.class
-	g.dequeue(q)
+	g.queue.remove(q)
 	q.level, _ = g.leastCostLevel(q)
 	a := &attempt{request: q, number: len(q.attempts), endpoint: e, sentAt: g.now, level: q.level,
-		uncontended: g.utilization(e) < freeCoreUtilization, warm: slices.Contains(e.warmGroups, q.TableGroup)}
+		uncontended: g.utilization(e) < freeCoreUtilization,
+		warm:        slices.Contains(e.warmGroups, q.TableGroup)}
 	a.expectedTime = c.serviceTime(q.work) / g.relativeSpeed(e)
 	a.grantMB = g.memoryGrant(q, e)
 	g.openAttempt(a)
 	e.claimedThreads += c.threads
 	g.queries.sentThreads.add(c.threads, meanSmoothing)
-	e.nextTrialAt = g.now + Micros(trialInterval*microsPerSecond)
+	e.nextTrialAt = g.now + toMicros(trialInterval)
 	if e.slowStartSince > 0 {
 		e.slowStartBudget(q.Class, len(g.classes)).seconds -= g.slowStartCharge(c, g.slowStartRate(e))
 	}
-	e.recordRead(q.TableGroup, maxWarmGroups)
+	e.recordRead(q.TableGroup)
 	if g.settings.HonorsGrants || g.settings.HonorsPriority {
 		g.emit(Resources{ID: q.ID, MemoryMB: a.grantMB, Priority: priorityLevels - 1 - q.level})
 	}
@@ -60,7 +62,7 @@
 	}
 	q.attempts = append(q.attempts, a)
 	q.openAttempts++
-	if q.class.Ordered && q.HasOrderKey {
+	if q.ordered() {
 		g.keyOrders[q.OrderKey].openAttempts++
 	}
 	e.attempts = append(e.attempts, a)
@@ -76,7 +78,7 @@
 	q, e := a.request, a.endpoint
 	a.closed = true
 	q.openAttempts--
-	e.attempts = slices.DeleteFunc(e.attempts, func(o *attempt) bool { return o == a })
+	e.attempts = slices.DeleteFunc(e.attempts, func(other *attempt) bool { return other == a })
 	e.threads -= q.class.threads
 	if a.sentAt > e.loadAt {
 		e.unreportedThreads -= q.class.threads
@@ -87,11 +89,11 @@
 	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.firstRan == nil {
 		q.firstRan = a
 	}
-	if q.class.Ordered && q.HasOrderKey {
-		t := g.keyOrders[q.OrderKey]
-		t.openAttempts--
+	if q.ordered() {
+		order := g.keyOrders[q.OrderKey]
+		order.openAttempts--
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
-			t.pausedUntil = max(t.pausedUntil, g.now+g.settings.OrderingGap)
+			order.pausedUntil = max(order.pausedUntil, g.now+g.settings.OrderingGap)
 		}
 	}
 }
@@ -109,19 +111,28 @@
 // deadlineGuard is the time before a deadline at which the final answer is given.
 func (g *Gateway) deadlineGuard() Micros { return Micros(2 * timerInterval * microsPerSecond) }
 
+// openAttemptOf is an attempt in flight; nil if there is none.
+func (g *Gateway) openAttemptOf(id string, number int) *attempt {
+	q := g.ledger.requests[id]
+	if q == nil || number < 0 || number >= len(q.attempts) || q.attempts[number].closed {
+		return nil
+	}
+	return q.attempts[number]
+}
+
 // handleAttemptResult closes an attempt, learns from its result and decides what follows.
-func (g *Gateway) handleAttemptResult(o AttemptResult) {
-	q := g.ledger.requests[o.ID]
-	if q == nil || o.Attempt < 0 || o.Attempt >= len(q.attempts) || q.attempts[o.Attempt].closed {
+func (g *Gateway) handleAttemptResult(r AttemptResult) {
+	a := g.openAttemptOf(r.ID, r.Attempt)
+	if a == nil {
 		return
 	}
-	a := q.attempts[o.Attempt]
-	g.closeAttempt(a, o.Code)
-	if o.Load != nil && (a.endpoint.loadAt == 0 || *o.Load != a.endpoint.load) { // only a changed report is news
-		g.recordLoad(a.endpoint, *o.Load, g.now)
+	q, e := a.request, a.endpoint
+	g.closeAttempt(a, r.Code)
+	if r.Load != nil && (e.loadAt == 0 || *r.Load != e.load) { // an unchanged report may be an old one
+		g.recordLoad(e, *r.Load, g.now)
 	}
-	g.learnFromResult(a, o)
-	if o.Final && !q.done {
+	g.learnFromResult(a, r)
+	if r.Final && !q.done {
 		g.endRequest(q)
 	}
 	if q.done && q.openAttempts == 0 {
@@ -131,60 +142,66 @@
 		return
 	}
 	q.restarting = false
-	g.enqueue(q) // pump sends it again, or gives up
+	g.queue.add(q) // drainQueue sends it again, or sheds it
 	g.schedule.drainQueueAt = g.now
 }
 
-// learnFromResult learns from a result: the class's estimates and waits, the endpoint's health.
-func (g *Gateway) learnFromResult(a *attempt, o AttemptResult) {
-	c, e, fault := a.request.class, a.endpoint, 0.0
-	switch o.Code {
+// learnFromResult learns from a result: the class's estimates and waits, the endpoint's health. An endpoint
+// that rejects everything looks as idle as one that fails.
+func (g *Gateway) learnFromResult(a *attempt, r AttemptResult) {
+	switch r.Code {
 	case OK:
-		e.nextTrialAt = g.now // the next trial may follow
-		took := max(float64(o.Latency)/microsPerSecond, 1e-4)
-		x := math.Log(took * c.threads / max(a.request.work, 1e-4))
-		c.recordDispersion(x, maxLogInflation, medianStep)
-		clipped, work := max(-maxLogInflation, min(maxLogInflation, x)), 0.0
-		if o.WorkMicros > 0 { // it is told: the crowd is known apart from the estimate
-			work = float64(o.WorkMicros) / microsPerSecond
-			clipped = max(-maxLogInflation, min(maxLogInflation, math.Log(took*c.threads/work)))
-		} else if a.uncontended || c.workFit.count < minFitAnswers {
-			work = a.request.work * math.Exp(min(clipped, shrinkSlackShare*g.congestion.slack))
-		}
-		g.recordInflation(e, clipped, inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
-		g.recordWarmth(a.warm, clipped, meanSmoothing)
-		g.queries.latency.add(took, meanSmoothing)
-		g.queries.responseTime.add(g.secondsSince(a.request.receivedAt), meanSmoothing)
-		g.queries.earned.add(g.earnedWeight(a.request, g.now), meanSmoothing)
-		if a.request.Cost > 0 && work > 0 {
-			c.workFit.add(float64(a.request.Cost)/microsPerSecond, work, fitSmoothing)
-		}
-		g.adjustCapacity()
-		wait := max(0, float64(g.now-a.request.receivedAt)/microsPerSecond-c.serviceTime(a.request.work))
-		if a.spilled { // the margin settles where the wanted rank of grants suffices
-			c.grantMargin += medianStep * grantQuantile
-		} else if a.reportedProgress {
-			c.grantMargin -= medianStep * (1 - grantQuantile)
-		}
-		c.queueWait[a.level] += (wait - c.queueWait[a.level]) * queueWaitSmoothing
-		c.waitRefreshed[a.level] = true
-	case Rejected, Failed, ConnectionRefused, ConnectionReset: // turned away is as quick as a fault
-		fault = 1
-	default:
-		return
+		g.learnFromAnswer(a, r)
+		g.recordResponse(a, r.Code, 0)
+	case Rejected, Failed, ConnectionRefused, ConnectionReset:
+		g.recordResponse(a, r.Code, 1)
 	}
+}
+
+// learnFromAnswer learns from an answer's latency, and from its work where that is reported.
+func (g *Gateway) learnFromAnswer(a *attempt, r AttemptResult) {
+	q, c, e := a.request, a.request.class, a.endpoint
+	e.nextTrialAt = g.now // the next trial may follow
+	took := max(seconds(r.Latency), minSeconds)
+	overEstimate := math.Log(took * c.threads / max(q.work, minSeconds))
+	c.recordDispersion(overEstimate)
+	inflation, work := clipInflation(overEstimate), 0.0
+	if r.WorkMicros > 0 { // reported work tells inflation from the error of the estimate
+		work = seconds(r.WorkMicros)
+		inflation = clipInflation(math.Log(took * c.threads / work))
+	} else if a.uncontended || c.workFit.count < minFitAnswers {
+		work = q.work * math.Exp(min(inflation, shrinkSlackShare*g.congestion.slack))
+	}
+	g.recordInflation(e, inflation, fleetInflationStep)
+	g.warmth.record(a.warm, inflation)
+	g.queries.latency.add(took, meanSmoothing)
+	g.queries.responseTime.add(g.secondsSince(q.receivedAt), meanSmoothing)
+	g.queries.earned.add(g.earnedWeight(q, g.now), meanSmoothing)
+	if q.Cost > 0 && work > 0 {
+		c.workFit.add(seconds(q.Cost), work, fitSmoothing)
+	}
+	g.adjustCapacity()
+	wait := max(0, g.secondsSince(q.receivedAt)-c.serviceTime(q.work))
+	c.learnGrantMargin(a)
+	c.recordWait(a.level, wait)
+}
+
+// recordResponse takes a response of an endpoint; fault is 1 for a fault and 0 for an answer. The endpoint
+// may have restarted, before the endpoint list says so, where it refuses a connection or two break at once;
+// one broken connection alone may be a lost answer.
+func (g *Gateway) recordResponse(a *attempt, code Code, fault float64) {
+	e := a.endpoint
 	e.lastResponse, e.cancelledUnanswered, e.lastWasFault = g.now, 0, fault > 0
-	if o.Code != ConnectionRefused && o.Code != ConnectionReset {
+	if code != ConnectionRefused && code != ConnectionReset {
 		e.confirmAlive(a)
 	}
-	// It may come back cold, before the list tells. One broken connection alone may be an answer lost.
-	if o.Code == ConnectionRefused || o.Code == ConnectionReset && g.secondsSince(e.resetAt) < timerInterval {
+	if code == ConnectionRefused || code == ConnectionReset && g.secondsSince(e.resetAt) < timerInterval {
 		if e.restartGuessedAt == 0 {
 			e.slowStartBefore = e.slowStartSince
 		}
 		e.slowStartSince, e.restartGuessedAt = g.now, g.now
 	}
-	if o.Code == ConnectionReset {
+	if code == ConnectionReset {
 		e.resetAt = g.now
 	}
 	e.faultShare += (fault - e.faultShare) * faultSmoothing
@@ -193,13 +210,13 @@
 
 // handleProgress learns from a progress report: projected time, spills, waits.
 func (g *Gateway) handleProgress(p Progress) {
-	q := g.ledger.requests[p.ID]
-	if q == nil || p.Attempt < 0 || p.Attempt >= len(q.attempts) || q.attempts[p.Attempt].closed {
+	a := g.openAttemptOf(p.ID, p.Attempt)
+	if a == nil {
 		return
 	}
-	a := q.attempts[p.Attempt]
-	a.progressAt, a.endpoint.lastResponse = g.now, max(a.endpoint.lastResponse, g.now)
-	a.endpoint.confirmAlive(a)
+	e := a.endpoint
+	a.progressAt, e.lastResponse = g.now, max(e.lastResponse, g.now)
+	e.confirmAlive(a)
 	switch p.Kind {
 	case FractionDone:
 		a.waiting, a.reportedProgress = false, true
@@ -210,8 +227,8 @@
 		a.spilled = true
 	default:
 		a.waiting = true
-		if p.Kind == WaitingForTables { // somebody's load holds the group there
-			a.endpoint.tableLocks[groupCode(q.TableGroup)] = g.now
+		if p.Kind == WaitingForTables {
+			e.tableLocks[groupCode(a.request.TableGroup)] = g.now
 		}
 	}
 }
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -54,7 +54,7 @@
 // handleEndpointUpdate takes a watch event of the endpoint list.
 func (g *Gateway) handleEndpointUpdate(l EndpointUpdate) {
 	if l.Failed {
-		g.schedule.pollAt = min(g.schedule.pollAt, g.now+Micros(minPollInterval*microsPerSecond))
+		g.schedule.pollAt = min(g.schedule.pollAt, g.now+toMicros(minPollInterval))
 	}
 	g.markRemoved(l)
 	for _, r := range l.Endpoints {
@@ -73,7 +73,7 @@
 		e.Endpoint = r
 	}
 	g.sortEndpoints()
-	g.summarizeFleet(gossipLifetime, reportLifetime, 1)
+	g.summarizeFleet(1)
 }
 
 // markRemoved marks the endpoints that a complete list does not contain as removed.
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -2,76 +2,68 @@
 
 import "slices"
 
-// fleetSummary summarizes the endpoints, as far as reported.
+// fleetSummary summarizes the healthy endpoints, as far as reported.
 type fleetSummary struct {
-	responseAge          float64             // mean age of the last answer, seconds
-	threadsPerCore       float64             // mean threads a core of engines heard of late
-	threadsPerCoreByKind map[int]runningMean // mean threads a core of those of a kind; looked up only
-	reported             bool                // some were
-	everReported         bool                // a report told of threads, ever
-	occupancyExcess      float64             // own queries in flight over those expected
-	trustedEndpoints     int
-	medianFaultShare     float64 // middle of the healthy engines' shares of faults
-	peerCoverage         float64 // share of peers whose own attempts we know
-	cores, threads       float64 // of healthy engines: cores; all threads there, unheard ones as average
+	cores                float64             // of all
+	threads              float64             // on all; those not reported count as the mean
+	threadsPerCore       float64             // mean of those reported lately
+	threadsPerCoreByKind map[int]runningMean // the same by kind of machine; looked up only
+	reported             bool                // some were reported lately
+	everReported         bool                // some were reported ever
+	occupancyExcess      float64             // own attempts in flight over those expected
+	responseAge          float64             // mean seconds since an endpoint's last response
+	trustedEndpoints     int                 // not ejected
+	medianFaultShare     float64             // of all
+	peerCoverage         float64             // share of peers whose own attempts are known
 }
 
-// summarizeFleet sums up the fleet: gossip older than gossipAge seconds is forgotten, response ages count
-// up to maxAge seconds, and the load shrinks to keep of itself while nothing is reported.
-func (g *Gateway) summarizeFleet(word, fresh, keep float64) {
-	for ; len(g.gossip.arrivals) > 0 && g.secondsSince(g.gossip.arrivals[0].at) > word; g.gossip.arrivals = g.gossip.arrivals[1:] {
-		if h := g.gossip.arrivals[0]; g.gossip.reports[h.from].at == h.at {
-			g.forgetGossip(h.from)
-		}
-	}
-	f := fleetSummary{occupancyExcess: g.fleet.occupancyExcess, everReported: g.fleet.everReported, threadsPerCoreByKind: map[int]runningMean{}}
-	for _, h := range g.gossip.arrivals {
-		if g.gossip.reports[h.from].at == h.at {
-			f.peerCoverage += 1 / float64(g.settings.Peers-1)
-		}
-	}
-	f.peerCoverage = min(f.peerCoverage, 1)
-	var busy, age float64
-	var faults []float64
+// summarizeFleet sums up the fleet. Its load shrinks to keep of itself while nothing is reported.
+func (g *Gateway) summarizeFleet(keep float64) {
+	g.expireGossip()
+	f := fleetSummary{occupancyExcess: g.fleet.occupancyExcess, everReported: g.fleet.everReported,
+		threadsPerCoreByKind: map[int]runningMean{}, peerCoverage: g.gossip.coverage(g.settings.Peers - 1)}
+	var reportedCores, responseAge float64
+	var faultShares []float64
 	for _, e := range g.endpoints.list {
 		if e.State != Healthy {
 			continue
 		}
 		f.cores += e.cores
-		age += min(g.secondsSince(e.lastResponse), fresh)
+		responseAge += min(g.secondsSince(e.lastResponse), reportLifetime)
 		if !e.ejected {
 			f.trustedEndpoints++
 		}
-		faults = append(faults, e.faultShare)
-		if k := g.reportConfidence(e); k > 0 {
-			threads, _ := g.peerLoad(e)
-			busy += e.cores
-			f.threads += threads + e.threads
-			of := f.threadsPerCoreByKind[e.Kind]
-			of.add((threads+e.threads)/e.cores, 0)
-			f.threadsPerCoreByKind[e.Kind] = of
+		faultShares = append(faultShares, e.faultShare)
+		if g.reportConfidence(e) > 0 {
+			peerThreads, _ := g.peerLoad(e)
+			reportedCores += e.cores
+			f.threads += peerThreads + e.threads
+			mean := f.threadsPerCoreByKind[e.Kind]
+			mean.add((peerThreads+e.threads)/e.cores, 0)
+			f.threadsPerCoreByKind[e.Kind] = mean
 		}
 	}
-	if f.threadsPerCore = g.fleet.threadsPerCore; busy > 0 {
-		f.threadsPerCore, f.reported, f.everReported = f.threads/busy, true, true
-	} else { // hearing nothing for long must not keep a gateway from trying
+	f.threadsPerCore = g.fleet.threadsPerCore
+	if reportedCores > 0 {
+		f.threadsPerCore, f.reported, f.everReported = f.threads/reportedCores, true, true
+	} else { // a long time without reports must not keep a gateway from sending
 		f.threadsPerCore *= keep
-		if !f.everReported { // no report ever does: what we have out, over our share, over some time
+		if !f.everReported { // no endpoint reports: own threads over our share of the cores, over some time
 			f.threadsPerCore += (1 - keep) * g.threadsInFlight() / g.coreShare()
 		}
 	}
-	if slices.Sort(faults); len(faults) > 0 {
-		f.medianFaultShare = faults[(len(faults)-1)/2]
+	if slices.Sort(faultShares); len(faultShares) > 0 {
+		f.medianFaultShare = faultShares[(len(faultShares)-1)/2]
 	}
-	f.responseAge = age / max(1, float64(len(g.endpoints.list)))
+	f.responseAge = responseAge / max(1, float64(len(g.endpoints.list)))
 	f.threads = f.threadsPerCore * f.cores
 	g.fleet = f
 }
 
 // threadsPerCoreOf is the mean of a kind's endpoints, where any was reported lately; else the fleet's.
 func (f *fleetSummary) threadsPerCoreOf(kind int) float64 {
-	if of, ok := f.threadsPerCoreByKind[kind]; ok {
-		return of.value
+	if mean, ok := f.threadsPerCoreByKind[kind]; ok {
+		return mean.value
 	}
 	return f.threadsPerCore
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -11,6 +11,7 @@
 
 	timerInterval = 0.02 // seconds between checks of attempts in flight: a few ticks of a dispatcher
 	timerMicros   = Micros(timerInterval * microsPerSecond)
+	minSeconds    = 1e-4 // least time and work that a logarithm is taken of
 
 	logInterval = 1.0 // minimum seconds between two log lines
 )
@@ -29,7 +30,7 @@
 	endpoints endpointTable
 	ledger    ledger
 	queue     admissionQueue
-	keyOrders map[int64]*keyOrder     // looked up only
+	keyOrders keyOrders
 	threads   [priorityLevels]float64 // own threads in flight at each level
 
 	retryBudget  retryBudget
@@ -79,8 +80,9 @@
 // initialize sets up the state of classes and tenants; margin is the first log of grant over memory
 // estimate.
 func (g *Gateway) initialize(margin float64) {
-	g.endpoints.byID, g.endpoints.byWireID, g.gossip.reports = map[string]*endpoint{}, map[uint32]*endpoint{}, map[int]*peerReport{}
-	g.ledger.requests, g.keyOrders = map[string]*request{}, map[int64]*keyOrder{}
+	g.endpoints = endpointTable{byID: map[string]*endpoint{}, byWireID: map[uint32]*endpoint{}}
+	g.gossip.reports = map[int]*peerReport{}
+	g.ledger.requests, g.keyOrders = map[string]*request{}, keyOrders{}
 	for _, c := range g.settings.Classes {
 		threads := float64(max(c.Threads, 1))
 		g.queries.threads += threads / float64(len(g.settings.Classes))
@@ -114,7 +116,8 @@
 
 // beginStep sets the time of a step and clears the actions of the last one.
 func (g *Gateway) beginStep(now Micros) {
-	if g.now, g.actions = now, nil; !g.started {
+	g.now, g.actions = now, nil
+	if !g.started {
 		g.started, g.schedule.pricedAt = true, now
 	}
 }
@@ -149,10 +152,15 @@
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
 // secondsSince is the seconds from t until now.
-func (g *Gateway) secondsSince(t Micros) float64 { return float64(g.now-t) / 1e6 }
+func (g *Gateway) secondsSince(t Micros) float64 { return seconds(g.now - t) }
 
-// logLine emits a line for the operators' log, at most one in logInterval: a fault that repeats would flood
-// it.
+// seconds is a duration in seconds.
+func seconds(d Micros) float64 { return float64(d) / microsPerSecond }
+
+// toMicros is a duration of so many seconds.
+func toMicros(s float64) Micros { return Micros(s * microsPerSecond) }
+
+// logLine emits a line for the operators' log, as far as the limiter allows.
 func (g *Gateway) logLine(format string, args ...any) {
 	if g.log.lastAt == 0 || g.secondsSince(g.log.lastAt) >= g.log.interval {
 		g.log.lastAt = g.now
--- a/policy/load.go
+++ b/policy/load.go
@@ -8,14 +8,14 @@
 	threadsPerBusyCore   = 1.5  // threads in flight for each busy core: the others read or write
 	saturatedUtilization = 0.85 // utilization at which an endpoint counts as at capacity
 	saturatedThreadSlope = 5.0  // threads a core for each unit of utilization above that: it hides the rest
-	recentOccupancyPrior = 0.6  // attempts in flight, over seconds, that may exceed the expectation by chance
+	recentOccupancyPrior = 0.6  // attempts, over seconds, that may exceed the expectation by chance
 	localAttemptsPrior   = 4.0  // own attempts on an endpoint that weigh as much as the fleet's mean
 )
 
 // recordLoad takes an endpoint's load report of a time, ours or a peer's.
 func (g *Gateway) recordLoad(e *endpoint, l Load, at Micros) {
 	e.load, e.loadAt, e.unreportedThreads, e.unreportedMB = l, at, 0, 0
-	e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
+	g.renewClaims(e)
 	for _, a := range e.attempts {
 		if a.sentAt > at {
 			e.unreportedThreads += a.request.class.threads
@@ -24,8 +24,13 @@
 	}
 }
 
-// reportConfidence is how far an endpoint's report is believed, 1 when new to 0 at reportLifetime; 0 where
-// it has neither utilization nor queries in flight.
+// renewClaims starts the claims on an endpoint's free capacity anew, see mayClaim.
+func (g *Gateway) renewClaims(e *endpoint) {
+	e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
+}
+
+// reportConfidence is how far an endpoint's report is believed, from 1 when new to 0 at reportLifetime; 0
+// where it has neither utilization nor queries in flight.
 func (g *Gateway) reportConfidence(e *endpoint) float64 {
 	if e.loadAt == 0 || e.load.Util < 0 && e.load.InFlight < 0 {
 		return 0
@@ -33,8 +38,8 @@
 	return max(0, 1-g.secondsSince(e.loadAt)/reportLifetime)
 }
 
-// utilization is an endpoint's estimated utilization: reported plus own sends since, else by its queries in
-// flight or own threads there. Where nothing is reported it is the fleet's mean, in proportion to the
+// utilization is an endpoint's estimated utilization: reported plus own sends since, else by its queries
+// in flight or own threads there. Where nothing is reported it is the fleet's mean, in proportion to the
 // report's age.
 func (g *Gateway) utilization(e *endpoint) float64 {
 	k := g.reportConfidence(e)
@@ -52,27 +57,29 @@
 // gossip and of what its report leaves beyond ours. What is not reported is the mean of its kind, corrected
 // by own attempts there as far as our share of the traffic makes them tell. Queries in flight include
 // timed-out ones that still run.
-func (g *Gateway) peerLoad(e *endpoint) (threads, granted float64) {
-	k, own, share := g.reportConfidence(e), e.threads-e.unreportedThreads, g.trafficShare()
+func (g *Gateway) peerLoad(e *endpoint) (threads, grantedMB float64) {
+	k, reportedOwn, share := g.reportConfidence(e), e.threads-e.unreportedThreads, g.trafficShare()
 	usual := g.fleet.threadsPerCoreOf(e.Kind) * e.cores * (1 - share)
 	weight := usual * share / (usual*share + localAttemptsPrior)
-	unheard := (1-weight)*usual + weight*e.threads*(1/share-1)
-	switch full := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Util + saturatedThreadSlope*max(0, e.load.Util-saturatedUtilization)); {
+	estimate := (1-weight)*usual + weight*e.threads*(1/share-1)
+	switch {
 	case k > 0 && e.load.InFlight >= 0:
-		unheard = e.load.InFlight*g.queries.threads - own
+		estimate = e.load.InFlight*g.queries.threads - reportedOwn
 	case k > 0 && e.load.Util >= 0:
-		unheard = (k*(full*e.cores-own) + (1-k)*unheard) * (1 - g.fleet.peerCoverage)
+		saturated := saturatedThreadSlope * max(0, e.load.Util-saturatedUtilization)
+		threadsPerCore := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Util + saturated)
+		estimate = (k*(threadsPerCore*e.cores-reportedOwn) + (1-k)*estimate) * (1 - g.fleet.peerCoverage)
 	}
-	theirs := unheard * g.queries.grantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
-	return max(e.gossipedThreads, unheard), max(e.gossipedMB, theirs)
+	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
+	return max(e.gossipedThreads, estimate), max(e.gossipedMB, estimateMB)
 }
 
 // occupancyExcess is how far own attempts in flight, now or over seconds, exceed what so many threads a
 // core lead us to expect; gateways that do not gossip are assumed to see the same. It guards against
 // congestion that looks idle: utilization says little of queries that wait for disks.
-func (g *Gateway) occupancyExcess(busy float64) float64 {
-	expected := busy * g.coreShare() / g.queries.threads
+func (g *Gateway) occupancyExcess(threadsPerCore float64) float64 {
+	expected := threadsPerCore * g.coreShare() / g.queries.threads
 	now := (localAttemptsPrior + g.attemptsInFlight()) / (localAttemptsPrior + expected)
-	lately := (recentOccupancyPrior + g.queries.inFlight) / (recentOccupancyPrior + expected)
-	return math.Pow(max(1, now, lately), 1-g.fleet.peerCoverage)
+	recent := (recentOccupancyPrior + g.queries.inFlight) / (recentOccupancyPrior + expected)
+	return math.Pow(max(1, now, recent), 1-g.fleet.peerCoverage)
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -40,22 +40,29 @@
 
 // eject keeps all but trial requests from an endpoint that fails fast (and looks idle), hangs or vanishes.
 func (g *Gateway) eject(e *endpoint, why string) {
-	e.ejected, e.nextTrialAt = true, g.now+Micros(trialInterval*microsPerSecond)
+	e.ejected, e.nextTrialAt = true, g.now+toMicros(trialInterval)
 	g.logLine("distrust %s: %s", e.ID, why)
 }
 
 // outlierAllows restricts ejected endpoints to trials with light repeatable queries, unless most are
 // ejected.
 func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
-	return !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) ||
-		g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent && q.work <= g.queries.work.value
+	if !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) {
+		return true
+	}
+	return g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent &&
+		q.work <= g.queries.work.value
 }
 
 // detectUnresponsive ejects an endpoint whose attempts in flight are all far past expectation, or that
 // misses progress reports of one. Where gateways gossip, the time without a response must exceed the
 // fleet's usual one.
 func (g *Gateway) detectUnresponsive(e *endpoint) {
-	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+unresponsiveAges*g.fleet.responseAge*float64(min(1, len(g.gossip.reports))) {
+	usual := 0.0 // seconds between responses of an endpoint
+	if len(g.gossip.reports) > 0 {
+		usual = unresponsiveAges * g.fleet.responseAge
+	}
+	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+usual {
 		return
 	}
 	overdue := e.cancelledUnanswered
@@ -72,8 +79,9 @@
 
 // missesProgress says that the progress reports of an attempt have stopped: a hung endpoint sends none.
 func (g *Gateway) missesProgress(e *endpoint) bool {
+	limit := Micros(maxMissedProgress * float64(g.settings.ProgressInterval))
 	return g.settings.ProgressInterval > 0 && slices.ContainsFunc(e.attempts, func(a *attempt) bool {
-		return g.now-max(a.sentAt, a.progressAt) > Micros(maxMissedProgress*float64(g.settings.ProgressInterval))
+		return g.now-max(a.sentAt, a.progressAt) > limit
 	})
 }
 
@@ -87,14 +95,19 @@
 }
 
 // recordInflation learns the log inflation x of an answer, for the endpoint and for the fleet, whose median
-// is followed: lost answers and bad plans are fewer than half.
-func (g *Gateway) recordInflation(e *endpoint, x, step, first, fresh, fleetStep float64) {
-	step += (first - step) * min(1, g.secondsSince(e.lastResponse)/fresh) // more where little was heard of late
-	g.congestion.inflation.add(x, 0.5, fleetStep)
+// is followed in steps of at least fleetStep: lost answers and bad plans are fewer than half. It weighs
+// more for an endpoint that has not responded for some time.
+func (g *Gateway) recordInflation(e *endpoint, x, fleetStep float64) {
+	frequent, rare := inflationSmoothing, rareInflationSmoothing
+	smoothing := frequent + (rare-frequent)*min(1, g.secondsSince(e.lastResponse)/reportLifetime)
+	g.congestion.inflation.add(x, fleetStep)
 	e.lastInflation = x
-	e.inflation += (x - e.inflation) * step
+	e.inflation += (x - e.inflation) * smoothing
 }
 
+// clipInflation limits what one answer's log inflation counts.
+func clipInflation(x float64) float64 { return max(-maxLogInflation, min(maxLogInflation, x)) }
+
 // relativeSpeed is an endpoint's speed relative to the fleet, as seen in answers. It guards against
 // endpoints that slow down, whatever the cause: a noisy neighbor, a failing disk, congestion.
 func (g *Gateway) relativeSpeed(e *endpoint) float64 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -4,9 +4,9 @@
 
 // Retries of overdue attempts.
 const (
-	overdueFactor      = 3.0 // factor over its expected time at which an attempt is overdue: a bad plan, or lost
+	overdueFactor      = 3.0 // times its expected time from which an attempt is overdue: bad plan, or lost
 	overdueDispersions = 2.0 // the same in mean deviations of the class's log times from its estimates
-	observedTimeShare  = 0.5 // share of a cancelled attempt's time that the next is expected to take: it is rough
+	observedTimeShare  = 0.5 // share of a cancelled attempt's time that the next one is expected to take
 	minRestartGain     = 1.5 // expected times that a restart must save
 	minOverdueAge      = 0.3 // seconds below which no attempt is overdue by its plan
 )
@@ -18,16 +18,12 @@
 	retriedAt  []Micros // retries sent, oldest first
 }
 
-// withinRetryBudget says whether one more retry is within the retry budget.
-func (g *Gateway) withinRetryBudget() bool {
-	s := &g.settings
-	if s.RetryBudgetWindow == 0 {
-		return true
-	}
-	slack := timerMicros // both ends of the span are read strictly
-	since := g.now - s.RetryBudgetWindow
-	g.retryBudget.receivedAt, g.retryBudget.retriedAt = dropUntil(g.retryBudget.receivedAt, since+slack), dropUntil(g.retryBudget.retriedAt, since-slack-1)
-	return float64(len(g.retryBudget.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(g.retryBudget.receivedAt))
+// expire forgets what is older than the window. Both ends of the window are read strictly, by a timer
+// interval: a request counts for less long than a retry.
+func (b *retryBudget) expire(now, window Micros) {
+	start := now - window
+	b.receivedAt = dropUntil(b.receivedAt, start+timerMicros)
+	b.retriedAt = dropUntil(b.retriedAt, start-timerMicros-1)
 }
 
 // dropUntil drops the leading times up to and including at.
@@ -38,37 +34,97 @@
 	return times
 }
 
+// withinRetryBudget says whether one more retry is within the retry budget.
+func (g *Gateway) withinRetryBudget() bool {
+	s, b := &g.settings, &g.retryBudget
+	if s.RetryBudgetWindow == 0 {
+		return true
+	}
+	b.expire(g.now, s.RetryBudgetWindow)
+	return float64(len(b.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(b.receivedAt))
+}
+
+// mayStartAttempt says whether another attempt of the request is within the rules now.
+func (g *Gateway) mayStartAttempt(q *request) bool {
+	c := q.class
+	if q.done || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
+		return false
+	}
+	if q.ordered() && !g.keyOrders[q.OrderKey].isNext(q, g.now) {
+		return false
+	}
+	if len(q.attempts) == 0 {
+		return true
+	}
+	if q.openAttempts > 0 && !g.settings.AllowHedging ||
+		c.Effect == NonIdempotent && (q.openAttempts > 0 || q.firstRan != nil) ||
+		c.Effect == IdempotentByKey && q.firstRan != nil && g.now >= q.firstRan.sentAt+c.DedupWindow {
+		return false
+	}
+	return g.withinRetryBudget()
+}
+
+// overdueCheck is how an attempt compares with its expectation, in seconds.
+type overdueCheck struct {
+	expected float64 // what the attempt should take by estimate and latency inflation
+	took     float64 // age, or the time projected by its progress
+	remains  float64 // until the final answer has to be given
+	overdue  bool
+	hopeless bool // at its pace it ends too late
+}
+
+// compareWithExpected judges an attempt of an age in seconds. A progress report that time has proven
+// wrong does not count any more.
+func (g *Gateway) compareWithExpected(a *attempt, age float64) overdueCheck {
+	q, c := a.request, a.request.class
+	inflation := max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)
+	expected := max(q.work/c.threads*math.Exp(inflation), q.observedTime)
+	k := overdueCheck{expected: expected, took: age, remains: seconds(q.Deadline - g.deadlineGuard() - g.now),
+		overdue: age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expected}
+	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime {
+		k.took = a.projectedTime
+		k.overdue = a.projectedTime > overdueFactor*expected && a.projectedTime-age > minRestartGain*expected
+		k.hopeless = !k.overdue && a.projectedTime-age > minRestartGain*k.remains
+	}
+	return k
+}
+
 // checkOverdue restarts an attempt with a bad plan or a dead endpoint while a retry can still earn the
 // weight and the budget allows it. Estimates are rough, and a restart does not shorten a query: the time
 // that a cancelled attempt has shown is what the next one may take.
 func (g *Gateway) checkOverdue(a *attempt) {
-	age, q, c := g.secondsSince(a.sentAt), a.request, a.request.class
+	age, q := g.secondsSince(a.sentAt), a.request
 	lost := a.endpoint.ejected && age > minUnresponsive && age > overdueFactor*a.expectedTime
-	expect := max(q.work/c.threads*math.Exp(max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)), q.observedTime)
-	left := float64(q.Deadline-g.deadlineGuard()-g.now) / microsPerSecond
-	took, bad := age, age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expect
-	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime { // a note that time has proven wrong holds no longer
-		took, bad = a.projectedTime, a.projectedTime > overdueFactor*expect && a.projectedTime-age > minRestartGain*expect
-		if !bad && a.projectedTime-age > minRestartGain*left && g.settings.CanCancel { // at its pace it earns nothing any more
-			g.shedOrFail(q)
-			return
-		}
+	k := g.compareWithExpected(a, age)
+	if k.hopeless && g.settings.CanCancel {
+		g.shedOrFail(q)
+		return
 	}
-	if !lost && (!bad || age < minOverdueAge) || a.waiting {
+	if !lost && (!k.overdue || age < minOverdueAge) || a.waiting || !g.mayRestart(q, k.remains) || !g.cancelAttempt(a) {
 		return
 	}
-	enough := len(q.attempts) >= g.settings.MaxAttempts || c.Effect == NonIdempotent || !g.withinRetryBudget()
-	if !enough && !q.restarting && left >= c.serviceTime(q.work) && g.cancelAttempt(a) {
-		q.restarting = true
-		// It would have taken longer still: else a crowd is learned from its quick answers alone.
-		x := math.Log(age * c.threads / max(q.work, 1e-4))
-		c.recordDispersion(x, maxLogInflation, medianStep)
-		g.recordInflation(a.endpoint, max(0, min(maxLogInflation, x)), inflationSmoothing, rareInflationSmoothing, reportLifetime, fleetInflationStep)
-		if bad && !lost {
-			q.observedTime = took * observedTimeShare
-		}
-		if a.sentAt >= a.endpoint.lastResponse { // a restart must not hide that nothing comes from there
-			a.endpoint.cancelledUnanswered++
-		}
+	q.restarting = true
+	g.learnFromCancelled(a, age)
+	if k.overdue && !lost {
+		q.observedTime = k.took * observedTimeShare
+	}
+}
+
+// mayRestart says whether a request may be sent again in place of an overdue attempt, where so many
+// seconds remain.
+func (g *Gateway) mayRestart(q *request, remains float64) bool {
+	exhausted := len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent || !g.withinRetryBudget()
+	return !exhausted && !q.restarting && remains >= q.class.serviceTime(q.work)
+}
+
+// learnFromCancelled counts the age of a cancelled attempt as its time: it would have taken longer
+// still, and congestion must not be learned from quick answers alone.
+func (g *Gateway) learnFromCancelled(a *attempt, age float64) {
+	c, e := a.request.class, a.endpoint
+	x := math.Log(age * c.threads / max(a.request.work, minSeconds))
+	c.recordDispersion(x)
+	g.recordInflation(e, max(0, min(maxLogInflation, x)), fleetInflationStep)
+	if a.sentAt >= e.lastResponse { // a restart must not hide that the endpoint does not respond
+		e.cancelledUnanswered++
 	}
 }
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -16,7 +16,7 @@
 // endpoints answer health checks it draws twice, checks both while own traffic pays for that, and takes the
 // better one when the reports are in: otherwise a gateway with little traffic knows the load of none.
 func (g *Gateway) pickEndpoint(q *request) *endpoint {
-	if g.awaitsHealthCheck(q, healthCheckTimeout) || !g.mayStartAttempt(q) {
+	if g.awaitsHealthCheck(q) || !g.mayStartAttempt(q) {
 		return nil
 	}
 	weights, total := make([]float64, len(g.endpoints.list)), 0.0
@@ -26,13 +26,13 @@
 			total += weights[i]
 		}
 	}
-	if total <= 0 { // what is taken to be full may not be so any more
+	if total <= 0 { // an endpoint taken to be full may have capacity again
 		if e := g.anyEndpoint(); e != nil && g.isEligible(q, e) && g.mayCheckHealth(q, e) {
 			g.startHealthChecks(q, e)
 		}
 		return nil
 	}
-	if best := g.bestEndpoint(weights, q.candidates); best != nil { // the answers are in, or late
+	if best := g.bestCandidate(weights, q.candidates); best != nil { // the reports are in, or late
 		return best
 	}
 	e := g.drawEndpoint(weights, total)
@@ -52,35 +52,29 @@
 		c.Kinds != nil && !slices.Contains(c.Kinds, e.Kind) {
 		return false
 	}
-	if c.Effect != IdempotentByKey || q.firstRan == nil || c.DedupScope == DedupFleet {
+	if c.Effect != IdempotentByKey || q.firstRan == nil {
 		return true
 	}
-	return c.DedupScope == DedupZone && e.Zone == q.firstRan.endpoint.Zone || c.DedupScope == DedupPlacementGroup && e.PlacementGroup == q.firstRan.endpoint.PlacementGroup
+	return c.DedupScope.contains(q.firstRan.endpoint, e)
 }
 
-// mayStartAttempt says whether another attempt of the request is within the rules now.
-func (g *Gateway) mayStartAttempt(q *request) bool {
-	c := q.class
-	if q.done || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
-		return false
-	}
-	if c.Ordered && q.HasOrderKey && !g.keyOrders[q.OrderKey].isNext(q, g.now) {
-		return false
-	}
-	if len(q.attempts) == 0 {
+// contains says whether two endpoints share the deduplication of idempotency keys.
+func (s DedupScope) contains(a, b *endpoint) bool {
+	switch s {
+	case DedupFleet:
 		return true
+	case DedupZone:
+		return a.Zone == b.Zone
+	default:
+		return a.PlacementGroup == b.PlacementGroup
 	}
-	if q.openAttempts > 0 && !g.settings.AllowHedging || c.Effect == NonIdempotent && (q.openAttempts > 0 || q.firstRan != nil) ||
-		c.Effect == IdempotentByKey && q.firstRan != nil && g.now >= q.firstRan.sentAt+c.DedupWindow {
-		return false
-	}
-	return g.withinRetryBudget()
 }
 
-// drawWeight is an endpoint's weight in the draw: free utilization, cores, speed, zone, warm data, table
-// locks.
+// drawWeight is an endpoint's weight in the draw: free utilization, cores, speed, zone, cached tables, table
+// locks. An endpoint tried before is drawn only where there is hardly another.
 func (g *Gateway) drawWeight(q *request, e *endpoint) float64 {
-	w := math.Pow(max(minDrawShare, 1-g.utilization(e)/maxCapacity), utilizationExponent) * e.cores * math.Pow(g.relativeSpeed(e), 2)
+	free := max(minDrawShare, 1-g.utilization(e)/maxCapacity)
+	w := math.Pow(free, utilizationExponent) * e.cores * math.Pow(g.relativeSpeed(e), 2)
 	if e.Zone == g.settings.Zone {
 		w *= localZoneWeight
 	}
@@ -93,7 +87,7 @@
 	if q.class.WaitsForTables && g.inAffinitySubset(q.TableGroup, e) {
 		w *= lockedTablesWeight
 	}
-	for _, a := range q.attempts { // another try goes elsewhere if it can
+	for _, a := range q.attempts {
 		if a.endpoint == e {
 			w *= minDrawShare
 		}
@@ -101,7 +95,7 @@
 	return w
 }
 
-// drawEndpoint draws an endpoint by weight.
+// drawEndpoint draws an endpoint by weight; total is the sum of the weights.
 func (g *Gateway) drawEndpoint(weights []float64, total float64) *endpoint {
 	x, last := g.rng.Float64()*total, 0
 	for i, w := range weights {
@@ -115,12 +109,12 @@
 	return g.endpoints.list[last]
 }
 
-// bestEndpoint is the candidate of highest weight; nil if none has any.
-func (g *Gateway) bestEndpoint(weights []float64, of []*endpoint) (best *endpoint) {
-	most := 0.0
+// bestCandidate is the candidate of highest weight; nil if none has any.
+func (g *Gateway) bestCandidate(weights []float64, candidates []*endpoint) (best *endpoint) {
+	maxWeight := 0.0
 	for i, e := range g.endpoints.list {
-		if weights[i] > most && slices.Contains(of, e) {
-			best, most = e, weights[i]
+		if weights[i] > maxWeight && slices.Contains(candidates, e) {
+			best, maxWeight = e, weights[i]
 		}
 	}
 	return best
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -12,8 +12,8 @@
 
 // workBudget is the work of one class that may still be sent to a starting endpoint.
 type workBudget struct {
-	updatedAt Micros // when it was last reckoned
-	seconds   float64
+	updatedAt Micros  // last refill
+	seconds   float64 // of work; below zero: none now
 }
 
 // slowStartBudget is the budget of a class, of so many classes.
@@ -35,18 +35,19 @@
 		e.slowStartSince, e.slowStart = 0, nil
 		return true
 	}
-	s := e.slowStartBudget(q.Class, len(g.classes))
+	budget := e.slowStartBudget(q.Class, len(g.classes))
 	rate := g.slowStartRate(e)
-	if s.updatedAt < e.slowStartSince {
-		s.updatedAt, s.seconds = g.now, -g.rng.Float64()*g.slowStartCharge(q.class, rate)
+	if budget.updatedAt < e.slowStartSince {
+		budget.updatedAt, budget.seconds = g.now, -g.rng.Float64()*g.slowStartCharge(q.class, rate)
 	}
-	part := g.traffic.share
-	if len(g.gossip.reports) == 0 { // what cannot be compared with others' is no more than an equal part
-		part = 1 / float64(g.settings.Peers)
+	share := g.traffic.share
+	if len(g.gossip.reports) == 0 { // not comparable with others: no more than an equal share
+		share = 1 / float64(g.settings.Peers)
 	}
-	fills := rate * (1 - chernoffExponent/chernoffTilt) * part * g.demandShare(q.class)
-	s.updatedAt, s.seconds = g.now, min(0, s.seconds+fills*g.secondsSince(s.updatedAt))
-	return s.seconds >= 0
+	refill := rate * (1 - chernoffExponent/chernoffTilt) * share * g.demandShare(q.class)
+	budget.seconds = min(0, budget.seconds+refill*g.secondsSince(budget.updatedAt))
+	budget.updatedAt = g.now
+	return budget.seconds >= 0
 }
 
 // slowStartRate is the work a second that a starting endpoint bears from all gateways.
@@ -65,9 +66,9 @@
 
 // demandShare is a class's share of the work requested.
 func (g *Gateway) demandShare(c *class) float64 {
-	all := 0.0
+	total := 0.0
 	for i := range g.classes {
-		all += g.classes[i].received * g.classes[i].usualWork.value
+		total += g.classes[i].received * g.classes[i].usualWork.value
 	}
-	return c.received * c.usualWork.value / max(all, 1e-9)
+	return c.received * c.usualWork.value / max(total, 1e-9)
 }
--- a/policy/table_affinity.go
+++ b/policy/table_affinity.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Table affinity: loads lock their table group on an endpoint; queries that have read a group find it cached.
+// Table affinity: loads lock their table group on an endpoint; queries find a group read lately in its cache.
 const (
 	lockedTablesWeight = 0.1 // weight of endpoints where a load locks the group, for classes that wait
 	affinityShare      = 0.5 // share of the endpoints that take the loads of one group
@@ -72,21 +72,21 @@
 // groupCode is the wire form of a table group, never 0.
 func groupCode(tables int64) byte { return byte(uint64(tables)%255) + 1 }
 
-// recordRead marks a table group as the one read last; the endpoint caches maxGroups of them.
-func (e *endpoint) recordRead(tables int64, keep int) {
+// recordRead marks a table group as the one read last; the endpoint caches maxWarmGroups of them.
+func (e *endpoint) recordRead(tables int64) {
 	e.warmGroups = slices.DeleteFunc(e.warmGroups, func(t int64) bool { return t == tables })
 	e.warmGroups = slices.Insert(e.warmGroups, 0, tables)
-	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), keep)]
+	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), maxWarmGroups)]
 }
 
 // warmthEffect is the mean log latency inflation of answers whose table group was not cached, and was.
 type warmthEffect struct{ inflation [2]float64 }
 
-// recordWarmth learns the log inflation x of an answer, by whether its group was cached.
-func (g *Gateway) recordWarmth(warm bool, x, step float64) {
+// record takes the log inflation x of an answer, by whether its group was cached.
+func (w *warmthEffect) record(warm bool, x float64) {
 	i := 0
 	if warm {
 		i = 1
 	}
-	g.warmth.inflation[i] += (x - g.warmth.inflation[i]) * step
+	w.inflation[i] += (x - w.inflation[i]) * meanSmoothing
 }
--- a/policy/toll_test.go
+++ b/policy/toll_test.go
@@ -27,7 +27,7 @@
 	g.threads[1] = 4
 	g.schedule.pricedAt = b.now - sec
 	g.now = b.now
-	g.updatePrices()
+	g.updateEstimates()
 	rate := 3 * rateSmoothing // smoothed from zero
 	delta := 10.0 / 15
 	// At level 1 and below only class 0's wait at level 1 carries a rate; u = 4 of 8 cores.
@@ -37,7 +37,7 @@
 	near(t, "toll at level 2: nothing admitted at or below", c.price[2], 0)
 	near(t, "rate", c.admittedRate[1], rate)
 	g.now += sec
-	g.updatePrices()
+	g.updateEstimates()
 	near(t, "a wait without fresh outcomes halves", c.queueWait[1], 0.25)
 }
 
@@ -50,7 +50,7 @@
 	c.meanWork.value, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
 	g.threads[0] = 80
 	g.schedule.pricedAt, g.now = b.now-sec, b.now
-	g.updatePrices()
+	g.updateEstimates()
 	near(t, "toll at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
 }
 
