--- a/policy/admission.go
+++ b/policy/admission.go
@@ -76,7 +76,8 @@
 		q.weight < g.queue.price*delay {
 		return false
 	}
-	return g.threadsInFlight()+q.class.threads <= g.coreShare() || e != nil && g.utilization(e) < freeCoreUtilization
+	return g.threadsInFlight()+q.class.threads <= g.coreShare() ||
+		e != nil && g.utilization(e) < freeCoreUtilization
 }
 
 // earnedWeight is the value of an answer at a time: the full weight within the objective, LateWeight of
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -36,7 +36,9 @@
 // byWeight is the queued requests, highest weight for their work first.
 func (u *admissionQueue) byWeight() []*request {
 	sorted := slices.Clone(u.requests)
-	slices.SortStableFunc(sorted, func(a, b *request) int { return cmp.Compare(b.weight/b.work, a.weight/a.work) })
+	slices.SortStableFunc(sorted, func(a, b *request) int {
+		return cmp.Compare(b.weight/b.work, a.weight/a.work)
+	})
 	return sorted
 }
 
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -135,7 +135,7 @@
 	if r.Final && !q.done {
 		g.endRequest(q)
 	}
-	if q.done && q.openAttempts == 0 {
+	if q.ended() {
 		delete(g.ledger.requests, q.ID)
 	}
 	if q.done || q.openAttempts > 0 {
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -82,7 +82,8 @@
 		return false
 	}
 	threads, grantedMB := g.peerLoad(e)
-	if len(g.gossip.reports) > 0 && !g.mayClaim(q, e, threads, max(0, capacity-threads-e.threads+e.claimedThreads)) {
+	free := max(0, capacity-threads-e.threads+e.claimedThreads)
+	if len(g.gossip.reports) > 0 && !g.mayClaim(q, e, threads, free) {
 		return false
 	}
 	grantedMB += e.grantedMB
@@ -114,9 +115,9 @@
 // gossip see the same free capacity and would fill it several times over.
 func (g *Gateway) mayClaim(q *request, e *endpoint, peerThreads, free float64) bool {
 	if g.queries.latency.value > 0 {
-		threads := peerThreads + e.threads
-		ended := threads / g.queries.threads / g.queries.latency.value * g.queries.sentThreads.value // a second
-		free += ended * min(g.secondsSince(e.reportArrivedAt), reportLifetime)
+		queries := (peerThreads + e.threads) / g.queries.threads
+		endedPerSecond := queries / g.queries.latency.value * g.queries.sentThreads.value
+		free += endedPerSecond * min(g.secondsSince(e.reportArrivedAt), reportLifetime)
 	}
 	share := g.trafficShare()
 	claim := share / (share + (1-share)*(1-g.fleet.peerCoverage))
--- a/policy/change.go
+++ b/policy/change.go
@@ -17,8 +17,8 @@
 		return err
 	}
 	if len(classes) != len(s.Classes) || len(tenants) != len(s.Tenants) {
-		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d", len(classes),
-			len(tenants), len(s.Classes), len(s.Tenants))
+		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d",
+			len(classes), len(tenants), len(s.Classes), len(s.Tenants))
 	}
 	if len(s.Kinds) < len(g.settings.Kinds) {
 		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.settings.Kinds))
@@ -31,52 +31,48 @@
 	if err != nil {
 		return err
 	}
-	open := slices.DeleteFunc(slices.Clone(g.ledger.active), func(q *request) bool { return q.done && q.openAttempts == 0 })
+	open := slices.DeleteFunc(slices.Clone(g.ledger.active), (*request).ended)
 	for _, q := range open {
 		if newClass[q.Class] < 0 {
 			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
 		}
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
-	old := g.classes
-	g.ledger.active = open
-	g.settings, g.classes = s, make([]class, len(s.Classes))
-	for i, c := range s.Classes {
-		fresh := class{threads: float64(max(c.Threads, 1)), grantMargin: old[0].grantMargin}
-		if from := classes[i]; from >= 0 {
-			fresh = old[from]
-			fresh.threads = float64(max(c.Threads, 1))
-		}
-		fresh.Class = c
-		g.classes[i] = fresh
-	}
+	g.settings, g.ledger.active = s, open
+	g.replaceClasses(classes)
 	for _, q := range open {
 		q.Class = newClass[q.Class]
-		if now := &g.classes[q.Class]; sameRules(q.class.Class, now.Class) {
-			q.class = now
+		if c := &g.classes[q.Class]; sameRules(q.class.Class, c.Class) {
+			q.class = c
 		}
 		q.Tenant = renumber(newTenant, q.Tenant)
 	}
-	g.renumberTenants(tenants)
+	g.replaceTenants(tenants)
 	for _, e := range g.endpoints.byID { // each by itself: the order does not matter
-		if e.Kind >= 0 && e.Kind < len(s.Kinds) {
-			e.cores, e.memoryMB = float64(max(s.Kinds[e.Kind].Cores, 1)), s.Kinds[e.Kind].MemoryMB
-		}
-		if cold := e.slowStart; cold != nil {
-			e.slowStart = make([]workBudget, len(classes))
-			for i, from := range classes {
-				if from >= 0 && from < len(cold) {
-					e.slowStart[i] = cold[from]
-				}
-			}
-		}
+		e.resize(s.Kinds)
+		e.renumberSlowStart(classes)
 	}
 	g.congestion.slack = g.objectiveSlack()
 	return nil
 }
 
-// renumberTenants carries the traffic of tenants over.
-func (g *Gateway) renumberTenants(from []int) {
+// replaceClasses puts the classes of the settings in force; each continues what was learned of an old one,
+// or begins with a common grant margin.
+func (g *Gateway) replaceClasses(from []int) {
+	old := g.classes
+	g.classes = make([]class, len(from))
+	for i, c := range g.settings.Classes {
+		next := class{grantMargin: old[0].grantMargin}
+		if from[i] >= 0 {
+			next = old[from[i]]
+		}
+		next.threads, next.Class = float64(max(c.Threads, 1)), c
+		g.classes[i] = next
+	}
+}
+
+// replaceTenants puts the tenants of the settings in force; each continues the traffic of an old one.
+func (g *Gateway) replaceTenants(from []int) {
 	old := g.traffic.tenants
 	g.traffic.tenants = make([]tenant, len(from))
 	for i, f := range from {
@@ -87,11 +83,26 @@
 	}
 }
 
+// renumberSlowStart carries the budgets of an endpoint that has just started over to the new classes.
+func (e *endpoint) renumberSlowStart(from []int) {
+	old := e.slowStart
+	if old == nil {
+		return
+	}
+	e.slowStart = make([]workBudget, len(from))
+	for i, f := range from {
+		if f >= 0 && f < len(old) {
+			e.slowStart[i] = old[f]
+		}
+	}
+}
+
 // sameRules says that an open request may continue under a class's new form: all that the ledgers count is
 // equal.
 func sameRules(a, b Class) bool {
-	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow &&
-		a.Ordered == b.Ordered && a.LocksTables == b.LocksTables && a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
+	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope &&
+		a.DedupWindow == b.DedupWindow && a.Ordered == b.Ordered && a.LocksTables == b.LocksTables &&
+		a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
@@ -105,7 +116,8 @@
 		switch {
 		case f < 0:
 		case f >= old || out[f] >= 0:
-			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already", field, i, f)
+			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already",
+				field, i, f)
 		default:
 			out[f] = i
 		}
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -18,46 +18,53 @@
 // endpoint is what is known of one endpoint.
 type endpoint struct {
 	Endpoint
-	wireID                      uint32 // short name in messages to peers
-	cores, memoryMB             float64
-	attempts                    []*attempt
-	threads                     float64 // own, in flight
-	grantedMB                   float64 // own grants, in MB
-	load                        Load
-	loadAt                      Micros  // when the report last changed, here or at a peer; 0: never heard
-	unreportedThreads           float64 // own threads sent since then
-	unreportedMB                float64 // own grants sent since then, in MB
-	gossipedThreads, gossipedMB float64 // threads and grants that peers have there, by their word
-	reportArrivedAt             Micros  // when news of it last came
-	claimedThreads              float64 // threads sent since then
-	claimDraw                   float64 // chance drawn with each report, see hasCapacity
-	inflation                   float64 // mean log stretch
-	faultShare                  float64 // recent share of faults
-	lastInflation               float64 // log stretch of the last answer, here or at a peer
-	lastWasFault                bool    // that one was a fault
-	lastResponse                Micros  // last answer, here or at a peer
-	resetAt                     Micros  // last broken connection here
-	cancelledUnanswered         float64 // attempts called off since
-	ejected                     bool
-	nextTrialAt                 Micros
-	slowStartSince              Micros
-	restartGuessedAt            Micros          // when it seemed to have ended, without word of the list; 0: it did not
-	slowStartBefore             Micros          // slowStartSince before that
-	drainUntil                  Micros          // what has its state there may be sent until then, while it drains
-	slowStart                   []workBudget    // for each class, while cold
-	warmGroups                  []int64         // groups read last, newest first
-	healthCheckAt               Micros          // last probe
-	healthCheckPending          bool            // that one has not answered yet
-	tableLocks                  map[byte]Micros // groups that loads hold there, by when last seen; looked up only
+	wireID          uint32 // name in gossip
+	cores, memoryMB float64
+
+	attempts  []*attempt // own, in flight
+	threads   float64    // of those
+	grantedMB float64    // of those
+
+	load              Load    // last report, ours or gossiped
+	loadAt            Micros  // its time; 0: there was none
+	unreportedThreads float64 // own threads sent since
+	unreportedMB      float64 // own grants sent since
+	gossipedThreads   float64 // of peers' attempts
+	gossipedMB        float64 // of peers' attempts
+
+	reportArrivedAt Micros  // arrival of the last report, or renewal of claims, see mayClaim
+	claimedThreads  float64 // own threads sent since
+	claimDraw       float64 // drawn then, from 0 to 1
+
+	lastResponse        Micros  // ours or gossiped
+	lastInflation       float64 // log latency inflation of that
+	lastWasFault        bool
+	inflation           float64 // mean log latency inflation
+	faultShare          float64 // recent
+	cancelledUnanswered float64 // overdue attempts cancelled since the last response
+	ejected             bool
+	nextTrialAt         Micros // while ejected
+
+	slowStartSince   Micros       // 0: no slow start
+	slowStart        []workBudget // for each class, during slow start
+	slowStartBefore  Micros       // slowStartSince before a guessed restart
+	restartGuessedAt Micros       // seemed to restart then, the list does not say so; 0: did not
+	resetAt          Micros       // last broken connection here
+	drainUntil       Micros       // while draining, sticky requests may be sent until then
+
+	warmGroups         []int64         // table groups read last, newest first
+	tableLocks         map[byte]Micros // when loads of a group were seen last; looked up only
+	healthCheckAt      Micros          // last health check
+	healthCheckPending bool            // that has not answered yet
 }
 
 // handleEndpointUpdate takes a watch event of the endpoint list.
-func (g *Gateway) handleEndpointUpdate(l EndpointUpdate) {
-	if l.Failed {
+func (g *Gateway) handleEndpointUpdate(u EndpointUpdate) {
+	if u.Failed {
 		g.schedule.pollAt = min(g.schedule.pollAt, g.now+toMicros(minPollInterval))
 	}
-	g.markRemoved(l)
-	for _, r := range l.Endpoints {
+	g.endpoints.markRemoved(u)
+	for _, r := range u.Endpoints {
 		e := g.endpoints.byID[r.ID]
 		if e == nil {
 			e = g.addEndpoint(r)
@@ -72,32 +79,32 @@
 		}
 		e.Endpoint = r
 	}
-	g.sortEndpoints()
+	g.endpoints.sort()
 	g.summarizeFleet(1)
 }
 
 // markRemoved marks the endpoints that a complete list does not contain as removed.
-func (g *Gateway) markRemoved(l EndpointUpdate) {
-	for _, e := range g.endpoints.list {
-		if l.Complete && !slices.ContainsFunc(l.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
+func (t *endpointTable) markRemoved(u EndpointUpdate) {
+	for _, e := range t.list {
+		if u.Complete && !slices.ContainsFunc(u.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
 			e.State = Removed
 		}
 	}
 }
 
-// sortEndpoints lists the endpoints that are not removed, by ID. Removed ones are forgotten once no attempt
+// sort lists the endpoints that are not removed, by ID. Removed ones are forgotten once no attempt
 // is in flight there.
-func (g *Gateway) sortEndpoints() {
-	clear(g.endpoints.list)
-	g.endpoints.list = g.endpoints.list[:0]
-	for _, id := range slices.Sorted(maps.Keys(g.endpoints.byID)) {
-		switch e := g.endpoints.byID[id]; {
+func (t *endpointTable) sort() {
+	clear(t.list)
+	t.list = t.list[:0]
+	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
+		switch e := t.byID[id]; {
 		case e.State != Removed:
-			g.endpoints.list = append(g.endpoints.list, e)
+			t.list = append(t.list, e)
 		case len(e.attempts) == 0:
-			delete(g.endpoints.byID, id)
-			if g.endpoints.byWireID[e.wireID] == e {
-				delete(g.endpoints.byWireID, e.wireID)
+			delete(t.byID, id)
+			if t.byWireID[e.wireID] == e {
+				delete(t.byWireID, e.wireID)
 			}
 		}
 	}
@@ -105,10 +112,16 @@
 
 // addEndpoint registers a new endpoint.
 func (g *Gateway) addEndpoint(r Endpoint) *endpoint {
-	e := &endpoint{Endpoint: r, cores: 1, lastResponse: g.now, wireID: wireID(r.ID), tableLocks: map[byte]Micros{}}
-	if r.Kind >= 0 && r.Kind < len(g.settings.Kinds) {
-		e.cores, e.memoryMB = float64(max(g.settings.Kinds[r.Kind].Cores, 1)), g.settings.Kinds[r.Kind].MemoryMB
-	}
+	e := &endpoint{Endpoint: r, wireID: wireID(r.ID), cores: 1, lastResponse: g.now,
+		tableLocks: map[byte]Micros{}}
+	e.resize(g.settings.Kinds)
 	g.endpoints.byID[r.ID], g.endpoints.byWireID[e.wireID] = e, e
 	return e
 }
+
+// resize takes the size of an endpoint from its kind of machine, where that is known.
+func (e *endpoint) resize(kinds []Kind) {
+	if e.Kind >= 0 && e.Kind < len(kinds) {
+		e.cores, e.memoryMB = float64(max(kinds[e.Kind].Cores, 1)), kinds[e.Kind].MemoryMB
+	}
+}
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -100,7 +100,8 @@
 		e.tableLocks[r.lockedGroup] = max(at, e.tableLocks[r.lockedGroup])
 	}
 	if r.utilization >= 0 && at > e.loadAt {
-		g.recordLoad(e, Load{Util: r.utilization, InFlight: r.inFlight, Queue: -1, Memory: r.memory, Disk: -1}, at)
+		load := Load{Util: r.utilization, InFlight: r.inFlight, Queue: -1, Memory: r.memory, Disk: -1}
+		g.recordLoad(e, load, at)
 	}
 	if at <= e.lastResponse || at <= e.slowStartSince {
 		return
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -39,7 +39,8 @@
 	if q.work < g.queries.work.value {
 		price = lightHealthCheckCredit
 	}
-	return g.settings.CanHealthCheck && len(q.attempts) == 0 && g.healthChecks.credit >= price && g.loadIsStale(e)
+	return g.settings.CanHealthCheck && len(q.attempts) == 0 &&
+		g.healthChecks.credit >= price && g.loadIsStale(e)
 }
 
 // loadIsStale says that an endpoint's load report is worth refreshing and no health check was sent lately.
--- a/policy/key_order.go
+++ b/policy/key_order.go
@@ -15,7 +15,8 @@
 // isNext says that a request is first in its key's queue, and that no attempt of another is in flight or
 // may still run.
 func (o *keyOrder) isNext(q *request, now Micros) bool {
-	return o.queue[0] == q && o.openAttempts <= q.openAttempts && (now >= o.pausedUntil || len(q.attempts) > 0)
+	return o.queue[0] == q && o.openAttempts <= q.openAttempts &&
+		(now >= o.pausedUntil || len(q.attempts) > 0)
 }
 
 // join appends a request to its key's queue, where it is ordered.
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -61,17 +61,31 @@
 	Faults  float64 `json:"Faults"`
 }
 
+// stored and restored are a running estimate's stored form, and back.
+func (m runningMean) stored() Running   { return Running{m.value, m.count} }
+func (m runningMedian) stored() Running { return Running{m.value, m.count} }
+func (r Running) mean() runningMean     { return runningMean{r.Value, r.Count} }
+func (r Running) median() runningMedian { return runningMedian{r.Value, r.Count} }
+func (f *powerFit) stored() [5]float64  { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
+func restoredFit(v [5]float64) powerFit { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
+
 // Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
-	run := func(a runningMean) Running { return Running{a.value, a.count} }
-	rank := func(q runningMedian) Running { return Running{q.value, q.count} }
-	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.warmth.inflation, Threads: g.queries.threads, Rate: g.traffic.rate, MeanRate: g.traffic.meanRate,
-		GrantMB: g.queries.grantMB, SentThreads: run(g.queries.sentThreads), Latency: run(g.queries.latency), Cost: run(g.queries.work), Inflation: rank(g.congestion.inflation), Capacity: g.congestion.capacity, InFlight: g.queries.inFlight}}
+	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{
+		WarmthInflation: g.warmth.inflation,
+		Threads:         g.queries.threads,
+		Rate:            g.traffic.rate,
+		MeanRate:        g.traffic.meanRate,
+		GrantMB:         g.queries.grantMB,
+		SentThreads:     g.queries.sentThreads.stored(),
+		Latency:         g.queries.latency.stored(),
+		Cost:            g.queries.work.stored(),
+		Inflation:       g.congestion.inflation.stored(),
+		Capacity:        g.congestion.capacity,
+		InFlight:        g.queries.inFlight,
+	}}
 	for i := range g.classes {
-		c := &g.classes[i]
-		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.meanWork), UsualWork: run(c.usualWork), EstimateMedian: rank(c.estimateMedian), Ratio: rank(c.latencyRatio),
-			Memory: rank(c.memoryMedian), Received: c.received, Dispersion: c.dispersion, DispersionCount: c.dispersionCount, Margin: c.grantMargin,
-			Fit: [5]float64{c.workFit.count, c.workFit.meanX, c.workFit.meanY, c.workFit.varX, c.workFit.covXY}, Price: c.price, QueueWait: c.queueWait})
+		l.Classes = append(l.Classes, g.classes[i].learned())
 	}
 	for _, e := range g.endpoints.list {
 		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.inflation, e.faultShare})
@@ -79,6 +93,41 @@
 	return l
 }
 
+// learned is the stored form of what was learned of a class.
+func (c *class) learned() LearnedClass {
+	return LearnedClass{
+		Name:            c.Name,
+		Mean:            c.meanWork.stored(),
+		UsualWork:       c.usualWork.stored(),
+		EstimateMedian:  c.estimateMedian.stored(),
+		Ratio:           c.latencyRatio.stored(),
+		Memory:          c.memoryMedian.stored(),
+		Received:        c.received,
+		Dispersion:      c.dispersion,
+		DispersionCount: c.dispersionCount,
+		Margin:          c.grantMargin,
+		Fit:             c.workFit.stored(),
+		Price:           c.price,
+		QueueWait:       c.queueWait,
+	}
+}
+
+// restore takes what was learned of a class; prices and waits only where they still hold.
+func (c *class) restore(l LearnedClass, fresh bool) {
+	c.meanWork = l.Mean.mean()
+	c.usualWork = l.UsualWork.mean()
+	c.estimateMedian = l.EstimateMedian.median()
+	c.latencyRatio = l.Ratio.median()
+	c.memoryMedian = l.Memory.median()
+	c.received = l.Received
+	c.dispersion, c.dispersionCount = l.Dispersion, l.DispersionCount
+	c.grantMargin = l.Margin
+	c.workFit = restoredFit(l.Fit)
+	if fresh {
+		c.price, c.queueWait = l.Price, l.QueueWait
+	}
+}
+
 // Restore takes what another gateway has learned. Classes of the same name are always restored; prices and
 // waits, the state of the fleet and of single endpoints only where fresh says that they still hold. It must
 // precede the first Step.
@@ -89,28 +138,24 @@
 	if l.Version != LearnedVersion {
 		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
-	run := func(r Running) runningMean { return runningMean{value: r.Value, count: r.Count} }
-	rank := func(r Running) runningMedian { return runningMedian{r.Value, r.Count} }
-	for _, k := range l.Classes {
+	for _, learned := range l.Classes {
 		for i := range g.classes {
-			c := &g.classes[i]
-			if c.Name != k.Name {
-				continue
-			}
-			c.meanWork, c.usualWork, c.estimateMedian, c.latencyRatio, c.memoryMedian = run(k.Mean), run(k.UsualWork), rank(k.EstimateMedian), rank(k.Ratio), rank(k.Memory)
-			c.received, c.dispersion, c.dispersionCount, c.grantMargin = k.Received, k.Dispersion, k.DispersionCount, k.Margin
-			c.workFit = powerFit{k.Fit[0], k.Fit[1], k.Fit[2], k.Fit[3], k.Fit[4]}
-			if fresh {
-				c.price, c.queueWait = k.Price, k.QueueWait
+			if c := &g.classes[i]; c.Name == learned.Name {
+				c.restore(learned, fresh)
 			}
 		}
 	}
 	f := l.Fleet
-	g.warmth.inflation, g.queries.threads, g.queries.sentThreads, g.queries.latency, g.queries.work, g.queries.grantMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
+	g.warmth.inflation = f.WarmthInflation
+	g.queries.threads, g.queries.grantMB = f.Threads, f.GrantMB
+	g.queries.sentThreads, g.queries.latency = f.SentThreads.mean(), f.Latency.mean()
+	g.queries.work = f.Cost.mean()
 	if !fresh {
 		return nil
 	}
-	g.traffic.rate, g.traffic.meanRate, g.congestion.inflation, g.congestion.capacity, g.queries.inFlight = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
+	g.traffic.rate, g.traffic.meanRate = f.Rate, f.MeanRate
+	g.congestion.inflation, g.congestion.capacity = f.Inflation.median(), f.Capacity
+	g.queries.inFlight = f.InFlight
 	g.restored = map[string]LearnedEndpoint{}
 	for _, e := range l.Endpoints {
 		g.restored[e.ID] = e
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -47,7 +47,7 @@
 			}
 		}
 	}
-	g.ledger.active = slices.DeleteFunc(g.ledger.active, func(q *request) bool { return q.done && q.openAttempts == 0 })
+	g.ledger.active = slices.DeleteFunc(g.ledger.active, (*request).ended)
 }
 
 // updateEstimates recomputes, each priceInterval, the traffic rates, means and prices, and lets fade what
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -67,7 +67,8 @@
 	}
 	overdue := e.cancelledUnanswered
 	for _, a := range e.attempts {
-		if age := g.secondsSince(a.sentAt); !a.waiting && age > minUnresponsive && a.sentAt >= e.lastResponse {
+		age := g.secondsSince(a.sentAt)
+		if !a.waiting && age > minUnresponsive && a.sentAt >= e.lastResponse {
 			overdue += math.Floor(min(age/(overdueFactor*a.expectedTime), 2))
 		}
 	}
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -73,6 +73,9 @@
 	}
 }
 
+// ended says that nothing of a request is open any more.
+func (q *request) ended() bool { return q.done && q.openAttempts == 0 }
+
 // unanswered is how many requests are owed a final answer.
 func (l *ledger) unanswered() (n int) {
 	for _, q := range l.active {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -100,7 +100,10 @@
 		g.shedOrFail(q)
 		return
 	}
-	if !lost && (!k.overdue || age < minOverdueAge) || a.waiting || !g.mayRestart(q, k.remains) || !g.cancelAttempt(a) {
+	if a.waiting || !lost && (!k.overdue || age < minOverdueAge) {
+		return
+	}
+	if !g.mayRestart(q, k.remains) || !g.cancelAttempt(a) {
 		return
 	}
 	q.restarting = true
@@ -113,7 +116,8 @@
 // mayRestart says whether a request may be sent again in place of an overdue attempt, where so many
 // seconds remain.
 func (g *Gateway) mayRestart(q *request, remains float64) bool {
-	exhausted := len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent || !g.withinRetryBudget()
+	exhausted := len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent ||
+		!g.withinRetryBudget()
 	return !exhausted && !q.restarting && remains >= q.class.serviceTime(q.work)
 }
 
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -21,7 +21,8 @@
 	}
 	weights, total := make([]float64, len(g.endpoints.list)), 0.0
 	for i, e := range g.endpoints.list {
-		if g.isEligible(q, e) && g.outlierAllows(q, e) && g.hasCapacity(q, e) && g.hasSlowStartCapacity(q, e) {
+		if g.isEligible(q, e) && g.outlierAllows(q, e) && g.hasCapacity(q, e) &&
+			g.hasSlowStartCapacity(q, e) {
 			weights[i] = g.drawWeight(q, e)
 			total += weights[i]
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -14,8 +14,8 @@
 	Kinds     []Kind   `json:"Kinds"`   // machine kinds; Endpoint.Kind is an index into them
 	Tenants   []Tenant `json:"Tenants"` // empty where the site has no tenants
 
-	OverQuotaWeight float64 `json:"OverShareWorth"` // factor on the priority weight of requests over a tenant's quota
-	WeightByWork    bool    `json:"CountByWork"`    // priority weight scales with work instead of counting each request alike
+	OverQuotaWeight float64 `json:"OverShareWorth"` // factor on the weight of requests over a tenant's quota
+	WeightByWork    bool    `json:"CountByWork"`    // priority weight is by work instead of by request
 
 	MaxAttempts    int    `json:"MaxAttempts"`  // attempts for one request; 0: one
 	MaxInFlight    int    `json:"MaxHeld"`      // requests open at once; 0: no limit
@@ -31,18 +31,18 @@
 
 	HonorsGrants     bool     `json:"GrantsCount"`   // endpoints honor memory grants
 	HonorsPriority   bool     `json:"PriorityCount"` // endpoints honor priorities
-	MaxGrantShare    float64  `json:"MaxGrantShare"` // largest share of an endpoint's memory that one query gets; 0: all
+	MaxGrantShare    float64  `json:"MaxGrantShare"` // maximum share of an endpoint's memory a query; 0: all
 	Shortage         Shortage `json:"Shortage"`
 	ProgressInterval Micros   `json:"ProgressEvery"` // time between progress reports; 0: there are none
 
 	SlowStartFloor    float64 `json:"ColdFrom"`     // share of its capacity that a new endpoint starts with
 	SlowStartDuration Micros  `json:"ColdFor"`      // a new endpoint has its full capacity after this
-	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails when it is sent this many times its capacity ...
+	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails when sent this many times its share ...
 	OverloadDuration  Micros  `json:"FallFor"`      // ... for this long
 	DrainGrace        Micros  `json:"DrainGrace"`   // sends to a draining endpoint stop within this
-	AnswerSlack       Micros  `json:"AnswerSlack"`  // a final answer still counts this long after the deadline
+	AnswerSlack       Micros  `json:"AnswerSlack"`  // a final answer counts this long after the deadline
 	MaxPollInterval   Micros  `json:"AskWithin"`    // the list has to be polled at least this often
-	OrderingGap       Micros  `json:"TurnGap"`      // pause of an order key after an attempt that may still run
+	OrderingGap       Micros  `json:"TurnGap"`      // pause of an order key after an attempt that may run on
 	RetryBudgetFloor  float64 `json:"BudgetFree"`   // retries allowed however little the traffic
 	RetryBudgetRatio  float64 `json:"BudgetShare"`  // retries allowed for each request received
 	RetryBudgetWindow Micros  `json:"BudgetSpan"`   // sliding window of the budget; 0: no budget
@@ -60,7 +60,7 @@
 	LocksTables      bool       `json:"Loads"`      // locks its table group on its endpoint while it runs
 	WaitsForTables   bool       `json:"Waits"`      // blocks while a load holds the lock of its table group
 	Effect           Effect     `json:"Effect"`
-	DedupScope       DedupScope `json:"Group"`  // endpoints that share the deduplication of an idempotency key
+	DedupScope       DedupScope `json:"Group"`  // endpoints that share deduplication by key
 	DedupWindow      Micros     `json:"Window"` // how long they remember the key
 	Ordered          bool       `json:"InTurn"` // requests of one order key run one at a time, in order
 	Zones            []int      `json:"Zones"`  // if set, the only zones allowed
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -37,11 +37,14 @@
 		{"Peers", s.Peers < 0}, {"Me", s.PeerIndex < 0}, {"Zone", s.Zone < 0},
 		{"OverShareWorth", !(s.OverQuotaWeight >= 0)}, {"MaxAttempts", s.MaxAttempts < 0},
 		{"MaxHeld", s.MaxInFlight < 0}, {"MaxComeBack", s.MaxRetryAfter < 0},
-		{"MaxGrantShare", !(s.MaxGrantShare >= 0)}, {"Shortage", s.Shortage < 0 || s.Shortage > ShortageSwaps},
+		{"MaxGrantShare", !(s.MaxGrantShare >= 0)},
+		{"Shortage", s.Shortage < 0 || s.Shortage > ShortageSwaps},
 		{"ProgressEvery", s.ProgressInterval < 0}, {"ColdFrom", !(s.SlowStartFloor >= 0)},
 		{"ColdFor", s.SlowStartDuration < 0}, {"FallMultiple", !(s.OverloadMultiple >= 0)},
-		{"FallFor", s.OverloadDuration < 0}, {"DrainGrace", s.DrainGrace < 0}, {"AnswerSlack", s.AnswerSlack < 0},
-		{"AskWithin", s.MaxPollInterval < 0}, {"TurnGap", s.OrderingGap < 0}, {"BudgetFree", s.RetryBudgetFloor < 0},
+		{"FallFor", s.OverloadDuration < 0}, {"DrainGrace", s.DrainGrace < 0},
+		{"AnswerSlack", s.AnswerSlack < 0},
+		{"AskWithin", s.MaxPollInterval < 0}, {"TurnGap", s.OrderingGap < 0},
+		{"BudgetFree", s.RetryBudgetFloor < 0},
 		{"BudgetShare", !(s.RetryBudgetRatio >= 0)}, {"BudgetSpan", s.RetryBudgetWindow < 0},
 	}
 }
