--- a/policy/door_test.go
+++ b/policy/admission_queue_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"fmt"
+	"testing"
+)
 
 // Clients have few connections: a query that is held at the gate keeps another out. With the door nearly full, one that earns
 // little for its time is given up at once and told when to come back; with room at the door it is held.
@@ -37,3 +40,26 @@
 		}
 	}
 }
+
+// A queue behind one engine holds nobody else of its class.
+func TestAQueueBehindAPinHoldsNobody(t *testing.T) {
+	b := newBench(t, testSettings(), 2)
+	for i := range 400 { // far more than e0 bears
+		q := b.request(0)
+		q.ID, q.StickyTo = fmt.Sprintf("pinned%d", i), "e0"
+		b.step(q)
+	}
+	sent := 0
+	for range 20 {
+		b.now += 1000
+		for _, s := range only[Send](b.step(b.request(0))) {
+			if s.Endpoint == "e1" {
+				sent++
+				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
+			}
+		}
+	}
+	if sent < 18 {
+		t.Errorf("%d of 20 requests without state were sent beside the queue", sent)
+	}
+}
--- a/policy/change_test.go
+++ b/policy/change_test.go
@@ -98,30 +98,3 @@
 		t.Error("something changed")
 	}
 }
-
-// A request stays within its protocol at every attempt, also when no engine that speaks it is left.
-func TestProtocolIsKept(t *testing.T) {
-	g, err := New(1, changeSettings(Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	now := Micros(1e9)
-	g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "both", Protocols: 3}, {ID: "one", Protocols: 1}, {ID: "old"}}}})
-	for i := range 50 {
-		id := string(rune('a' + i))
-		now += 1e5
-		for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 1e4, Protocol: 2, Deadline: now + 4e6}}) {
-			if s, ok := a.(Send); ok {
-				if s.Endpoint != "both" {
-					t.Fatalf("sent to %s", s.Endpoint)
-				}
-				g.Step(now, []Event{AttemptResult{ID: id, Endpoint: s.Endpoint, Code: OK, Final: true, Latency: 1e4}})
-			}
-		}
-	}
-	for _, a := range g.Step(now, []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: "both", Protocols: 3, State: Draining}}}, Request{ID: "z", Protocol: 2, Deadline: now + 4e6}}) {
-		if s, ok := a.(Send); ok {
-			t.Errorf("sent to %s, which does not speak it", s.Endpoint)
-		}
-	}
-}
--- /dev/null
+++ b/policy/harness_test.go
@@ -0,0 +1,106 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+const sec = Micros(1e6)
+
+// testSettings is a plain site of two classes, all capabilities allowed.
+func testSettings() Settings {
+	return Settings{Peers: 2, OverQuotaWeight: 0.1, MaxAttempts: 3, MaxRetryAfter: 2 * sec, CanCancel: true,
+		AllowHedging: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
+		SlowStartFloor: 0.3, SlowStartDuration: 10 * sec, OverloadMultiple: 2, OverloadDuration: 2 * sec, DrainGrace: sec, AnswerSlack: 20000,
+		Kinds: []Kind{{Cores: 8, MemoryMB: 16000}},
+		Classes: []Class{
+			{Name: "light", PriorityWeight: 1, LatencyObjective: sec, ObjectiveStretch: 2, Deadline: 4 * sec, Threads: 1},
+			{Name: "heavy", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3 * sec, ObjectiveStretch: 2, Deadline: 15 * sec, Threads: 4},
+		}}
+}
+
+// bench drives a gateway through its public interface.
+type bench struct {
+	t   *testing.T
+	g   *Gateway
+	now Micros
+	ids int
+}
+
+func newBench(t *testing.T, s Settings, engines int) *bench {
+	t.Helper()
+	g, err := New(7, s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := &bench{t: t, g: g, now: 100 * sec}
+	var rows []Endpoint
+	for i := range engines {
+		rows = append(rows, Endpoint{ID: fmt.Sprintf("e%d", i), PlacementGroup: i / 2})
+	}
+	b.step(EndpointUpdate{Complete: true, Endpoints: rows})
+	return b
+}
+
+func (b *bench) step(events ...Event) []Action { return b.g.Step(b.now, events) }
+
+func (b *bench) request(class int) Request {
+	b.ids++
+	c := b.g.settings.Classes[class]
+	return Request{ID: fmt.Sprintf("q%d", b.ids), Class: class, Cost: 100000 * Micros(1+class*29), MemoryMB: 100,
+		Deadline: b.now + c.Deadline}
+}
+
+// until steps on, a tick at a time, and returns every action on the way.
+func (b *bench) until(end Micros) (all []Action) {
+	for b.now < end {
+		b.now += 10000
+		all = append(all, b.step()...)
+	}
+	return all
+}
+
+func only[T Action](acts []Action) (out []T) {
+	for _, a := range acts {
+		if t, ok := a.(T); ok {
+			out = append(out, t)
+		}
+	}
+	return out
+}
+
+// finals counts the final answers that the gateway gave to a request.
+func finals(acts []Action, id string) (n int) {
+	for _, a := range acts {
+		switch a := a.(type) {
+		case Shed:
+			if a.ID == id {
+				n++
+			}
+		case Fail:
+			if a.ID == id {
+				n++
+			}
+		}
+	}
+	return n
+}
+
+// sparse is one gateway of many that cannot talk, and its engines.
+func sparse(t *testing.T, peers, engines int, edit func(*Settings)) *bench {
+	t.Helper()
+	s := testSettings()
+	s.Peers, s.AllowHedging = peers, false
+	if edit != nil {
+		edit(&s)
+	}
+	return newBench(t, s, engines)
+}
+
+func near(t *testing.T, what string, got, want float64) {
+	t.Helper()
+	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
+		t.Fatalf("%s: got %v, want %v", what, got, want)
+	}
+}
--- a/policy/pinned_test.go
+++ b/policy/routing_test.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"testing"
-)
+import "testing"
 
 // A request whose state one engine holds goes there and nowhere else, while it drains too, as long as the grace allows;
 // where that engine cannot take it any more it is refused at once.
@@ -52,25 +49,29 @@
 	}
 }
 
-// A queue behind one engine holds nobody else of its class.
-func TestAQueueBehindAPinHoldsNobody(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
-	for i := range 400 { // far more than e0 bears
-		q := b.request(0)
-		q.ID, q.StickyTo = fmt.Sprintf("pinned%d", i), "e0"
-		b.step(q)
+// A request stays within its protocol at every attempt, also when no engine that speaks it is left.
+func TestProtocolIsKept(t *testing.T) {
+	g, err := New(1, changeSettings(Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}))
+	if err != nil {
+		t.Fatal(err)
 	}
-	sent := 0
-	for range 20 {
-		b.now += 1000
-		for _, s := range only[Send](b.step(b.request(0))) {
-			if s.Endpoint == "e1" {
-				sent++
-				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
+	now := Micros(1e9)
+	g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "both", Protocols: 3}, {ID: "one", Protocols: 1}, {ID: "old"}}}})
+	for i := range 50 {
+		id := string(rune('a' + i))
+		now += 1e5
+		for _, a := range g.Step(now, []Event{Request{ID: id, Cost: 1e4, Protocol: 2, Deadline: now + 4e6}}) {
+			if s, ok := a.(Send); ok {
+				if s.Endpoint != "both" {
+					t.Fatalf("sent to %s", s.Endpoint)
+				}
+				g.Step(now, []Event{AttemptResult{ID: id, Endpoint: s.Endpoint, Code: OK, Final: true, Latency: 1e4}})
 			}
 		}
 	}
-	if sent < 18 {
-		t.Errorf("%d of 20 requests without state were sent beside the queue", sent)
+	for _, a := range g.Step(now, []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: "both", Protocols: 3, State: Draining}}}, Request{ID: "z", Protocol: 2, Deadline: now + 4e6}}) {
+		if s, ok := a.(Send); ok {
+			t.Errorf("sent to %s, which does not speak it", s.Endpoint)
+		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -1,26 +1,6 @@
 package policy
 
-import (
-	"fmt"
-	"testing"
-)
-
-// finals counts the final answers that the gateway gave to a request.
-func finals(acts []Action, id string) (n int) {
-	for _, a := range acts {
-		switch a := a.(type) {
-		case Shed:
-			if a.ID == id {
-				n++
-			}
-		case Fail:
-			if a.ID == id {
-				n++
-			}
-		}
-	}
-	return n
-}
+import "testing"
 
 func TestRuleOneAnswerBeforeTheDeadline(t *testing.T) {
 	for _, tt := range []struct {
@@ -265,76 +245,3 @@
 		t.Fatalf("%d further attempts, at most %d allowed", further, most)
 	}
 }
-
-func TestNewNamesTheUnusableField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
-		"Classes":             func(s *Settings) { s.Classes = nil },
-		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = -1 },
-		"Classes[0].Worth":    func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
-		"Classes[0].Kinds":    func(s *Settings) { s.Classes[0].Kinds = []int{3} },
-		"ColdFor":             func(s *Settings) { s.SlowStartDuration = -1 },
-		"Kinds[0]":            func(s *Settings) { s.Kinds[0].Cores = -2 },
-	} {
-		s := testSettings()
-		spoil(&s)
-		if _, err := New(1, s); err == nil || !contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
-		}
-	}
-}
-
-func contains(s, sub string) bool {
-	for i := 0; i+len(sub) <= len(s); i++ {
-		if s[i:i+len(sub)] == sub {
-			return true
-		}
-	}
-	return false
-}
-
-func TestUnknownEventsAreIgnored(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
-	q := b.request(0)
-	s := only[Send](b.step(q))[0]
-	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
-	acts := b.step(
-		AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true}, AttemptResult{ID: "none"}, AttemptResult{ID: q.ID, Attempt: 7},
-		Progress{ID: "none"}, Progress{ID: q.ID, Attempt: -1}, HealthCheckResult{Endpoint: "none", Load: &Load{}},
-		StreamStarted{ID: "none"}, ClientDisconnected{ID: q.ID}, ClientDisconnected{ID: "none"}, GossipReceived{From: 9, Data: []byte{1, 2}},
-		GossipReceived{From: 1, Data: nil}, GossipReceived{From: 1, Data: []byte{0, 1, 3}}, GossipReceived{From: 1, Data: []byte{200, 1}},
-		Request{ID: "odd", Class: 9, Deadline: b.now + sec}, EndpointUpdate{Failed: true})
-	if len(only[Send](acts)) != 0 {
-		t.Fatalf("unknown events led to %v", acts)
-	}
-	bare := b.request(0)
-	bare.Cost, bare.MemoryMB, bare.Tenant = 0, 0, 0
-	if len(only[Send](b.step(bare))) != 1 || b.g.ledger.requests[bare.ID].work <= 0 {
-		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.ledger.requests[bare.ID].work))
-	}
-}
-
-// Where the list must be asked for, a call goes out at once, in time, and soon
-// after one that failed; elsewhere none does.
-func TestListIsAskedFor(t *testing.T) {
-	s := testSettings()
-	s.PollEndpoints, s.MaxPollInterval = true, 100*sec
-	g, err := New(1, s)
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &bench{t: t, g: g, now: 100 * sec}
-	if n := len(only[WatchEndpoints](b.step())); n != 1 {
-		t.Fatalf("%d calls at the start", n)
-	}
-	if n := len(only[WatchEndpoints](b.until(b.now + 26*sec))); n < 1 || n > 2 {
-		t.Fatalf("%d calls within the time to ask", n)
-	}
-	b.step(EndpointUpdate{Failed: true})
-	if n := len(only[WatchEndpoints](b.until(b.now + 3*sec/2))); n < 1 || n > 2 {
-		t.Fatalf("%d calls after a failed one", n)
-	}
-	plain := newBench(t, testSettings(), 1)
-	if n := len(only[WatchEndpoints](plain.until(plain.now + 20*sec))); n != 0 {
-		t.Fatalf("%d calls where the list comes by itself", n)
-	}
-}
--- a/policy/lane_test.go
+++ b/policy/table_affinity_test.go
@@ -90,3 +90,28 @@
 		t.Error("not sent")
 	}
 }
+
+// A load holds its group on its engine: queries that wait for it go elsewhere.
+func TestWaitingClassesAvoidLoads(t *testing.T) {
+	s := testSettings()
+	s.Classes[0].WaitsForTables, s.Classes[1].LocksTables, s.Classes[1].Threads = true, true, 1
+	b := newBench(t, s, 4)
+	load := b.request(1)
+	load.TableGroup = 9
+	at := only[Send](b.step(load))[0].Endpoint
+	there := 0
+	for range 12 {
+		b.now += 1000
+		q := b.request(0)
+		q.TableGroup = 9
+		for _, s := range only[Send](b.step(q)) {
+			if s.Endpoint == at {
+				there++
+			}
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
+		}
+	}
+	if there > 3 {
+		t.Fatalf("%d of 12 sent behind the load", there)
+	}
+}
