--- a/policy/admission_queue_test.go
+++ b/policy/admission_queue_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// Clients have few connections: a query that is held at the gate keeps another out. With the door nearly full, one that earns
-// little for its time is given up at once and told when to come back; with room at the door it is held.
-func TestAFullDoorHasAPrice(t *testing.T) {
+// Clients have few connections: a queued query keeps another one out. With MaxInFlight nearly reached, one that earns
+// little for its time is shed at once with a Retry-After; otherwise it stays queued.
+func TestFullAdmissionQueueHasAPrice(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		most   int
-		gaveUp bool
-	}{{"room at the door", 1000, false}, {"nearly full", 40, true}, {"no limit", 0, false}} {
+		name  string
+		limit int
+		sheds bool
+	}{{"far from the limit", 1000, false}, {"near the limit", 40, true}, {"no limit", 0, false}} {
 		s := loadSettings()
-		s.MaxInFlight = c.most
-		b := newBench(t, s, 1)
-		for range 200 { // what is served earns 1 in a tenth of a second
+		s.MaxInFlight = c.limit
+		b := newHarness(t, s, 1)
+		for range 200 { // served queries earn 1 in a tenth of a second
 			b.now += 100000
-			for _, s := range only[Send](b.step(b.request(0))) {
+			for _, s := range actionsOf[Send](b.step(b.request(0))) {
 				b.now += 100000
 				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 			}
@@ -29,30 +29,30 @@
 			loads = append(loads, q.ID)
 			b.step(q)
 		}
-		refused := only[Shed](b.until(b.now + 2*sec))
-		if (len(refused) > 0) != c.gaveUp {
-			t.Errorf("%s: %d of %d loads given up within 2 s", c.name, len(refused), len(loads))
+		shed := actionsOf[Shed](b.runUntil(b.now + 2*sec))
+		if (len(shed) > 0) != c.sheds {
+			t.Errorf("%s: %d of %d loads shed within 2 s", c.name, len(shed), len(loads))
 		}
-		for _, r := range refused {
+		for _, r := range shed {
 			if r.RetryAfter <= 0 {
-				t.Errorf("%s: no time to come back", c.name)
+				t.Errorf("%s: no Retry-After", c.name)
 			}
 		}
 	}
 }
 
-// A queue behind one engine holds nobody else of its class.
-func TestAQueueBehindAPinHoldsNobody(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
-	for i := range 400 { // far more than e0 bears
+// A queue for one endpoint blocks no other requests of its class.
+func TestStickyQueueBlocksNoOthers(t *testing.T) {
+	b := newHarness(t, testSettings(), 2)
+	for i := range 400 { // far more than the capacity of e0
 		q := b.request(0)
-		q.ID, q.StickyTo = fmt.Sprintf("pinned%d", i), "e0"
+		q.ID, q.StickyTo = fmt.Sprintf("sticky%d", i), "e0"
 		b.step(q)
 	}
 	sent := 0
 	for range 20 {
 		b.now += 1000
-		for _, s := range only[Send](b.step(b.request(0))) {
+		for _, s := range actionsOf[Send](b.step(b.request(0))) {
 			if s.Endpoint == "e1" {
 				sent++
 				b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
@@ -60,6 +60,6 @@
 		}
 	}
 	if sent < 18 {
-		t.Errorf("%d of 20 requests without state were sent beside the queue", sent)
+		t.Errorf("%d of 20 requests that are not sticky were sent past the queue", sent)
 	}
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestAdmissionByHand(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
+	b := newHarness(t, testSettings(), 2)
 	g := b.g
-	c := &g.classes[1] // worth 10 over 15 s, 4 threads
+	c := &g.classes[1] // weight 10 over 15 s, 4 threads
 	c.meanWork.value = 3
 	c.queueWait = [priorityLevels]float64{1, 0.2, 2, 4}
 	c.price = [priorityLevels]float64{5, 4, 1, 0.5}
@@ -15,27 +15,27 @@
 	if level != 2 {
 		t.Fatalf("level %d, want 2", level)
 	}
-	near(t, "net worth", net, 10-delta*(2+1.5)-2*1)
+	requireNear(t, "net worth", net, 10-delta*(2+1.5)-2*1)
 }
 
-// The free-core pass lets in what the tolls would refuse, while our share of
-// the cores is not in use, and not beyond.
+// Free cores admit what the prices would shed, while our share of the cores is
+// not in use, and not beyond.
 func TestFreeCorePass(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		own   float64 // own threads in flight; our share is 8
-		util  float64 // utilisation that the engine reports
+		util  float64 // utilization that the endpoint reports
 		class int
 		cost  Micros
 		sent  bool
 	}{
 		{"free share", 0, 0.75, 0, 100000, true},
-		{"share in use, busy engine", 8, 0.75, 0, 100000, false},
-		{"share in use, idle engine", 8, 0.1, 0, 100000, true},
+		{"share in use, busy endpoint", 8, 0.75, 0, 100000, false},
+		{"share in use, idle endpoint", 8, 0.1, 0, 100000, true},
 		{"free share, longer than its deadline", 0, 0.1, 0, 40 * sec, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := newBench(t, testSettings(), 2)
+			b := newHarness(t, testSettings(), 2)
 			for i := range b.g.classes {
 				b.g.classes[i].price = [priorityLevels]float64{99, 99, 99, 99}
 				b.g.classes[i].meanWork.value = 0.1
@@ -46,39 +46,39 @@
 			b.g.threads[0] = tt.own
 			q := b.request(tt.class)
 			q.Cost = tt.cost
-			if sent := len(only[Send](b.step(q))) == 1; sent != tt.sent {
+			if sent := len(actionsOf[Send](b.step(q))) == 1; sent != tt.sent {
 				t.Fatalf("sent %v, want %v", sent, tt.sent)
 			}
 		})
 	}
 }
 
-// A request given up on is answered at once, with a time to come back.
-func TestRefusedAtOnce(t *testing.T) {
-	b := newBench(t, testSettings(), 1)
+// A request that cannot be served within its deadline is shed at once.
+func TestUnservableRequestIsShedAtOnce(t *testing.T) {
+	b := newHarness(t, testSettings(), 1)
 	q := b.request(0)
 	q.Cost = 3600 * sec
 	acts := b.step(q)
-	if len(only[Shed](acts)) != 1 {
-		t.Fatalf("want a refusal at once, got %v", acts)
+	if len(actionsOf[Shed](acts)) != 1 {
+		t.Fatalf("want a Shed at once, got %v", acts)
 	}
 }
 
-// What is given up on is answered at once, with a come-back time where clients heed one.
-func TestGivenUpAtOnce(t *testing.T) {
-	for _, most := range []Micros{0, sec} {
-		b := sparse(t, 50, 2, func(s *Settings) { s.MaxRetryAfter = most })
+// A request priced out is shed at once, with a Retry-After where clients honor one.
+func TestShedAtOnceWithRetryAfter(t *testing.T) {
+	for _, limit := range []Micros{0, sec} {
+		b := newSparseHarness(t, 2, func(s *Settings) { s.MaxRetryAfter = limit })
 		for i := range b.g.classes[0].price {
-			b.g.classes[0].price[i] = 100 // no worth covers that
+			b.g.classes[0].price[i] = 100 // no weight covers that
 		}
 		b.g.queries.work.value, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
 		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		b.g.threads[0] = 50
-		r := only[Shed](b.step(b.request(0)))
-		if len(r) != 1 || (r[0].RetryAfter > 0) != (most > 0) || r[0].RetryAfter > most {
-			t.Errorf("most %v: refused %v", most, r)
+		r := actionsOf[Shed](b.step(b.request(0)))
+		if len(r) != 1 || (r[0].RetryAfter > 0) != (limit > 0) || r[0].RetryAfter > limit {
+			t.Errorf("limit %v: shed %v", limit, r)
 		}
 	}
 }
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -15,7 +15,7 @@
 	level        int
 	grantMB      float64
 	uncontended  bool // sent to an endpoint with free cores
-	warm         bool // its table group was cached there
+	cached       bool // its table group was cached there
 	closed       bool
 	cancelled    bool
 
@@ -33,7 +33,7 @@
 	q.level, _ = g.leastCostLevel(q)
 	a := &attempt{request: q, number: len(q.attempts), endpoint: e, sentAt: g.now, level: q.level,
 		uncontended: g.utilization(e) < freeCoreUtilization,
-		warm:        slices.Contains(e.warmGroups, q.TableGroup)}
+		cached:      slices.Contains(e.cachedGroups, q.TableGroup)}
 	a.expectedTime = c.serviceTime(q.work) / g.relativeSpeed(e)
 	a.grantMB = g.memoryGrant(q, e)
 	g.openAttempt(a)
@@ -173,7 +173,7 @@
 		work = q.work * math.Exp(min(inflation, shrinkSlackShare*g.congestion.slack))
 	}
 	g.recordInflation(e, inflation, fleetInflationStep)
-	g.warmth.record(a.warm, inflation)
+	g.cacheEffect.record(a.cached, inflation)
 	g.queries.latency.add(took, meanSmoothing)
 	g.queries.responseTime.add(g.secondsSince(q.receivedAt), meanSmoothing)
 	g.queries.earned.add(g.earnedWeight(q, g.now), meanSmoothing)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -110,7 +110,7 @@
 }
 
 // mayClaim says whether this gateway may use an endpoint's free threads, free at the last report, where
-// peers have so many there. It claims only its share, against peers that are not heard, of what that report
+// peers have so many there. It claims only its share, against peers that do not gossip, of what that report
 // leaves free and of what has ended since, by chance where that is less than one query: all gateways that
 // gossip see the same free capacity and would fill it several times over.
 func (g *Gateway) mayClaim(q *request, e *endpoint, peerThreads, free float64) bool {
--- a/policy/change_test.go
+++ b/policy/change_test.go
@@ -10,8 +10,8 @@
 		Kinds: []Kind{{Cores: 4, MemoryMB: 1000}}, Classes: classes, Tenants: []Tenant{{Name: "a", Quota: 5}, {Name: "b", Quota: 5}}}
 }
 
-// What is on the books outlives a change of settings: order, budget, drains, threads in flight, what was learned.
-func TestBooksOutliveAChange(t *testing.T) {
+// A change of settings keeps order, retry budget, drains, threads in flight and what was learned.
+func TestChangeKeepsLedgers(t *testing.T) {
 	plain := Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 2}
 	turns := Class{Name: "turns", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Ordered: true}
 	more := Class{Name: "more", PriorityWeight: 5, LatencyObjective: 1e6, Deadline: 4e6}
@@ -48,21 +48,21 @@
 	if got := sent(g.Step(now+120_000, []Event{AttemptResult{ID: "t1", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}})); !slices.Equal(got, []string{"t2"}) {
 		t.Errorf("after t1 sent %v, want t2", got)
 	}
-	// A further attempt made after the change counts in the budget that was begun before it.
+	// A retry after the change counts in the budget that was begun before it.
 	if got := sent(g.Step(now+180_000, []Event{AttemptResult{ID: "p", Endpoint: "e1", Code: Rejected, Latency: 10000}})); !slices.Equal(got, []string{"p"}) {
-		t.Errorf("after p was turned away sent %v", got)
+		t.Errorf("after p was rejected sent %v", got)
 	}
 	if g.withinRetryBudget() {
-		t.Error("the budget of one further attempt has room for a second")
+		t.Error("the budget of one retry allows a second")
 	}
 	g.Step(now+240_000, []Event{AttemptResult{ID: "p", Attempt: 1, Endpoint: "e1", Code: OK, Final: true, Latency: 10000},
 		AttemptResult{ID: "t2", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}, AttemptResult{ID: "m", Endpoint: "e1", Code: OK, Final: true, Latency: 10000}})
 	if n := g.threadsInFlight(); n != 0 {
-		t.Errorf("%v threads are left on the books", n)
+		t.Errorf("%v threads are left in flight", n)
 	}
 	for _, e := range g.endpoints.list {
 		if e.threads != 0 || len(e.attempts) != 0 {
-			t.Errorf("%s has %v threads, %d attempts on the books", e.ID, e.threads, len(e.attempts))
+			t.Errorf("%s has %v threads, %d attempts in flight", e.ID, e.threads, len(e.attempts))
 		}
 	}
 	if g.endpoints.byID["e2"].State != Draining || g.classes[0].received != 2 || g.classes[2].received != 1 {
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestAChangeThatCannotBeChangesNothing(t *testing.T) {
+func TestInvalidChangeHasNoEffect(t *testing.T) {
 	plain := Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}
 	g, err := New(1, changeSettings(plain))
 	if err != nil {
@@ -91,7 +91,7 @@
 		"a kind is gone":        {fewer, []int{0}},
 	} {
 		if err := g.Change(c.s, c.classes, []int{0, 1}); err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: no error", name)
 		}
 	}
 	if len(g.classes) != 1 || g.ledger.requests["q"].class != &g.classes[0] || len(g.settings.Kinds) != 1 {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -15,7 +15,7 @@
 //	admission_queue.go            requests that wait for capacity, and the price of a place there
 //	routing.go                    which endpoints are eligible, weighted draw among them
 //	health_check.go               health checks before the draw
-//	table_affinity.go             table locks, subsets of endpoints for loads, warm groups
+//	table_affinity.go             table locks, subsets of endpoints for loads, cached groups
 //	capacity.go                   whether an endpoint has capacity; adjustment of the capacity
 //	load.go                       load estimates of one endpoint from reports, gossip and own attempts
 //	fleet.go                      summary of all endpoints
@@ -26,7 +26,7 @@
 //	retry.go                      which retries are allowed, retry budget, overdue attempts
 //	outlier.go                    outlier detection, ejection, latency inflation
 //	traffic.go                    rates, this gateway's share, tenants, means of its queries
-//	gossip.go, gossip_codec.go    what gateways tell each other; its wire form
+//	gossip.go, gossip_codec.go    what gateways exchange; its wire form
 //	estimates.go                  running mean, running median, power fit
 //	maintenance.go                work of the timer: deadlines, prices, polls, overdue attempts
 //	learned.go                    stored form of what was learned
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -52,7 +52,7 @@
 	resetAt          Micros       // last broken connection here
 	drainUntil       Micros       // while draining, sticky requests may be sent until then
 
-	warmGroups         []int64         // table groups read last, newest first
+	cachedGroups       []int64         // table groups read last, newest first
 	tableLocks         map[byte]Micros // when loads of a group were seen last; looked up only
 	healthCheckAt      Micros          // last health check
 	healthCheckPending bool            // that has not answered yet
@@ -71,7 +71,7 @@
 			e.slowStartSince, e.inflation = r.Started, g.congestion.inflation.value
 			g.restoreEndpoint(e)
 		} else if r.Started != e.Started { // restarted: nothing learned holds any more
-			e.slowStartSince, e.ejected, e.warmGroups = max(r.Started, e.slowStartSince), false, nil
+			e.slowStartSince, e.ejected, e.cachedGroups = max(r.Started, e.slowStartSince), false, nil
 			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.congestion.inflation.value, 0
 		}
 		if r.State == Draining && e.State != Draining {
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -25,13 +25,13 @@
 	}
 }
 
-// The work that answers tell is learned from whatever the crowd.
-func TestToldWorkIsLearned(t *testing.T) {
-	b := sparse(t, 50, 4, nil)
+// The work that answers report is learned under any congestion.
+func TestReportedWorkIsLearned(t *testing.T) {
+	b := newSparseHarness(t, 4, nil)
 	for range 200 {
 		q := b.request(0)
 		b.now += 200000
-		for _, a := range only[Send](b.step(q)) {
+		for _, a := range actionsOf[Send](b.step(q)) {
 			b.now += 600000
 			b.step(AttemptResult{ID: q.ID, Endpoint: a.Endpoint, Final: true, Latency: 600000, WorkMicros: 300000, NeededMB: 10})
 		}
@@ -43,7 +43,7 @@
 
 // Estimates that are shrunk towards a class's middle understate its mean work.
 func TestUsualWorkIsNotShrunk(t *testing.T) {
-	b := sparse(t, 50, 2, nil)
+	b := newSparseHarness(t, 2, nil)
 	sum := 0.0
 	for i := range 100 {
 		q := b.request(0)
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,8 +6,8 @@
 	"embershunt/policy"
 )
 
-// A dispatcher embeds a Gateway: it passes on what happened and does what the
-// actions say. Nothing here knows of any wire.
+// A dispatcher embeds a Gateway: it passes events on and carries out the
+// actions. The package knows no wire protocol.
 func Example() {
 	const second = policy.Micros(1e6)
 	g, err := policy.New(42, policy.Settings{
@@ -29,18 +29,18 @@
 			case policy.Send:
 				fmt.Printf("send %s to %s\n", a.ID, a.Endpoint)
 			case policy.Shed:
-				fmt.Printf("refuse %s\n", a.ID)
+				fmt.Printf("shed %s\n", a.ID)
 			case policy.Cancel:
 				fmt.Printf("cancel attempt %d of %s\n", a.Attempt, a.ID)
 			}
 		}
 	}
-	do(policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "engine-1"}}})
+	do(policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "endpoint-1"}}})
 	do(policy.Request{ID: "q1", Class: 0, Cost: second / 10, Deadline: now + 4*second})
 	now += second / 10
-	do(policy.AttemptResult{ID: "q1", Endpoint: "engine-1", Code: policy.OK, Final: true, Latency: second / 10})
+	do(policy.AttemptResult{ID: "q1", Endpoint: "endpoint-1", Code: policy.OK, Final: true, Latency: second / 10})
 	do(policy.Request{ID: "q2", Class: 1, Cost: 3600 * second, Deadline: now + 15*second})
 	// Output:
-	// send q1 to engine-1
-	// refuse q2
+	// send q1 to endpoint-1
+	// shed q2
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -9,9 +9,9 @@
 const (
 	microsPerSecond = 1e6 // microseconds in a second
 
-	timerInterval = 0.02 // seconds between checks of attempts in flight: a few ticks of a dispatcher
+	timerInterval = 0.02 // seconds between checks of open requests: a few steps of a dispatcher
 	timerMicros   = Micros(timerInterval * microsPerSecond)
-	minSeconds    = 1e-4 // least time and work that a logarithm is taken of
+	minSeconds    = 1e-4 // minimum seconds of time or work in a logarithm
 
 	logInterval = 1.0 // minimum seconds between two log lines
 )
@@ -38,7 +38,7 @@
 	traffic      traffic
 	queries      queryMeans
 	congestion   congestion
-	warmth       warmthEffect
+	cacheEffect  cacheEffect
 	fleet        fleetSummary
 	gossip       gossipState
 	restored     map[string]LearnedEndpoint // of an earlier gateway, until they are listed; looked up only
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -6,52 +6,52 @@
 	"testing"
 )
 
-func TestServesAndAnswersOnce(t *testing.T) {
-	b := newBench(t, testSettings(), 4)
+func TestAnswersOnce(t *testing.T) {
+	b := newHarness(t, testSettings(), 4)
 	q := b.request(0)
 	acts := b.step(q)
-	sends := only[Send](acts)
+	sends := actionsOf[Send](acts)
 	if len(sends) != 1 || sends[0].ID != q.ID {
 		t.Fatalf("want one send of %s, got %v", q.ID, acts)
 	}
 	b.now += 100000
 	b.step(AttemptResult{ID: q.ID, Endpoint: sends[0].Endpoint, Code: OK, Final: true, Latency: 100000})
-	rest := b.until(b.now + 5*sec)
-	if n := len(only[Send](rest)) + len(only[Fail](rest)) + len(only[Shed](rest)); n != 0 {
+	rest := b.runUntil(b.now + 5*sec)
+	if n := len(actionsOf[Send](rest)) + len(actionsOf[Fail](rest)) + len(actionsOf[Shed](rest)); n != 0 {
 		t.Fatalf("%d actions after the final answer", n)
 	}
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	run := func(between func(*bench)) (all []Action) {
-		b := newBench(t, testSettings(), 5)
+	run := func(between func(*harness)) (all []Action) {
+		b := newHarness(t, testSettings(), 5)
 		for i := range 200 {
 			b.now += 7000
 			acts := b.step(b.request(i % 2))
 			all = append(all, acts...)
-			for _, s := range only[Send](acts) {
+			for _, s := range actionsOf[Send](acts) {
 				if i%3 > 0 {
 					all = append(all, b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: i%3 == 1,
 						Code: Code(i % 3 * 2 % 3), Latency: 5000})...)
 				}
 			}
 			if between != nil {
-				between(newBench(t, testSettings(), 3))
+				between(newHarness(t, testSettings(), 3))
 			}
 		}
 		return all
 	}
 	alone := run(nil)
-	mixed := run(func(o *bench) { o.step(o.request(1)) })
+	mixed := run(func(o *harness) { o.step(o.request(1)) })
 	if !reflect.DeepEqual(alone, mixed) {
-		t.Fatal("a gateway acts otherwise beside others")
+		t.Fatal("a gateway acts differently next to others")
 	}
 }
 
 // Hundreds of gateways interleaved: same events, same actions.
-func TestManyGatewaysActAlike(t *testing.T) {
+func TestManyGatewaysAreDeterministic(t *testing.T) {
 	play := func() []Action {
-		c := newCrowd(t, 200, 12, nil, nil)
+		c := newSimulation(t, 200, 12, nil, nil)
 		c.run(sec, sec/2)
 		return c.acts
 	}
@@ -61,9 +61,9 @@
 }
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
+	b := newHarness(t, testSettings(), 2)
 	q := b.request(0)
-	s := only[Send](b.step(q))[0]
+	s := actionsOf[Send](b.step(q))[0]
 	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 1000})
 	acts := b.step(
 		AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true}, AttemptResult{ID: "none"}, AttemptResult{ID: q.ID, Attempt: 7},
@@ -71,12 +71,12 @@
 		StreamStarted{ID: "none"}, ClientDisconnected{ID: q.ID}, ClientDisconnected{ID: "none"}, GossipReceived{From: 9, Data: []byte{1, 2}},
 		GossipReceived{From: 1, Data: nil}, GossipReceived{From: 1, Data: []byte{0, 1, 3}}, GossipReceived{From: 1, Data: []byte{200, 1}},
 		Request{ID: "odd", Class: 9, Deadline: b.now + sec}, EndpointUpdate{Failed: true})
-	if len(only[Send](acts)) != 0 {
+	if len(actionsOf[Send](acts)) != 0 {
 		t.Fatalf("unknown events led to %v", acts)
 	}
 	bare := b.request(0)
 	bare.Cost, bare.MemoryMB, bare.Tenant = 0, 0, 0
-	if len(only[Send](b.step(bare))) != 1 || b.g.ledger.requests[bare.ID].work <= 0 {
+	if len(actionsOf[Send](b.step(bare))) != 1 || b.g.ledger.requests[bare.ID].work <= 0 {
 		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.ledger.requests[bare.ID].work))
 	}
 }
@@ -88,7 +88,7 @@
 		s := testSettings()
 		s.CanGossip, s.CanHealthCheck, s.ProgressInterval = true, true, sec
 		s.Classes[1].Ordered, s.OrderingGap = true, sec
-		b := newBench(t, s, 3)
+		b := newHarness(t, s, 3)
 		for i, x := range data[:min(len(data), 200)] {
 			b.now += Micros(x) * 5000
 			id, e := fmt.Sprintf("q%d", i%5+1), fmt.Sprintf("e%d", x%4)
@@ -114,10 +114,10 @@
 	})
 }
 
-// The cost of a request against the number of engines and of gateways.
+// The cost of a request against the number of endpoints and of gateways.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range [][2]int{{3, 8}, {100, 8}, {300, 8}, {3, 40}, {300, 40}} {
-		b.Run(fmt.Sprintf("gateways=%d/engines=%d", size[0], size[1]), func(b *testing.B) {
+		b.Run(fmt.Sprintf("gateways=%d/endpoints=%d", size[0], size[1]), func(b *testing.B) {
 			s := testSettings()
 			s.Peers, s.CanGossip = size[0], true
 			g, err := New(1, s)
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestMessagesCarryWhatIsKnown(t *testing.T) {
+func TestGossipCodec(t *testing.T) {
 	rows := []gossipRow{{wireID: 7, age: sec / 4, utilization: 0.5, inFlight: 12, memory: -1, inflation: 0.5, threads: 3, grantedShare: 0.2, lockedGroup: 9},
 		{wireID: 9, age: 0, utilization: -1, inFlight: -1, memory: -1, fault: true}}
 	data := encodeGossip([]float64{1.5, 2}, rows)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const sec = Micros(1e6)
 
-// testSettings is a plain site of two classes, all capabilities allowed.
+// testSettings is a plain site of two classes and two gateways.
 func testSettings() Settings {
 	return Settings{Peers: 2, OverQuotaWeight: 0.1, MaxAttempts: 3, MaxRetryAfter: 2 * sec, CanCancel: true,
 		AllowHedging: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
@@ -20,40 +20,41 @@
 		}}
 }
 
-// bench drives a gateway through its public interface.
-type bench struct {
+// harness drives a gateway through its public interface.
+type harness struct {
 	t   *testing.T
 	g   *Gateway
 	now Micros
 	ids int
 }
 
-func newBench(t *testing.T, s Settings, engines int) *bench {
+// newHarness is a gateway that has so many endpoints of one kind in its list.
+func newHarness(t *testing.T, s Settings, endpoints int) *harness {
 	t.Helper()
 	g, err := New(7, s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, g: g, now: 100 * sec}
+	b := &harness{t: t, g: g, now: 100 * sec}
 	var rows []Endpoint
-	for i := range engines {
+	for i := range endpoints {
 		rows = append(rows, Endpoint{ID: fmt.Sprintf("e%d", i), PlacementGroup: i / 2})
 	}
 	b.step(EndpointUpdate{Complete: true, Endpoints: rows})
 	return b
 }
 
-func (b *bench) step(events ...Event) []Action { return b.g.Step(b.now, events) }
+func (b *harness) step(events ...Event) []Action { return b.g.Step(b.now, events) }
 
-func (b *bench) request(class int) Request {
+func (b *harness) request(class int) Request {
 	b.ids++
 	c := b.g.settings.Classes[class]
 	return Request{ID: fmt.Sprintf("q%d", b.ids), Class: class, Cost: 100000 * Micros(1+class*29), MemoryMB: 100,
 		Deadline: b.now + c.Deadline}
 }
 
-// until steps on, a tick at a time, and returns every action on the way.
-func (b *bench) until(end Micros) (all []Action) {
+// runUntil steps each 10 ms until end and returns all actions.
+func (b *harness) runUntil(end Micros) (all []Action) {
 	for b.now < end {
 		b.now += 10000
 		all = append(all, b.step()...)
@@ -61,7 +62,8 @@
 	return all
 }
 
-func only[T Action](acts []Action) (out []T) {
+// actionsOf are the actions of one type, in order.
+func actionsOf[T Action](acts []Action) (out []T) {
 	for _, a := range acts {
 		if t, ok := a.(T); ok {
 			out = append(out, t)
@@ -70,8 +72,8 @@
 	return out
 }
 
-// finals counts the final answers that the gateway gave to a request.
-func finals(acts []Action, id string) (n int) {
+// finalAnswers counts the final answers that the gateway gave to a request.
+func finalAnswers(acts []Action, id string) (n int) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Shed:
@@ -87,18 +89,19 @@
 	return n
 }
 
-// sparse is one gateway of many that cannot talk, and its engines.
-func sparse(t *testing.T, peers, engines int, edit func(*Settings)) *bench {
+// newSparseHarness is one gateway of fifty that do not gossip, and its endpoints.
+func newSparseHarness(t *testing.T, endpoints int, edit func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
-	s.Peers, s.AllowHedging = peers, false
+	s.Peers, s.AllowHedging = 50, false
 	if edit != nil {
 		edit(&s)
 	}
-	return newBench(t, s, engines)
+	return newHarness(t, s, endpoints)
 }
 
-func near(t *testing.T, what string, got, want float64) {
+// requireNear fails the test where a value is off by more than rounding.
+func requireNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
 		t.Fatalf("%s: got %v, want %v", what, got, want)
--- a/policy/health_check_test.go
+++ b/policy/health_check_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// Probes and messages go with own traffic, whatever the fleet; messages are spread,
-// and news of an engine reaches most gateways within three seconds.
-func TestAsksAndTellsGoWithTraffic(t *testing.T) {
-	c := newCrowd(t, 60, 20, nil, nil)
+// Health checks and gossip follow own traffic, whatever the fleet; messages are spread evenly,
+// and the load of an endpoint reaches most gateways within three seconds.
+func TestHealthChecksAndGossipFollowTraffic(t *testing.T) {
+	c := newSimulation(t, 60, 20, nil, nil)
 	c.run(8*sec, sec/2)
-	var tells, most int
-	for _, n := range c.tells {
-		tells, most = tells+n, max(most, n)
+	var total, largest int
+	for _, n := range c.gossip {
+		total, largest = total+n, max(largest, n)
 	}
-	if c.probes > c.taken || tells > c.taken || tells < c.taken/4 {
-		t.Errorf("%d requests, %d probes, %d messages", c.taken, c.probes, tells)
+	if c.checks > c.received || total > c.received || total < c.received/4 {
+		t.Errorf("%d requests, %d health checks, %d messages", c.received, c.checks, total)
 	}
-	if most*60 > tells*3 {
-		t.Errorf("one gateway was told %d of %d messages", most, tells)
+	if largest*60 > total*3 {
+		t.Errorf("one gateway was sent %d of %d messages", largest, total)
 	}
 	known := 0
 	for _, g := range c.gs {
@@ -26,11 +26,11 @@
 		}
 	}
 	if known*4 < 60*20*3 {
-		t.Errorf("%d of %d engines known within three seconds", known, 60*20)
+		t.Errorf("%d of %d endpoints known within three seconds", known, 60*20)
 	}
-	taken, probes := c.taken, c.probes
+	taken, probes := c.received, c.checks
 	c.run(5*sec, 3600*sec)
-	if idle := len(c.acts); c.probes-probes > taken || idle == 0 {
-		t.Errorf("idle gateways probed %d times", c.probes-probes)
+	if idle := len(c.acts); c.checks-probes > taken || idle == 0 {
+		t.Errorf("idle gateways sent %d health checks", c.checks-probes)
 	}
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -72,7 +72,7 @@
 // Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
 	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{
-		WarmthInflation: g.warmth.inflation,
+		WarmthInflation: g.cacheEffect.inflation,
 		Threads:         g.queries.threads,
 		Rate:            g.traffic.rate,
 		MeanRate:        g.traffic.meanRate,
@@ -146,7 +146,7 @@
 		}
 	}
 	f := l.Fleet
-	g.warmth.inflation = f.WarmthInflation
+	g.cacheEffect.inflation = f.WarmthInflation
 	g.queries.threads, g.queries.grantMB = f.Threads, f.GrantMB
 	g.queries.sentThreads, g.queries.latency = f.SentThreads.mean(), f.Latency.mean()
 	g.queries.work = f.Cost.mean()
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// What a gateway has learned, written down and read again, is what the next one begins with; of engines in another life, and
-// of anything where it is stale, nothing is taken.
-func TestLearnedIsRecalled(t *testing.T) {
-	b := newBench(t, testSettings(), 4)
+// What a gateway has learned, stored and read again, is what the next one starts with, but for endpoints that have restarted
+// since, and for what is stale.
+func TestLearnedIsRestored(t *testing.T) {
+	b := newHarness(t, testSettings(), 4)
 	for i := range 600 {
 		b.now += 20000
-		for _, s := range only[Send](b.step(b.request(i % 2))) {
+		for _, s := range actionsOf[Send](b.step(b.request(i % 2))) {
 			took := Micros(80000)
 			if s.Endpoint == "e1" {
 				took = 400000
@@ -28,7 +28,7 @@
 	if err := json.Unmarshal(text, &l); err != nil || !reflect.DeepEqual(l, b.g.Learned()) {
 		t.Fatalf("read again it differs: %v", err)
 	}
-	begin := func(l Learned, fresh bool, rows ...Endpoint) *Gateway {
+	start := func(l Learned, fresh bool, rows ...Endpoint) *Gateway {
 		t.Helper()
 		g, err := New(9, testSettings())
 		if err == nil {
@@ -41,21 +41,24 @@
 		return g
 	}
 	rows := []Endpoint{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 5 * sec}}
-	warm, stale := begin(l, true, rows...), begin(l, false, rows...)
-	for _, g := range []*Gateway{warm, stale} {
+	fresh, stale := start(l, true, rows...), start(l, false, rows...)
+	for _, g := range []*Gateway{fresh, stale} {
 		if got := g.Learned().Classes[0]; got.Fit != l.Classes[0].Fit || got.Ratio != l.Classes[0].Ratio || got.Mean != l.Classes[0].Mean {
 			t.Errorf("the class: %+v, want %+v", got, l.Classes[0])
 		}
 	}
 	slow := b.g.endpoints.byID["e1"].inflation
-	if slow == 0 || warm.endpoints.byID["e1"].inflation != slow || stale.endpoints.byID["e1"].inflation != 0 || warm.endpoints.byID["e2"].inflation != warm.congestion.inflation.value {
-		t.Errorf("e1 was %v: warm %v, stale %v; e2 in another life %v", slow, warm.endpoints.byID["e1"].inflation, stale.endpoints.byID["e1"].inflation, warm.endpoints.byID["e2"].inflation)
+	inflation := func(g *Gateway, id string) float64 { return g.endpoints.byID[id].inflation }
+	if slow == 0 || inflation(fresh, "e1") != slow || inflation(stale, "e1") != 0 ||
+		inflation(fresh, "e2") != fresh.congestion.inflation.value {
+		t.Errorf("e1 was %v: fresh %v, stale %v; e2 restarted %v", slow, inflation(fresh, "e1"), inflation(stale, "e1"),
+			inflation(fresh, "e2"))
 	}
-	if err := warm.Restore(l, true); err == nil {
-		t.Error("recalled after the first step")
+	if err := fresh.Restore(l, true); err == nil {
+		t.Error("restored after the first step")
 	}
 	l.Version++
 	if g, _ := New(9, testSettings()); g.Restore(l, true) == nil {
-		t.Error("another version was taken")
+		t.Error("another version was restored")
 	}
 }
--- a/policy/load.go
+++ b/policy/load.go
@@ -55,7 +55,7 @@
 
 // peerLoad is what other gateways have on an endpoint, in threads and granted MB: the maximum of what they
 // gossip and of what its report leaves beyond ours. What is not reported is the mean of its kind, corrected
-// by own attempts there as far as our share of the traffic makes them tell. Queries in flight include
+// by own attempts there as far as our share of the traffic makes them significant. Queries in flight include
 // timed-out ones that still run.
 func (g *Gateway) peerLoad(e *endpoint) (threads, grantedMB float64) {
 	k, reportedOwn, share := g.reportConfidence(e), e.threads-e.unreportedThreads, g.trafficShare()
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -3,19 +3,19 @@
 import "testing"
 
 // Queries that wait for disks leave cores idle: reports look fair while a gateway
-// of many has ten times its part in flight.
-func TestOwnQueriesTellOfAJamThatLooksIdle(t *testing.T) {
-	b := sparse(t, 50, 10, nil)
+// of many has ten times its share in flight.
+func TestOwnAttemptsRevealCongestionThatLooksIdle(t *testing.T) {
+	b := newSparseHarness(t, 10, nil)
 	sent := 0
 	for range 40 {
 		b.now += 50000
 		for _, e := range b.g.endpoints.list {
 			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
-		sent += len(only[Send](b.step(b.request(1))))
+		sent += len(actionsOf[Send](b.step(b.request(1))))
 	}
 	if sent > 12 {
-		t.Fatalf("%d heavy queries out on a fiftieth of ten engines", sent)
+		t.Fatalf("%d heavy queries in flight on a fiftieth of ten endpoints", sent)
 	}
 	if sent < 2 {
 		t.Fatalf("only %d sent", sent)
--- a/policy/memory_grants_test.go
+++ b/policy/memory_grants_test.go
@@ -3,13 +3,13 @@
 import "testing"
 
 // Queries short of memory spill; the margin grows with that and shrinks without.
-func TestMemoryMarginFollowsSpills(t *testing.T) {
+func TestGrantMarginFollowsSpills(t *testing.T) {
 	for _, spill := range []bool{true, false} {
-		b := newBench(t, testSettings(), 4)
+		b := newHarness(t, testSettings(), 4)
 		before := b.g.classes[0].grantMargin
 		for range 50 {
 			b.now += 50000
-			for _, s := range only[Send](b.step(b.request(0))) {
+			for _, s := range actionsOf[Send](b.step(b.request(0))) {
 				b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: FractionDone, Value: 0.5})
 				if spill {
 					b.step(Progress{ID: s.ID, Endpoint: s.Endpoint, Kind: MemorySpilled, Value: 10})
--- a/policy/pricing_test.go
+++ b/policy/pricing_test.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Hand-worked: one class of mean cost 2 s and worth 10 over 15 s, 3 admitted a
+// Hand-worked: one class of mean work 2 s and weight 10 over 15 s, 3 admitted a
 // second at level 1 in the last interval, waits of 0.5 s there and 2 s at level
 // 3, 4 own threads in flight at level 1, 16 cores shared by two gateways.
-func TestTollsByHand(t *testing.T) {
+func TestPricesByHand(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[1:]
-	b := newBench(t, s, 2)
+	b := newHarness(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
 	c.meanWork.value = 2
@@ -22,31 +22,31 @@
 	delta := 10.0 / 15
 	// At level 1 and below only class 0's wait at level 1 carries a rate; u = 4 of 8 cores.
 	r := 2.0 / 8 * delta * rate * 0.5 / (1 - 0.5)
-	near(t, "toll at level 1", c.price[1], 0.1*r)
-	near(t, "toll at level 0, which delays level 1 as well", c.price[0], 0.1*r)
-	near(t, "toll at level 2: nothing admitted at or below", c.price[2], 0)
-	near(t, "rate", c.admittedRate[1], rate)
+	requireNear(t, "price at level 1", c.price[1], 0.1*r)
+	requireNear(t, "price at level 0, which delays level 1 as well", c.price[0], 0.1*r)
+	requireNear(t, "price at level 2: nothing admitted at or below", c.price[2], 0)
+	requireNear(t, "rate", c.admittedRate[1], rate)
 	g.now += sec
 	g.updateEstimates()
-	near(t, "a wait without fresh outcomes halves", c.queueWait[1], 0.25)
+	requireNear(t, "a wait without fresh outcomes halves", c.queueWait[1], 0.25)
 }
 
-func TestUtilisationInTollsIsCapped(t *testing.T) {
+func TestUtilizationInPricesIsCapped(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[1:]
-	b := newBench(t, s, 2)
+	b := newHarness(t, s, 2)
 	g := b.g
 	c := &g.classes[0]
 	c.meanWork.value, c.admitted[0], c.queueWait[0], c.waitRefreshed[0] = 2, 3, 0.5, true
 	g.threads[0] = 80
 	g.schedule.pricedAt, g.now = b.now-sec, b.now
 	g.updateEstimates()
-	near(t, "toll at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
+	requireNear(t, "price at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
 }
 
-// Clients that leave less time than the cheapest level takes get a level that is in time.
+// Clients that leave less time than the level of least cost takes get a level that is in time.
 func TestLittleTimeLeftTakesAFasterLevel(t *testing.T) {
-	b := newBench(t, testSettings(), 2)
+	b := newHarness(t, testSettings(), 2)
 	c := &b.g.classes[0]
 	c.meanWork.value, c.queueWait, c.price = 0.1, [priorityLevels]float64{0, 0, 3, 3}, [priorityLevels]float64{0.9, 0.9, 0, 0}
 	for _, tt := range []struct {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,8 +18,8 @@
 	retriedAt  []Micros // retries sent, oldest first
 }
 
-// expire forgets what is older than the window. Both ends of the window are read strictly, by a timer
-// interval: a request counts for less long than a retry.
+// expire forgets what is older than the window. Requests count for a timer interval less than the window
+// and retries for one more: the budget then holds whichever way the ends of the window are read.
 func (b *retryBudget) expire(now, window Micros) {
 	start := now - window
 	b.receivedAt = dropUntil(b.receivedAt, start+timerMicros)
@@ -66,7 +66,6 @@
 
 // overdueCheck is how an attempt compares with its expectation, in seconds.
 type overdueCheck struct {
-	expected float64 // what the attempt should take by estimate and latency inflation
 	took     float64 // age, or the time projected by its progress
 	remains  float64 // until the final answer has to be given
 	overdue  bool
@@ -79,7 +78,7 @@
 	q, c := a.request, a.request.class
 	inflation := max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)
 	expected := max(q.work/c.threads*math.Exp(inflation), q.observedTime)
-	k := overdueCheck{expected: expected, took: age, remains: seconds(q.Deadline - g.deadlineGuard() - g.now),
+	k := overdueCheck{took: age, remains: seconds(q.Deadline - g.deadlineGuard() - g.now),
 		overdue: age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expected}
 	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime {
 		k.took = a.projectedTime
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -79,8 +79,8 @@
 	if e.Zone == g.settings.Zone {
 		w *= localZoneWeight
 	}
-	if slices.Contains(e.warmGroups, q.TableGroup) {
-		w *= math.Exp(warmthExponent * max(0, g.warmth.inflation[0]-g.warmth.inflation[1]-warmthTolerance))
+	if slices.Contains(e.cachedGroups, q.TableGroup) {
+		w *= g.cacheEffect.weight()
 	}
 	if (q.class.WaitsForTables || q.class.LocksTables) && g.tablesLocked(e, q.TableGroup) {
 		w *= lockedTablesWeight * lockedTablesWeight
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -2,39 +2,39 @@
 
 import "testing"
 
-// A request whose state one engine holds goes there and nowhere else, while it drains too, as long as the grace allows;
-// where that engine cannot take it any more it is refused at once.
-func TestPinnedRequests(t *testing.T) {
-	drain := func(b *bench, id string, s EndpointState) {
+// A sticky request goes to its endpoint and nowhere else, also while that drains, as long as the grace allows; where that
+// endpoint cannot take it any more it is shed at once.
+func TestStickyRequests(t *testing.T) {
+	drain := func(b *harness, id string, s EndpointState) {
 		b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: s}}})
 	}
 	cases := []struct {
 		name   string
-		before func(b *bench)
+		before func(b *harness)
 		only   string
 		sent   bool
 	}{
-		{"healthy", func(*bench) {}, "e2", true},
-		{"drains since a moment", func(b *bench) { drain(b, "e2", Draining); b.now += sec / 2 }, "e2", true},
-		{"drains since the grace", func(b *bench) { drain(b, "e2", Draining); b.now += sec }, "e2", false},
-		{"told to drain again", func(b *bench) {
+		{"healthy", func(*harness) {}, "e2", true},
+		{"draining", func(b *harness) { drain(b, "e2", Draining); b.now += sec / 2 }, "e2", true},
+		{"draining longer than the grace", func(b *harness) { drain(b, "e2", Draining); b.now += sec }, "e2", false},
+		{"listed as draining again", func(b *harness) {
 			drain(b, "e2", Draining)
 			b.now += sec / 2
 			drain(b, "e2", Draining)
 			b.now += sec / 2
 		}, "e2", false},
-		{"gone", func(b *bench) { drain(b, "e2", Removed) }, "e2", false},
-		{"never heard of", func(*bench) {}, "nobody", false},
+		{"removed", func(b *harness) { drain(b, "e2", Removed) }, "e2", false},
+		{"unknown", func(*harness) {}, "nobody", false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b := newBench(t, testSettings(), 4)
+			b := newHarness(t, testSettings(), 4)
 			c.before(b)
 			for range 20 {
 				q := b.request(0)
 				q.StickyTo = c.only
 				acts := b.step(q)
-				sends, refused := only[Send](acts), only[Shed](acts)
+				sends, refused := actionsOf[Send](acts), actionsOf[Shed](acts)
 				if c.sent && (len(sends) != 1 || sends[0].Endpoint != c.only) || !c.sent && (len(sends) > 0 || len(refused) != 1) {
 					t.Fatalf("%v", acts)
 				}
@@ -42,14 +42,14 @@
 					b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 				}
 			}
-			if sends := only[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Endpoint == "e2" && c.only == "e2" {
-				t.Errorf("one without state: %v", sends)
+			if sends := actionsOf[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Endpoint == "e2" && c.only == "e2" {
+				t.Errorf("one that is not sticky: %v", sends)
 			}
 		})
 	}
 }
 
-// A request stays within its protocol at every attempt, also when no engine that speaks it is left.
+// A request keeps its protocol at every attempt, also when no endpoint that speaks it is left.
 func TestProtocolIsKept(t *testing.T) {
 	g, err := New(1, changeSettings(Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}))
 	if err != nil {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -37,7 +37,7 @@
 
 	SlowStartFloor    float64 `json:"ColdFrom"`     // share of its capacity that a new endpoint starts with
 	SlowStartDuration Micros  `json:"ColdFor"`      // a new endpoint has its full capacity after this
-	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails at this many times its capacity ...
+	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails at this many times its share ...
 	OverloadDuration  Micros  `json:"FallFor"`      // ... for this long
 	DrainGrace        Micros  `json:"DrainGrace"`   // sends to a draining endpoint stop within this
 	AnswerSlack       Micros  `json:"AnswerSlack"`  // a final answer counts this long after the deadline
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-// inflation is many gateways that share engines; answers come after a fixed time.
-type crowd struct {
-	t      *testing.T
-	gs     []*Gateway
-	now    Micros
-	ids    int
-	due    map[Micros][]func()
-	sent   map[string]float64 // work sent to each engine, by its estimate
-	sends  map[string][]Micros
-	open   map[string]float64 // threads out on each engine
-	most   map[string]float64
-	probes int
-	tells  map[int]int // messages by receiver
-	taken  int
-	acts   []Action
+// simulation is many gateways that share endpoints; answers come after half a second.
+type simulation struct {
+	t        *testing.T
+	gs       []*Gateway
+	now      Micros
+	ids      int
+	due      map[Micros][]func()
+	sent     map[string]float64 // work sent to each endpoint, by its estimate
+	sends    map[string][]Micros
+	open     map[string]float64 // threads in flight on each endpoint
+	peak     map[string]float64 // maximum of those
+	checks   int                // health checks
+	gossip   map[int]int        // messages by receiver
+	received int                // requests
+	acts     []Action
 }
 
-func newCrowd(t *testing.T, gateways, engines int, edit func(*Settings), row func(int, *Endpoint)) *crowd {
+func newSimulation(t *testing.T, gateways, endpoints int, edit func(*Settings), row func(int, *Endpoint)) *simulation {
 	t.Helper()
-	c := &crowd{t: t, now: 100 * sec, due: map[Micros][]func(){}, sent: map[string]float64{},
-		sends: map[string][]Micros{}, open: map[string]float64{}, most: map[string]float64{}, tells: map[int]int{}}
+	c := &simulation{t: t, now: 100 * sec, due: map[Micros][]func(){}, sent: map[string]float64{},
+		sends: map[string][]Micros{}, open: map[string]float64{}, peak: map[string]float64{}, gossip: map[int]int{}}
 	var rows []Endpoint
-	for i := range engines {
+	for i := range endpoints {
 		e := Endpoint{ID: fmt.Sprintf("e%02d", i), PlacementGroup: i / 2}
 		if row != nil {
 			row(i, &e)
@@ -52,8 +52,8 @@
 	return c
 }
 
-// play steps one gateway and carries out what it asks.
-func (c *crowd) play(i int, evs ...Event) {
+// play steps one gateway and carries out its actions.
+func (c *simulation) play(i int, evs ...Event) {
 	acts := c.gs[i].Step(c.now, evs)
 	c.acts = append(c.acts, acts...)
 	for _, a := range acts {
@@ -63,36 +63,36 @@
 			q := c.gs[i].ledger.requests[a.ID]
 			c.sent[a.Endpoint] += q.work
 			c.open[a.Endpoint] += q.class.threads
-			c.most[a.Endpoint] = max(c.most[a.Endpoint], c.open[a.Endpoint])
+			c.peak[a.Endpoint] = max(c.peak[a.Endpoint], c.open[a.Endpoint])
 			n := len(q.attempts) - 1
 			c.after(sec/2, func() {
 				c.open[a.Endpoint] -= q.class.threads
 				c.play(i, AttemptResult{ID: a.ID, Attempt: n, Endpoint: a.Endpoint, Final: true, Latency: sec / 2, Load: c.load(a.Endpoint)})
 			})
 		case HealthCheck:
-			c.probes++
+			c.checks++
 			c.after(2000, func() { c.play(i, HealthCheckResult{Endpoint: a.Endpoint, Latency: 2000, Load: c.load(a.Endpoint)}) })
 		case SendGossip:
-			c.tells[a.To]++
+			c.gossip[a.To]++
 			if a.To < 0 || a.To >= len(c.gs) || a.To == i || len(a.Data) > 256 {
-				c.t.Fatalf("gateway %d told %d with %d bytes", i, a.To, len(a.Data))
+				c.t.Fatalf("gateway %d sent %d a message of %d bytes", i, a.To, len(a.Data))
 			}
 			c.after(5000, func() { c.play(a.To, GossipReceived{From: i, Data: a.Data}) })
 		}
 	}
 }
 
-func (c *crowd) load(engine string) *Load {
-	return &Load{Util: min(1, c.open[engine]/8), InFlight: c.open[engine], Queue: -1, Memory: -1, Disk: -1}
+func (c *simulation) load(endpoint string) *Load {
+	return &Load{Util: min(1, c.open[endpoint]/8), InFlight: c.open[endpoint], Queue: -1, Memory: -1, Disk: -1}
 }
 
-func (c *crowd) after(d Micros, f func()) {
+func (c *simulation) after(d Micros, f func()) {
 	at := (c.now + d + 9999) / 10000 * 10000
 	c.due[at] = append(c.due[at], f)
 }
 
-// run plays on for so long; every gateway takes a light query each gap, at times of its own.
-func (c *crowd) run(d, gap Micros) {
+// run goes on for a duration; every gateway receives a light query each gap, at times of its own.
+func (c *simulation) run(d, gap Micros) {
 	for end := c.now + d; c.now < end; {
 		c.now += 10000
 		for _, f := range c.due[c.now] {
@@ -102,7 +102,7 @@
 		for i := range c.gs {
 			if (c.now/10000+Micros(i*7))%(gap/10000) == 0 {
 				c.ids++
-				c.taken++
+				c.received++
 				c.play(i, Request{ID: fmt.Sprint(c.ids), Cost: 100000, MemoryMB: 100, Deadline: c.now + 4*sec})
 			} else {
 				c.play(i)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// However many gateways there are, what they send a cold engine stays within the
-// rule in sum, and the engine is used.
-func TestColdBudgetHoldsInSumAndIsUsed(t *testing.T) {
+// However many gateways there are, what they send a starting endpoint stays within
+// the rule in sum, and the endpoint is used.
+func TestSlowStartBudgetHoldsInSumAndIsUsed(t *testing.T) {
 	for _, n := range []int{2, 20, 100} {
-		c := newCrowd(t, n, 4, nil, func(i int, e *Endpoint) {
+		c := newSimulation(t, n, 4, nil, func(i int, e *Endpoint) {
 			if i == 0 {
 				e.Started = 100 * sec
 			}
@@ -19,27 +19,27 @@
 		s := c.gs[0].settings
 		gap := sec * Micros(n) / 100
 		last, all := 0.0, 0.0
-		for range 4 { // windows of the rule's length; what it bears then rises evenly
+		for range 4 { // windows of the rule's duration; the limit rises evenly
 			share := s.SlowStartFloor + (1-s.SlowStartFloor)*float64(c.now-100*sec)/float64(s.SlowStartDuration)
 			limit := s.OverloadMultiple * share * 8 * float64(s.OverloadDuration) / microsPerSecond
 			c.run(s.OverloadDuration, gap)
 			if used := c.sent["e00"] - last; used > limit {
-				t.Errorf("%d gateways sent a cold engine %.2f s of work in a window of %.2f", n, used, limit)
+				t.Errorf("%d gateways sent a starting endpoint %.2f s of work in a window of %.2f", n, used, limit)
 			}
 			last, all = c.sent["e00"], all+limit
 		}
 		if last < all/10 {
-			t.Errorf("%d gateways sent a cold engine only %.2f s of work of %.2f", n, last, all)
+			t.Errorf("%d gateways sent a starting endpoint only %.2f s of work of %.2f", n, last, all)
 		}
 	}
 }
 
-// The same in requests over every window, beyond chance (N + 2 x root of N + 2 of N that the settings allow), where traffic is uneven and
-// every gateway is replaced, a tenth at a time, by one that knows nothing but the list.
-func TestColdBudgetHoldsForJoiners(t *testing.T) {
+// The same in requests over every window, beyond chance (N + 2 x root of N + 2 of N that the settings allow), where traffic is
+// uneven and every gateway is replaced, a tenth at a time, by one that knows nothing but the endpoint list.
+func TestSlowStartBudgetHoldsForNewGateways(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		rows := []Endpoint{}
-		c := newCrowd(t, n, 4, func(s *Settings) { s.CanHealthCheck = false }, func(i int, e *Endpoint) {
+		c := newSimulation(t, n, 4, func(s *Settings) { s.CanHealthCheck = false }, func(i int, e *Endpoint) {
 			if i == 0 {
 				e.Started = 100 * sec
 			}
@@ -53,9 +53,9 @@
 				f()
 			}
 			delete(c.due, c.now)
-			for range 6 { // more than the others can do
+			for range 6 { // more than the other endpoints can serve
 				i := rng.IntN(n)
-				if rng.IntN(2) == 0 { // some see several times the mean
+				if rng.IntN(2) == 0 { // some receive several times the mean
 					i = rng.IntN((n + 4) / 5)
 				}
 				c.ids++
@@ -87,39 +87,39 @@
 			}
 			worst = max(worst, count/(budget+2*math.Sqrt(budget)+2))
 		}
-		t.Logf("%d gateways: %d sent to the cold engine, at most %.2f of what it bears in a window", n, len(sends), worst)
+		t.Logf("%d gateways: %d sent to the starting endpoint, at most %.2f of its limit in a window", n, len(sends), worst)
 		if worst > 1 || len(sends) == 0 {
-			t.Errorf("%d gateways sent the cold engine %.2f times what it bears in a window", n, worst)
+			t.Errorf("%d gateways sent the starting endpoint %.2f times its limit in a window", n, worst)
 		}
 	}
 }
 
 // Reports that fade at the end of a day made a gateway of dozens take the whole
-// cold budget for its own.
-func TestColdPartIsEqualWhereNobodyTalks(t *testing.T) {
-	b := sparse(t, 50, 1, nil)
+// slow start budget for its own.
+func TestSlowStartShareIsEqualWithoutGossip(t *testing.T) {
+	b := newSparseHarness(t, 1, nil)
 	b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", Started: b.now}}})
 	b.g.traffic.share = 1
 	s := b.g.settings
 	work := 0.0
 	for end := b.now + s.OverloadDuration; b.now < end; {
 		b.now += 20000
-		for _, a := range only[Send](b.step(b.request(0))) {
+		for _, a := range actionsOf[Send](b.step(b.request(0))) {
 			work += b.g.ledger.requests[a.ID].work
 		}
 	}
 	budget := s.OverloadMultiple * (s.SlowStartFloor + 0.2) * 8 * float64(s.OverloadDuration) / microsPerSecond / 50
-	if work > budget+0.1 { // one query may begin it
+	if work > budget+0.1 { // one query may start it
 		t.Fatalf("%.2f s of work sent of %.2f", work, budget)
 	}
 }
 
 // A few heavy queries sent by chance come together now and then: over many starts
-// no window may hold more than the engine bears.
-func TestHeavyQueriesDoNotMeetAtAColdEngine(t *testing.T) {
+// no window may have more than the limit.
+func TestHeavyQueriesSpreadDuringSlowStart(t *testing.T) {
 	over := 0
 	for try := range 40 {
-		c := newCrowd(t, 60, 1, func(s *Settings) { s.CanGossip, s.CanHealthCheck = false, false },
+		c := newSimulation(t, 60, 1, func(s *Settings) { s.CanGossip, s.CanHealthCheck = false, false },
 			func(_ int, e *Endpoint) { e.Started = 100 * sec })
 		for i, g := range c.gs {
 			g.rng.Uint64()
@@ -136,6 +136,6 @@
 		}
 	}
 	if over > 1 {
-		t.Fatalf("a cold engine was sent too much in %d of 40 starts", over)
+		t.Fatalf("a starting endpoint was sent too much in %d of 40 starts", over)
 	}
 }
--- a/policy/table_affinity.go
+++ b/policy/table_affinity.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"hash/fnv"
+	"math"
 	"slices"
 )
 
@@ -10,9 +11,9 @@
 const (
 	lockedTablesWeight = 0.1 // weight of endpoints where a load locks the group, for classes that wait
 	affinityShare      = 0.5 // share of the endpoints that take the loads of one group
-	maxWarmGroups      = 4   // table groups assumed to be cached on an endpoint
-	warmthTolerance    = 0.1 // log time saved below which caching is taken for noise
-	warmthExponent     = 2.0 // exponent of the time saved by caching in the draw
+	maxCachedGroups    = 4   // table groups assumed to be cached on an endpoint
+	cacheTolerance     = 0.1 // log time saved below which caching is taken for noise
+	cacheExponent      = 2.0 // exponent of the time saved by caching in the draw
 )
 
 // inAffinitySubset says whether an endpoint takes loads of a table group, the same at every gateway
@@ -72,21 +73,26 @@
 // groupCode is the wire form of a table group, never 0.
 func groupCode(tables int64) byte { return byte(uint64(tables)%255) + 1 }
 
-// recordRead marks a table group as the one read last; the endpoint caches maxWarmGroups of them.
+// recordRead marks a table group as the one read last; the endpoint caches maxCachedGroups of them.
 func (e *endpoint) recordRead(tables int64) {
-	e.warmGroups = slices.DeleteFunc(e.warmGroups, func(t int64) bool { return t == tables })
-	e.warmGroups = slices.Insert(e.warmGroups, 0, tables)
-	e.warmGroups = e.warmGroups[:min(len(e.warmGroups), maxWarmGroups)]
+	e.cachedGroups = slices.DeleteFunc(e.cachedGroups, func(t int64) bool { return t == tables })
+	e.cachedGroups = slices.Insert(e.cachedGroups, 0, tables)
+	e.cachedGroups = e.cachedGroups[:min(len(e.cachedGroups), maxCachedGroups)]
 }
 
-// warmthEffect is the mean log latency inflation of answers whose table group was not cached, and was.
-type warmthEffect struct{ inflation [2]float64 }
+// cacheEffect is the mean log latency inflation of answers whose table group was not cached, and was.
+type cacheEffect struct{ inflation [2]float64 }
 
 // record takes the log inflation x of an answer, by whether its group was cached.
-func (w *warmthEffect) record(warm bool, x float64) {
+func (c *cacheEffect) record(cached bool, x float64) {
 	i := 0
-	if warm {
+	if cached {
 		i = 1
 	}
-	w.inflation[i] += (x - w.inflation[i]) * meanSmoothing
+	c.inflation[i] += (x - c.inflation[i]) * meanSmoothing
+}
+
+// weight is the factor of endpoints where the table group is cached, by the time that this saves.
+func (c *cacheEffect) weight() float64 {
+	return math.Exp(cacheExponent * max(0, c.inflation[0]-c.inflation[1]-cacheTolerance))
 }
--- a/policy/table_affinity_test.go
+++ b/policy/table_affinity_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// loadSettings is testSettings with a class that loads groups of tables, which the light class waits for.
+// loadSettings is testSettings with a class that loads table groups, which the light class waits for.
 func loadSettings() Settings {
 	s := testSettings()
 	s.Classes[0].WaitsForTables = true
@@ -11,12 +11,12 @@
 	return s
 }
 
-// Loads of one group that were spread over all engines held it everywhere, one after the other: lookups of that group stood
-// still to their deadlines, on engines with a tenth of their cores in use.
-func TestLoadsOfAGroupLeaveEnginesToThoseWhoWait(t *testing.T) {
+// Loads of one group that were spread over all endpoints locked it everywhere, one after the other: lookups of that group
+// were blocked to their deadlines, on endpoints with a tenth of their cores in use.
+func TestLoadsLeaveEndpointsToWaitingQueries(t *testing.T) {
 	const tables = 7
-	b := newBench(t, loadSettings(), 6)
-	most, stood, lookups := 0, 0, 0
+	b := newHarness(t, loadSettings(), 6)
+	maxLocked, blocked, lookups := 0, 0, 0
 	type out struct {
 		s    Send
 		till Micros
@@ -27,7 +27,7 @@
 		for len(loads) > 0 && loads[0].till <= b.now {
 			s := loads[0].s
 			loads = loads[1:]
-			for _, next := range only[Send](b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 500000})) {
+			for _, next := range actionsOf[Send](b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 500000})) {
 				loads = append(loads, out{next, b.now + sec/2})
 			}
 		}
@@ -36,7 +36,7 @@
 			q = b.request(2)
 			q.TableGroup = tables
 		}
-		for _, s := range only[Send](b.step(q)) {
+		for _, s := range actionsOf[Send](b.step(q)) {
 			if i%20 == 0 {
 				loads = append(loads, out{s, b.now + sec/2})
 				continue
@@ -44,7 +44,7 @@
 			lookups++
 			for _, l := range loads {
 				if l.s.Endpoint == s.Endpoint {
-					stood++
+					blocked++
 				}
 			}
 			b.now += 1000
@@ -56,19 +56,19 @@
 				t.Fatalf("two loads of one group on %s", l.s.Endpoint)
 			}
 		}
-		most = max(most, len(held))
+		maxLocked = max(maxLocked, len(held))
 	}
-	if most == 0 || most > 3 {
-		t.Errorf("loads held their group on %d of 6 engines at once", most)
+	if maxLocked == 0 || maxLocked > 3 {
+		t.Errorf("loads locked their group on %d of 6 endpoints at once", maxLocked)
 	}
-	if lookups == 0 || stood*50 > lookups {
-		t.Errorf("%d of %d lookups met a load", stood, lookups)
+	if lookups == 0 || blocked*50 > lookups {
+		t.Errorf("%d of %d lookups met a lock", blocked, lookups)
 	}
 }
 
-// Gateways that share engines agree on the lanes of a group without a word, and groups do not all have the same.
-func TestLanesAreTheSameEverywhere(t *testing.T) {
-	a, b := newBench(t, loadSettings(), 6), newBench(t, loadSettings(), 6)
+// Gateways agree on the endpoints for loads of a group without gossip, and groups do not all have the same.
+func TestAffinitySubsetsAreTheSameEverywhere(t *testing.T) {
+	a, b := newHarness(t, loadSettings(), 6), newHarness(t, loadSettings(), 6)
 	differ := false
 	for tables := range int64(20) {
 		for i, e := range a.g.endpoints.list {
@@ -79,32 +79,32 @@
 		}
 	}
 	if !differ {
-		t.Error("all groups have the same lanes")
+		t.Error("all groups have the same endpoints")
 	}
 }
 
-// With one engine left there is no choice.
-func TestALoadGoesToTheOnlyEngine(t *testing.T) {
-	b := newBench(t, loadSettings(), 1)
-	if len(only[Send](b.step(b.request(2)))) != 1 {
+// With one endpoint left there is no choice.
+func TestLoadGoesToTheOnlyEndpoint(t *testing.T) {
+	b := newHarness(t, loadSettings(), 1)
+	if len(actionsOf[Send](b.step(b.request(2)))) != 1 {
 		t.Error("not sent")
 	}
 }
 
-// A load holds its group on its engine: queries that wait for it go elsewhere.
-func TestWaitingClassesAvoidLoads(t *testing.T) {
+// A load locks its group on its endpoint: queries that wait for it go elsewhere.
+func TestWaitingClassesAvoidTableLocks(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].WaitsForTables, s.Classes[1].LocksTables, s.Classes[1].Threads = true, true, 1
-	b := newBench(t, s, 4)
+	b := newHarness(t, s, 4)
 	load := b.request(1)
 	load.TableGroup = 9
-	at := only[Send](b.step(load))[0].Endpoint
+	at := actionsOf[Send](b.step(load))[0].Endpoint
 	there := 0
 	for range 12 {
 		b.now += 1000
 		q := b.request(0)
 		q.TableGroup = 9
-		for _, s := range only[Send](b.step(q)) {
+		for _, s := range actionsOf[Send](b.step(q)) {
 			if s.Endpoint == at {
 				there++
 			}
