--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,13 +31,13 @@
 
 	HonorsGrants     bool     `json:"GrantsCount"`   // endpoints honor memory grants
 	HonorsPriority   bool     `json:"PriorityCount"` // endpoints honor priorities
-	MaxGrantShare    float64  `json:"MaxGrantShare"` // maximum share of an endpoint's memory a query; 0: all
+	MaxGrantShare    float64  `json:"MaxGrantShare"` // maximum share of memory for one query; 0: all
 	Shortage         Shortage `json:"Shortage"`
 	ProgressInterval Micros   `json:"ProgressEvery"` // time between progress reports; 0: there are none
 
 	SlowStartFloor    float64 `json:"ColdFrom"`     // share of its capacity that a new endpoint starts with
 	SlowStartDuration Micros  `json:"ColdFor"`      // a new endpoint has its full capacity after this
-	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails at this many times its share ...
+	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails at this multiple of capacity ...
 	OverloadDuration  Micros  `json:"FallFor"`      // ... for this long
 	DrainGrace        Micros  `json:"DrainGrace"`   // sends to a draining endpoint stop within this
 	AnswerSlack       Micros  `json:"AnswerSlack"`  // a final answer counts this long after the deadline
