--- /dev/null
+++ b/policy/attempts.go
@@ -0,0 +1,234 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+// attempt is one send of a request to an endpoint.
+type attempt struct {
+	request      *request
+	number       int // 0 for the first of its request
+	endpoint     *endpoint
+	sentAt       Micros
+	expectedTime float64 // seconds
+	level        int
+	grantMB      float64
+	uncontended  bool // sent to an endpoint with free cores
+	cached       bool // its table group was cached there
+	closed       bool
+	cancelled    bool
+
+	progressAt       Micros  // last progress report
+	reportedProgress bool    // one came with a share done
+	projectedTime    float64 // seconds in all, by that; 0: none
+	spilled          bool
+	waiting          bool // blocked for memory or a table lock
+}
+
+// sendAttempt starts an attempt at the level of lowest cost.
+func (g *Gateway) sendAttempt(q *request, e *endpoint) {
+	c := q.class
+	g.queue.remove(q)
+	q.level, _ = g.leastCostLevel(q)
+	a := &attempt{request: q, number: len(q.attempts), endpoint: e, sentAt: g.now, level: q.level,
+		uncontended: g.utilization(e) < freeCoreUtilization,
+		cached:      slices.Contains(e.cachedGroups, q.TableGroup)}
+	a.expectedTime = c.serviceTime(q.work) / g.relativeSpeed(e)
+	a.grantMB = g.memoryGrant(q, e)
+	g.openAttempt(a)
+	e.claimedThreads += c.threads
+	g.queries.sentThreads.add(c.threads, meanSmoothing)
+	e.nextTrialAt = g.now + toMicros(trialInterval)
+	if e.slowStartSince > 0 {
+		e.slowStartBudget(q.Class, len(g.classes)).seconds -= g.slowStartCharge(c, g.slowStartRate(e))
+	}
+	e.recordRead(q.TableGroup)
+	if g.settings.HonorsGrants || g.settings.HonorsPriority {
+		g.emit(Resources{ID: q.ID, MemoryMB: a.grantMB, Priority: priorityLevels - 1 - q.level})
+	}
+	s := Send{ID: q.ID, Endpoint: e.ID, Timeout: max(q.Deadline-g.deadlineGuard()-g.now, 1)}
+	if c.Effect == IdempotentByKey && q.firstRan != nil {
+		s.StartBefore = q.firstRan.sentAt + c.DedupWindow
+	}
+	g.emit(s)
+}
+
+// openAttempt puts a new attempt into the ledger.
+func (g *Gateway) openAttempt(a *attempt) {
+	q, e := a.request, a.endpoint
+	if len(q.attempts) > 0 {
+		g.retryBudget.retriedAt = append(g.retryBudget.retriedAt, g.now)
+	}
+	q.attempts = append(q.attempts, a)
+	q.openAttempts++
+	if q.ordered() {
+		g.keyOrders[q.OrderKey].openAttempts++
+	}
+	e.attempts = append(e.attempts, a)
+	e.threads += q.class.threads
+	e.unreportedThreads += q.class.threads
+	e.unreportedMB += a.grantMB
+	e.grantedMB += a.grantMB
+	g.threads[a.level] += q.class.threads
+}
+
+// closeAttempt takes an attempt out of the ledger.
+func (g *Gateway) closeAttempt(a *attempt, code Code) {
+	q, e := a.request, a.endpoint
+	a.closed = true
+	q.openAttempts--
+	e.attempts = slices.DeleteFunc(e.attempts, func(other *attempt) bool { return other == a })
+	e.threads -= q.class.threads
+	if a.sentAt > e.loadAt {
+		e.unreportedThreads -= q.class.threads
+		e.unreportedMB -= a.grantMB
+	}
+	e.grantedMB -= a.grantMB
+	g.threads[a.level] -= q.class.threads
+	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.firstRan == nil {
+		q.firstRan = a
+	}
+	if q.ordered() {
+		order := g.keyOrders[q.OrderKey]
+		order.openAttempts--
+		if code == TimedOut || code == ConnectionReset || code == Cancelled {
+			order.pausedUntil = max(order.pausedUntil, g.now+g.settings.OrderingGap)
+		}
+	}
+}
+
+// cancelAttempt cancels an attempt, where that is allowed, and says whether it did.
+func (g *Gateway) cancelAttempt(a *attempt) bool {
+	if a.closed || a.cancelled || !g.settings.CanCancel || a.request.streamed {
+		return false
+	}
+	a.cancelled = true
+	g.emit(Cancel{ID: a.request.ID, Attempt: a.number})
+	return true
+}
+
+// deadlineGuard is the time before a deadline at which the final answer is given.
+func (g *Gateway) deadlineGuard() Micros { return Micros(2 * timerInterval * microsPerSecond) }
+
+// openAttemptOf is an attempt in flight; nil if there is none.
+func (g *Gateway) openAttemptOf(id string, number int) *attempt {
+	q := g.ledger.requests[id]
+	if q == nil || number < 0 || number >= len(q.attempts) || q.attempts[number].closed {
+		return nil
+	}
+	return q.attempts[number]
+}
+
+// handleAttemptResult closes an attempt, learns from its result and decides what follows.
+func (g *Gateway) handleAttemptResult(r AttemptResult) {
+	a := g.openAttemptOf(r.ID, r.Attempt)
+	if a == nil {
+		return
+	}
+	q, e := a.request, a.endpoint
+	g.closeAttempt(a, r.Code)
+	if r.Load != nil && (e.loadAt == 0 || *r.Load != e.load) { // an unchanged report may be an old one
+		g.recordLoad(e, *r.Load, g.now)
+	}
+	g.learnFromResult(a, r)
+	if r.Final && !q.done {
+		g.endRequest(q)
+	}
+	if q.ended() {
+		delete(g.ledger.requests, q.ID)
+	}
+	if q.done || q.openAttempts > 0 {
+		return
+	}
+	q.restarting = false
+	g.queue.add(q) // drainQueue sends it again, or sheds it
+	g.schedule.drainQueueAt = g.now
+}
+
+// learnFromResult learns from a result: the class's estimates and waits, the endpoint's health. An endpoint
+// that rejects everything looks as idle as one that fails.
+func (g *Gateway) learnFromResult(a *attempt, r AttemptResult) {
+	switch r.Code {
+	case OK:
+		g.learnFromAnswer(a, r)
+		g.recordResponse(a, r.Code, 0)
+	case Rejected, Failed, ConnectionRefused, ConnectionReset:
+		g.recordResponse(a, r.Code, 1)
+	}
+}
+
+// learnFromAnswer learns from an answer's latency, and from its work where that is reported.
+func (g *Gateway) learnFromAnswer(a *attempt, r AttemptResult) {
+	q, c, e := a.request, a.request.class, a.endpoint
+	e.nextTrialAt = g.now // the next trial may follow
+	took := max(seconds(r.Latency), minSeconds)
+	overEstimate := math.Log(took * c.threads / max(q.work, minSeconds))
+	c.recordDispersion(overEstimate)
+	inflation, work := clipInflation(overEstimate), 0.0
+	if r.WorkMicros > 0 { // reported work tells inflation from the error of the estimate
+		work = seconds(r.WorkMicros)
+		inflation = clipInflation(math.Log(took * c.threads / work))
+	} else if a.uncontended || c.workFit.count < minFitAnswers {
+		work = q.work * math.Exp(min(inflation, shrinkSlackShare*g.congestion.slack))
+	}
+	g.recordInflation(e, inflation, fleetInflationStep)
+	g.cacheEffect.record(a.cached, inflation)
+	g.queries.latency.add(took, meanSmoothing)
+	g.queries.responseTime.add(g.secondsSince(q.receivedAt), meanSmoothing)
+	g.queries.earned.add(g.earnedWeight(q, g.now), meanSmoothing)
+	if q.Cost > 0 && work > 0 {
+		c.workFit.add(seconds(q.Cost), work, fitSmoothing)
+	}
+	g.adjustCapacity()
+	wait := max(0, g.secondsSince(q.receivedAt)-c.serviceTime(q.work))
+	c.learnGrantMargin(a)
+	c.recordWait(a.level, wait)
+}
+
+// recordResponse takes a response of an endpoint; fault is 1 for a fault and 0 for an answer. The endpoint
+// may have restarted, before the endpoint list says so, where it refuses a connection or two break at once;
+// one broken connection alone may be a lost answer.
+func (g *Gateway) recordResponse(a *attempt, code Code, fault float64) {
+	e := a.endpoint
+	e.lastResponse, e.cancelledUnanswered, e.lastWasFault = g.now, 0, fault > 0
+	if code != ConnectionRefused && code != ConnectionReset {
+		e.confirmAlive(a)
+	}
+	if code == ConnectionRefused || code == ConnectionReset && g.secondsSince(e.resetAt) < timerInterval {
+		if e.restartGuessedAt == 0 {
+			e.slowStartBefore = e.slowStartSince
+		}
+		e.slowStartSince, e.restartGuessedAt = g.now, g.now
+	}
+	if code == ConnectionReset {
+		e.resetAt = g.now
+	}
+	e.faultShare += (fault - e.faultShare) * faultSmoothing
+	g.updateOutlier(e)
+}
+
+// handleProgress learns from a progress report: projected time, spills, waits.
+func (g *Gateway) handleProgress(p Progress) {
+	a := g.openAttemptOf(p.ID, p.Attempt)
+	if a == nil {
+		return
+	}
+	e := a.endpoint
+	a.progressAt, e.lastResponse = g.now, max(e.lastResponse, g.now)
+	e.confirmAlive(a)
+	switch p.Kind {
+	case FractionDone:
+		a.waiting, a.reportedProgress = false, true
+		if p.Value > 0 {
+			a.projectedTime = g.secondsSince(a.sentAt) / min(p.Value, 1)
+		}
+	case MemorySpilled:
+		a.spilled = true
+	default:
+		a.waiting = true
+		if p.Kind == WaitingForTables {
+			e.tableLocks[groupCode(a.request.TableGroup)] = g.now
+		}
+	}
+}
--- a/policy/change.go
+++ b/policy/change.go
@@ -6,97 +6,108 @@
 	"slices"
 )
 
-// This file puts new settings in force in a running gateway. It decides nothing: what was learned and what is on the
-// books (order, budget, cold stores, drains, the list) stays, under the new numbers of classes and tenants.
-
-// Change takes new settings between two steps. Classes and Tenants tell for each new one which old one it continues,
-// -1 for none. A request that is open keeps the class it was taken under where its rules differ now. Zones and kinds
-// keep their numbers: a setting may add kinds, never take one away. The error names what cannot change; nothing has
+// Change takes new settings between two steps. It decides nothing: what was learned, and what is open
+// (order, budgets, drains, the endpoint list), stays under the new indexes of classes and tenants. Classes
+// and Tenants give for each new one the index of the old one that it continues, -1 for none. An open
+// request keeps the class it was received under where its rules differ now. Zones and kinds keep their
+// indexes: a setting may add kinds, never remove one. The error names what cannot change; nothing has
 // changed then.
 func (g *Gateway) Change(s Settings, classes, tenants []int) error {
 	if err := s.validate(); err != nil {
 		return err
 	}
 	if len(classes) != len(s.Classes) || len(tenants) != len(s.Tenants) {
-		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d", len(classes),
-			len(tenants), len(s.Classes), len(s.Tenants))
+		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d",
+			len(classes), len(tenants), len(s.Classes), len(s.Tenants))
 	}
-	if len(s.Kinds) < len(g.set.Kinds) {
-		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.set.Kinds))
+	if len(s.Kinds) < len(g.settings.Kinds) {
+		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.settings.Kinds))
 	}
-	newClass, err := numbers("Classes", classes, len(g.classes))
+	newClass, err := newNumbers("Classes", classes, len(g.classes))
 	if err != nil {
 		return err
 	}
-	newTenant, err := numbers("Tenants", tenants, len(g.tenants))
+	newTenant, err := newNumbers("Tenants", tenants, len(g.traffic.tenants))
 	if err != nil {
 		return err
 	}
-	open := slices.DeleteFunc(slices.Clone(g.live), func(q *request) bool { return q.done && q.open == 0 })
+	open := slices.DeleteFunc(slices.Clone(g.ledger.active), (*request).ended)
 	for _, q := range open {
 		if newClass[q.Class] < 0 {
 			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
 		}
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
-	old := g.classes
-	g.live = open
-	g.set, g.classes = s, make([]class, len(s.Classes))
-	for i, c := range s.Classes {
-		fresh := class{threads: float64(max(c.Threads, 1)), margin: old[0].margin}
-		if from := classes[i]; from >= 0 {
-			fresh = old[from]
-			fresh.threads = float64(max(c.Threads, 1))
-		}
-		fresh.Class = c
-		g.classes[i] = fresh
-	}
+	g.settings, g.ledger.active = s, open
+	g.replaceClasses(classes)
 	for _, q := range open {
 		q.Class = newClass[q.Class]
-		if now := &g.classes[q.Class]; sameRules(q.class.Class, now.Class) {
-			q.class = now
+		if c := &g.classes[q.Class]; sameRules(q.class.Class, c.Class) {
+			q.class = c
 		}
-		q.Tenant = renumbered(newTenant, q.Tenant)
+		q.Tenant = renumber(newTenant, q.Tenant)
 	}
-	g.retenant(tenants)
-	for _, e := range g.byID { // each by itself: the order does not matter
-		if e.Kind >= 0 && e.Kind < len(s.Kinds) {
-			e.cores, e.memory = float64(max(s.Kinds[e.Kind].Cores, 1)), s.Kinds[e.Kind].MemoryMB
-		}
-		if cold := e.cold; cold != nil {
-			e.cold = make([]store, len(classes))
-			for i, from := range classes {
-				if from >= 0 && from < len(cold) {
-					e.cold[i] = cold[from]
-				}
-			}
-		}
+	g.replaceTenants(tenants)
+	for _, e := range g.endpoints.byID { // each by itself: the order does not matter
+		e.resize(s.Kinds)
+		e.renumberSlowStart(classes)
 	}
-	g.slack = g.patience()
+	g.congestion.slack = g.objectiveSlack()
 	return nil
 }
 
-// retenant carries the traffic of tenants over.
-func (g *Gateway) retenant(from []int) {
-	old := g.tenants
-	g.tenants = make([]tenant, len(from))
+// replaceClasses puts the classes of the settings in force; each continues what was learned of an old one,
+// or begins with a common grant margin.
+func (g *Gateway) replaceClasses(from []int) {
+	old := g.classes
+	g.classes = make([]class, len(from))
+	for i, c := range g.settings.Classes {
+		next := class{grantMargin: old[0].grantMargin}
+		if from[i] >= 0 {
+			next = old[from[i]]
+		}
+		next.threads, next.Class = float64(max(c.Threads, 1)), c
+		g.classes[i] = next
+	}
+}
+
+// replaceTenants puts the tenants of the settings in force; each continues the traffic of an old one.
+func (g *Gateway) replaceTenants(from []int) {
+	old := g.traffic.tenants
+	g.traffic.tenants = make([]tenant, len(from))
 	for i, f := range from {
 		if f >= 0 {
-			g.tenants[i] = old[f]
+			g.traffic.tenants[i] = old[f]
+		}
+		g.traffic.tenants[i].quota = g.settings.Tenants[i].Quota
+	}
+}
+
+// renumberSlowStart carries the budgets of an endpoint that has just started over to the new classes.
+func (e *endpoint) renumberSlowStart(from []int) {
+	old := e.slowStart
+	if old == nil {
+		return
+	}
+	e.slowStart = make([]workBudget, len(from))
+	for i, f := range from {
+		if f >= 0 && f < len(old) {
+			e.slowStart[i] = old[f]
 		}
-		g.tenants[i].allowance = g.set.Tenants[i].Quota
 	}
 }
 
-// sameRules tells that an open request may go on under a class's new form: all that is counted on the books is equal.
+// sameRules says that an open request may continue under a class's new form: all that the ledgers count is
+// equal.
 func sameRules(a, b Class) bool {
-	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope && a.DedupWindow == b.DedupWindow &&
-		a.Ordered == b.Ordered && a.LocksTables == b.LocksTables && a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
+	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope &&
+		a.DedupWindow == b.DedupWindow && a.Ordered == b.Ordered && a.LocksTables == b.LocksTables &&
+		a.WaitsForTables == b.WaitsForTables && reflect.DeepEqual(a.Zones, b.Zones) &&
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
-// numbers turns "which old one" into "which new one", -1 for those that end.
-func numbers(field string, from []int, old int) ([]int, error) {
+// newNumbers inverts "which old index" into "which new index", -1 for those that end.
+func newNumbers(field string, from []int, old int) ([]int, error) {
 	out := make([]int, old)
 	for i := range out {
 		out[i] = -1
@@ -105,7 +116,8 @@
 		switch {
 		case f < 0:
 		case f >= old || out[f] >= 0:
-			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already", field, i, f)
+			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already",
+				field, i, f)
 		default:
 			out[f] = i
 		}
@@ -113,29 +125,30 @@
 	return out, nil
 }
 
-func renumbered(to []int, i int) int {
+// renumber maps an index; one out of range stays.
+func renumber(to []int, i int) int {
 	if i < 0 || i >= len(to) {
 		return i
 	}
 	return to[i]
 }
 
-// Outstanding tells what of the rules' counts is out: further attempts and requests taken within the budget's span, and whether
-// any order key has an attempt out or rests.
+// Outstanding says what the rules count as outstanding: retries and requests received within the retry
+// budget's window, and whether any order key has an attempt in flight or pauses.
 func (g *Gateway) Outstanding() (further, taken int, resting bool) {
-	since := g.now - g.set.RetryBudgetWindow
-	for _, at := range g.further {
+	since := g.now - g.settings.RetryBudgetWindow
+	for _, at := range g.retryBudget.retriedAt {
 		if at > since {
 			further++
 		}
 	}
-	for _, at := range g.taken {
+	for _, at := range g.retryBudget.receivedAt {
 		if at > since {
 			taken++
 		}
 	}
-	for _, t := range g.turns { // any of them: the order does not matter
-		resting = resting || t.open > 0 || g.now < t.rest
+	for _, t := range g.keyOrders { // any of them: the order does not matter
+		resting = resting || t.openAttempts > 0 || g.now < t.pausedUntil
 	}
 	return further, taken, resting
 }
--- /dev/null
+++ b/policy/gateway.go
@@ -0,0 +1,169 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+)
+
+const (
+	microsPerSecond = 1e6 // microseconds in a second
+
+	timerInterval = 0.02 // seconds between checks of open requests: a few steps of a dispatcher
+	timerMicros   = Micros(timerInterval * microsPerSecond)
+	minSeconds    = 1e-4 // minimum seconds of time or work in a logarithm
+
+	logInterval = 1.0 // minimum seconds between two log lines
+)
+
+// Gateway decides for one dispatcher. It is not safe for concurrent use.
+type Gateway struct {
+	settings Settings
+	rng      *rand.Rand
+	now      Micros
+	started  bool
+	actions  []Action // of this step
+	schedule schedule
+	log      logLimiter
+
+	classes   []class
+	endpoints endpointTable
+	ledger    ledger
+	queue     admissionQueue
+	keyOrders keyOrders
+	threads   [priorityLevels]float64 // own threads in flight at each level
+
+	retryBudget  retryBudget
+	healthChecks healthCheckCredit
+	traffic      traffic
+	queries      queryMeans
+	congestion   congestion
+	cacheEffect  cacheEffect
+	fleet        fleetSummary
+	gossip       gossipState
+	restored     map[string]LearnedEndpoint // of an earlier gateway, until they are listed; looked up only
+}
+
+// schedule is when periodic work is due or was last done.
+type schedule struct {
+	timerAt      Micros // next maintenance
+	drainQueueAt Micros // next attempt to send what is queued
+	pollAt       Micros // next call for the endpoint list
+	pricedAt     Micros // last computation of prices
+}
+
+// logLimiter limits log lines to one in an interval: a fault that repeats would flood the log.
+type logLimiter struct {
+	interval float64 // seconds
+	lastAt   Micros
+}
+
+// New returns a gateway, or an error that names the unusable setting. The seed determines all random draws.
+func New(seed uint64, s Settings) (*Gateway, error) {
+	if err := s.validate(); err != nil {
+		return nil, err
+	}
+	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
+	g := &Gateway{settings: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
+		log: logLimiter{interval: logInterval}, traffic: traffic{share: 1 / float64(s.Peers)},
+		congestion: congestion{capacity: initialCapacity}}
+	g.gossip.lastPeer = g.rng.IntN(s.Peers)
+	margin := math.Log(reportedGrantMargin)
+	if s.ProgressInterval == 0 {
+		margin = math.Log(unreportedGrantMargin)
+	}
+	g.initialize(margin)
+	g.congestion.slack = g.objectiveSlack()
+	return g, nil
+}
+
+// initialize sets up the state of classes and tenants; margin is the first log of grant over memory
+// estimate.
+func (g *Gateway) initialize(margin float64) {
+	g.endpoints = endpointTable{byID: map[string]*endpoint{}, byWireID: map[uint32]*endpoint{}}
+	g.gossip.reports = map[int]*peerReport{}
+	g.ledger.requests, g.keyOrders = map[string]*request{}, keyOrders{}
+	for _, c := range g.settings.Classes {
+		threads := float64(max(c.Threads, 1))
+		g.queries.threads += threads / float64(len(g.settings.Classes))
+		g.classes = append(g.classes, class{Class: c, threads: threads, grantMargin: margin})
+	}
+	for _, t := range g.settings.Tenants {
+		g.traffic.tenants = append(g.traffic.tenants, tenant{quota: t.Quota})
+	}
+}
+
+// Step takes the events of one moment and returns the actions they lead to, in order.
+func (g *Gateway) Step(now Micros, events []Event) []Action {
+	g.beginStep(now)
+	for _, ev := range events {
+		g.handle(ev)
+	}
+	if now >= g.schedule.timerAt || len(g.ledger.active) > 0 && g.schedule.timerAt-now > timerMicros {
+		g.runMaintenance()
+		after := timerMicros
+		if len(g.ledger.active) == 0 {
+			after = Micros(priceInterval * microsPerSecond)
+		}
+		g.schedule.timerAt = now + after
+		g.emit(SetTimer{After: after})
+	}
+	if now >= g.schedule.drainQueueAt {
+		g.drainQueue()
+	}
+	return g.actions
+}
+
+// beginStep sets the time of a step and clears the actions of the last one.
+func (g *Gateway) beginStep(now Micros) {
+	g.now, g.actions = now, nil
+	if !g.started {
+		g.started, g.schedule.pricedAt = true, now
+	}
+}
+
+// handle dispatches an event to the function that decides on it.
+func (g *Gateway) handle(ev Event) {
+	switch ev := ev.(type) {
+	case EndpointUpdate:
+		g.handleEndpointUpdate(ev)
+	case Request:
+		g.handleRequest(ev)
+	case AttemptResult:
+		g.handleAttemptResult(ev)
+	case Progress:
+		g.handleProgress(ev)
+	case HealthCheckResult:
+		g.handleHealthCheckResult(ev)
+	case GossipReceived:
+		g.handleGossip(ev)
+	case StreamStarted:
+		if q := g.ledger.requests[ev.ID]; q != nil {
+			q.streamed = true
+		}
+	case ClientDisconnected:
+		if q := g.ledger.requests[ev.ID]; q != nil && !q.done {
+			g.endRequest(q)
+		}
+	}
+}
+
+// emit appends an action to those that Step returns.
+func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
+
+// secondsSince is the seconds from t until now.
+func (g *Gateway) secondsSince(t Micros) float64 { return seconds(g.now - t) }
+
+// seconds is a duration in seconds.
+func seconds(d Micros) float64 { return float64(d) / microsPerSecond }
+
+// toMicros is a duration of so many seconds.
+func toMicros(s float64) Micros { return Micros(s * microsPerSecond) }
+
+// logLine emits a line for the operators' log, as far as the limiter allows.
+func (g *Gateway) logLine(format string, args ...any) {
+	if g.log.lastAt == 0 || g.secondsSince(g.log.lastAt) >= g.log.interval {
+		g.log.lastAt = g.now
+		g.emit(LogLine{fmt.Sprintf(format, args...)})
+	}
+}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,13 +2,12 @@
 
 import "fmt"
 
-// This file writes down what a gateway has learned and takes it in again. It decides nothing: what is too old to be taken
-// is the caller's word.
-
-// LearnedVersion is the form of Learned; another one is refused.
+// LearnedVersion is the version of the stored form of Learned; another one is rejected.
 const LearnedVersion = 1
 
-// Learned is what a gateway knows beside what is open: of its classes, of the fleet as a whole and of single engines.
+// Learned is what a gateway has learned, apart from what is open: of its classes, of the fleet and of
+// single endpoints. The json tags are the stored form, in recordings and in files of what was learned: a
+// renamed field keeps its key.
 type Learned struct {
 	Version   int               `json:"Version"`
 	Classes   []LearnedClass    `json:"Classes"`
@@ -16,7 +15,7 @@
 	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the list
 }
 
-// Running is a mean or rank with the count behind it.
+// Running is a running mean or median with the number of its values.
 type Running struct {
 	Value float64 `json:"V"`
 	Count float64 `json:"N"`
@@ -24,22 +23,22 @@
 
 // LearnedClass is what was learned of one class.
 type LearnedClass struct {
-	Name            string          `json:"Name"`
-	Mean            Running         `json:"Mean"`
-	UsualWork       Running         `json:"Heft"`
-	EstimateMedian  Running         `json:"Asked"`
-	Ratio           Running         `json:"Ratio"`
-	Memory          Running         `json:"Memory"`
-	Received        float64         `json:"Taken"`
-	Dispersion      float64         `json:"Stray"`
-	DispersionCount float64         `json:"StrayN"`
-	Margin          float64         `json:"Margin"`
-	Fit             [5]float64      `json:"Fit"`
-	Price           [levels]float64 `json:"Price"`
-	QueueWait       [levels]float64 `json:"Wait"`
+	Name            string                  `json:"Name"`
+	Mean            Running                 `json:"Mean"`
+	UsualWork       Running                 `json:"Heft"`
+	EstimateMedian  Running                 `json:"Asked"`
+	Ratio           Running                 `json:"Ratio"`
+	Memory          Running                 `json:"Memory"`
+	Received        float64                 `json:"Taken"`
+	Dispersion      float64                 `json:"Stray"`
+	DispersionCount float64                 `json:"StrayN"`
+	Margin          float64                 `json:"Margin"`
+	Fit             [5]float64              `json:"Fit"`
+	Price           [priorityLevels]float64 `json:"Price"`
+	QueueWait       [priorityLevels]float64 `json:"Wait"`
 }
 
-// LearnedFleet is what was learned of all engines together and of own traffic.
+// LearnedFleet is what was learned of all endpoints together and of own traffic.
 type LearnedFleet struct {
 	WarmthInflation [2]float64 `json:"Stretch"`
 	Threads         float64    `json:"Threads"`
@@ -54,7 +53,7 @@
 	InFlight        float64    `json:"Open"`
 }
 
-// LearnedEndpoint is what was learned of one engine in its present life.
+// LearnedEndpoint is what was learned of one endpoint since its last start.
 type LearnedEndpoint struct {
 	ID      string  `json:"ID"`
 	Started Micros  `json:"Started"`
@@ -62,71 +61,117 @@
 	Faults  float64 `json:"Faults"`
 }
 
-// Learned returns what the gateway knows now.
+// stored and restored are a running estimate's stored form, and back.
+func (m runningMean) stored() Running   { return Running{m.value, m.count} }
+func (m runningMedian) stored() Running { return Running{m.value, m.count} }
+func (r Running) mean() runningMean     { return runningMean{r.Value, r.Count} }
+func (r Running) median() runningMedian { return runningMedian{r.Value, r.Count} }
+func (f *powerFit) stored() [5]float64  { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
+func restoredFit(v [5]float64) powerFit { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
+
+// Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
-	run := func(a average) Running { return Running{a.v, a.n} }
-	rank := func(q quantile) Running { return Running{q.v, q.n} }
-	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{WarmthInflation: g.stretch, Threads: g.meanThreads, Rate: g.rate, MeanRate: g.meanRate,
-		GrantMB: g.meanMB, SentThreads: run(g.meanSent), Latency: run(g.meanTook), Cost: run(g.meanCost), Inflation: rank(g.crowd), Capacity: g.room, InFlight: g.meanOpen}}
+	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{
+		WarmthInflation: g.cacheEffect.inflation,
+		Threads:         g.queries.threads,
+		Rate:            g.traffic.rate,
+		MeanRate:        g.traffic.meanRate,
+		GrantMB:         g.queries.grantMB,
+		SentThreads:     g.queries.sentThreads.stored(),
+		Latency:         g.queries.latency.stored(),
+		Cost:            g.queries.work.stored(),
+		Inflation:       g.congestion.inflation.stored(),
+		Capacity:        g.congestion.capacity,
+		InFlight:        g.queries.inFlight,
+	}}
 	for i := range g.classes {
-		c := &g.classes[i]
-		l.Classes = append(l.Classes, LearnedClass{Name: c.Name, Mean: run(c.mean), UsualWork: run(c.heft), EstimateMedian: rank(c.asked), Ratio: rank(c.ratio),
-			Memory: rank(c.memory), Received: c.taken, Dispersion: c.stray, DispersionCount: c.strayN, Margin: c.margin,
-			Fit: [5]float64{c.fit.n, c.fit.x, c.fit.y, c.fit.xx, c.fit.xy}, Price: c.price, QueueWait: c.wait})
+		l.Classes = append(l.Classes, g.classes[i].learned())
 	}
-	for _, e := range g.engines {
-		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.slow, e.faults})
+	for _, e := range g.endpoints.list {
+		l.Endpoints = append(l.Endpoints, LearnedEndpoint{e.ID, e.Started, e.inflation, e.faultShare})
 	}
 	return l
 }
 
-// Restore takes in what another gateway has learned: of classes of the same name always; prices and waits, the fleet's state
-// and single engines' where fresh says that they still hold. It must come before the first Step.
+// learned is the stored form of what was learned of a class.
+func (c *class) learned() LearnedClass {
+	return LearnedClass{
+		Name:            c.Name,
+		Mean:            c.meanWork.stored(),
+		UsualWork:       c.usualWork.stored(),
+		EstimateMedian:  c.estimateMedian.stored(),
+		Ratio:           c.latencyRatio.stored(),
+		Memory:          c.memoryMedian.stored(),
+		Received:        c.received,
+		Dispersion:      c.dispersion,
+		DispersionCount: c.dispersionCount,
+		Margin:          c.grantMargin,
+		Fit:             c.workFit.stored(),
+		Price:           c.price,
+		QueueWait:       c.queueWait,
+	}
+}
+
+// restore takes what was learned of a class; prices and waits only where they still hold.
+func (c *class) restore(l LearnedClass, fresh bool) {
+	c.meanWork = l.Mean.mean()
+	c.usualWork = l.UsualWork.mean()
+	c.estimateMedian = l.EstimateMedian.median()
+	c.latencyRatio = l.Ratio.median()
+	c.memoryMedian = l.Memory.median()
+	c.received = l.Received
+	c.dispersion, c.dispersionCount = l.Dispersion, l.DispersionCount
+	c.grantMargin = l.Margin
+	c.workFit = restoredFit(l.Fit)
+	if fresh {
+		c.price, c.queueWait = l.Price, l.QueueWait
+	}
+}
+
+// Restore takes what another gateway has learned. Classes of the same name are always restored; prices and
+// waits, the state of the fleet and of single endpoints only where fresh says that they still hold. It must
+// precede the first Step.
 func (g *Gateway) Restore(l Learned, fresh bool) error {
-	if g.begun || g.now != 0 {
+	if g.started || g.now != 0 {
 		return fmt.Errorf("policy: what was learned must be recalled before the first step")
 	}
 	if l.Version != LearnedVersion {
 		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
 	}
-	run := func(r Running) average { return average{v: r.Value, n: r.Count} }
-	rank := func(r Running) quantile { return quantile{r.Value, r.Count} }
-	for _, k := range l.Classes {
+	for _, learned := range l.Classes {
 		for i := range g.classes {
-			c := &g.classes[i]
-			if c.Name != k.Name {
-				continue
-			}
-			c.mean, c.heft, c.asked, c.ratio, c.memory = run(k.Mean), run(k.UsualWork), rank(k.EstimateMedian), rank(k.Ratio), rank(k.Memory)
-			c.taken, c.stray, c.strayN, c.margin = k.Received, k.Dispersion, k.DispersionCount, k.Margin
-			c.fit = fit{k.Fit[0], k.Fit[1], k.Fit[2], k.Fit[3], k.Fit[4]}
-			if fresh {
-				c.price, c.wait = k.Price, k.QueueWait
+			if c := &g.classes[i]; c.Name == learned.Name {
+				c.restore(learned, fresh)
 			}
 		}
 	}
 	f := l.Fleet
-	g.stretch, g.meanThreads, g.meanSent, g.meanTook, g.meanCost, g.meanMB = f.WarmthInflation, f.Threads, run(f.SentThreads), run(f.Latency), run(f.Cost), f.GrantMB
+	g.cacheEffect.inflation = f.WarmthInflation
+	g.queries.threads, g.queries.grantMB = f.Threads, f.GrantMB
+	g.queries.sentThreads, g.queries.latency = f.SentThreads.mean(), f.Latency.mean()
+	g.queries.work = f.Cost.mean()
 	if !fresh {
 		return nil
 	}
-	g.rate, g.meanRate, g.crowd, g.room, g.meanOpen = f.Rate, f.MeanRate, rank(f.Inflation), f.Capacity, f.InFlight
-	g.recalled = map[string]LearnedEndpoint{}
+	g.traffic.rate, g.traffic.meanRate = f.Rate, f.MeanRate
+	g.congestion.inflation, g.congestion.capacity = f.Inflation.median(), f.Capacity
+	g.queries.inFlight = f.InFlight
+	g.restored = map[string]LearnedEndpoint{}
 	for _, e := range l.Endpoints {
-		g.recalled[e.ID] = e
+		g.restored[e.ID] = e
 	}
 	return nil
 }
 
-// sameStart is how far two clocks may be apart on one start of an engine.
-const sameStart = Micros(micros)
+// sameStartTolerance is how far two clocks may differ on the same start of an endpoint.
+const sameStartTolerance = Micros(microsPerSecond)
 
-// recall gives an engine that is met for the first time what was known of it in this life.
-func (g *Gateway) recall(e *engine) {
-	if k, ok := g.recalled[e.ID]; ok {
-		delete(g.recalled, e.ID)
-		if d := k.Started - e.Started; d < sameStart && d > -sameStart {
-			e.slow, e.faults = k.Slow, k.Faults
+// restoreEndpoint gives a new endpoint what was learned of it before, if it has not restarted since.
+func (g *Gateway) restoreEndpoint(e *endpoint) {
+	if k, ok := g.restored[e.ID]; ok {
+		delete(g.restored, e.ID)
+		if d := k.Started - e.Started; d < sameStartTolerance && d > -sameStartTolerance {
+			e.inflation, e.faultShare = k.Slow, k.Faults
 		}
 	}
 }
