--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -20,48 +20,45 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// tape writes down what a stream hands over, and acknowledges it.
-type tape struct {
+// recorder records the events of a stream, and acknowledges what is received.
+type recorder struct {
 	mu      sync.Mutex
 	offered []control.Offered
 	lost    int
 	s       *Stream
-	silent  bool
 }
 
-func (t *tape) Offered(ev control.Offered) {
+func (t *recorder) Offered(ev control.Offered) {
 	t.mu.Lock()
 	t.offered = append(t.offered, ev)
 	t.mu.Unlock()
-	if !t.silent {
-		t.s.Reply(Reply{Kind: ev.Kind, Version: ev.Version, Nonce: ev.Nonce})
-	}
+	t.s.Reply(Reply{Kind: ev.Kind, Version: ev.Version, Nonce: ev.Nonce})
 }
 
-func (t *tape) Lost(error) {
+func (t *recorder) Lost(error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost++
 }
 
-func (t *tape) count() (offered, lost int) {
+func (t *recorder) count() (offered, lost int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.offered), t.lost
 }
 
-func until(t testing.TB, c *simulated.Control, what string, good func() bool) {
+func await(t testing.TB, c *simulated.Control, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if err := c.Await(ctx, good); err != nil {
+	if err := c.Await(ctx, condition); err != nil {
 		t.Fatal("not seen in 10 s: ", what)
 	}
 }
 
 // start runs one stream until the test ends.
-func start(t *testing.T, o Options) *tape {
-	h := &tape{}
+func start(t *testing.T, o Options) *recorder {
+	h := &recorder{}
 	h.s = New(o, h)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -84,7 +81,7 @@
 	return c
 }
 
-func packed(t testing.TB, m proto.Message) *anypb.Any {
+func toAny(t testing.TB, m proto.Message) *anypb.Any {
 	a, err := anypb.New(m)
 	if err != nil {
 		t.Fatal(err)
@@ -92,23 +89,23 @@
 	return a
 }
 
-// A service that flaps, hangs before its first answer, offers types that nobody asked for, or many versions at once.
+// A service that flaps, hangs before its first response, sends types without a subscription, or many versions at once.
 func TestServicesThatMisbehave(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		t.Run(fmt.Sprintf("delta=%v", delta), func(t *testing.T) {
 			c := service(t)
 			h := start(t, Options{Address: c.Address(), Cluster: "nodes", Node: "d", Settings: true, Delta: delta,
 				Least: time.Millisecond, Most: 20 * time.Millisecond})
-			until(t, c, "a stream", func() bool { return len(c.Streams()) == 1 })
-			// It hangs: nothing is offered, nothing is lost, nobody is disturbed.
+			await(t, c, "a stream", func() bool { return len(c.Streams()) == 1 })
+			// It hangs: nothing is received, and the stream stays.
 			if o, l := h.count(); o != 0 || l != 0 {
 				t.Errorf("offered %d, lost %d", o, l)
 			}
 			c.Put("x", &anypb.Any{TypeUrl: "type.googleapis.com/nobody.asked.For", Value: []byte{1}})
 			for n := uint64(1); n <= 50; n++ {
-				c.Put(SettingsName, packed(t, &configv1.Tenants{Set: n}))
+				c.Put(SettingsName, toAny(t, &configv1.Tenants{Set: n}))
 			}
-			until(t, c, "the newest version acknowledged", func() bool {
+			await(t, c, "the newest version acknowledged", func() bool {
 				r := c.Replies()
 				h.mu.Lock()
 				defer h.mu.Unlock()
@@ -125,14 +122,14 @@
 					t.Fatal(err)
 				}
 				n := len(c.Streams())
-				until(t, c, "a new stream", func() bool { return len(c.Streams()) > n })
+				await(t, c, "a new stream", func() bool { return len(c.Streams()) > n })
 			}
-			until(t, c, "the version offered again", func() bool { o, l := h.count(); return o > before && l >= 5 })
+			await(t, c, "the version offered again", func() bool { o, l := h.count(); return o > before && l >= 5 })
 		})
 	}
 }
 
-// Many streams that were lost together do not come back together.
+// Many streams that were lost together do not reconnect together.
 func TestReconnectsAreSpread(t *testing.T) {
 	const n = 60
 	peak := func(random func() float64) int {
@@ -141,19 +138,19 @@
 			start(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), Least: 400 * time.Millisecond,
 				Most: 400 * time.Millisecond, Random: random})
 		}
-		until(t, c, "all streams", func() bool { return len(c.Streams()) == n })
+		await(t, c, "all streams", func() bool { return len(c.Streams()) == n })
 		c.Stop()
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		until(t, c, "all streams again", func() bool { return len(c.Streams()) >= 2*n })
-		back := c.Streams()[n:]
-		most := 0
-		for i, at := range back {
-			k, _ := slices.BinarySearchFunc(back, at.Add(40*time.Millisecond), time.Time.Compare)
-			most = max(most, k-i)
+		await(t, c, "all streams again", func() bool { return len(c.Streams()) >= 2*n })
+		reconnects := c.Streams()[n:]
+		largest := 0
+		for i, at := range reconnects {
+			k, _ := slices.BinarySearchFunc(reconnects, at.Add(40*time.Millisecond), time.Time.Compare)
+			largest = max(largest, k-i)
 		}
-		return most
+		return largest
 	}
 	together, spread := peak(func() float64 { return 1 }), peak(nil)
 	t.Logf("of %d reconnects within 40 ms: %d at most without jitter, %d with it", n, together, spread)
@@ -162,7 +159,7 @@
 	}
 }
 
-// Whatever a service sends is read or turned down, and nothing panics; what is read goes through the judge.
+// Whatever a service sends is decoded or rejected, and nothing panics.
 func FuzzResponse(f *testing.F) {
 	for k := range typeURLs {
 		f.Add(int(k), typeURLs[k], []byte{8, 1})
@@ -170,11 +167,11 @@
 	f.Add(0, typeURLs[control.Classes], mustMarshal(&configv1.Classes{Set: 1, Classes: []*configv1.Class{{Name: "c", AimUs: 1, DeadlineUs: 2}}}))
 	f.Fuzz(func(t *testing.T, kind int, url string, value []byte) {
 		k := control.Kind(((kind % 6) + 6) % 6)
-		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Zones: []string{"h"}, Kinds: []string{"k"}}}, &tape{})
+		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Zones: []string{"h"}, Kinds: []string{"k"}}}, &recorder{})
 		ev := control.Offered{Kind: k, Version: "1", Nonce: "1"}
-		s.read(k, []*anypb.Any{{TypeUrl: url, Value: value}}, &ev)
+		s.decode(k, []*anypb.Any{{TypeUrl: url, Value: value}}, &ev)
 		if ev.Bad == nil && k != control.Nodes && ev.Message == nil {
-			t.Fatal("neither read nor turned down")
+			t.Fatal("neither decoded nor rejected")
 		}
 	})
 }
