--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -19,40 +19,40 @@
 	"embershunt/control/configv1"
 )
 
-// world is what outlives a crash, and what the service was told.
-type world struct {
+// host is a dispatcher's store file and control module, and what it has acknowledged.
+type host struct {
 	t     *testing.T
 	path  string
 	store *Store
 	acked map[uint64]bool
-	tell  func() // at each acknowledgement; nil: nobody
+	onAck func() // called at each acknowledgement; may be nil
 }
 
-func (w *world) local() config.File {
+func (h *host) local() config.File {
 	c, err := config.Parse("local", []byte(`{"any_user": true, "control": {"address": "127.0.0.1:1", "cluster": "c"},
 	  "kinds": [{"name": "k", "cores": 8}], "classes": [{"name": "lookup", "aim": "1s", "deadline": "2s"}]}`))
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return c.File
 }
 
-// start is a dispatcher's start: from the newest good version.
-func (w *world) start() (*control.Module, uint64) {
+// start starts the dispatcher from the newest intact version, whose number it returns.
+func (h *host) start() (*control.Module, uint64) {
 	var err error
-	if w.store, err = Open(w.path, 5); err != nil {
-		w.t.Fatal(err)
+	if h.store, err = Open(h.path, 5); err != nil {
+		h.t.Fatal(err)
 	}
-	set, _, err := w.store.Last()
+	set, _, err := h.store.Last()
 	if err != nil {
 		set = control.Set{}
 	}
-	return control.New(control.DefaultBounds(), w.local(), set), set.Number
+	return control.New(control.DefaultBounds(), h.local(), set), set.Number
 }
 
-// offer plays a set until it has arrived, or dies after so many actions have been carried out; it tells how many there
-// were and which set the dispatcher then runs by.
-func (w *world) offer(m *control.Module, s control.Set, dieAfter int) (steps int) {
+// offer plays a set until all actions are carried out, or the first maxActions of them.
+func (h *host) offer(m *control.Module, s control.Set, maxActions int) {
+	n := 0
 	queue := []control.Event{}
 	for k, p := range s.Parts() {
 		queue = append(queue, control.Offered{Kind: control.Kind(k), Version: "v", Nonce: fmt.Sprint(k), Message: p})
@@ -64,30 +64,29 @@
 			if _, ok := a.(control.Log); ok {
 				continue
 			}
-			if steps == dieAfter {
-				return steps
+			if n == maxActions {
+				return
 			}
-			steps++
+			n++
 			switch a := a.(type) {
 			case control.Store:
-				queue = append(queue, control.Stored{Number: a.Set.Number, Err: w.store.Put(a.Set)})
+				queue = append(queue, control.Stored{Number: a.Set.Number, Err: h.store.Put(a.Set)})
 			case control.Apply:
 				queue = append(queue, control.Applied{Number: a.Set.Number})
 			case control.Ack:
-				w.acked[s.Number] = true
-				if w.tell != nil {
-					w.tell()
+				h.acked[s.Number] = true
+				if h.onAck != nil {
+					h.onAck()
 				}
 			case control.Nack:
-				w.t.Fatalf("refused: %v", a.Reasons)
+				h.t.Fatalf("refused: %v", a.Reasons)
 			}
 		}
 	}
-	return steps
 }
 
-// crashed runs this test binary again as a process of its own, which TestMain sends into child.
-func crashed(t *testing.T, path, mode string) string {
+// runChild runs this test binary as a child process, in which TestMain calls child; it returns its output.
+func runChild(t *testing.T, path, mode string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
 	cmd.Env = append(os.Environ(), "STORE_CHILD="+mode, "STORE_PATH="+path)
@@ -110,16 +109,17 @@
 	os.Exit(m.Run())
 }
 
-func good(n uint64) control.Set {
+// validSet is a set that a dispatcher accepts.
+func validSet(n uint64) control.Set {
 	s := set(n)
 	s.Classes.Classes = []*configv1.Class{{Name: "lookup", AimUs: 1e6, DeadlineUs: 2e6}}
 	return s
 }
 
-// child takes set 2 and kills itself after so many steps, telling each acknowledgement as it is sent; or it writes to a
-// store whose file may not grow.
+// child accepts set 2, prints each acknowledgement and kills itself after as many actions as mode says; in mode "full" it
+// writes to a store whose file may not grow.
 func child(mode, path string) {
-	w := &world{t: &testing.T{}, path: path, acked: map[uint64]bool{}}
+	h := &host{t: &testing.T{}, path: path, acked: map[uint64]bool{}}
 	if mode == "full" {
 		signal.Ignore(syscall.SIGXFSZ)
 		s, err := Open(path, 3)
@@ -133,81 +133,92 @@
 			fmt.Println("limit:", err)
 			return
 		}
-		big := good(2)
+		big := validSet(2)
 		for i := range 5000 {
 			big.Classes.Classes = append(big.Classes.Classes, &configv1.Class{Name: fmt.Sprintf("class-%d", i), AimUs: 1, DeadlineUs: 1})
 		}
 		fmt.Println("put:", s.Put(big))
 		return
 	}
-	point, _ := strconv.Atoi(mode)
-	m, _ := w.start()
-	w.tell = func() { os.Stdout.WriteString("ack\n") }
-	w.offer(m, good(2), point)
-	syscall.Kill(os.Getpid(), syscall.SIGKILL)
+	maxActions, err := strconv.Atoi(mode)
+	if err != nil {
+		fmt.Println("mode:", err)
+		return
+	}
+	m, _ := h.start()
+	h.onAck = func() { fmt.Println("ack") }
+	h.offer(m, validSet(2), maxActions)
+	if err := syscall.Kill(os.Getpid(), syscall.SIGKILL); err != nil {
+		fmt.Println("kill:", err)
+		return
+	}
 	select {}
 }
 
-// A dispatcher that is killed outright at any point between taking a version and the last acknowledgement comes back in a
-// state that is whole: the old set or the new one, never one that was acknowledged and is gone; offered again, the new set
-// is taken or acknowledged as in force.
-func TestKilledOutrightAtEveryStep(t *testing.T) {
+// A dispatcher that is killed at any point between receiving a version and the last acknowledgement restarts with the old
+// set or the new one, never without one that was acknowledged; offered again, the new set is accepted or acknowledged as
+// active.
+func TestKilledAtEveryStep(t *testing.T) {
 	for point := 0; point <= 7; point++ { // store, apply, five acknowledgements
 		t.Run(fmt.Sprintf("after %d steps", point), func(t *testing.T) {
-			w := &world{t: t, path: filepath.Join(t.TempDir(), "s.db"), acked: map[uint64]bool{}}
-			m, _ := w.start()
-			w.offer(m, good(1), 99)
-			w.store.Close()
-			acked := strings.Contains(crashed(t, w.path, fmt.Sprint(point)), "ack")
-			m, number := w.start()
-			defer w.store.Close()
+			h := &host{t: t, path: filepath.Join(t.TempDir(), "s.db"), acked: map[uint64]bool{}}
+			m, _ := h.start()
+			h.offer(m, validSet(1), 99)
+			closeStore(t, h.store)
+			acked := strings.Contains(runChild(t, h.path, fmt.Sprint(point)), "ack")
+			m, number := h.start()
+			defer closeStore(t, h.store)
 			if acked != (point > 2) {
 				t.Errorf("acknowledged: %v", acked)
 			}
 			if want := uint64(min(point, 1) + 1); number != want {
-				t.Errorf("came back in set %d, want %d", number, want)
+				t.Errorf("restarted with set %d, want %d", number, want)
 			}
-			w.acked[2] = false
-			if w.offer(m, good(2), 99); !w.acked[2] || m.InForce().Number != 2 {
-				t.Errorf("offered again: acknowledged %v, in force is %d", w.acked[2], m.InForce().Number)
+			h.acked[2] = false
+			if h.offer(m, validSet(2), 99); !h.acked[2] || m.InForce().Number != 2 {
+				t.Errorf("offered again: acknowledged %v, active is %d", h.acked[2], m.InForce().Number)
 			}
 		})
 	}
 }
 
-// A store that cannot be written refuses the version; the one before stays in the store.
-func TestAStoreThatCannotBeWritten(t *testing.T) {
+// A failed write is an error; the version before stays in the store.
+func TestWriteFailures(t *testing.T) {
 	cases := map[string]func(t *testing.T, path string) string{
 		"closed": func(t *testing.T, path string) string {
 			s := open(t, path)
-			s.Close()
-			return fmt.Sprint(s.Put(good(2)))
+			closeStore(t, s)
+			return fmt.Sprint(s.Put(validSet(2)))
 		},
 		"read-only": func(t *testing.T, path string) string {
 			db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer db.Close()
-			return fmt.Sprint((&Store{db: db, keep: 3}).Put(good(2)))
+			defer func() {
+				if err := db.Close(); err != nil {
+					t.Error(err)
+				}
+			}()
+			return fmt.Sprint((&Store{db: db, maxVersions: 3}).Put(validSet(2)))
 		},
-		"full": func(t *testing.T, path string) string { return crashed(t, path, "full") }, // the file may not grow
+		"full": func(t *testing.T, path string) string { return runChild(t, path, "full") }, // the file may not grow
 	}
 	for name, put := range cases {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "s.db")
 			s := open(t, path)
-			if err := s.Put(good(1)); err != nil {
+			if err := s.Put(validSet(1)); err != nil {
 				t.Fatal(err)
 			}
-			s.Close()
-			if said := put(t, path); said == "<nil>" || strings.Contains(said, "put: <nil>") || strings.Contains(said, "limit:") {
-				t.Errorf("written: %s", said)
+			closeStore(t, s)
+			if output := put(t, path); output == "<nil>" || strings.Contains(output, "put: <nil>") || strings.Contains(output, "limit:") {
+				t.Errorf("written: %s", output)
 			} else {
-				t.Log(strings.TrimSpace(said))
+				t.Log(strings.TrimSpace(output))
 			}
 			s = open(t, path)
-			defer s.Close()
+			defer closeStore(t, s)
 			if got, damaged, err := s.Last(); err != nil || got.Number != 1 || len(damaged) > 0 {
 				t.Errorf("%d, %v, %v", got.Number, damaged, err)
 			}
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -28,26 +28,40 @@
 	return s
 }
 
-func TestVersionsOutliveARestart(t *testing.T) {
+// closeStore closes a store; an error fails the test.
+func closeStore(t *testing.T, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// put stores a set; an error ends the test.
+func put(t *testing.T, s *Store, set control.Set) {
+	t.Helper()
+	if err := s.Put(set); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestVersionsSurviveARestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s := open(t, path)
 	if _, _, err := s.Last(); !errors.Is(err, ErrNone) {
 		t.Errorf("an empty store: %v", err)
 	}
 	for n := uint64(1); n <= 5; n++ {
-		if err := s.Put(set(n)); err != nil {
-			t.Fatal(err)
-		}
+		put(t, s, set(n))
 	}
-	s.Close()
+	closeStore(t, s)
 	s = open(t, path)
-	defer s.Close()
+	defer closeStore(t, s)
 	got, damaged, err := s.Last()
 	if err != nil || len(damaged) > 0 || got.Number != 5 || !proto.Equal(got.Classes, set(5).Classes) {
 		t.Errorf("%+v, %v, %v", got, damaged, err)
 	}
 	if all, _ := s.All(); len(all) != 3 || all[0].Number != 3 {
-		t.Errorf("kept %d, want the last 3", len(all))
+		t.Errorf("%d versions, want the last 3", len(all))
 	}
 	if got, err := s.Get(4); err != nil || got.Number != 4 {
 		t.Errorf("%v, %v", got.Number, err)
@@ -55,54 +69,62 @@
 	if _, err := s.Get(1); !errors.Is(err, ErrNone) {
 		t.Errorf("one that was dropped: %v", err)
 	}
-	s.Forget(4) // not the newest: stays
-	s.Forget(5)
+	for _, n := range []uint64{4, 5} { // 4 is not the newest: it stays
+		if err := s.Forget(n); err != nil {
+			t.Error(err)
+		}
+	}
 	if got, _, _ := s.Last(); got.Number != 4 {
 		t.Errorf("after Forget: %d", got.Number)
 	}
 }
 
-// A damaged record is refused in favour of the one before it, whatever byte was hit.
-func TestADamagedVersionIsRefused(t *testing.T) {
+// A damaged record is skipped in favour of the one before it, whichever byte was changed.
+func TestDamagedVersionsAreSkipped(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s := open(t, path)
-	defer s.Close()
-	s.Put(set(1))
-	s.Put(set(2))
+	defer closeStore(t, s)
+	put(t, s, set(1))
+	put(t, s, set(2))
 	record, err := encode(set(2))
 	if err != nil {
 		t.Fatal(err)
 	}
 	write := func(b []byte) {
-		s.db.Update(func(tx *bbolt.Tx) error {
+		t.Helper()
+		err := s.db.Update(func(tx *bbolt.Tx) error {
 			k, _ := tx.Bucket(bucket).Cursor().Last()
 			return tx.Bucket(bucket).Put(append([]byte(nil), k...), b)
 		})
+		if err != nil {
+			t.Fatal(err)
+		}
 	}
 	for i := range record {
-		hit := append([]byte(nil), record...)
-		hit[i] ^= 0x10
-		write(hit)
-		got, damaged, err := s.Last()
-		if err != nil || got.Number != 1 || len(damaged) != 1 || damaged[0].Entry != 2 {
-			t.Fatalf("byte %d: set %d, %v, %v", i, got.Number, damaged, err)
+		damaged := append([]byte(nil), record...)
+		damaged[i] ^= 0x10
+		write(damaged)
+		got, skipped, err := s.Last()
+		if err != nil || got.Number != 1 || len(skipped) != 1 || skipped[0].Entry != 2 {
+			t.Fatalf("byte %d: set %d, %v, %v", i, got.Number, skipped, err)
 		}
 	}
 	write(record[:4])
-	if got, damaged, _ := s.Last(); got.Number != 1 || len(damaged) != 1 {
-		t.Errorf("cut short: set %d, %v", got.Number, damaged)
+	if got, skipped, _ := s.Last(); got.Number != 1 || len(skipped) != 1 {
+		t.Errorf("truncated: set %d, %v", got.Number, skipped)
 	}
 }
 
-func TestAFileThatIsNoStore(t *testing.T) {
+// Open reports a file that is no store, and a directory that does not exist.
+func TestOpenErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	if err := os.WriteFile(path, []byte("this is not a store, but it is long enough to be looked at as one"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(path, 3); err == nil {
-		t.Error("taken")
+		t.Error("opened")
 	}
 	if _, err := Open(filepath.Join(t.TempDir(), "no", "such", "dir"), 3); err == nil {
-		t.Error("a folder that is not there was taken")
+		t.Error("opened in a directory that does not exist")
 	}
 }
