--- a/nodelist/eds.go
+++ b/nodelist/eds.go
@@ -13,21 +13,21 @@
 	"embershunt/policy"
 )
 
-// MetadataKey is the filter metadata of an endpoint with our own words: name, kind, cell, started and drain_at (Unix
-// seconds).
+// MetadataKey is the key of the filter metadata of an endpoint that has the fields xDS does not: name, native, kind, cell,
+// started and drain_at (both in Unix seconds).
 const MetadataKey = "embershunt"
 
-// FromAssignment reads a list out of xDS v3 (endpoint.proto). The locality's zone is the hall, the health status DRAINING
-// is a drain; UNHEALTHY and TIMEOUT endpoints are left to the module's own judgement.
+// FromAssignment converts a list of xDS v3 (endpoint.proto). The health status DRAINING is a drain; UNHEALTHY and TIMEOUT
+// are ignored: the decision module detects outliers itself.
 func FromAssignment(c *endpointv3.ClusterLoadAssignment, names Names) ([]Node, error) {
 	nodes := []Node{}
 	for _, l := range c.GetEndpoints() {
-		hall, err := names.Zone(l.GetLocality().GetZone())
+		zone, err := names.Zone(l.GetLocality().GetZone())
 		if err != nil {
 			return nil, err
 		}
 		for _, p := range l.GetLbEndpoints() {
-			n, err := row(p, hall, names)
+			n, err := fromEndpoint(p, zone, names)
 			if err != nil {
 				return nil, err
 			}
@@ -37,9 +37,9 @@
 	return nodes, nil
 }
 
-func row(p *endpointv3.LbEndpoint, hall int, names Names) (Node, error) {
+func fromEndpoint(p *endpointv3.LbEndpoint, zone int, names Names) (Node, error) {
 	a := p.GetEndpoint().GetAddress().GetSocketAddress()
-	n := Node{Zone: hall, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
+	n := Node{Zone: zone, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
 		Weight: float64(p.GetLoadBalancingWeight().GetValue())}
 	if a == nil {
 		return n, errors.New("an endpoint without a socket address")
--- a/nodelist/nodelist.go
+++ b/nodelist/nodelist.go
@@ -1,4 +1,5 @@
-// Package nodelist has the node list as everybody who reads, judges or uses it knows it.
+// Package nodelist defines the list of query nodes, and reads it from xDS endpoint discovery, from the platform's name
+// service and from the list that a dispatcher starts with.
 package nodelist
 
 import (
@@ -10,22 +11,22 @@
 	"embershunt/policy"
 )
 
-// Node is one row.
+// Node is one row of the list.
 type Node struct {
-	ID             string // its name; stable over restarts
-	Address        string // host:port of Flight SQL; empty where it is not spoken
+	ID             string // unique name, stable over restarts
+	Address        string // host:port of Flight SQL; empty where the node does not serve it
 	Native         string // host:port of the ClickHouse native protocol; likewise
-	Platform       string // host:port of the platform's lines; likewise
-	Zone           int
-	Kind           int
+	Platform       string // host:port of the platform's protocol; likewise
+	Zone           int    // index into Names.Zones
+	Kind           int    // index into Names.Kinds
 	PlacementGroup int
 	State          policy.EndpointState
 	Weight         float64   // 0 counts as 1
 	Started        time.Time // last start; zero: long ago
-	DrainAt        time.Time // when a drain is announced for; zero: none
+	DrainAt        time.Time // when an announced drain begins; zero: none
 }
 
-// Bits of the protocols that a node may speak.
+// Bits of the protocols that a node may serve.
 const (
 	FlightSQL uint8 = 1 << iota
 	ClickHouse
@@ -46,10 +47,10 @@
 	return bits
 }
 
-// Names turn the words of a node list into the indexes that the module knows.
+// Names are the zones and the kinds of machine that a list may name, in the order of their indexes.
 type Names struct{ Zones, Kinds []string }
 
-// indexOf finds a name; an empty one is the first.
+// indexOf returns the index of a name; the empty name is the first.
 func indexOf(what, name string, names []string) (int, error) {
 	if name == "" && len(names) > 0 {
 		return 0, nil
@@ -60,13 +61,14 @@
 	return 0, fmt.Errorf("%s %q is not known, allowed are: %s", what, name, strings.Join(names, ", "))
 }
 
-// Zone is the index of a hall; an empty name is the first.
+// Zone is the index of a zone; the empty name is the first.
 func (n Names) Zone(name string) (int, error) { return indexOf("hall", name, n.Zones) }
 
-// Kind is the index of a kind of machine; an empty name is the first.
+// Kind is the index of a kind of machine; the empty name is the first.
 func (n Names) Kind(name string) (int, error) { return indexOf("kind", name, n.Kinds) }
 
-// Check names the first row of a list that cannot be used.
+// Check returns an error that names the first unusable row of a list: without a name or an address, or with those of
+// another row.
 func Check(nodes []Node) error {
 	ids, addresses := map[string]bool{}, map[string]string{}
 	for _, n := range nodes {
@@ -86,39 +88,3 @@
 	}
 	return nil
 }
-
-// Change is one node whose row differs between two lists.
-type Change struct {
-	ID       string
-	From, To policy.EndpointState // Gone: the node is not in that list
-}
-
-var stateNames = map[policy.EndpointState]string{policy.Healthy: "ready", policy.Draining: "draining", policy.Removed: "gone"}
-
-// String names the node and its new state.
-func (c Change) String() string { return c.ID + ":" + stateNames[c.To] }
-
-// Changes lists the nodes whose state differs between two lists, those of the newer list first.
-func Changes(before, after []Node) (out []Change) {
-	states := map[string]policy.EndpointState{}
-	for _, n := range before {
-		states[n.ID] = n.State
-	}
-	listed := map[string]bool{}
-	for _, n := range after {
-		listed[n.ID] = true
-		from, known := states[n.ID]
-		if !known {
-			from = policy.Removed
-		}
-		if from != n.State {
-			out = append(out, Change{ID: n.ID, From: from, To: n.State})
-		}
-	}
-	for _, n := range before {
-		if !listed[n.ID] && n.State != policy.Removed {
-			out = append(out, Change{ID: n.ID, From: n.State, To: policy.Removed})
-		}
-	}
-	return out
-}
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -183,7 +183,7 @@
 	r.next = (r.next + 1) % len(r.active)
 	s := r.active[r.next]
 	id := r.newQuestion(now)
-	message, err := nodelist.Question(id)
+	message, err := nodelist.Query(id)
 	if err == nil {
 		_, err = s.conn.Write(message)
 	}
@@ -218,11 +218,11 @@
 
 // parse reads an answer to a question that is open.
 func (r *Resolver) parse(message []byte) (question, nodelist.Numbered, error) {
-	if len(message) > nodelist.MaxAnswerBytes {
+	if len(message) > nodelist.MaxResponseBytes {
 		return question{}, nodelist.Numbered{}, errTooLong
 	}
 	var q question
-	list, err := nodelist.ParseAnswer(message, func(id uint16) (open bool) { q, open = r.questions[id]; return open }, r.options.Names)
+	list, err := nodelist.ParseResponse(message, func(id uint16) (open bool) { q, open = r.questions[id]; return open }, r.options.Names)
 	return q, list, err
 }
 
--- a/nodelist/resolver/socket.go
+++ b/nodelist/resolver/socket.go
@@ -59,7 +59,7 @@
 
 // read hands on what comes on a socket until it is closed.
 func (r *Resolver) read(s *socket) {
-	buffer := make([]byte, nodelist.MaxAnswerBytes+1)
+	buffer := make([]byte, nodelist.MaxResponseBytes+1)
 	for {
 		n, err := s.conn.Read(buffer)
 		if errors.Is(err, net.ErrClosed) {
