--- a/membership/view.go
+++ b/membership/view.go
@@ -1,13 +1,12 @@
-// Package membership decides which query nodes are in force, from the answers of a name service that may
-// be late, lost, repeated, out of order or wrong. It is free of I/O, clocks and goroutines.
+// Package membership decides which query nodes are in force, from the responses of a name service that
+// may be late, lost, repeated, reordered or wrong. It is free of I/O, clocks and goroutines.
 //
-// A single answer never proves much: its number may be wrong, or its rows those of an older list. So
-// the direction of a change decides what it takes. What takes work away from a node (a drain, or a row
-// that is missing) is heeded at the first answer that says so. What gives a node work (a new row,
-// another address) needs a second answer, to another question, that says the same; a node that was
-// told to drain or to be gone, and has not started since, needs many in a row, for that hardly ever
-// happens and an old list says it every time. A number that goes back is believed once enough answers
-// in a row agree that the one in force is too high.
+// A single response proves little: its number may be wrong, or its rows those of an older list. So the
+// direction of a change decides what it takes. A change that withdraws work from a node (a drain, or a
+// missing row) is applied at the first response. A change that gives a node work (a new row, another
+// address) needs a second response, to another query, with the same row. A node that has drained or left,
+// and has not started since, needs many in a row, for that is rare and an old list always looks like it. A
+// lower number is accepted once enough responses in a row agree that the one in force is too high.
 package membership
 
 import (
@@ -17,248 +16,256 @@
 	"embershunt/policy"
 )
 
-// How many answers in a row it takes ...
+// How many responses in a row it takes ...
 const (
-	joinAnswers   = 2  // ... to give a node work
-	returnAnswers = 10 // ... to give it work again after it was told to drain or to be gone
-	lowerMost     = 5  // ... under a lower number to show that the number in force is wrong
+	joinResponses   = 2  // ... to give a node work
+	returnResponses = 10 // ... to give it work again after it drained or left
+	revertResponses = 5  // ... with a lower number to show that the number in force is wrong
 )
 
-// goneMost bounds the nodes that are remembered as gone.
-const goneMost = 4096
+// maxRemoved bounds the nodes that are remembered after they left.
+const maxRemoved = 4096
 
-// Answer is a usable answer of the name service.
-type Answer struct {
-	Question uint64 // the question it answers; an answer that comes twice confirms nothing
+// Response is a usable response of the name service.
+type Response struct {
+	Query uint64 // serial of the query; a duplicate response to one confirms nothing
 	nodelist.Numbered
 }
 
-// Update tells what an answer has changed.
+// Update is what a response has changed.
 type Update struct {
-	Changed  bool // the list in force
-	Unsure   bool // another answer is needed to decide
-	Reverted bool // the number in force was wrong: it has gone back
+	Changed     bool // the list in force
+	Unconfirmed bool // another response is needed to decide
+	Reverted    bool // the number in force was wrong, and a lower one has replaced it
 }
 
 // View is the list in force. It is not safe for concurrent use.
 type View struct {
-	number   int64
-	nodes    []nodelist.Node // in force, in the order of the list
-	places   map[string]int  // of nodes, by name, while an answer is taken into account
-	applied  []nodelist.Node // rows of the last answer under the number in force
-	awaiting map[string]confirmation
-	missing  map[string]absence       // nodes that an answer left out; they drain until another one agrees
-	gone     map[string]nodelist.Node // nodes that have left the list, as they were
-	left     []string                 // their names, in the order of their leaving
+	number  int64
+	nodes   []nodelist.Node // in force, in the order of the list
+	indexes map[string]int  // of nodes, by ID, during Observe
 
-	heard      uint64 // newest question that was answered under the number in force, or a higher one
-	lower      int    // answers in a row with a number below the one in force
-	lowerSeen  int64  // number of the last of them
-	lowerAsked uint64 // its question
+	newestQuery  uint64          // the newest with a response under the number in force or a higher one
+	lastRows     []nodelist.Node // rows of the last such response; nil: the next one is evaluated in any case
+	lower        lowerNumbers
+	unconfirmed  map[string]confirmation  // rows that would give a node work
+	missing      map[string]absence       // nodes that a response left out; they drain until another confirms
+	removed      map[string]nodelist.Node // nodes that have left the list, as they were
+	removalOrder []string                 // their IDs
 }
 
-// confirmation is a row that gives a node work and has not been seen often enough.
+// lowerNumbers are the responses in a row with a number below the one in force.
+type lowerNumbers struct {
+	count  int
+	number int64  // of the last of them
+	query  uint64 // of the last of them
+}
+
+// confirmation counts the responses in a row with a row that gives a node work.
 type confirmation struct {
-	node     nodelist.Node
-	question uint64 // of the last answer that held it
-	answers  int
-	needed   int
+	node      nodelist.Node
+	query     uint64 // of the last of them
+	responses int
+	required  int
 }
 
-// absence is an answer that left a node out.
+// absence is a response that left a node out.
 type absence struct {
-	question   uint64
-	wasHealthy bool // it had not been told to drain before
+	query      uint64
+	wasHealthy bool // before that response
 }
 
-// New returns a view with the list that is known at the start.
-func New(known nodelist.Numbered) *View {
-	return &View{number: known.Number, nodes: slices.Clone(known.Nodes), awaiting: map[string]confirmation{},
-		missing: map[string]absence{}, gone: map[string]nodelist.Node{}}
+// New returns a view with the list at the start.
+func New(initial nodelist.Numbered) *View {
+	return &View{number: initial.Number, nodes: slices.Clone(initial.Nodes),
+		unconfirmed: map[string]confirmation{}, missing: map[string]absence{},
+		removed: map[string]nodelist.Node{}}
 }
 
-// Number is that of the list in force.
+// Number is the version number of the list in force.
 func (v *View) Number() int64 { return v.number }
 
 // Nodes is the list in force. The caller must not change it.
 func (v *View) Nodes() []nodelist.Node { return v.nodes }
 
-// Observe takes one answer into account.
-func (v *View) Observe(a Answer) Update {
-	if v.repeats(a) {
-		v.heard = max(v.heard, a.Question)
+// Observe evaluates one response.
+func (v *View) Observe(r Response) Update {
+	if v.repeats(r) {
+		v.newestQuery = max(v.newestQuery, r.Query)
 		return Update{}
 	}
 	before := v.nodes
-	v.nodes, v.places = slices.Clone(before), make(map[string]int, len(before))
+	v.nodes, v.indexes = slices.Clone(before), make(map[string]int, len(before))
 	for i, n := range v.nodes {
-		v.places[n.ID] = i
+		v.indexes[n.ID] = i
 	}
 	var u Update
-	if a.Number < v.number {
-		v.heedDrains(a)
-		u.Reverted = v.goesBack(a)
+	if r.Number < v.number {
+		v.applyDrains(r)
+		u.Reverted = v.revert(r)
 	}
-	if a.Number >= v.number {
-		v.lower, v.heard = 0, max(v.heard, a.Question)
-		v.number, v.applied = a.Number, a.Nodes
-		v.apply(a)
+	if r.Number >= v.number {
+		v.lower.count, v.newestQuery = 0, max(v.newestQuery, r.Query)
+		v.number, v.lastRows = r.Number, r.Nodes
+		v.apply(r)
 	}
-	v.places = nil
+	v.indexes = nil
 	u.Changed = !slices.Equal(before, v.nodes)
-	u.Unsure = len(v.missing) > 0 || v.lower > 0
-	for _, c := range v.awaiting {
-		u.Unsure = u.Unsure || c.needed == joinAnswers
+	u.Unconfirmed = len(v.missing) > 0 || v.lower.count > 0
+	for _, c := range v.unconfirmed {
+		u.Unconfirmed = u.Unconfirmed || c.required == joinResponses
 	}
 	return u
 }
 
-// repeats tells that an answer holds what the one before it did, and that nothing is open: most answers.
-func (v *View) repeats(a Answer) bool {
-	settled := len(v.awaiting) == 0 && len(v.missing) == 0 && v.lower == 0
-	return settled && a.Number == v.number && len(a.Skipped) == 0 &&
-		v.applied != nil && slices.Equal(a.Nodes, v.applied)
+// repeats tells whether a response has the rows of the one before, with nothing left to confirm. Most do.
+func (v *View) repeats(r Response) bool {
+	settled := len(v.unconfirmed) == 0 && len(v.missing) == 0 && v.lower.count == 0
+	return settled && r.Number == v.number && len(r.Skipped) == 0 &&
+		v.lastRows != nil && slices.Equal(r.Nodes, v.lastRows)
 }
 
-// heedDrains takes the drains that a list under a lower number tells; whether the number or the rows
-// are wrong is open.
-func (v *View) heedDrains(a Answer) {
-	for _, row := range a.Nodes {
+// applyDrains applies the drains alone of a list with a lower number, for its rows may be right and the
+// number in force wrong.
+func (v *View) applyDrains(r Response) {
+	for _, row := range r.Nodes {
 		if row.State != policy.Healthy {
 			v.drain(row.ID)
 		}
 	}
-	v.heedSkipped(a)
+	v.applySkippedDrains(r)
 }
 
-func (v *View) heedSkipped(a Answer) {
-	for _, row := range a.Skipped {
+// applySkippedDrains applies the drains of unusable rows.
+func (v *View) applySkippedDrains(r Response) {
+	for _, row := range r.Skipped {
 		if row.Draining {
 			v.drain(row.ID)
 		}
 	}
 }
 
-// goesBack counts answers under a lower number; true once they have shown that the number in force is
-// wrong, which goes back then.
-func (v *View) goesBack(a Answer) bool {
+// revert counts responses with a lower number. It tells whether they have shown that the number in force
+// is wrong, and replaces it then. A late response to an older query does not count.
+func (v *View) revert(r Response) bool {
 	switch {
-	case a.Question <= v.heard || v.lower > 0 && a.Question <= v.lowerAsked:
+	case r.Query <= v.newestQuery || v.lower.count > 0 && r.Query <= v.lower.query:
 		return false
-	case v.lower > 0 && a.Number >= v.lowerSeen:
-		v.lower++
+	case v.lower.count > 0 && r.Number >= v.lower.number:
+		v.lower.count++
 	default:
-		v.lower = 1
+		v.lower.count = 1
 	}
-	v.lowerSeen, v.lowerAsked = a.Number, a.Question
-	if v.lower < lowerMost {
+	v.lower.number, v.lower.query = r.Number, r.Query
+	if v.lower.count < revertResponses {
 		return false
 	}
-	v.number, v.heard = a.Number, 0
+	v.number, v.newestQuery = r.Number, 0
 	return true
 }
 
-// apply takes a list under the number in force, or a newer one.
-func (v *View) apply(a Answer) {
+// apply applies a list with the number in force or a higher one.
+func (v *View) apply(r Response) {
 	listed := map[string]bool{}
-	for _, row := range a.Skipped {
+	for _, row := range r.Skipped {
 		listed[row.ID] = true
 		delete(v.missing, row.ID)
 	}
-	v.heedSkipped(a)
-	for _, row := range a.Nodes {
+	v.applySkippedDrains(r)
+	for _, row := range r.Nodes {
 		listed[row.ID] = true
-		v.applyRow(a.Question, row)
+		v.applyRow(r.Query, row)
 	}
-	if !listed[""] { // a row without a name may be that of any node
-		v.applyMissing(a.Question, listed)
+	if !listed[""] { // a row without an ID may be that of any node
+		v.applyMissing(r.Query, listed)
 	}
-	for id := range v.awaiting {
+	for id := range v.unconfirmed {
 		if !listed[id] {
-			delete(v.awaiting, id)
+			delete(v.unconfirmed, id)
 		}
 	}
-	v.dropShadowed()
+	v.dropReplaced()
 }
 
-// applyRow takes one row.
-func (v *View) applyRow(question uint64, row nodelist.Node) {
-	at := v.index(row.ID)
-	if at < 0 {
-		if v.confirmed(question, row) {
-			v.places[row.ID] = len(v.nodes)
+// applyRow applies one row.
+func (v *View) applyRow(query uint64, row nodelist.Node) {
+	i := v.index(row.ID)
+	if i < 0 {
+		if v.confirm(query, row) {
+			v.indexes[row.ID] = len(v.nodes)
 			v.nodes = append(v.nodes, row)
 		}
 		return
 	}
-	current := v.nodes[at]
-	more := row.State == policy.Healthy && (current.State != policy.Healthy || row.Platform != current.Platform)
+	current := v.nodes[i]
+	givesWork := row.State == policy.Healthy &&
+		(current.State != policy.Healthy || row.Platform != current.Platform)
 	switch {
-	case !more || v.confirmed(question, row):
-		delete(v.awaiting, row.ID)
+	case !givesWork || v.confirm(query, row):
+		delete(v.unconfirmed, row.ID)
 		delete(v.missing, row.ID)
-		v.nodes[at] = row
-	case current.State == policy.Healthy: // it is not where it was
-		v.missing[row.ID] = absence{question, true}
-		v.nodes[at].State = policy.Draining
-		v.applied = nil // the next answer under the number in force is looked at whole
+		v.nodes[i] = row
+	case current.State == policy.Healthy: // its address has changed
+		v.missing[row.ID] = absence{query, true}
+		v.nodes[i].State = policy.Draining
+		v.lastRows = nil
 	}
 }
 
-// confirmed tells that enough answers in a row, to different questions, have held a row; it counts
-// this one.
-func (v *View) confirmed(question uint64, row nodelist.Node) bool {
-	c, seen := v.awaiting[row.ID]
+// confirm counts a response with a row. It tells whether enough responses in a row, to different queries,
+// had that row.
+func (v *View) confirm(query uint64, row nodelist.Node) bool {
+	c, seen := v.unconfirmed[row.ID]
 	if !seen || c.node != row {
-		c = confirmation{node: row, needed: v.needed(row)}
-	} else if c.question == question {
+		c = confirmation{node: row, required: v.requiredResponses(row)}
+	} else if c.query == query {
 		return false
 	}
-	c.question = question
-	if c.answers++; c.answers < c.needed {
-		v.awaiting[row.ID] = c
+	c.query = query
+	if c.responses++; c.responses < c.required {
+		v.unconfirmed[row.ID] = c
 		return false
 	}
-	delete(v.awaiting, row.ID)
-	delete(v.gone, row.ID)
+	delete(v.unconfirmed, row.ID)
+	delete(v.removed, row.ID)
 	return true
 }
 
-// needed is how many answers it takes to give a node work.
-func (v *View) needed(row nodelist.Node) int {
-	old, told := v.gone[row.ID]
-	if at := v.index(row.ID); at >= 0 && v.nodes[at].State != policy.Healthy {
-		old, told = v.nodes[at], !v.missing[row.ID].wasHealthy
+// requiredResponses is how many responses it takes to give a node work.
+func (v *View) requiredResponses(row nodelist.Node) int {
+	old, withdrawn := v.removed[row.ID]
+	if i := v.index(row.ID); i >= 0 && v.nodes[i].State != policy.Healthy {
+		old, withdrawn = v.nodes[i], !v.missing[row.ID].wasHealthy
 	}
-	if told && !row.Started.After(old.Started) {
-		return returnAnswers
+	if withdrawn && !row.Started.After(old.Started) {
+		return returnResponses
 	}
-	return joinAnswers
+	return joinResponses
 }
 
-// remove notes that a node has left the list.
+// remove records that a node has left the list.
 func (v *View) remove(n nodelist.Node) {
 	delete(v.missing, n.ID)
-	delete(v.awaiting, n.ID)
-	v.gone[n.ID] = n
-	if v.left = append(v.left, n.ID); len(v.left) > goneMost {
-		delete(v.gone, v.left[0])
-		v.left = v.left[1:]
+	delete(v.unconfirmed, n.ID)
+	v.removed[n.ID] = n
+	if v.removalOrder = append(v.removalOrder, n.ID); len(v.removalOrder) > maxRemoved {
+		delete(v.removed, v.removalOrder[0])
+		v.removalOrder = v.removalOrder[1:]
 	}
 }
 
-// applyMissing has nodes without a row drain, and removes those that two answers left out.
-func (v *View) applyMissing(question uint64, listed map[string]bool) {
+// applyMissing drains the nodes without a row, and removes those that responses to two queries left out.
+func (v *View) applyMissing(query uint64, listed map[string]bool) {
 	kept := v.nodes[:0]
 	for _, n := range v.nodes {
 		if !listed[n.ID] {
 			first, again := v.missing[n.ID]
-			if again && first.question != question {
+			if again && first.query != query {
 				v.remove(n)
 				continue
 			}
 			if !again {
-				v.missing[n.ID] = absence{question, n.State == policy.Healthy}
+				v.missing[n.ID] = absence{query, n.State == policy.Healthy}
 			}
 			n.State = policy.Draining
 		}
@@ -267,8 +274,8 @@
 	v.nodes = kept
 }
 
-// dropShadowed removes nodes that drain at an address that another one has taken.
-func (v *View) dropShadowed() {
+// dropReplaced removes nodes that drain at the address of another healthy node.
+func (v *View) dropReplaced() {
 	owner := map[string]string{}
 	for _, n := range v.nodes {
 		if n.State == policy.Healthy {
@@ -276,27 +283,29 @@
 		}
 	}
 	v.nodes = slices.DeleteFunc(v.nodes, func(n nodelist.Node) bool {
-		by, taken := owner[n.Platform]
-		if taken && by != n.ID {
+		id, owned := owner[n.Platform]
+		replaced := owned && id != n.ID
+		if replaced {
 			v.remove(n)
 		}
-		return taken && by != n.ID
+		return replaced
 	})
 }
 
-// index is the place of a node; -1 where it is not in force. It is for the time before nodes are removed.
+// index is the index of a node in nodes; -1 where it is not in force. It is valid during Observe, until the
+// first node is removed.
 func (v *View) index(id string) int {
-	if at, ok := v.places[id]; ok {
-		return at
+	if i, ok := v.indexes[id]; ok {
+		return i
 	}
 	return -1
 }
 
-// drain has a node drain; answers that it returns are counted anew.
+// drain drains a node, and restarts the count of responses that would return it.
 func (v *View) drain(id string) {
-	delete(v.awaiting, id)
-	if at := v.index(id); at >= 0 && v.nodes[at].State == policy.Healthy {
-		v.nodes[at].State = policy.Draining
-		v.applied = nil // the next answer under the number in force is looked at whole
+	delete(v.unconfirmed, id)
+	if i := v.index(id); i >= 0 && v.nodes[i].State == policy.Healthy {
+		v.nodes[i].State = policy.Draining
+		v.lastRows = nil
 	}
 }
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -13,8 +14,8 @@
 	"embershunt/policy"
 )
 
-// list reads "a b! c" as the nodes a, b that drains, and c; "d+" has started later, "?d" is a row of d that
-// cannot be used, "?d!" one that drains.
+// list parses "a b! c" as the nodes a, b that drains, and c; "d+" has started later, "?d" is an unusable row of d, "?d!"
+// one that drains.
 func list(number int64, text string) nodelist.Numbered {
 	out := nodelist.Numbered{Number: number}
 	for id := range strings.FieldsSeq(text) {
@@ -36,6 +37,7 @@
 	return out
 }
 
+// show is the inverse of list, for the nodes in force.
 func show(v *View) string {
 	var out []string
 	for _, n := range v.Nodes() {
@@ -48,51 +50,55 @@
 	return strings.Join(out, " ")
 }
 
-func many(step string, times int) (out []string) {
-	for range times {
+// repeat is a step that is repeated for one response less than returns a node.
+func repeat(step string) (out []string) {
+	for range returnResponses - 1 {
 		out = append(out, step)
 	}
 	return out
 }
 
-// Each step is an answer "number: rows" and the list in force after it; "=" before a number repeats the question before.
+// Each step is a response "number: rows" and the list in force after it; with "=" before the number it is to the same query
+// as the step before.
 func TestView(t *testing.T) {
 	for name, c := range map[string]struct{ steps []string }{
-		"a drain is heeded at once":             {[]string{"2: a! b -> a! b"}},
-		"a node joins at the second answer":     {[]string{"2: a b c -> a b", "2: a b c -> a b c"}},
-		"an answer twice confirms nothing":      {[]string{"2: a b c -> a b", "=2: a b c -> a b", "2: a b c -> a b c"}},
-		"a node leaves at the second answer":    {[]string{"2: b -> a! b", "=2: b -> a! b", "2: b -> b"}},
-		"a drain ends after many answers":       {append([]string{"2: a! b -> a! b"}, append(many("3: a b -> a! b", returnAnswers-1), "3: a b -> a b")...)},
-		"a drain in between counts anew":        {append(append([]string{"2: a! b -> a! b"}, many("2: a b -> a! b", returnAnswers-1)...), "1: a! b -> a! b", "2: a b -> a! b")},
-		"what has gone returns after many":      {append(append([]string{"2: b -> a! b", "2: b -> b"}, many("2: a b -> b", returnAnswers-1)...), "2: a b -> b a")},
-		"drained, left out, listed as ready":    {[]string{"2: a! b -> a! b", "2: b -> a! b", "2: a b -> a! b", "2: a b -> a! b"}},
+		"a drain is applied at once":            {[]string{"2: a! b -> a! b"}},
+		"a node joins at the second response":   {[]string{"2: a b c -> a b", "2: a b c -> a b c"}},
+		"a duplicate confirms nothing":          {[]string{"2: a b c -> a b", "=2: a b c -> a b", "2: a b c -> a b c"}},
+		"a node leaves at the second response":  {[]string{"2: b -> a! b", "=2: b -> a! b", "2: b -> b"}},
+		"a drain ends after many responses":     {append([]string{"2: a! b -> a! b"}, append(repeat("3: a b -> a! b"), "3: a b -> a b")...)},
+		"a drain in between restarts the count": {append(append([]string{"2: a! b -> a! b"}, repeat("2: a b -> a! b")...), "1: a! b -> a! b", "2: a b -> a! b")},
+		"a removed node returns after many":     {append(append([]string{"2: b -> a! b", "2: b -> b"}, repeat("2: a b -> b")...), "2: a b -> b a")},
+		"drained, left out, listed as healthy":  {[]string{"2: a! b -> a! b", "2: b -> a! b", "2: a b -> a! b", "2: a b -> a! b"}},
 		"old rows under the newest number":      {[]string{"2: a b -> a b", "2: a! b -> a! b"}},
 		"old rows after the drain":              {[]string{"2: a! b -> a! b", "2: a b -> a! b", "2: a! b -> a! b", "2: a b -> a! b"}},
-		"a lower number tells a drain":          {[]string{"9: a b -> a b", "2: a! b -> a! b"}},
-		"a lower number alone adds nothing":     {[]string{"9: a b -> a b", "2: a b c -> a b", "3: a b c -> a b", "9: a b -> a b"}},
-		"lower numbers in a row are believed":   {[]string{"9: a b -> a b", "2: a b c -> a b", "2: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b c"}},
-		"what was lost to it comes back":        {[]string{"9: a -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b"}},
+		"a drain under a lower number":          {[]string{"9: a b -> a b", "2: a! b -> a! b"}},
+		"one lower number adds nothing":         {[]string{"9: a b -> a b", "2: a b c -> a b", "3: a b c -> a b", "9: a b -> a b"}},
+		"lower numbers in a row are accepted":   {[]string{"9: a b -> a b", "2: a b c -> a b", "2: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b c"}},
+		"a node lost to a wrong number returns": {[]string{"9: a -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b"}},
 		"a restart after a drain is a new node": {[]string{"2: a! b -> a! b", "3: a+ b -> a! b", "3: a+ b -> a b"}},
-		"a row that cannot be used":             {[]string{"2: a! ?b c -> a! b", "2: a! ?b c -> a! b c", "2: a! ?b! c -> a! b! c"}},
-		"a row without a name hides an end":     {[]string{"2: ? a -> a b", "2: ? a -> a b"}},
-		"a late drain that was taken back":      {append([]string{"9: a b -> a b", "9: a b -> a b", "1: a! b -> a! b"}, append(many("9: a b -> a! b", returnAnswers-1), "9: a b -> a b")...)},
+		"an unusable row":                       {[]string{"2: a! ?b c -> a! b", "2: a! ?b c -> a! b c", "2: a! ?b! c -> a! b! c"}},
+		"a row without an ID hides a removal":   {[]string{"2: ? a -> a b", "2: ? a -> a b"}},
+		"a late drain that was cancelled":       {append([]string{"9: a b -> a b", "9: a b -> a b", "1: a! b -> a! b"}, append(repeat("9: a b -> a! b"), "9: a b -> a b")...)},
 		"an empty list":                         {[]string{"2:  -> a! b!", "2:  -> "}},
-		"a wrong end is taken back":             {[]string{"2: b -> a! b", "2: a b -> a! b", "2: a b -> a b"}},
-		"a row that changes is seen twice anew": {[]string{"2: a b c -> a b", "2: a b d -> a b", "2: a b c -> a b", "2: a b c -> a b c"}},
+		"a wrong removal is cancelled":          {[]string{"2: b -> a! b", "2: a b -> a! b", "2: a b -> a b"}},
+		"a row that changes restarts the count": {[]string{"2: a b c -> a b", "2: a b d -> a b", "2: a b c -> a b", "2: a b c -> a b c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			v := New(list(1, "a b"))
-			question := uint64(0)
+			query := uint64(0)
 			for i, step := range c.steps {
 				text, want, _ := strings.Cut(step, " ->")
 				text, again := strings.CutPrefix(text, "=")
 				if !again {
-					question++
+					query++
 				}
-				var number int64
 				head, rows, _ := strings.Cut(text, ":")
-				fmt.Sscan(head, &number)
-				v.Observe(Answer{question, list(number, rows)})
+				number, err := strconv.ParseInt(head, 10, 64)
+				if err != nil {
+					t.Fatal(err)
+				}
+				v.Observe(Response{query, list(number, rows)})
 				if got := show(v); got != strings.TrimSpace(want) {
 					t.Fatalf("after step %d (%s): %q, want %q", i+1, step, got, strings.TrimSpace(want))
 				}
@@ -101,29 +107,29 @@
 	}
 }
 
-// Answers that were on their way when a newer one overtook them are no proof against its number.
-func TestLateAnswersDoNotTakeANumberBack(t *testing.T) {
+// Late responses, overtaken by a newer one, are no proof against its number.
+func TestLateResponsesDoNotRevertANumber(t *testing.T) {
 	v := New(list(1, "a b"))
-	v.Observe(Answer{100, list(9, "a b")})
-	for q := range uint64(2 * lowerMost) {
-		if u := v.Observe(Answer{10 + q, list(5, "a b c")}); u.Reverted || u.Unsure {
-			t.Fatalf("%+v after %d late answers", u, q+1)
+	v.Observe(Response{100, list(9, "a b")})
+	for q := range uint64(2 * revertResponses) {
+		if u := v.Observe(Response{10 + q, list(5, "a b c")}); u.Reverted || u.Unconfirmed {
+			t.Fatalf("%+v after %d late responses", u, q+1)
 		}
 	}
-	for q := range uint64(lowerMost) {
-		if u := v.Observe(Answer{101 + q, list(5, "a b c")}); u.Reverted != (q+1 == lowerMost) {
-			t.Fatalf("%+v after %d answers", u, q+1)
+	for q := range uint64(revertResponses) {
+		if u := v.Observe(Response{101 + q, list(5, "a b c")}); u.Reverted != (q+1 == revertResponses) {
+			t.Fatalf("%+v after %d responses", u, q+1)
 		}
 	}
 }
 
-// A node that takes the address of one that has gone: no list in force has an address twice.
+// A node takes the address of a removed one: no list in force has an address twice.
 func TestAnAddressChangesHands(t *testing.T) {
 	v := New(list(1, "a b"))
 	next := list(2, "b c")
 	next.Nodes[1].Platform = "127.0.0.1:a"
 	for q := range uint64(2) {
-		v.Observe(Answer{q, next})
+		v.Observe(Response{q, next})
 		if err := nodelist.Check(v.Nodes()); err != nil {
 			t.Fatal(err)
 		}
@@ -133,41 +139,41 @@
 	}
 	moved := list(3, "b c")
 	moved.Nodes[0].Platform = "127.0.0.1:elsewhere"
-	v.Observe(Answer{7, moved})
+	v.Observe(Response{7, moved})
 	if show(v) != "b! c!" { // c as well: its address differs from that above
 		t.Errorf("in force: %s", show(v))
 	}
-	v.Observe(Answer{8, moved})
+	v.Observe(Response{8, moved})
 	if show(v) != "b c" || v.Nodes()[0].Platform != "127.0.0.1:elsewhere" {
 		t.Errorf("in force: %s at %s", show(v), v.Nodes()[0].Platform)
 	}
 }
 
-// Whatever comes: two true answers with any untrue ones before them leave a drain heeded; and enough true ones in a row put the true
-// list in force.
+// After any untrue responses: one true response applies its drains, and enough true ones in a row put the true list in
+// force.
 func TestTruthWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []string{"a", "b", "c", "d"}
-		any := func(label string) string {
+		draw := func(label string) string {
 			out := ""
 			for _, id := range ids {
 				out += " " + rapid.SampledFrom([]string{"", id, id + "!", "?" + id}).Draw(t, label)
 			}
 			return out
 		}
-		v := New(list(rapid.Int64Range(1, 9).Draw(t, "known"), any("known rows")))
-		question := uint64(0)
+		v := New(list(rapid.Int64Range(1, 9).Draw(t, "known"), draw("known rows")))
+		query := uint64(0)
 		observe := func(l nodelist.Numbered) {
-			question++
-			v.Observe(Answer{question, l})
+			query++
+			v.Observe(Response{query, l})
 			if err := nodelist.Check(v.Nodes()); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range rapid.IntRange(0, 12).Draw(t, "untrue") {
-			observe(list(rapid.Int64Range(0, 9).Draw(t, "number"), any("rows")))
+			observe(list(rapid.Int64Range(0, 9).Draw(t, "number"), draw("rows")))
 		}
-		truth := list(rapid.Int64Range(0, 9).Draw(t, "true number"), strings.ReplaceAll(any("true rows"), "?", ""))
+		truth := list(rapid.Int64Range(0, 9).Draw(t, "true number"), strings.ReplaceAll(draw("true rows"), "?", ""))
 		index := func(id string) int {
 			return slices.IndexFunc(v.Nodes(), func(n nodelist.Node) bool { return n.ID == id })
 		}
@@ -177,7 +183,7 @@
 				t.Fatalf("%s drains, in force: %s", n.ID, show(v))
 			}
 		}
-		for range lowerMost + returnAnswers {
+		for range revertResponses + returnResponses {
 			observe(truth)
 		}
 		if v.Number() != truth.Number {
@@ -194,36 +200,36 @@
 	})
 }
 
-// Most answers repeat the one before: at the largest fleet they cost a comparison, no copy.
-func BenchmarkRepeatedAnswer(b *testing.B) {
+// Most responses repeat the one before: with the maximum number of nodes they cost a comparison, no copy.
+func BenchmarkRepeatedResponse(b *testing.B) {
 	l := nodelist.Numbered{Number: 1}
 	for i := range 3200 {
 		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
 	v := New(l)
-	question := uint64(0)
+	query := uint64(0)
 	for range 3 {
-		question++
-		v.Observe(Answer{question, l})
+		query++
+		v.Observe(Response{query, l})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		question++
-		v.Observe(Answer{question, l})
+		query++
+		v.Observe(Response{query, l})
 	}
 }
 
-// A change in the largest fleet.
+// A change in a list with the maximum number of nodes.
 func BenchmarkChange(b *testing.B) {
 	l := nodelist.Numbered{Number: 1}
 	for i := range 3200 {
 		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
 	v := New(l)
-	question := uint64(0)
+	query := uint64(0)
 	for b.Loop() {
-		question++
+		query++
 		l.Number++
-		v.Observe(Answer{question, l})
+		v.Observe(Response{query, l})
 	}
 }
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -39,51 +39,50 @@
 	return s
 }
 
-// Lists only ever go forward, whatever the service does on a bad day, and over a move to another address.
-func TestListsGoForward(t *testing.T) {
-	a, b := service(t), service(t)
-	told := make(chan string, 100)
-	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
-			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until an answer confirms its end
-				told <- n[0].ID
-			}
-		}})
-	ctx, cancel := context.WithCancel(t.Context())
+// run runs a resolver until the test ends.
+func run(t *testing.T, r *resolver.Resolver) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
-	expect := func(want string) {
-		t.Helper()
-		select {
-		case got := <-told:
-			if got != want {
-				t.Fatalf("told of %s, want %s", got, want)
-			}
-		case <-time.After(5 * time.Second):
-			t.Fatalf("not told of %s", want)
+	t.Cleanup(func() { cancel(); <-done })
+}
+
+// await polls until a condition holds.
+func await(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not seen in 10 s: %s", what)
 		}
 	}
-	asked := func(s *simulated.NameService, more int) {
-		t.Helper()
-		from := s.Asked()
-		for s.Asked() < from+more {
-			if ctx.Err() != nil {
-				t.Fatal("not asked")
-			}
-			time.Sleep(time.Millisecond)
+}
+
+// awaitQueries waits until a service has received more queries.
+func awaitQueries(t *testing.T, s *simulated.NameService, more int) {
+	t.Helper()
+	from := s.Asked()
+	await(t, "queries", func() bool { return s.Asked() >= from+more })
+}
+
+// expect waits for the next list with a single healthy node, which must be the one named.
+func expect(t *testing.T, applied <-chan string, want string) {
+	t.Helper()
+	select {
+	case got := <-applied:
+		if got != want {
+			t.Fatalf("applied %s, want %s", got, want)
 		}
+	case <-time.After(5 * time.Second):
+		t.Fatalf("%s is not applied", want)
 	}
-	a.Set(5, nodes("known"))
-	asked(a, 3) // the number that it starts with is no news
-	a.Set(7, nodes("seven"))
-	expect("seven")
-	a.Spoil(older(t, 6, 2)) // fewer than show that the number was wrong
-	asked(a, 5)
-	a.Spoil(nil)
-	// Lost, reporting a failure, cut short, of another id: each is asked again.
-	var way atomic.Int64
-	a.Spoil(func(_, answer []byte) []byte {
-		switch way.Add(1) {
+}
+
+// spoilOnce has the first five responses lost, report a failure, truncated, under another ID and too long.
+func spoilOnce() func(_, answer []byte) []byte {
+	var n atomic.Int64
+	return func(_, answer []byte) []byte {
+		switch n.Add(1) {
 		case 1:
 			return nil
 		case 2:
@@ -96,9 +95,31 @@
 			return append(answer, make([]byte, 9000)...)
 		}
 		return answer
-	})
+	}
+}
+
+// Version numbers only go up, whatever the service does, and over a change of its address.
+func TestListsGoForward(t *testing.T) {
+	a, b := service(t), service(t)
+	applied := make(chan string, 100)
+	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
+		Initial: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until a response confirms its removal
+				applied <- n[0].ID
+			}
+		}})
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { r.Run(ctx); close(done) }()
+	a.Set(5, nodes("known"))
+	awaitQueries(t, a, 3) // the number that it starts with is not applied again
+	a.Set(7, nodes("seven"))
+	expect(t, applied, "seven")
+	a.Spoil(older(t, 6, 2)) // fewer than show that the number was wrong
+	awaitQueries(t, a, 5)
+	a.Spoil(spoilOnce())
 	a.Set(8, nodes("eight"))
-	expect("eight")
+	expect(t, applied, "eight")
 	if r.Failures() < 4 {
 		t.Errorf("%d failures counted, want 4 and more", r.Failures())
 	}
@@ -108,45 +129,43 @@
 	}
 	b.Set(8, nodes("eight"))
 	r.Move(b.Address())
-	asked(b, 2)
+	awaitQueries(t, b, 2)
 	b.Set(9, nodes("nine"))
-	expect("nine")
+	expect(t, applied, "nine")
 	r.Move(a.Address()) // twice in a row: the last one counts
 	r.Move(b.Address())
 	b.Set(10, nodes("ten"))
-	expect("ten")
-	b.Mute() // that flow alone falls silent
+	expect(t, applied, "ten")
+	b.Mute() // the present sockets get no response any more
 	b.Set(11, nodes("eleven"))
-	expect("eleven")
-	b.Close() // nobody listens: it asks on, and is there when somebody does
+	expect(t, applied, "eleven")
+	b.Close() // nobody listens: it polls on, and continues when somebody does
 	failures := r.Failures()
-	for r.Failures() < failures+3 {
-		time.Sleep(time.Millisecond)
-	}
+	await(t, "failures", func() bool { return r.Failures() >= failures+3 })
 	r.Move(a.Address())
 	a.Set(12, nodes("twelve"))
-	expect("twelve")
+	expect(t, applied, "twelve")
 	cancel()
 	<-done
-	if len(told) > 0 {
-		t.Errorf("told of %s too", <-told)
+	if len(applied) > 0 {
+		t.Errorf("applied %s too", <-applied)
 	}
 }
 
-// older brings an older list in some answers, and true ones after.
-func older(t *testing.T, number uint32, answers int64) func(question, answer []byte) []byte {
+// older has the first responses bring an older list.
+func older(t *testing.T, number uint32, responses int64) func(question, answer []byte) []byte {
 	t.Helper()
-	var given atomic.Int64
+	var n atomic.Int64
 	return func(question, answer []byte) []byte {
-		if given.Add(1) > answers {
+		if n.Add(1) > responses {
 			return answer
 		}
 		return simulated.ListAnswer(uint16(question[0])<<8|uint16(question[1]), number, nodes("older"), names)
 	}
 }
 
-// An answer may take many times the interval, and bring a drain: it is heard, and before long none is given up on.
-func TestLateAnswersAreHeard(t *testing.T) {
+// A response may take many times the interval, and bring a drain: it is used.
+func TestLateResponsesAreUsed(t *testing.T) {
 	for _, times := range []int{1, 4, 20, 100} {
 		t.Run(strconv.Itoa(times), func(t *testing.T) {
 			t.Parallel()
@@ -164,22 +183,18 @@
 			row[0].State = policy.Draining
 			s.Set(2, row)
 			s.Delay(time.Duration(times) * interval)
-			ctx, cancel := context.WithCancel(t.Context())
-			done := make(chan struct{})
-			go func() { r.Run(ctx); close(done) }()
+			run(t, r)
 			select {
 			case <-drained:
 			case <-time.After(10 * time.Second):
-				t.Error("the drain was not heard")
+				t.Error("the drain was not applied")
 			}
-			cancel()
-			<-done
 		})
 	}
 }
 
-// A list of an earlier start, under a higher number, does not make later ones unheard.
-func TestAWrongNumberDoesNotLast(t *testing.T) {
+// An older list under a higher number does not hide later ones.
+func TestAWrongNumberIsReverted(t *testing.T) {
 	s := service(t)
 	var state atomic.Value
 	state.Store("")
@@ -193,31 +208,25 @@
 		}})
 	s.Set(2, nodes("a", "b"))
 	s.Spoil(older(t, 4_000_000_000, 1))
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() { r.Run(ctx); close(done) }()
-	defer func() { cancel(); <-done }()
-	until := func(what string, holds func() bool) {
-		t.Helper()
-		for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: in force %v, %+v", what, state.Load(), r.Stats())
-			}
+	run(t, r)
+	defer func() {
+		if t.Failed() {
+			t.Logf("in force %v, %+v", state.Load(), r.Stats())
 		}
-	}
-	until("the wrong number", func() bool { return r.Stats().Reverted == 1 && r.Stats().Version == 2 })
+	}()
+	await(t, "the wrong number reverted", func() bool { return r.Stats().Reverted == 1 && r.Stats().Version == 2 })
 	rows := nodes("a", "b")
 	rows[0].State = policy.Draining
 	s.Set(3, rows)
-	until("the drain", func() bool { return state.Load() == fmt.Sprintf("a:%d b:%d ", policy.Draining, policy.Healthy) })
+	await(t, "the drain", func() bool { return state.Load() == fmt.Sprintf("a:%d b:%d ", policy.Draining, policy.Healthy) })
 }
 
-// A flow that falls silent is replaced, again and again, without a flood of sockets.
-func TestSilentFlowsAreReplaced(t *testing.T) {
+// Unresponsive sockets are replaced, again and again, without a flood of them.
+func TestUnresponsiveSocketsAreReplaced(t *testing.T) {
 	s := service(t)
-	heard := make(chan int, 100)
+	applied := make(chan int, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { heard <- len(n) }})
+		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { applied <- len(n) }})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -225,9 +234,9 @@
 		s.Mute()
 		s.Set(number, nodes("a", "b")[:2-number%2])
 		select {
-		case <-heard:
+		case <-applied:
 		case <-time.After(10 * time.Second):
-			t.Fatal("not heard")
+			t.Fatal("not applied")
 		}
 	}
 	cancel()
@@ -237,37 +246,32 @@
 	}
 }
 
-// A service that was slow and is fast again, then falls silent on all flows: that is noticed as soon as after a fast one alone.
-func TestSilenceAfterSlownessIsNoticedSoon(t *testing.T) {
+// A service that was slow and is fast again becomes unresponsive on all sockets: that is detected as soon as if it had never
+// been slow.
+func TestLossAfterSlownessIsDetectedSoon(t *testing.T) {
 	const interval = 20 * time.Millisecond
 	s := service(t)
-	heard := make(chan time.Time, 100)
+	applied := make(chan time.Time, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { heard <- time.Now() }})
-	ctx, cancel := context.WithCancel(t.Context())
-	done := make(chan struct{})
-	go func() { r.Run(ctx); close(done) }()
-	defer func() { cancel(); <-done }()
+		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
+	run(t, r)
 	s.Set(1, nodes("a"))
 	s.Delay(50 * interval)
-	for r.Stats().AnswerIn < 40*interval {
-		time.Sleep(time.Millisecond)
-	}
+	await(t, "slow responses", func() bool { return r.Stats().AnswerIn >= 40*interval })
 	s.Delay(0)
-	for answers := r.Stats().Answers; r.Stats().Answers < answers+8; {
-		time.Sleep(time.Millisecond)
-	}
-	s.Mute() // answers that took long still come
+	responses := r.Stats().Answers
+	await(t, "fast responses", func() bool { return r.Stats().Answers >= responses+8 })
+	s.Mute() // the slow responses are still received
 	drained := nodes("a")
 	drained[0].State = policy.Draining
 	s.Set(2, drained)
-	silent := time.Now()
+	muted := time.Now()
 	select {
-	case at := <-heard:
-		if took := at.Sub(silent); took > 25*interval {
-			t.Errorf("heard after %v", took)
+	case at := <-applied:
+		if took := at.Sub(muted); took > 25*interval {
+			t.Errorf("applied after %v", took)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not heard")
+		t.Error("not applied")
 	}
 }
--- a/nodelist/resolver/socket.go
+++ b/nodelist/resolver/socket.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"net"
 	"slices"
 	"time"
@@ -11,43 +10,67 @@
 	"embershunt/nodelist"
 )
 
-// socket is one flow to the name service. A goroutine reads it until it is closed; the rest is the goroutine of Run's own.
+// Limits of sockets. One is unresponsive when so many of its queries in a row have had no response for a time that is the
+// longest of so many intervals and so many response times; see responseTimeout.
+const (
+	activeSockets     = 2 // polled in turn
+	maxRetiredSockets = 3
+	retiredLifetime   = queryLifetime
+
+	unresponsiveQueries       = 3
+	unresponsiveIntervals     = 3
+	unresponsiveResponseTimes = 2
+	maxBackoffTimeout         = 5 * time.Second // of a timeout that has been doubled
+
+	readErrorPause = 10 * time.Millisecond
+)
+
+// socket is one flow to the name service. A goroutine reads it until it is closed; the goroutine of Run owns the rest.
 type socket struct {
-	conn      net.Conn
-	closed    chan struct{}
-	open      []question // asked here after the newest one that has an answer
-	retiredAt time.Time
+	conn       net.Conn
+	closed     chan struct{}
+	unanswered []query // sent here after the newest one that has a response
+	retiredAt  time.Time
 }
 
-func (s *socket) asked(serial uint64, now time.Time) {
-	if len(s.open) < questionsMost {
-		s.open = append(s.open, question{serial, now})
+// packet is what a reader has received, or its error.
+type packet struct {
+	socket  *socket
+	message []byte
+	err     error
+}
+
+var errTooLong = errors.New("resolver: the answer is longer than an answer may be")
+
+func (s *socket) sent(serial uint64, now time.Time) {
+	if len(s.unanswered) < maxPendingQueries {
+		s.unanswered = append(s.unanswered, query{serial, now})
 	}
 }
 
-// heard notes an answer. Older questions than its own do not tell any more whether the flow is silent, newer ones do.
-func (s *socket) heard(serial uint64) {
-	s.open = slices.DeleteFunc(s.open, func(q question) bool { return q.serial <= serial })
+// responded records a response. Queries older than its own do not show any more whether the flow is responsive.
+func (s *socket) responded(serial uint64) {
+	s.unanswered = slices.DeleteFunc(s.unanswered, func(q query) bool { return q.serial <= serial })
 }
 
-// silentFor is how long questions on a socket have been open since one was answered; 0 where they are too few to tell.
-func (s *socket) silentFor(now time.Time) time.Duration {
-	if len(s.open) < silentQuestions {
+// unresponsiveFor is the age of the oldest unanswered query; 0 where there are too few to tell.
+func (s *socket) unresponsiveFor(now time.Time) time.Duration {
+	if len(s.unanswered) < unresponsiveQueries {
 		return 0
 	}
-	return now.Sub(s.open[0].at)
+	return now.Sub(s.unanswered[0].at)
 }
 
-// close closes the socket and lets its reader end.
+// close closes the socket, which ends its reader.
 func (s *socket) close() {
 	close(s.closed)
-	s.conn.Close()
+	_ = s.conn.Close() // a UDP socket has nothing to flush
 }
 
-// open opens a socket to the name service.
+// open opens a socket to the name service and starts its reader.
 func (r *Resolver) open(ctx context.Context) (*socket, error) {
 	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "udp", r.target())
+	conn, err := dialer.DialContext(ctx, "udp", r.currentAddress())
 	if err != nil {
 		return nil, err
 	}
@@ -57,7 +80,7 @@
 	return s, nil
 }
 
-// read hands on what comes on a socket until it is closed.
+// read hands on what a socket receives until it is closed.
 func (r *Resolver) read(s *socket) {
 	buffer := make([]byte, nodelist.MaxResponseBytes+1)
 	for {
@@ -74,15 +97,16 @@
 		case <-s.closed:
 			return
 		}
-		if err != nil && !r.rest(s) {
+		if err != nil && !s.pause() {
 			return
 		}
 	}
 }
 
-// rest waits a moment after an error, so that one which repeats at once does not take the processor; false where the socket has been closed.
-func (r *Resolver) rest(s *socket) bool {
-	timer := time.NewTimer(readPause)
+// pause waits after an error, so that one which repeats at once does not use up a processor; false where the socket has
+// been closed.
+func (s *socket) pause() bool {
+	timer := time.NewTimer(readErrorPause)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -92,93 +116,81 @@
 	}
 }
 
-// newQuestion books a question under an id that is not in use.
-func (r *Resolver) newQuestion(now time.Time) uint16 {
-	for id, q := range r.questions {
-		if now.Sub(q.at) > questionLife || len(r.questions) >= questionsMost && q.serial+questionsMost <= r.serial+1 {
-			delete(r.questions, id)
-		}
-	}
-	for {
-		id := uint16(rand.Uint32())
-		if _, taken := r.questions[id]; !taken {
-			r.serial++
-			r.questions[id] = question{serial: r.serial, at: now}
-			return id
-		}
-	}
-}
-
-// tend replaces sockets that have fallen silent, opens those that are missing, and closes old ones. A socket stays where its replacement
-// cannot be opened.
-func (r *Resolver) tend(ctx context.Context, now time.Time) {
+// maintainSockets replaces unresponsive sockets, opens missing ones and closes old ones. A socket stays where its
+// replacement cannot be opened.
+func (r *Resolver) maintainSockets(ctx context.Context, now time.Time) {
 	for i, s := range r.active {
-		if s.silentFor(now) < r.patience() {
+		if s.unresponsiveFor(now) < r.responseTimeout() {
 			continue
 		}
-		r.logSilence()
-		fresh, err := r.open(ctx)
+		r.logUnresponsive()
+		replacement, err := r.open(ctx)
 		if err != nil {
-			r.failed("no socket", err)
+			r.countFailure("no socket", err)
 			break
 		}
-		r.backoff++
+		r.replacements++
 		r.retire(now, s)
-		r.active[i] = fresh
+		r.active[i] = replacement
 	}
 	for len(r.active) < activeSockets {
-		fresh, err := r.open(ctx)
+		s, err := r.open(ctx)
 		if err != nil {
-			r.failed("no socket", err)
+			r.countFailure("no socket", err)
 			break
 		}
-		r.active = append(r.active, fresh)
+		r.active = append(r.active, s)
 	}
+	r.closeExpired(now)
+}
+
+// closeExpired closes the sockets that have been retired for their lifetime.
+func (r *Resolver) closeExpired(now time.Time) {
 	r.retired = slices.DeleteFunc(r.retired, func(s *socket) bool {
-		old := now.Sub(s.retiredAt) > retiredLife
-		if old {
+		expired := now.Sub(s.retiredAt) > retiredLifetime
+		if expired {
 			s.close()
 		}
-		return old
+		return expired
 	})
 }
 
-// patience is how long a socket may be silent. It doubles as long as nothing is heard at all, so that some socket lives long enough for an
-// answer that takes its time.
-func (r *Resolver) patience() time.Duration {
-	base := max(silentIntervals*r.options.Interval, silentAnswers*r.answerIn)
-	return max(base, min(base<<min(r.backoff/activeSockets, 10), silentMost))
+// responseTimeout is how long a socket may be unresponsive. It doubles while there is no response at all, so that some
+// socket lives long enough for a slow response.
+func (r *Resolver) responseTimeout() time.Duration {
+	base := max(unresponsiveIntervals*r.options.Interval, unresponsiveResponseTimes*r.schedule.responseTime)
+	return max(base, min(base<<min(r.replacements/activeSockets, 10), maxBackoffTimeout))
 }
 
-// retire keeps a socket for answers that are still on their way.
+// retire keeps a socket for responses that are still on their way.
 func (r *Resolver) retire(now time.Time, s *socket) {
 	s.retiredAt = now
-	if r.retired = append(r.retired, s); len(r.retired) > retiredSockets {
+	if r.retired = append(r.retired, s); len(r.retired) > maxRetiredSockets {
 		r.retired[0].close()
 		r.retired = r.retired[1:]
 	}
 }
 
-// replaceAll asks at the new address from now on. What the old one still sends is heard.
-func (r *Resolver) replaceAll(ctx context.Context) {
+// replaceSockets polls the new address from now on. Responses from the old one are still used.
+func (r *Resolver) replaceSockets(ctx context.Context) {
 	now := time.Now()
 	old := r.active
-	r.active, r.backoff, r.extra = nil, 0, extraMost
-	r.tend(ctx, now)
+	r.active, r.replacements, r.schedule.extra = nil, 0, maxExtraQueries
+	r.maintainSockets(ctx, now)
 	for _, s := range old {
 		r.retire(now, s)
 	}
-	r.regularAt = now
+	r.schedule.nextRegularAt = now
 }
 
-// logSilence logs once that answers have ended.
-func (r *Resolver) logSilence() {
-	if r.silent {
+// logUnresponsive logs once that responses are missing.
+func (r *Resolver) logUnresponsive() {
+	if r.unresponsive {
 		return
 	}
-	r.silent = true
+	r.unresponsive = true
 	r.log.Warn("node list: a flow has no answers", "age_ms", r.age().Milliseconds(), "version", r.view.Number(),
-		"questions", r.stats.questions.Load(), "unusable", r.stats.unusable.Load())
+		"questions", r.stats.queries.Load(), "unusable", r.stats.unusable.Load())
 }
 
 // close closes all sockets and waits for their readers.
@@ -186,5 +198,5 @@
 	for _, s := range append(r.active, r.retired...) {
 		s.close()
 	}
-	r.readers.Wait()
+	_ = r.readers.Wait() // readers return no error
 }
