--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,4 +1,5 @@
-// Package peers carries the module's messages between dispatchers, as datagrams. It reads nothing into them.
+// Package peers sends and receives the gossip of the decision module between dispatchers, as UDP datagrams. Their content
+// is opaque to it.
 package peers
 
 import (
@@ -12,79 +13,82 @@
 	"embershunt/policy"
 )
 
-// MaxMessageBytes is the longest message, in bytes.
+// MaxMessageBytes is the maximum length of a message.
 const MaxMessageBytes = 256
 
-// Poster takes what was heard.
-type Poster interface{ Notify(policy.Event) }
+// Receiver receives the messages as events.
+type Receiver interface{ Notify(policy.Event) }
 
-// Peers is the socket to the other dispatchers of a tier.
+// Peers is the socket to the other dispatchers of a tier. Its methods are safe for concurrent use.
 type Peers struct {
-	conn *net.UDPConn
-	me   int
-	to   []netip.AddrPort
-	from map[netip.AddrPort]int
+	conn      *net.UDPConn
+	self      int                    // number of this dispatcher
+	addresses []netip.AddrPort       // of the dispatchers, by number
+	numbers   map[netip.AddrPort]int // of the dispatchers, by address
 
-	sent, heard, dropped atomic.Int64
+	sent, received, dropped atomic.Int64
 }
 
-// Listen opens the socket; addresses are those of all dispatchers by their numbers, me is this one's.
-func Listen(address string, addresses []string, me int) (*Peers, error) {
-	p := &Peers{me: me, from: map[netip.AddrPort]int{}}
+// Listen opens the socket at an address (host:port). Addresses are those of all dispatchers by their numbers, self is the
+// number of this one. Run closes the socket.
+func Listen(address string, addresses []string, self int) (*Peers, error) {
+	p := &Peers{self: self, numbers: map[netip.AddrPort]int{}}
 	for i, a := range addresses {
-		to, err := netip.ParseAddrPort(a)
+		peer, err := netip.ParseAddrPort(a)
 		if err != nil {
 			return nil, fmt.Errorf("peers[%d]: %w", i, err)
 		}
-		p.to = append(p.to, to)
-		p.from[to] = i
+		p.addresses = append(p.addresses, peer)
+		p.numbers[peer] = i
 	}
-	at, err := netip.ParseAddrPort(address)
+	local, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+	p.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(local))
 	return p, err
 }
 
-// Send sends one message to one dispatcher; what cannot be sent is lost, as any datagram may be.
+// Send sends a message to the dispatcher with a number. One that cannot be sent is dropped, as any datagram may be.
 func (p *Peers) Send(to int, data []byte) {
-	if to < 0 || to >= len(p.to) || to == p.me || len(data) > MaxMessageBytes {
+	if to < 0 || to >= len(p.addresses) || to == p.self || len(data) > MaxMessageBytes {
 		p.dropped.Add(1)
 		return
 	}
-	if _, err := p.conn.WriteToUDPAddrPort(data, p.to[to]); err != nil {
+	if _, err := p.conn.WriteToUDPAddrPort(data, p.addresses[to]); err != nil {
 		p.dropped.Add(1)
 		return
 	}
 	p.sent.Add(1)
 }
 
-// Counts tells how many messages were sent, heard and dropped.
-func (p *Peers) Counts() (sent, heard, dropped int64) {
-	return p.sent.Load(), p.heard.Load(), p.dropped.Load()
+// Counts is how many messages were sent, received and dropped on either side.
+func (p *Peers) Counts() (sent, received, dropped int64) {
+	return p.sent.Load(), p.received.Load(), p.dropped.Load()
 }
 
-// Run passes on what is heard from dispatchers of the tier until ctx ends; then the socket is closed.
-func (p *Peers) Run(ctx context.Context, post Poster) error {
-	stop := context.AfterFunc(ctx, func() { p.conn.Close() })
+// Run hands the messages of other dispatchers of the tier to a receiver until ctx ends, and closes the socket. Messages
+// from other addresses are dropped. It returns nil.
+func (p *Peers) Run(ctx context.Context, receiver Receiver) error {
+	closeSocket := func() { _ = p.conn.Close() } // a UDP socket has nothing to flush, and may be closed twice
+	stop := context.AfterFunc(ctx, closeSocket)
 	defer stop()
-	defer p.conn.Close()
+	defer closeSocket()
 	buf := make([]byte, MaxMessageBytes+1)
 	for {
 		n, sender, err := p.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as word that a peer does not listen
+		if err != nil { // such as ECONNREFUSED: a peer does not listen
 			continue
 		}
-		from, known := p.from[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
-		if !known || from == p.me || n > MaxMessageBytes {
+		from, known := p.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
+		if !known || from == p.self || n > MaxMessageBytes {
 			p.dropped.Add(1)
 			continue
 		}
-		p.heard.Add(1)
-		post.Notify(policy.GossipReceived{From: from, Data: append([]byte(nil), buf[:n]...)})
+		p.received.Add(1)
+		receiver.Notify(policy.GossipReceived{From: from, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -15,11 +15,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-type heard chan policy.Event
+type receiver chan policy.Event
 
-func (h heard) Notify(ev policy.Event) { h <- ev }
+func (r receiver) Notify(ev policy.Event) { r <- ev }
 
-// Messages pass as they are, a sender is known by its address, and what comes from elsewhere or is too long is dropped.
+// Messages are unchanged, the sender is identified by its address, and messages from other addresses or that are too long
+// are dropped.
 func TestMessages(t *testing.T) {
 	var addresses []string
 	for range 2 {
@@ -28,44 +29,52 @@
 			t.Fatal(err)
 		}
 		addresses = append(addresses, l.LocalAddr().String())
-		l.Close()
+		if err := l.Close(); err != nil {
+			t.Fatal(err)
+		}
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var all []*peers.Peers
-	var ears []heard
+	var receivers []receiver
 	done := make(chan error, 2)
 	for i, a := range addresses {
 		p, err := peers.Listen(a, addresses, i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := make(heard, 10)
-		all, ears = append(all, p), append(ears, h)
-		go func() { done <- p.Run(ctx, h) }()
+		r := make(receiver, 10)
+		all, receivers = append(all, p), append(receivers, r)
+		go func() { done <- p.Run(ctx, r) }()
 	}
 	stranger, err := net.Dial("udp4", addresses[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stranger.Close()
-	stranger.Write([]byte("let me in"))
+	defer func() {
+		if err := stranger.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+	if _, err := stranger.Write([]byte("let me in")); err != nil {
+		t.Fatal(err)
+	}
 	all[0].Send(1, []byte(strings.Repeat("x", 257)))
 	all[0].Send(0, []byte("to myself"))
 	all[0].Send(2, []byte("to nobody"))
 	all[0].Send(1, []byte{0, 255, 10})
 	select {
-	case ev := <-ears[1]:
-		if h, ok := ev.(policy.GossipReceived); !ok || h.From != 0 || string(h.Data) != "\x00\xff\n" {
-			t.Errorf("heard %+v", ev)
+	case ev := <-receivers[1]:
+		if g, ok := ev.(policy.GossipReceived); !ok || g.From != 0 || string(g.Data) != "\x00\xff\n" {
+			t.Errorf("received %+v", ev)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing heard")
+		t.Fatal("nothing received")
 	}
 	if sent, _, dropped := all[0].Counts(); sent != 1 || dropped != 3 {
 		t.Errorf("%d sent, %d dropped", sent, dropped)
 	}
 	if _, n, dropped := all[1].Counts(); n != 1 || dropped != 1 {
-		t.Errorf("%d heard, %d dropped", n, dropped)
+		t.Errorf("%d received, %d dropped", n, dropped)
 	}
 	cancel()
 	for range all {
@@ -75,7 +84,8 @@
 	}
 }
 
-func TestAddressesThatCannotBeUsed(t *testing.T) {
+// Listen reports an address that cannot be parsed.
+func TestListenErrors(t *testing.T) {
 	for _, c := range [][2]string{{"nowhere", "127.0.0.1:1"}, {"127.0.0.1:0", "nowhere"}} {
 		if _, err := peers.Listen(c[0], []string{c[1]}, 0); err == nil {
 			t.Errorf("%v: listens", c)
--- a/permit/audit.go
+++ b/permit/audit.go
@@ -2,13 +2,13 @@
 
 import "sync/atomic"
 
-// Audit counts acts that were not permitted. It is safe for concurrent use.
+// Audit counts acts that were not permitted, by reason. The zero value is ready. It is safe for concurrent use.
 type Audit struct {
-	withheld [reasons]atomic.Int64
-	violated [reasons]atomic.Int64
+	withheld [reasonCount]atomic.Int64
+	violated [reasonCount]atomic.Int64
 }
 
-// Withhold counts an act that was not permitted and did not happen, and hands its reason on.
+// Withhold counts an act that did not happen because it was not permitted, and returns the reason. Permitted counts nothing.
 func (a *Audit) Withhold(r Reason) Reason {
 	if r != Permitted {
 		a.withheld[r].Add(1)
@@ -16,7 +16,7 @@
 	return r
 }
 
-// Violate counts an act that happened against a rule; true where it did.
+// Violate counts an act that happened against a rule, and tells whether it did. Permitted counts nothing.
 func (a *Audit) Violate(r Reason) bool {
 	if r == Permitted {
 		return false
@@ -25,27 +25,27 @@
 	return true
 }
 
-// All lists the reasons, without Permitted.
+// All returns the reasons without Permitted.
 func All() (out []Reason) {
-	for r := Permitted + 1; r < reasons; r++ {
+	for r := Permitted + 1; r < reasonCount; r++ {
 		out = append(out, r)
 	}
 	return out
 }
 
-// Withheld is how often acts were withheld for a reason.
+// Withheld is the number of acts withheld for a reason.
 func (a *Audit) Withheld(r Reason) int64 { return a.withheld[r].Load() }
 
-// Violated is how often a rule was violated.
+// Violated is the number of violations of a rule.
 func (a *Audit) Violated(r Reason) int64 { return a.violated[r].Load() }
 
-// Count is how often acts were withheld, and rules violated, for one reason.
+// Count is the number of acts withheld and of violations, for one reason.
 type Count struct {
 	Reason             Reason
 	Withheld, Violated int64
 }
 
-// Counts lists the reasons that have occurred.
+// Counts returns the counts of the reasons that have occurred.
 func (a *Audit) Counts() (out []Count) {
 	for _, r := range All() {
 		c := Count{r, a.withheld[r].Load(), a.violated[r].Load()}
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -1,46 +1,46 @@
-// Package permit says whether something may be started, sent, repeated or closed now. It is free of
-// I/O, clocks and goroutines. Whoever is about to act asks it at the moment of the act, with what is
-// known then: a permission that was given when the act was decided may have lapsed since.
+// Package permit decides whether something may be started, sent, retried or closed now. It is free of
+// I/O, clocks and goroutines. It is called at the moment of the act, with the state of that moment: what
+// was permitted when the act was decided may not be any more.
 //
-// The rules are those of the platform: one final answer for each query and nothing sent for it after,
-// no effect twice, nothing new to a server that drains or is gone.
+// The rules are those of the platform: one final answer for each query and nothing sent for it after
+// that, no effect twice, nothing new to a server that drains or has been removed.
 package permit
 
 import "embershunt/policy"
 
-// Reason is why an act is not permitted; Permitted where it is.
+// Reason is the reason why an act is not permitted; Permitted where it is.
 type Reason uint8
 
 // The reasons.
 const (
 	Permitted          Reason = iota
-	Draining                  // the server drains or is gone
-	ClientDisconnected        // nobody waits for the answer
-	Deadline                  // the query's time is up
-	DedupWindow               // servers may have forgotten the key of an attempt that may have run
-	MayHaveRun                // an earlier attempt may have run, and a repeat would have its effect twice
-	Answered                  // the query has its final answer, or one is on its way to the client
-	Stopping                  // the dispatcher takes nothing new
-	Full                      // as many queries are held as may be
-	AnswersPending            // answers are owed on the connection
+	Draining                  // the server drains or has been removed
+	ClientDisconnected        // the client has disconnected
+	Deadline                  // the query's deadline has passed
+	DedupWindow               // servers may not recognize the key of an earlier attempt any more
+	MayHaveRun                // an earlier attempt may have run, and another one would have its effect twice
+	Answered                  // the final answer has been given, or is on its way to the client
+	Stopping                  // the dispatcher shuts down
+	Full                      // the limit of queries in flight is reached
+	AnswersPending            // requests on the connection have no answer yet
 	Reading                   // a request is being read on the connection
-	reasons
+	reasonCount
 )
 
-var names = [reasons]string{"permitted", "draining", "client_gone", "deadline", "window", "may_have_run",
-	"answered", "stopping", "full", "owed", "reading"}
+var reasonNames = [reasonCount]string{"permitted", "draining", "client_gone", "deadline", "window",
+	"may_have_run", "answered", "stopping", "full", "owed", "reading"}
 
-// String is the reason as logs and metrics name it.
-func (r Reason) String() string { return names[r] }
+// String is the name of the reason in logs and metrics.
+func (r Reason) String() string { return reasonNames[r] }
 
-// Intake is the state that decides whether a query may be taken.
+// Intake is the state of a dispatcher that receives a query.
 type Intake struct {
 	Stopping    bool
 	InFlight    int
 	MaxInFlight int // 0: no limit
 }
 
-// Start says whether a query may be taken on.
+// Start decides whether a query may be accepted.
 func (i Intake) Start() Reason {
 	switch {
 	case i.Stopping:
@@ -51,18 +51,21 @@
 	return Permitted
 }
 
-// Sending is what is known of an attempt at the moment at which its first byte would leave.
+// Sending is the state of an attempt at the moment when its first byte would be sent.
 type Sending struct {
 	Now                policy.Micros
 	Deadline           policy.Micros // the query's deadline, or the attempt's
-	StartBefore        policy.Micros // the end of a keyed query's window; 0: there is none
+	StartBefore        policy.Micros // the end of the deduplication window of its key; 0: none
 	ClientDisconnected bool
-	Notified           policy.Micros // when it was told that the server drains or is gone; 0: it is ready
-	Sticky             bool          // the server holds the state of the query's session
-	Grace              policy.Micros // for pinned queries, after Notified
+	Notified           policy.Micros // when the server was reported as draining or removed; 0: it is healthy
+	Sticky             bool          // the server has the state of the query's session
+	Grace              policy.Micros // for sticky queries, after Notified
 }
 
-// Send says whether an attempt may begin.
+// inGrace tells whether the server still serves the session while it drains.
+func (s Sending) inGrace() bool { return s.Sticky && s.Now < s.Notified+s.Grace }
+
+// Send decides whether an attempt may begin.
 func (s Sending) Send() Reason {
 	switch {
 	case s.ClientDisconnected:
@@ -71,7 +74,7 @@
 		return Deadline
 	case s.StartBefore > 0 && s.Now >= s.StartBefore:
 		return DedupWindow
-	case s.Notified > 0 && !(s.Sticky && s.Now < s.Notified+s.Grace):
+	case s.Notified > 0 && !s.inGrace():
 		return Draining
 	}
 	return Permitted
@@ -79,26 +82,26 @@
 
 // Slack of the rules on attempts that have begun: the time between the decision and the first byte.
 const (
-	clientSlack   = 100_000 // microseconds after the client has left
-	deadlineSlack = 50_000
+	disconnectSlack policy.Micros = 100_000
+	deadlineSlack   policy.Micros = 50_000
 )
 
-// Sent is what is known of an attempt whose first byte has left.
+// Sent is the state of an attempt whose first byte has been sent.
 type Sent struct {
-	At             policy.Micros // when the first byte had left, at the latest
+	At             policy.Micros // when the first byte had been sent, at the latest
 	Deadline       policy.Micros
 	StartBefore    policy.Micros
-	DisconnectedAt policy.Micros // when the client left; 0: it is there
+	DisconnectedAt policy.Micros // when the client disconnected; 0: it is connected
 	Notified       policy.Micros // as in Sending
 	Grace          policy.Micros
 }
 
-// Violation says which rule an attempt has broken; Permitted where it is none.
+// Violation is the rule that an attempt has violated; Permitted where it is none.
 func (s Sent) Violation() Reason {
 	switch {
 	case s.Notified > 0 && s.At > s.Notified+s.Grace:
 		return Draining
-	case s.DisconnectedAt > 0 && s.At > s.DisconnectedAt+clientSlack:
+	case s.DisconnectedAt > 0 && s.At > s.DisconnectedAt+disconnectSlack:
 		return ClientDisconnected
 	case s.At > s.Deadline+deadlineSlack:
 		return Deadline
@@ -108,30 +111,31 @@
 	return Permitted
 }
 
-// Attempt is one that was sent before.
+// Attempt is an earlier attempt of a query.
 type Attempt struct {
 	Sent  policy.Micros
 	Ended bool
 	Code  policy.Code // of an attempt that has ended
 }
 
-// NeverRan tells that an attempt surely had no effect.
+// NeverRan tells whether an attempt certainly had no effect.
 func (a Attempt) NeverRan() bool {
-	return a.Ended && (a.Code == policy.Rejected || a.Code == policy.ConnectionRefused || a.Code == policy.NeverSent)
+	return a.Ended &&
+		(a.Code == policy.Rejected || a.Code == policy.ConnectionRefused || a.Code == policy.NeverSent)
 }
 
-// Retrying is what is known of a query of which another attempt would be sent.
+// Retrying is the state of a query of which another attempt would be sent.
 type Retrying struct {
 	Now         policy.Micros
 	Deadline    policy.Micros
 	Answered    bool
 	Effect      policy.Effect
-	DedupWindow policy.Micros // of keyed queries; 0: no limit
+	DedupWindow policy.Micros // of queries with an idempotency key; 0: no limit
 	Earlier     []Attempt
 }
 
-// Retry says whether an attempt may be sent beside or after the earlier ones. That of a query without
-// earlier attempts is its first.
+// Retry decides whether an attempt may be sent beside or after the earlier ones. Without earlier ones it is
+// the first of the query.
 func (r Retrying) Retry() Reason {
 	switch {
 	case r.Answered:
@@ -151,14 +155,14 @@
 	return Permitted
 }
 
-// Connection is what is known of a client's connection that is to be closed.
+// Connection is the state of a client's connection that is to be closed.
 type Connection struct {
-	PendingAnswers int  // answers
-	Reading        bool // a request has begun and is not whole
-	Ending         bool // the dispatcher ends: a request that is being read will be refused
+	PendingAnswers int  // requests without an answer
+	Reading        bool // a request has been received in part
+	Ending         bool // the dispatcher ends: a request received in part would be rejected
 }
 
-// Close says whether a connection may be closed now.
+// Close decides whether a connection may be closed now.
 func (c Connection) Close() Reason {
 	switch {
 	case c.PendingAnswers > 0:
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -14,14 +14,14 @@
 		want Reason
 	}{
 		"ready":                       {Sending{Now: 5, Deadline: 9}, Permitted},
-		"the deadline has come":       {Sending{Now: 9, Deadline: 9}, Deadline},
-		"the client has left":         {Sending{Now: 5, Deadline: 9, ClientDisconnected: true}, ClientDisconnected},
+		"the deadline has passed":     {Sending{Now: 9, Deadline: 9}, Deadline},
+		"the client has disconnected": {Sending{Now: 5, Deadline: 9, ClientDisconnected: true}, ClientDisconnected},
 		"the window is over":          {Sending{Now: 5, Deadline: 9, StartBefore: 5}, DedupWindow},
 		"the window is open":          {Sending{Now: 5, Deadline: 9, StartBefore: 6}, Permitted},
 		"it drains":                   {Sending{Now: 5, Deadline: 9, Notified: 5, Grace: 3}, Draining},
-		"pinned there, in the grace":  {Sending{Now: 5, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Permitted},
-		"pinned there, past it":       {Sending{Now: 7, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Draining},
-		"pinned there, no grace told": {Sending{Now: 5, Deadline: 9, Notified: 5, Sticky: true}, Draining},
+		"sticky, in the grace":        {Sending{Now: 5, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Permitted},
+		"sticky, past the grace":      {Sending{Now: 7, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Draining},
+		"sticky, no grace":            {Sending{Now: 5, Deadline: 9, Notified: 5, Sticky: true}, Draining},
 	} {
 		if got := c.s.Send(); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -35,13 +35,13 @@
 		s    Sent
 		want Reason
 	}{
-		"in the grace":        {Sent{At: 900 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Permitted},
-		"past the grace":      {Sent{At: 1101 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Draining},
-		"just after it left":  {Sent{At: 150 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, Permitted},
-		"long after it left":  {Sent{At: 201 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, ClientDisconnected},
-		"after the deadline":  {Sent{At: 151 * ms, Deadline: 100 * ms}, Deadline},
-		"after the window":    {Sent{At: 151 * ms, Deadline: 900 * ms, StartBefore: 100 * ms}, DedupWindow},
-		"nothing of the kind": {Sent{At: 140 * ms, Deadline: 100 * ms, StartBefore: 100 * ms}, Permitted},
+		"in the grace":              {Sent{At: 900 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Permitted},
+		"past the grace":            {Sent{At: 1101 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Draining},
+		"just after the disconnect": {Sent{At: 150 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, Permitted},
+		"long after the disconnect": {Sent{At: 201 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, ClientDisconnected},
+		"after the deadline":        {Sent{At: 151 * ms, Deadline: 100 * ms}, Deadline},
+		"after the window":          {Sent{At: 151 * ms, Deadline: 900 * ms, StartBefore: 100 * ms}, DedupWindow},
+		"nothing of the kind":       {Sent{At: 140 * ms, Deadline: 100 * ms, StartBefore: 100 * ms}, Permitted},
 	} {
 		if got := c.s.Violation(); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -49,24 +49,25 @@
 	}
 }
 
-// What is unsafe is repeated only if every earlier attempt surely never ran; what is keyed only within the window of the first that may
-// have; nothing after the answer or the deadline.
-func TestRepeat(t *testing.T) {
+// A query that is not idempotent is retried only if every earlier attempt certainly never ran; one with a key only within
+// the window of the first that may have run; none after the answer or the deadline.
+func TestRetry(t *testing.T) {
 	codes := []policy.Code{policy.OK, policy.Failed, policy.Rejected, policy.TimedOut, policy.ConnectionRefused, policy.ConnectionReset, policy.Cancelled, policy.NeverSent}
 	rapid.Check(t, func(t *rapid.T) {
 		r := Retrying{Now: rapid.Int64Range(0, 20).Draw(t, "now"), Deadline: rapid.Int64Range(0, 30).Draw(t, "due"),
 			Answered: rapid.Bool().Draw(t, "answered"), DedupWindow: rapid.Int64Range(0, 10).Draw(t, "window"),
 			Effect: rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).Draw(t, "effect")}
-		may, first := false, r.Now
+		mayHaveRun, first := false, r.Now
 		for range rapid.IntRange(0, 3).Draw(t, "earlier") {
 			a := Attempt{Sent: rapid.Int64Range(0, r.Now).Draw(t, "sent"), Ended: rapid.Bool().Draw(t, "ended"), Code: rapid.SampledFrom(codes).Draw(t, "code")}
 			r.Earlier = append(r.Earlier, a)
 			if !a.Ended || a.Code != policy.Rejected && a.Code != policy.ConnectionRefused && a.Code != policy.NeverSent {
-				may, first = true, min(first, a.Sent)
+				mayHaveRun, first = true, min(first, a.Sent)
 			}
 		}
-		want := !r.Answered && r.Now < r.Deadline && !(may && r.Effect == policy.NonIdempotent) &&
-			!(may && r.Effect == policy.IdempotentByKey && r.DedupWindow > 0 && r.Now-first >= r.DedupWindow)
+		twice := mayHaveRun && r.Effect == policy.NonIdempotent
+		expired := mayHaveRun && r.Effect == policy.IdempotentByKey && r.DedupWindow > 0 && r.Now-first >= r.DedupWindow
+		want := !r.Answered && r.Now < r.Deadline && !twice && !expired
 		if got := r.Retry() == Permitted; got != want {
 			t.Errorf("%+v: %v, want permitted %v", r, r.Retry(), want)
 		}
