--- a/classify/connection.go
+++ b/classify/connection.go
@@ -2,119 +2,129 @@
 
 import "strings"
 
-// Lasting is what a statement leaves on the connection that it runs on.
-type Lasting int
+// ConnectionEffect is what a statement changes on the connection that it runs on.
+type ConnectionEffect int
 
-// The kinds. What is Unserved would leave something that can be neither replayed nor given up by itself.
+// The effects. LeavesUnserved can be neither replayed on another connection nor undone by itself.
 const (
-	LeavesNothing  Lasting = iota
-	LeavesOptions          // SET name = value, ...
-	LeavesDatabase         // USE name
-	LeavesTable            // CREATE TEMPORARY TABLE name
-	DropsTable             // DROP TABLE name: temporary or not
-	LeavesUnserved         // SET ROLE, transactions, temporary views and so on
+	LeavesNothing  ConnectionEffect = iota
+	LeavesOptions                   // SET name = value, ...
+	LeavesDatabase                  // USE name
+	LeavesTable                     // CREATE TEMPORARY TABLE name
+	DropsTable                      // DROP TABLE name: temporary or not
+	LeavesUnserved                  // SET ROLE, transactions, temporary views and so on
 )
 
 // Option is one name and value of a SET, as text.
 type Option struct{ Name, Value string }
 
-// OnConnection tells what a statement of the ClickHouse dialect leaves on its connection, and under which name.
-func OnConnection(statement string) (kind Lasting, name string, options []Option) {
+// OnConnection returns the effect of a statement of the ClickHouse dialect on its connection, the name of the database or
+// table, and the options.
+func OnConnection(statement string) (effect ConnectionEffect, name string, options []Option) {
 	s := scanner{text: statement}
-	word := func() string { // the next token, words in upper case
-		k, w := s.next()
-		switch k {
-		case tokenWord:
-			return strings.ToUpper(w)
-		case tokenEnd, tokenBroken:
-			return ""
-		}
-		return w
-	}
-	ident := func(first string) string { // a name, which may have parts and quotes
-		out := strings.Trim(strings.ToLower(first), "\"`")
-		for s.peek() == '.' {
-			s.next()
-			_, w := s.next()
-			out += "." + strings.Trim(strings.ToLower(w), "\"`")
-		}
-		return out
-	}
-	switch word() {
+	switch s.keyword() {
 	case "SET":
-		return s.options()
+		effect, options = s.setOptions()
+		return effect, "", options
 	case "USE":
-		if k, w := s.next(); k == tokenWord || k == tokenQuoted {
-			return LeavesDatabase, strings.Trim(w, "\"`"), nil
+		if kind, text := s.next(); kind == tokenWord || kind == tokenQuoted {
+			return LeavesDatabase, unquoteName(text), nil
 		}
 	case "BEGIN", "COMMIT", "ROLLBACK", "START":
 		return LeavesUnserved, "", nil
 	case "CREATE":
-		w := word()
-		if w == "OR" { // REPLACE
-			word()
-			w = word()
-		}
-		if w != "TEMPORARY" {
-			return LeavesNothing, "", nil
-		}
-		if word() != "TABLE" {
-			return LeavesUnserved, "", nil
-		}
-		if w = word(); w == "IF" { // NOT EXISTS
-			word()
-			word()
-			w = word()
-		}
-		return LeavesTable, ident(w), nil
+		effect, name = s.create()
+		return effect, name, nil
 	case "DROP":
-		w := word()
-		if w == "TEMPORARY" {
-			w = word()
-		}
-		if w != "TABLE" {
-			return LeavesNothing, "", nil
-		}
-		if w = word(); w == "IF" { // EXISTS
-			word()
-			w = word()
-		}
-		return DropsTable, ident(w), nil
+		effect, name = s.drop()
+		return effect, name, nil
 	}
 	return LeavesNothing, "", nil
 }
 
-// options reads what follows SET.
-func (s *scanner) options() (Lasting, string, []Option) {
-	var out []Option
+// create scans what follows CREATE.
+func (s *scanner) create() (ConnectionEffect, string) {
+	keyword := s.keyword()
+	if keyword == "OR" { // REPLACE
+		s.keyword()
+		keyword = s.keyword()
+	}
+	if keyword != "TEMPORARY" {
+		return LeavesNothing, ""
+	}
+	if s.keyword() != "TABLE" {
+		return LeavesUnserved, ""
+	}
+	name := s.keyword()
+	if name == "IF" { // NOT EXISTS
+		s.keyword()
+		s.keyword()
+		name = s.keyword()
+	}
+	return LeavesTable, s.qualifiedName(name)
+}
+
+// drop scans what follows DROP.
+func (s *scanner) drop() (ConnectionEffect, string) {
+	keyword := s.keyword()
+	if keyword == "TEMPORARY" {
+		keyword = s.keyword()
+	}
+	if keyword != "TABLE" {
+		return LeavesNothing, ""
+	}
+	name := s.keyword()
+	if name == "IF" { // EXISTS
+		s.keyword()
+		name = s.keyword()
+	}
+	return DropsTable, s.qualifiedName(name)
+}
+
+// qualifiedName scans the rest of a name that begins with first; the result is in lower case and without quotes.
+func (s *scanner) qualifiedName(first string) string {
+	name := unquoteName(strings.ToLower(first))
+	for s.peek() == '.' {
+		s.next()
+		_, text := s.next()
+		name += "." + unquoteName(strings.ToLower(text))
+	}
+	return name
+}
+
+// setOptions scans what follows SET.
+func (s *scanner) setOptions() (ConnectionEffect, []Option) {
+	var options []Option
 	for {
-		k, name := s.next()
-		if k != tokenWord {
-			return LeavesUnserved, "", nil
+		kind, name := s.next()
+		if kind != tokenWord {
+			return LeavesUnserved, nil
 		}
-		if k, w := s.next(); k != tokenOther || w != "=" { // SET ROLE, SET DEFAULT ROLE, SET TRANSACTION
-			return LeavesUnserved, "", nil
+		if kind, text := s.next(); kind != tokenOther || text != "=" { // SET ROLE, SET DEFAULT ROLE, SET TRANSACTION
+			return LeavesUnserved, nil
 		}
-		value, more := "", false
-		for {
-			k, w := s.next()
-			if k == tokenBroken {
-				return LeavesUnserved, "", nil
-			}
-			if k == tokenEnd || k == tokenOther && (w == "," || w == ";") {
-				more = w == ","
-				break
-			}
-			if k == tokenQuoted {
-				w = strings.ReplaceAll(strings.Trim(w, "'"), "''", "'")
-			}
-			value += w
+		value, more, ok := s.optionValue()
+		if !ok || value == "" {
+			return LeavesUnserved, nil
 		}
-		if value == "" {
-			return LeavesUnserved, "", nil
+		if options = append(options, Option{name, value}); !more {
+			return LeavesOptions, options
 		}
-		if out = append(out, Option{name, value}); !more {
-			return LeavesOptions, "", out
+	}
+}
+
+// optionValue scans a value up to a comma, which more reports, a semicolon or the end.
+func (s *scanner) optionValue() (value string, more, ok bool) {
+	for {
+		kind, text := s.next()
+		switch {
+		case kind == tokenInvalid:
+			return "", false, false
+		case kind == tokenEnd || kind == tokenOther && (text == "," || text == ";"):
+			return value, text == ",", true
+		case kind == tokenQuoted:
+			text = strings.ReplaceAll(strings.Trim(text, "'"), "''", "'")
 		}
+		value += text
 	}
 }
