--- a/trace/record.go
+++ b/trace/encoding.go
@@ -1,5 +1,3 @@
-// Package trace records what a dispatcher's decision module was told and what it decided, and replays it: the same build
-// decides the same again. The format is in docs/trace-format.md.
 package trace
 
 import (
@@ -9,43 +7,38 @@
 	"embershunt/trace/tracev1"
 )
 
-func loadOut(l *policy.Load) *tracev1.Load {
+func encodeLoad(l *policy.Load) *tracev1.Load {
 	if l == nil {
 		return nil
 	}
 	return &tracev1.Load{Util: l.Util, InFlight: l.InFlight, Queue: l.Queue, Memory: l.Memory, Disk: l.Disk}
 }
 
-func loadIn(l *tracev1.Load) *policy.Load {
+func decodeLoad(l *tracev1.Load) *policy.Load {
 	if l == nil {
 		return nil
 	}
 	return &policy.Load{Util: l.GetUtil(), InFlight: l.GetInFlight(), Queue: l.GetQueue(), Memory: l.GetMemory(), Disk: l.GetDisk()}
 }
 
-// eventOut writes an event. Every kind that the module knows is here: another one is a mistake in this program.
-func eventOut(ev policy.Event) *tracev1.Event {
+// encodeEvent encodes an event. It panics on a type that is missing here.
+func encodeEvent(ev policy.Event) *tracev1.Event {
 	switch ev := ev.(type) {
 	case policy.EndpointUpdate:
-		out := &tracev1.Engines{Whole: ev.Complete, Failed: ev.Failed}
-		for _, r := range ev.Endpoints {
-			out.Rows = append(out.Rows, &tracev1.Engine{Id: r.ID, Zone: int32(r.Zone), Kind: int32(r.Kind), Cell: int32(r.PlacementGroup),
-				State: uint32(r.State), Weight: r.Weight, Started: r.Started, Speaks: uint32(r.Protocols)})
-		}
-		return &tracev1.Event{What: &tracev1.Event_Engines{Engines: out}}
+		return &tracev1.Event{What: &tracev1.Event_Engines{Engines: encodeEndpoints(ev)}}
 	case policy.Request:
 		return &tracev1.Event{What: &tracev1.Event_Request{Request: &tracev1.Request{Id: ev.ID, Class: uint32(ev.Class), Tenant: uint32(ev.Tenant),
 			Cost: ev.Cost, MemoryMb: ev.MemoryMB, Tables: ev.TableGroup, Key: ev.OrderKey, HasKey: ev.HasOrderKey, Retry: ev.ClientRetry,
 			Protocol: uint32(ev.Protocol), Only: ev.StickyTo, Due: ev.Deadline}}}
 	case policy.AttemptResult:
 		return &tracev1.Event{What: &tracev1.Event_Outcome{Outcome: &tracev1.Outcome{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
-			Code: uint32(ev.Code), Over: ev.Final, Took: ev.Latency, Load: loadOut(ev.Load), WorkUs: ev.WorkMicros, NeedMb: ev.NeededMB}}}
+			Code: uint32(ev.Code), Over: ev.Final, Took: ev.Latency, Load: encodeLoad(ev.Load), WorkUs: ev.WorkMicros, NeedMb: ev.NeededMB}}}
 	case policy.Progress:
 		return &tracev1.Event{What: &tracev1.Event_Progress{Progress: &tracev1.Progress{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
 			Kind: uint32(ev.Kind), Value: ev.Value}}}
 	case policy.HealthCheckResult:
 		return &tracev1.Event{What: &tracev1.Event_Probed{Probed: &tracev1.Probed{Engine: ev.Endpoint, Code: uint32(ev.Code), Took: ev.Latency,
-			Load: loadOut(ev.Load)}}}
+			Load: encodeLoad(ev.Load)}}}
 	case policy.StreamStarted:
 		return &tracev1.Event{What: &tracev1.Event_First{First: &tracev1.Ref{Id: ev.ID, Attempt: uint32(ev.Attempt)}}}
 	case policy.ClientDisconnected:
@@ -58,16 +51,11 @@
 	panic(fmt.Sprintf("trace: unknown event %T", ev))
 }
 
-// eventIn reads an event; nil for one of a newer format.
-func eventIn(ev *tracev1.Event) policy.Event {
+// decodeEvent decodes an event; nil for a type of a newer format.
+func decodeEvent(ev *tracev1.Event) policy.Event {
 	switch w := ev.GetWhat().(type) {
 	case *tracev1.Event_Engines:
-		out := policy.EndpointUpdate{Complete: w.Engines.GetWhole(), Failed: w.Engines.GetFailed()}
-		for _, r := range w.Engines.GetRows() {
-			out.Endpoints = append(out.Endpoints, policy.Endpoint{ID: r.GetId(), Zone: int(r.GetZone()), Kind: int(r.GetKind()), PlacementGroup: int(r.GetCell()),
-				State: policy.EndpointState(r.GetState()), Weight: r.GetWeight(), Started: r.GetStarted(), Protocols: uint8(r.GetSpeaks())})
-		}
-		return out
+		return decodeEndpoints(w.Engines)
 	case *tracev1.Event_Request:
 		q := w.Request
 		return policy.Request{ID: q.GetId(), Class: int(q.GetClass()), Tenant: int(q.GetTenant()), Cost: q.GetCost(), MemoryMB: q.GetMemoryMb(),
@@ -76,13 +64,13 @@
 	case *tracev1.Event_Outcome:
 		o := w.Outcome
 		return policy.AttemptResult{ID: o.GetId(), Attempt: int(o.GetAttempt()), Endpoint: o.GetEngine(), Code: policy.Code(o.GetCode()), Final: o.GetOver(),
-			Latency: o.GetTook(), Load: loadIn(o.GetLoad()), WorkMicros: o.GetWorkUs(), NeededMB: o.GetNeedMb()}
+			Latency: o.GetTook(), Load: decodeLoad(o.GetLoad()), WorkMicros: o.GetWorkUs(), NeededMB: o.GetNeedMb()}
 	case *tracev1.Event_Progress:
 		p := w.Progress
 		return policy.Progress{ID: p.GetId(), Attempt: int(p.GetAttempt()), Endpoint: p.GetEngine(), Kind: policy.ProgressKind(p.GetKind()), Value: p.GetValue()}
 	case *tracev1.Event_Probed:
 		p := w.Probed
-		return policy.HealthCheckResult{Endpoint: p.GetEngine(), Code: policy.Code(p.GetCode()), Latency: p.GetTook(), Load: loadIn(p.GetLoad())}
+		return policy.HealthCheckResult{Endpoint: p.GetEngine(), Code: policy.Code(p.GetCode()), Latency: p.GetTook(), Load: decodeLoad(p.GetLoad())}
 	case *tracev1.Event_First:
 		return policy.StreamStarted{ID: w.First.GetId(), Attempt: int(w.First.GetAttempt())}
 	case *tracev1.Event_Left:
@@ -95,7 +83,27 @@
 	return nil
 }
 
-func actionOut(a policy.Action) *tracev1.Action {
+func encodeEndpoints(u policy.EndpointUpdate) *tracev1.Engines {
+	out := &tracev1.Engines{Whole: u.Complete, Failed: u.Failed}
+	for _, e := range u.Endpoints {
+		out.Rows = append(out.Rows, &tracev1.Engine{Id: e.ID, Zone: int32(e.Zone), Kind: int32(e.Kind), Cell: int32(e.PlacementGroup),
+			State: uint32(e.State), Weight: e.Weight, Started: e.Started, Speaks: uint32(e.Protocols)})
+	}
+	return out
+}
+
+func decodeEndpoints(list *tracev1.Engines) policy.EndpointUpdate {
+	out := policy.EndpointUpdate{Complete: list.GetWhole(), Failed: list.GetFailed()}
+	for _, e := range list.GetRows() {
+		out.Endpoints = append(out.Endpoints, policy.Endpoint{ID: e.GetId(), Zone: int(e.GetZone()), Kind: int(e.GetKind()),
+			PlacementGroup: int(e.GetCell()), State: policy.EndpointState(e.GetState()), Weight: e.GetWeight(),
+			Started: e.GetStarted(), Protocols: uint8(e.GetSpeaks())})
+	}
+	return out
+}
+
+// encodeAction encodes an action. It panics on a type that is missing here.
+func encodeAction(a policy.Action) *tracev1.Action {
 	switch a := a.(type) {
 	case policy.Send:
 		return &tracev1.Action{What: &tracev1.Action_Send{Send: &tracev1.Send{Id: a.ID, Engine: a.Endpoint, Timeout: a.Timeout}}}
--- a/trace/file.go
+++ b/trace/file.go
@@ -1,3 +1,5 @@
+// Package trace records the events and actions of a dispatcher's decision module, and replays them: the same build decides
+// the same again. The format is described in docs/trace-format.md.
 package trace
 
 import (
@@ -15,28 +17,32 @@
 	"embershunt/trace/tracev1"
 )
 
-// Magic begins a trace file; its last digit is the version of the format.
+// Magic begins a trace file; its last two digits are the version of the format.
 const Magic = "EMBTRC01"
 
-// Bounds of a block, in bytes, as it stands in the file and opened.
+// Sizes of a block.
 const (
-	blockMost = 16 << 20
-	openMost  = 64 << 20
-	blockAim  = 256 << 10 // a block is written when it holds so much
+	maxBlockBytes    = 16 << 20 // compressed
+	maxDecodedBytes  = 64 << 20
+	targetBlockBytes = 256 << 10 // decoded; a block is written when it has this size
 )
 
-// headSize is that of a block's head: its length, then the checksum (XXH64) of what follows, little endian.
-const headSize = 4 + 8
+// A block begins with a header: the length of the body and its checksum (XXH64), both little endian.
+const (
+	lengthBytes   = 4
+	checksumBytes = 8
+	headerBytes   = lengthBytes + checksumBytes
+)
 
-// Writer writes records in blocks. A block that is not whole at a crash is all that is lost.
+// Writer writes records in blocks. A crash loses at most the block that is not complete.
 type Writer struct {
 	w     io.Writer
 	zstd  *zstd.Encoder
 	block []byte
-	bytes int64
+	bytes int64 // written
 }
 
-// NewWriter begins a file.
+// NewWriter returns a writer for a new file, and writes Magic.
 func NewWriter(w io.Writer) (*Writer, error) {
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -46,111 +52,113 @@
 	return &Writer{w: w, zstd: enc, bytes: int64(len(Magic))}, err
 }
 
-// Write adds a record.
+// Write adds a record to the present block, and writes the block when it is large enough.
 func (w *Writer) Write(r *tracev1.Record) error {
 	b, err := proto.Marshal(r)
 	if err != nil {
 		return err
 	}
 	w.block = protowire.AppendBytes(w.block, b)
-	if len(w.block) >= blockAim {
+	if len(w.block) >= targetBlockBytes {
 		return w.Flush()
 	}
 	return nil
 }
 
-// Flush ends the present block.
+// Flush writes the present block, if it is not empty.
 func (w *Writer) Flush() error {
 	if len(w.block) == 0 {
 		return nil
 	}
-	out := w.zstd.EncodeAll(w.block, make([]byte, headSize, headSize+len(w.block)/4))
-	binary.LittleEndian.PutUint32(out, uint32(len(out)-headSize))
-	binary.LittleEndian.PutUint64(out[4:], xxhash.Sum64(out[headSize:]))
+	out := w.zstd.EncodeAll(w.block, make([]byte, headerBytes, headerBytes+len(w.block)/4))
+	binary.LittleEndian.PutUint32(out, uint32(len(out)-headerBytes))
+	binary.LittleEndian.PutUint64(out[lengthBytes:], xxhash.Sum64(out[headerBytes:]))
 	w.block = w.block[:0]
 	n, err := w.w.Write(out)
 	w.bytes += int64(n)
 	return err
 }
 
-// Bytes is what has been written.
+// Bytes is the number of bytes written.
 func (w *Writer) Bytes() int64 { return w.bytes }
 
-// DamageError tells where a trace cannot be read: everything before it was.
+// DamageError is the error of a file that cannot be read any further. All records before the offset have been read.
 type DamageError struct {
-	At   int64 // bytes from the file's begin
-	What string
+	Offset int64 // of the damaged block, in bytes from the begin of the file
+	Reason string
 }
 
-func (e *DamageError) Error() string { return fmt.Sprintf("trace: at byte %d: %s", e.At, e.What) }
+// Error names the offset and the reason.
+func (e *DamageError) Error() string { return fmt.Sprintf("trace: at byte %d: %s", e.Offset, e.Reason) }
 
 // Reader reads the records of a file.
 type Reader struct {
-	r     *bufio.Reader
-	zstd  *zstd.Decoder
-	at    int64
-	block []byte
+	r      *bufio.Reader
+	zstd   *zstd.Decoder
+	offset int64  // of the next block
+	block  []byte // decoded, the rest
 }
 
-// NewReader checks that it is a trace of a version it knows.
+// NewReader returns a reader of a file; a *DamageError if it is no trace of this version.
 func NewReader(r io.Reader) (*Reader, error) {
-	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(openMost))
+	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes))
 	if err != nil {
 		return nil, err
 	}
 	t := &Reader{r: bufio.NewReader(r), zstd: dec}
-	head := make([]byte, len(Magic))
-	if _, err := io.ReadFull(t.r, head); err != nil || string(head) != Magic {
-		return nil, &DamageError{0, fmt.Sprintf("found %q, allowed is %q: a trace of this version", head, Magic)}
+	magic := make([]byte, len(Magic))
+	if _, err := io.ReadFull(t.r, magic); err != nil || string(magic) != Magic {
+		return nil, &DamageError{0, fmt.Sprintf("found %q, allowed is %q: a trace of this version", magic, Magic)}
 	}
-	t.at = int64(len(Magic))
+	t.offset = int64(len(Magic))
 	return t, nil
 }
 
-// Next returns the next record; io.EOF at the end of the last whole block, a *DamageError where one cannot be read.
+// Next returns the next record; io.EOF at the end of the file, a *DamageError where it is damaged.
 func (t *Reader) Next() (*tracev1.Record, error) {
 	for len(t.block) == 0 {
-		if err := t.open(); err != nil {
+		if err := t.readBlock(); err != nil {
 			return nil, err
 		}
 	}
 	b, n := protowire.ConsumeBytes(t.block)
 	if n < 0 {
-		return nil, &DamageError{t.at, "a record that does not end within its block"}
+		return nil, &DamageError{t.offset, "a record that does not end within its block"}
 	}
 	t.block = t.block[n:]
 	r := &tracev1.Record{}
 	if err := proto.Unmarshal(b, r); err != nil {
-		return nil, &DamageError{t.at, err.Error()}
+		return nil, &DamageError{t.offset, err.Error()}
 	}
 	return r, nil
 }
 
-func (t *Reader) open() error {
-	head := make([]byte, headSize)
-	if _, err := io.ReadFull(t.r, head); err != nil {
+// readBlock reads and decodes the next block.
+func (t *Reader) readBlock() error {
+	header := make([]byte, headerBytes)
+	if _, err := io.ReadFull(t.r, header); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return &DamageError{t.at, "the file ends within the head of a block"}
+			return &DamageError{t.offset, "the file ends within the head of a block"}
 		}
 		return err
 	}
-	size := binary.LittleEndian.Uint32(head)
-	if size == 0 || size > blockMost {
-		return &DamageError{t.at, fmt.Sprintf("a block of %d bytes, allowed are 1 to %d", size, blockMost)}
+	size := binary.LittleEndian.Uint32(header)
+	if size == 0 || size > maxBlockBytes {
+		return &DamageError{t.offset, fmt.Sprintf("a block of %d bytes, allowed are 1 to %d", size, maxBlockBytes)}
 	}
 	body, err := io.ReadAll(io.LimitReader(t.r, int64(size)))
 	if err != nil {
 		return err
 	}
 	if len(body) < int(size) {
-		return &DamageError{t.at, fmt.Sprintf("the file ends within a block: %d of %d bytes", len(body), size)}
+		return &DamageError{t.offset, fmt.Sprintf("the file ends within a block: %d of %d bytes", len(body), size)}
 	}
-	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(head[4:]) {
-		return &DamageError{t.at, "the checksum of a block is wrong"}
+	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(header[lengthBytes:]) {
+		return &DamageError{t.offset, "the checksum of a block is wrong"}
 	}
 	if t.block, err = t.zstd.DecodeAll(body, nil); err != nil {
-		return &DamageError{t.at, err.Error()}
+		return &DamageError{t.offset, err.Error()}
 	}
-	t.at += headSize + int64(size)
+	t.offset += headerBytes + int64(size)
 	return nil
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -11,49 +11,57 @@
 	"embershunt/trace/tracev1"
 )
 
-// waitMost bounds the steps that wait to be written.
-const waitMost = 10000
+// maxQueuedEntries bounds the entries that wait to be written.
+const maxQueuedEntries = 10000
 
-// flushEvery is how long a block may wait for more.
-const flushEvery = time.Second
+// flushInterval is how long a block may wait for more records.
+const flushInterval = time.Second
 
-// Recorder hands steps from the loop to a writer without holding the loop up: where the writer does not keep up, steps are
-// dropped, counted, and the trace says so.
+// Recorder passes steps from the loop to a writer without blocking the loop: where the writer is too slow, steps are
+// dropped and counted, and the trace says so.
 type Recorder struct {
-	name, build string
-	in          chan any
-	drops       atomic.Uint64
+	dispatcher, build string
+	entries           chan entry
+	drops             atomic.Uint64
 }
 
 // NewRecorder returns a recorder for one dispatcher; Run writes what it is given.
 func NewRecorder(dispatcher, build string) *Recorder {
-	return &Recorder{name: dispatcher, build: build, in: make(chan any, waitMost)}
+	return &Recorder{dispatcher: dispatcher, build: build, entries: make(chan entry, maxQueuedEntries)}
 }
 
-type began struct {
+// entry is one call of the recorder, to be encoded by the writer.
+type entry interface {
+	record(e *entryWriter) (*tracev1.Record, error)
+}
+
+// start is the start of a module.
+type start struct {
 	seed     uint64
 	settings policy.Settings
 	at       policy.Micros
-	wall     time.Time
+	wallTime time.Time
 	learned  *policy.Learned
-	fresh    bool
+	fresh    bool // as in policy.Gateway.Restore
 }
 
-type stepped struct {
+// step is one step of the module.
+type step struct {
 	at      policy.Micros
 	events  []policy.Event
 	actions []policy.Action
 }
 
-type changed struct {
+// settingsChange is a change of the module's settings, with the mappings of classes and tenants.
+type settingsChange struct {
 	at               policy.Micros
 	settings         policy.Settings
 	classes, tenants []int
 }
 
-func (r *Recorder) put(v any) {
+func (r *Recorder) enqueue(e entry) {
 	select {
-	case r.in <- v:
+	case r.entries <- e:
 	default:
 		r.drops.Add(1)
 	}
@@ -61,107 +69,126 @@
 
 // Started implements dispatch.Recorder.
 func (r *Recorder) Started(now policy.Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool) {
-	r.put(began{seed, s, now, time.Now(), l, fresh})
+	r.enqueue(start{seed, s, now, time.Now(), l, fresh})
 }
 
 // StepCompleted implements dispatch.Recorder; it keeps copies of the slices.
 func (r *Recorder) StepCompleted(now policy.Micros, events []policy.Event, actions []policy.Action) {
-	r.put(stepped{now, slices.Clone(events), slices.Clone(actions)})
+	r.enqueue(step{now, slices.Clone(events), slices.Clone(actions)})
 }
 
 // Changed implements dispatch.Recorder.
 func (r *Recorder) Changed(now policy.Micros, s policy.Settings, classes, tenants []int) {
-	r.put(changed{now, s, slices.Clone(classes), slices.Clone(tenants)})
+	r.enqueue(settingsChange{now, s, slices.Clone(classes), slices.Clone(tenants)})
 }
 
-// Drops counts the steps that were not written.
+// Drops is the number of entries that were not written; it is safe for concurrent use.
 func (r *Recorder) Drops() uint64 { return r.drops.Load() }
 
-// ErrFull tells that a trace has reached its bound: what comes after is not recorded.
+// ErrFull is the error of a trace that has reached its maximum size: nothing more is recorded.
 var ErrFull = errors.New("trace: the file has reached its bound")
 
-// Run writes until stop is closed and all that was handed over before is written, or the writer fails; ErrFull once so many
-// bytes are written (0: no bound).
-func (r *Recorder) Run(stop <-chan struct{}, w *Writer, most int64) error {
-	t := time.NewTicker(flushEvery)
-	defer t.Stop()
-	var last policy.Micros
-	told := uint64(0)
-	write := func(v any) error {
-		if n := r.drops.Load(); n > told { // before what comes after them
-			if err := w.Write(&tracev1.Record{What: &tracev1.Record_Dropped{Dropped: &tracev1.Dropped{Steps: n - told}}}); err != nil {
+// Run writes entries until stop is closed and all that were queued before are written, or the writer fails. The error is
+// ErrFull once maxBytes are written; 0 is no limit.
+func (r *Recorder) Run(stop <-chan struct{}, w *Writer, maxBytes int64) error {
+	ticker := time.NewTicker(flushInterval)
+	defer ticker.Stop()
+	e := &entryWriter{recorder: r, w: w, maxBytes: maxBytes}
+	for {
+		select {
+		case entry := <-r.entries:
+			if err := e.write(entry); err != nil {
 				return err
 			}
-			told = n
+		case <-ticker.C:
+			if err := w.Flush(); err != nil {
+				return err
+			}
+		case <-stop:
+			return e.drain()
 		}
-		rec, err := r.record(v, &last)
-		if err != nil {
+	}
+}
+
+// entryWriter encodes the entries of one file.
+type entryWriter struct {
+	recorder     *Recorder
+	w            *Writer
+	maxBytes     int64         // 0: no limit
+	lastAt       policy.Micros // time of the last record, to which the next is relative
+	writtenDrops uint64
+}
+
+// write writes an entry, and before it the number of those dropped.
+func (e *entryWriter) write(entry entry) error {
+	if n := e.recorder.drops.Load(); n > e.writtenDrops {
+		dropped := &tracev1.Dropped{Steps: n - e.writtenDrops}
+		if err := e.w.Write(&tracev1.Record{What: &tracev1.Record_Dropped{Dropped: dropped}}); err != nil {
 			return err
 		}
-		if err = w.Write(rec); err == nil && most > 0 && w.Bytes() >= most {
-			err = ErrFull
-		}
+		e.writtenDrops = n
+	}
+	record, err := entry.record(e)
+	if err != nil {
 		return err
 	}
+	if err = e.w.Write(record); err == nil && e.maxBytes > 0 && e.w.Bytes() >= e.maxBytes {
+		err = ErrFull
+	}
+	return err
+}
+
+// drain writes the queued entries.
+func (e *entryWriter) drain() error {
 	for {
 		select {
-		case v := <-r.in:
-			if err := write(v); err != nil {
-				return err
-			}
-		case <-t.C:
-			if err := w.Flush(); err != nil {
+		case entry := <-e.recorder.entries:
+			if err := e.write(entry); err != nil {
 				return err
 			}
-		case <-stop:
-			for {
-				select {
-				case v := <-r.in:
-					if err := write(v); err != nil {
-						return err
-					}
-				default:
-					return w.Flush()
-				}
-			}
+		default:
+			return e.w.Flush()
 		}
 	}
 }
 
-// record is what stands in the file; times are told from the record before.
-func (r *Recorder) record(v any, last *policy.Micros) (*tracev1.Record, error) {
-	since := func(at policy.Micros) int64 {
-		d := at - *last
-		*last = at
-		return d
+// sinceLast returns the time since the last record, and sets it.
+func (e *entryWriter) sinceLast(at policy.Micros) policy.Micros {
+	d := at - e.lastAt
+	e.lastAt = at
+	return d
+}
+
+func (s start) record(e *entryWriter) (*tracev1.Record, error) {
+	settings, err := json.Marshal(s.settings)
+	e.lastAt = s.at
+	out := &tracev1.Begin{Seed: s.seed, Settings: settings, Build: e.recorder.build, Dispatcher: e.recorder.dispatcher,
+		UnixUs: s.wallTime.UnixMicro(), AtUs: s.at, Fresh: s.fresh}
+	if err == nil && s.learned != nil {
+		out.Learned, err = json.Marshal(s.learned)
+	}
+	return &tracev1.Record{What: &tracev1.Record_Begin{Begin: out}}, err
+}
+
+func (c settingsChange) record(e *entryWriter) (*tracev1.Record, error) {
+	settings, err := json.Marshal(c.settings)
+	out := &tracev1.Change{AtUs: e.sinceLast(c.at), Settings: settings}
+	for _, n := range c.classes {
+		out.Classes = append(out.Classes, int32(n))
 	}
-	switch v := v.(type) {
-	case began:
-		b, err := json.Marshal(v.settings)
-		*last = v.at
-		out := &tracev1.Begin{Seed: v.seed, Settings: b, Build: r.build, Dispatcher: r.name, UnixUs: v.wall.UnixMicro(), AtUs: v.at, Fresh: v.fresh}
-		if err == nil && v.learned != nil {
-			out.Learned, err = json.Marshal(v.learned)
-		}
-		return &tracev1.Record{What: &tracev1.Record_Begin{Begin: out}}, err
-	case changed:
-		b, err := json.Marshal(v.settings)
-		out := &tracev1.Change{AtUs: since(v.at), Settings: b}
-		for _, n := range v.classes {
-			out.Classes = append(out.Classes, int32(n))
-		}
-		for _, n := range v.tenants {
-			out.Tenants = append(out.Tenants, int32(n))
-		}
-		return &tracev1.Record{What: &tracev1.Record_Change{Change: out}}, err
+	for _, n := range c.tenants {
+		out.Tenants = append(out.Tenants, int32(n))
 	}
-	s := v.(stepped)
-	out := &tracev1.Step{AtUs: since(s.at)}
+	return &tracev1.Record{What: &tracev1.Record_Change{Change: out}}, err
+}
+
+func (s step) record(e *entryWriter) (*tracev1.Record, error) {
+	out := &tracev1.Step{AtUs: e.sinceLast(s.at)}
 	for _, ev := range s.events {
-		out.Events = append(out.Events, eventOut(ev))
+		out.Events = append(out.Events, encodeEvent(ev))
 	}
 	for _, a := range s.actions {
-		out.Actions = append(out.Actions, actionOut(a))
+		out.Actions = append(out.Actions, encodeAction(a))
 	}
 	return &tracev1.Record{What: &tracev1.Record_Step{Step: out}}, nil
 }
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -18,7 +18,7 @@
 		Classes: []policy.Class{{Name: "a", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3e6, Deadline: 15e6, Threads: 4}}}
 }
 
-// play runs a module through a day of chance with the recorder listening.
+// play runs a module through random events, recorded by r.
 func play(t testing.TB, r *Recorder, steps int, seed uint64) {
 	s := settings()
 	g, err := policy.New(seed, s)
@@ -35,7 +35,7 @@
 	}
 	rows := []policy.Endpoint{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 9e7}}
 	step(policy.EndpointUpdate{Complete: true, Endpoints: rows})
-	tries := map[string]int{}
+	attempts := map[string]int{}
 	for i := range steps {
 		now += int64(rng.IntN(20000))
 		if i == steps/2 {
@@ -50,9 +50,9 @@
 			var events []policy.Event
 			for _, a := range acts {
 				if a, ok := a.(policy.Send); ok {
-					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: tries[a.ID], Endpoint: a.Endpoint, Code: policy.Code(rng.IntN(3) / 2), Final: true,
+					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: attempts[a.ID], Endpoint: a.Endpoint, Code: policy.Code(rng.IntN(3) / 2), Final: true,
 						Latency: int64(rng.IntN(90000)), Load: &policy.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
-					tries[a.ID]++
+					attempts[a.ID]++
 				}
 			}
 			if acts = nil; len(events) > 0 {
@@ -63,10 +63,10 @@
 	}
 }
 
-// written is a recording as bytes.
-func written(t testing.TB, steps int, seed uint64) []byte {
+// recording is the bytes of a trace of play.
+func recording(t testing.TB, steps int, seed uint64) []byte {
 	r := NewRecorder("d", "test")
-	r.in = make(chan any, 10*steps+10)
+	r.entries = make(chan entry, 10*steps+10)
 	play(t, r, steps, seed)
 	var b bytes.Buffer
 	w, err := NewWriter(&b)
@@ -84,7 +84,8 @@
 	return b.Bytes()
 }
 
-func replay(t testing.TB, file []byte, change func(*policy.Settings)) *Report {
+// replayFile replays a trace, with changed settings if change is not nil.
+func replayFile(t testing.TB, file []byte, change func(*policy.Settings)) *Report {
 	src, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
@@ -101,45 +102,46 @@
 	return rep
 }
 
-// The same build decides the same again, over a change of the settings too; other settings differ, and where is told.
+// The same build decides the same again, also after a change of the settings; with other settings the report shows where
+// decisions differ.
 func TestReplay(t *testing.T) {
-	file := written(t, 2000, 5)
-	rep := replay(t, file, nil)
+	file := recording(t, 2000, 5)
+	rep := replayFile(t, file, nil)
 	if rep.Begins != 1 || rep.Steps < 2000 || rep.Actions == 0 || rep.Differ != 0 || rep.First != nil || rep.Damage != nil {
 		t.Errorf("%+v", rep)
 	}
 	t.Logf("%d steps, %d events, %d actions in %d bytes", rep.Steps, rep.Events, rep.Actions, len(file))
-	rep = replay(t, file, func(s *policy.Settings) { s.HonorsGrants, s.HonorsPriority = false, false })
+	rep = replayFile(t, file, func(s *policy.Settings) { s.HonorsGrants, s.HonorsPriority = false, false })
 	if rep.First == nil || rep.Differ == 0 || rep.ByKind["-Terms"] == 0 {
 		t.Errorf("without terms: %+v", rep)
 	}
 }
 
-// A file that ends anywhere is read up to its last whole block; a changed byte is told, with its place; what is no trace is.
+// A truncated file is read up to its last complete block; a changed byte and a file that is no trace are errors.
 func TestDamagedTraces(t *testing.T) {
-	file := written(t, 6000, 6)
-	whole := replay(t, file, nil)
+	file := recording(t, 6000, 6)
+	complete := replayFile(t, file, nil)
 	if _, err := NewReader(bytes.NewReader([]byte("PARQUET1...."))); err == nil {
-		t.Error("no trace was taken for one")
+		t.Error("accepted a file that is no trace")
 	}
 	for _, at := range []int{len(Magic) + 3, len(file) / 2, len(file) - 1} {
-		rep := replay(t, file[:at], nil)
+		rep := replayFile(t, file[:at], nil)
 		var d *DamageError
-		if !errors.As(rep.Damage, &d) || rep.Differ != 0 || rep.Steps > whole.Steps {
-			t.Errorf("cut at %d: %+v", at, rep)
+		if !errors.As(rep.Damage, &d) || rep.Differ != 0 || rep.Steps > complete.Steps {
+			t.Errorf("truncated at %d: %+v", at, rep)
 		}
-		spoilt := bytes.Clone(file)
-		spoilt[at] ^= 0x10
-		if rep = replay(t, spoilt, nil); !errors.As(rep.Damage, &d) || rep.Differ != 0 {
-			t.Errorf("spoilt at %d: %+v", at, rep)
+		damaged := bytes.Clone(file)
+		damaged[at] ^= 0x10
+		if rep = replayFile(t, damaged, nil); !errors.As(rep.Damage, &d) || rep.Differ != 0 {
+			t.Errorf("damaged at %d: %+v", at, rep)
 		}
 	}
 }
 
-// A writer that cannot keep up loses steps, and says so: nothing is compared across the gap.
+// A slow writer drops steps, and the trace says so: nothing is compared across the gap.
 func TestDropsAreMarked(t *testing.T) {
 	r := NewRecorder("d", "test")
-	r.in = make(chan any, 100)
+	r.entries = make(chan entry, 100)
 	play(t, r, 500, 7)
 	if r.Drops() == 0 {
 		t.Fatal("nothing was dropped")
@@ -154,13 +156,13 @@
 	if err := r.Run(stop, w, 0); err != nil {
 		t.Fatal(err)
 	}
-	if rep := replay(t, b.Bytes(), nil); rep.Dropped != r.Drops() || rep.Differ != 0 || rep.Steps+rep.Skipped == 0 {
+	if rep := replayFile(t, b.Bytes(), nil); rep.Dropped != r.Drops() || rep.Differ != 0 || rep.Steps+rep.Skipped == 0 {
 		t.Errorf("%+v, dropped were %d", rep, r.Drops())
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	f.Add(written(f, 3, 1))
+	f.Add(recording(f, 3, 1))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		src, err := NewReader(bytes.NewReader(b))
 		if err != nil {
@@ -177,7 +179,7 @@
 			}
 			if s, ok := r.GetWhat().(*tracev1.Record_Step); ok {
 				for _, ev := range s.Step.GetEvents() {
-					eventIn(ev)
+					decodeEvent(ev)
 				}
 			}
 		}
