--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -200,12 +200,18 @@
 	})
 }
 
-// Most responses repeat the one before: with the maximum number of nodes they cost a comparison, no copy.
-func BenchmarkRepeatedResponse(b *testing.B) {
+// largestList is a list with the maximum number of nodes.
+func largestList() nodelist.Numbered {
 	l := nodelist.Numbered{Number: 1}
 	for i := range 3200 {
 		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
+	return l
+}
+
+// Most responses repeat the one before: with the maximum number of nodes they cost a comparison, no copy.
+func BenchmarkRepeatedResponse(b *testing.B) {
+	l := largestList()
 	v := New(l)
 	query := uint64(0)
 	for range 3 {
@@ -221,10 +227,7 @@
 
 // A change in a list with the maximum number of nodes.
 func BenchmarkChange(b *testing.B) {
-	l := nodelist.Numbered{Number: 1}
-	for i := range 3200 {
-		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
-	}
+	l := largestList()
 	v := New(l)
 	query := uint64(0)
 	for b.Loop() {
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -68,6 +68,11 @@
 	r := NewRecorder("d", "test")
 	r.entries = make(chan entry, 10*steps+10)
 	play(t, r, steps, seed)
+	return writeAll(t, r)
+}
+
+// writeAll is the trace of all entries that a recorder has queued.
+func writeAll(t testing.TB, r *Recorder) []byte {
 	var b bytes.Buffer
 	w, err := NewWriter(&b)
 	if err != nil {
@@ -146,17 +151,7 @@
 	if r.Drops() == 0 {
 		t.Fatal("nothing was dropped")
 	}
-	var b bytes.Buffer
-	w, err := NewWriter(&b)
-	if err != nil {
-		t.Fatal(err)
-	}
-	stop := make(chan struct{})
-	close(stop)
-	if err := r.Run(stop, w, 0); err != nil {
-		t.Fatal(err)
-	}
-	if rep := replayFile(t, b.Bytes(), nil); rep.Dropped != r.Drops() || rep.Differ != 0 || rep.Steps+rep.Skipped == 0 {
+	if rep := replayFile(t, writeAll(t, r), nil); rep.Dropped != r.Drops() || rep.Differ != 0 || rep.Steps+rep.Skipped == 0 {
 		t.Errorf("%+v, dropped were %d", rep, r.Drops())
 	}
 }
