--- a/control/events.go
+++ b/control/events.go
@@ -20,7 +20,7 @@
 
 // The events.
 type (
-	// Offered is one resource of one response of the control service. Bad is why it cannot be decoded; Message and
+	// Offered is one resource of one response of the control service. Err is why it cannot be decoded; Message and
 	// Nodes are empty then.
 	Offered struct {
 		Kind    Kind
@@ -28,7 +28,7 @@
 		Nonce   string
 		Message proto.Message   // for the kinds of settings
 		Nodes   []nodelist.Node // for Nodes
-		Bad     error
+		Err     error
 		Live    LiveState
 	}
 	// Stored is the completion of a Store action.
--- a/control/nodecheck.go
+++ b/control/nodecheck.go
@@ -30,8 +30,8 @@
 // validateNodeList returns the reasons to reject a list, each with the name of its check. An override exempts from all
 // but the form.
 func (m *Module) validateNodeList(ev Offered) []string {
-	if ev.Bad != nil {
-		return []string{"form: " + ev.Bad.Error()}
+	if ev.Err != nil {
+		return []string{"form: " + ev.Err.Error()}
 	}
 	if err := nodelist.Check(ev.Nodes); err != nil {
 		return []string{"form: " + err.Error()}
--- a/control/stream/resources.go
+++ b/control/stream/resources.go
@@ -40,18 +40,18 @@
 // decode decodes the one resource of a response into an event.
 func (s *Stream) decode(k control.Kind, resources []*anypb.Any, ev *control.Offered) {
 	if k == control.Nodes {
-		ev.Nodes, ev.Bad = s.decodeNodes(resources)
+		ev.Nodes, ev.Err = s.decodeNodes(resources)
 		return
 	}
 	if len(resources) != 1 {
-		ev.Bad = fmt.Errorf("%s: %d resources, allowed is one, named %q", k, len(resources), SettingsName)
+		ev.Err = fmt.Errorf("%s: %d resources, allowed is one, named %q", k, len(resources), SettingsName)
 		return
 	}
 	message := map[control.Kind]proto.Message{control.Classes: &configv1.Classes{}, control.Tenants: &configv1.Tenants{},
 		control.Limits: &configv1.Limits{}, control.Classification: &configv1.Classification{},
 		control.Fronts: &configv1.Fronts{}}[k]
 	if err := resources[0].UnmarshalTo(message); err != nil {
-		ev.Bad = fmt.Errorf("%s: %w", k, err)
+		ev.Err = fmt.Errorf("%s: %w", k, err)
 		return
 	}
 	ev.Message = message
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -170,7 +170,7 @@
 		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Zones: []string{"h"}, Kinds: []string{"k"}}}, &recorder{})
 		ev := control.Offered{Kind: k, Version: "1", Nonce: "1"}
 		s.decode(k, []*anypb.Any{{TypeUrl: url, Value: value}}, &ev)
-		if ev.Bad == nil && k != control.Nodes && ev.Message == nil {
+		if ev.Err == nil && k != control.Nodes && ev.Message == nil {
 			t.Fatal("neither decoded nor rejected")
 		}
 	})
--- a/control/update.go
+++ b/control/update.go
@@ -32,7 +32,7 @@
 func (m *Module) handleResource(ev Offered) {
 	m.live = ev.Live
 	r := &response{version: ev.Version, nonce: ev.Nonce, message: ev.Message}
-	err := ev.Bad
+	err := ev.Err
 	if err == nil {
 		r.set, err = setNumber(ev.Kind, ev.Message)
 	}
