--- a/config/decode.go
+++ b/config/decode.go
@@ -57,7 +57,7 @@
 }
 
 // Decode reads JSON with comments into v, which points to a struct whose fields have json tags. Unknown fields are
-// mistakes; check, if given, may add more by path. The error is *Mistakes.
+// mistakes; check, if given, may add more by path. The error is *Violations.
 func Decode(file string, text []byte, v any, check func(wrong func(path, found, allowed string))) error {
 	d, err := parse(file, text, v)
 	if err != nil {
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -74,7 +74,7 @@
 	return out
 }
 
-// ParseNodes reads a node list file: {"nodes": [...]}. Its error is *Mistakes.
+// ParseNodes reads a node list file: {"nodes": [...]}. Its error is *Violations.
 func (c *Config) ParseNodes(name string, text []byte) ([]nodelist.Node, error) {
 	var list struct {
 		Nodes []Node `json:"nodes"`
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -86,7 +86,7 @@
 	"fail": true, "slow": true, "pause": true, "full": true, "drain": true, "list_down": false, "list_empty": false,
 	"list_malformed": false, "kill": true}
 
-// Parse reads a script. Its error is *config.Mistakes.
+// Parse reads a script. Its error is *config.Violations.
 func Parse(name string, text []byte) (*Script, error) {
 	s := &Script{}
 	err := config.Decode(name, text, s, s.validate)
