--- a/backend/dial_other.go
+++ b/backend/dial_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package fleet
+package backend
 
 import (
 	"syscall"
--- a/backend/drain.go
+++ b/backend/drain.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// drains measures how long after a drain notice a node was still sent new work.
-type drains struct {
-	mu    sync.Mutex
-	since map[string]time.Time // when the notice came, of nodes that drain or are gone
-	most  time.Duration
+// drainDelays measures how long after a drain notice a node was still sent new work.
+type drainDelays struct {
+	mu           sync.Mutex
+	notifiedAt   map[string]time.Time // when the notice came, of nodes that drain or are gone
+	longestDelay time.Duration
 }
 
-// drainKept is how long a notice is remembered, drainsKept how many are.
+// drainNoticeLifetime is how long a notice is remembered, maxDrainNotices how many are.
 const (
-	drainKept  = time.Hour
-	drainsKept = 256
+	drainNoticeLifetime = time.Hour
+	maxDrainNotices     = 256
 )
 
-func (d *drains) notice(node string, draining bool) {
+func (d *drainDelays) record(node string, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !draining {
-		delete(d.since, node)
+		delete(d.notifiedAt, node)
 		return
 	}
-	if d.since == nil {
-		d.since = map[string]time.Time{}
+	if d.notifiedAt == nil {
+		d.notifiedAt = map[string]time.Time{}
 	}
 	now := time.Now()
 	oldest := ""
-	for id, at := range d.since { // names that come and go do not pile up
-		if now.Sub(at) > drainKept {
-			delete(d.since, id)
-		} else if oldest == "" || at.Before(d.since[oldest]) {
+	for id, at := range d.notifiedAt { // names that come and go do not pile up
+		if now.Sub(at) > drainNoticeLifetime {
+			delete(d.notifiedAt, id)
+		} else if oldest == "" || at.Before(d.notifiedAt[oldest]) {
 			oldest = id
 		}
 	}
-	if len(d.since) >= drainsKept {
-		delete(d.since, oldest)
+	if len(d.notifiedAt) >= maxDrainNotices {
+		delete(d.notifiedAt, oldest)
 	}
-	if _, ok := d.since[node]; !ok {
-		d.since[node] = now
+	if _, ok := d.notifiedAt[node]; !ok {
+		d.notifiedAt[node] = now
 	}
 }
 
-func (d *drains) sent(node string) {
+func (d *drainDelays) recordSend(node string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at, ok := d.since[node]; ok {
-		d.most = max(d.most, time.Since(at))
+	if at, ok := d.notifiedAt[node]; ok {
+		d.longestDelay = max(d.longestDelay, time.Since(at))
 	}
 }
 
-func (d *drains) longest() time.Duration {
+func (d *drainDelays) longest() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.most
+	return d.longestDelay
 }
--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -47,28 +47,28 @@
 type Fleet struct {
 	log     *slog.Logger
 	clock   dispatch.Clock
-	opt     Options
+	options Options
 	post    poster
 	group   *errgroup.Group // every goroutine of the fleet
 	ctx     context.Context
 	stop    context.CancelFunc
 	onNodes func([]nodelist.Node) // told of each list that comes into force; nil: nobody
-	// dialLines opens a connection to a node that speaks lines.
-	dialLines func(ctx context.Context, address string) (net.Conn, error)
-	tell      func(int, []byte) // carries messages to other dispatchers; nil: nothing does
-	refetch   func()            // asks the list's source again; nil: there is nothing to ask
-
-	mu       sync.Mutex
-	closed   bool
-	nodes    map[string]*node
-	listedAt policy.Micros         // when the list in force was taken; 0: there is none
-	attempts map[string][]*attempt // those out, by query
-	sessions map[string]*sessionConn
-
-	listFailures atomic.Int64
-	linesOpen    atomic.Int64 // connections to nodes that speak lines
-	drains       drains
-	audit        permit.Audit
+	// dialPlatform opens a connection to a node that speaks lines.
+	dialPlatform func(ctx context.Context, address string) (net.Conn, error)
+	sendGossip   func(int, []byte) // carries messages to other dispatchers; nil: nothing does
+	refetch      func()            // asks the list's source again; nil: there is nothing to ask
+
+	mu             sync.Mutex
+	closed         bool
+	nodes          map[string]*node
+	listAcceptedAt policy.Micros         // when the list in force was taken; 0: there is none
+	attempts       map[string][]*attempt // those out, by query
+	sessionConns   map[string]*sessionConn
+
+	listFailures  atomic.Int64
+	platformConns atomic.Int64 // connections to nodes that speak lines
+	drainDelays   drainDelays
+	audit         permit.Audit
 }
 
 var _ dispatch.Fleet = (*Fleet)(nil)
@@ -97,8 +97,8 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	return &Fleet{log: o.Log, clock: o.Clock, opt: o, dialLines: dialTCP, group: new(errgroup.Group), ctx: ctx, stop: stop,
-		nodes: map[string]*node{}, attempts: map[string][]*attempt{}, sessions: map[string]*sessionConn{}}
+	return &Fleet{log: o.Log, clock: o.Clock, options: o, dialPlatform: dialTCP, group: new(errgroup.Group), ctx: ctx, stop: stop,
+		nodes: map[string]*node{}, attempts: map[string][]*attempt{}, sessionConns: map[string]*sessionConn{}}
 }
 
 // Bind names who is told of what happens.
@@ -127,18 +127,18 @@
 
 // OnGossip sets what carries messages to other dispatchers; it must not block. Without one they stay off, and the module is
 // told so (CanTell).
-func (f *Fleet) OnGossip(tell func(peer int, data []byte)) { f.tell = tell }
+func (f *Fleet) OnGossip(tell func(peer int, data []byte)) { f.sendGossip = tell }
 
 // SendGossip implements dispatch.Fleet.
 func (f *Fleet) SendGossip(peer int, data []byte) {
-	if f.tell != nil {
-		f.tell(peer, data)
+	if f.sendGossip != nil {
+		f.sendGossip(peer, data)
 	}
 }
 
 // LastSendAfterDrain is the longest time from a drain notice to a send to that node after it; 0 where none was sent.
 // The module alone keeps nodes that drain free of new work: this only measures it.
-func (f *Fleet) LastSendAfterDrain() time.Duration { return f.drains.longest() }
+func (f *Fleet) LastSendAfterDrain() time.Duration { return f.drainDelays.longest() }
 
 // Audit counts attempts that were not permitted at the moment they would have begun, and those that began against a rule.
 func (f *Fleet) Audit() *permit.Audit { return &f.audit }
@@ -152,15 +152,15 @@
 	f.mu.Lock()
 	f.closed = true
 	for _, n := range f.nodes { // their readers are waited for
-		n.lines.close()
+		n.platform.close()
 	}
 	f.mu.Unlock()
 	err := f.group.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, s := range f.sessions {
+	for name, s := range f.sessionConns {
 		s.conn.conn.Close()
-		delete(f.sessions, name)
+		delete(f.sessionConns, name)
 	}
 	for id, n := range f.nodes {
 		n.close()
@@ -179,8 +179,8 @@
 	return !f.closed
 }
 
-// use takes a node for one call; nil where it is not known. Every use is ended by release.
-func (f *Fleet) use(id string) *node {
+// acquire takes a node for one call; nil where it is not known. Every use is ended by release.
+func (f *Fleet) acquire(id string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := f.nodes[id]
@@ -193,7 +193,7 @@
 func (f *Fleet) release(n *node) {
 	f.mu.Lock()
 	n.users--
-	idle := n.gone && n.users == 0
+	idle := n.removed && n.users == 0
 	if idle && f.nodes[n.id] == n {
 		delete(f.nodes, n.id)
 	}
--- a/backend/flight.go
+++ b/backend/flight_attempt.go
@@ -20,39 +20,41 @@
 	"embershunt/policy"
 )
 
-// fate is what the transport knows of an attempt's calls. It tells "may have run" from "never sent".
-type fate struct {
-	written atomic.Bool // a request header went to the transport, at any call of the attempt
-	trailer atomic.Bool // the node ended the last call itself
+// stats is what the transport knows of an attempt's calls. It tells "may have run" from "never sent".
+type callStats struct {
+	headerSent      atomic.Bool // a request header went to the transport, at any call of the attempt
+	trailerReceived atomic.Bool // the node ended the last call itself
 }
 
-type fateKey struct{}
+type callStatsKey struct{}
 
-// fateHandler notes the fate of each call.
-type fateHandler struct{}
+// callStatsHandler notes the fate of each call.
+type callStatsHandler struct{}
 
-func (fateHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
-func (fateHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
-	f, ok := ctx.Value(fateKey{}).(*fate)
+func (callStatsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (callStatsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
+	f, ok := ctx.Value(callStatsKey{}).(*callStats)
 	if !ok {
 		return
 	}
 	switch s.(type) {
 	case *stats.OutHeader:
-		f.written.Store(true)
-		f.trailer.Store(false)
+		f.headerSent.Store(true)
+		f.trailerReceived.Store(false)
 	case *stats.InTrailer:
-		f.trailer.Store(true)
+		f.trailerReceived.Store(true)
 	}
 }
-func (fateHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
-func (fateHandler) HandleConn(context.Context, stats.ConnStats)                       {}
+func (callStatsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
+func (callStatsHandler) HandleConn(context.Context, stats.ConnStats) {}
 
 // flightAttempt makes an attempt over Flight SQL.
 type flightAttempt struct {
 	*attempt
 	call   *flightwire.Call
-	fate   fate
+	stats  callStats
 	conn   *grpc.ClientConn
 	handle []byte // of a prepared statement made on the node; nil: none
 }
@@ -66,37 +68,37 @@
 	f.mu.Lock()
 	var nodes []string
 	for _, t := range f.attempts[id] {
-		if l, ok := t.carrier.(*linesAttempt); ok {
-			f.group.Go(func() error { l.rank(priority); return nil })
+		if l, ok := t.protocol.(*platformAttempt); ok {
+			f.group.Go(func() error { l.setPriority(priority); return nil })
 			continue
 		}
-		nodes = append(nodes, t.a.Node)
+		nodes = append(nodes, t.spec.Node)
 	}
 	f.mu.Unlock()
 	for _, id := range nodes {
 		f.group.Go(func() error {
-			ctx, cancel := context.WithTimeout(f.ctx, f.opt.ProbeTimeout)
+			ctx, cancel := context.WithTimeout(f.ctx, f.options.ProbeTimeout)
 			defer cancel()
-			n := f.use(id)
+			n := f.acquire(id)
 			if n == nil {
 				return nil
 			}
 			defer f.release(n)
-			if conn, err := n.dial(&f.opt); err == nil && conn != nil { // advice: a loss costs little
-				drainCall(ctx, conn, flightwire.MethodDoAction, frame)
+			if conn, err := n.flightDial(&f.options); err == nil && conn != nil { // advice: a loss costs little
+				callDiscardingAnswer(ctx, conn, flightwire.MethodDoAction, frame)
 			}
 			return nil
 		})
 	}
 }
 
-// ended implements carrier.
-func (t *flightAttempt) ended(err error) (code policy.Code, rejected bool) {
-	if !t.fate.written.Load() {
+// classify implements carrier.
+func (t *flightAttempt) classify(err error) (code policy.Code, rejected bool) {
+	if !t.stats.headerSent.Load() {
 		return policy.ConnectionRefused, false
 	}
 	s, ok := status.FromError(err)
-	if !ok || !t.fate.trailer.Load() {
+	if !ok || !t.stats.trailerReceived.Load() {
 		if ok && s.Code() == codes.Unavailable || errors.Is(err, io.ErrUnexpectedEOF) {
 			return policy.ConnectionReset, false
 		}
@@ -110,17 +112,17 @@
 	return policy.Failed, false
 }
 
-// try implements carrier.
-func (t *flightAttempt) try(ctx context.Context, n *node) (any, error) {
-	conn, err := n.ready(ctx, &t.f.opt)
+// run implements carrier.
+func (t *flightAttempt) run(ctx context.Context, n *node) (any, error) {
+	conn, err := n.flightReady(ctx, &t.fleet.options)
 	if err != nil {
 		return nil, err
 	}
-	if t.mayBegin(ctx, n) != permit.Permitted { // the connection may have taken long to come up
-		return nil, errUnsent
+	if t.checkSendPermitted(ctx, n) != permit.Permitted { // the connection may have taken long to come up
+		return nil, errNeverSent
 	}
 	t.conn = conn
-	ctx = context.WithValue(ctx, fateKey{}, &t.fate)
+	ctx = context.WithValue(ctx, callStatsKey{}, &t.stats)
 	ctx = metadata.NewOutgoingContext(ctx, t.headers())
 	command, params := t.call.Command, [][]byte(nil)
 	if t.call.Params != nil {
@@ -130,15 +132,15 @@
 	}
 	switch t.call.Kind {
 	case flightwire.Get:
-		return nil, t.get(ctx, command)
+		return nil, t.query(ctx, command)
 	case flightwire.Update:
-		return t.put(ctx, command, params)
+		return t.update(ctx, command, params)
 	case flightwire.Do:
 		s, err := t.stream(ctx, flightwire.MethodDoAction, t.call.Action.Encode())
 		if err != nil {
 			return nil, err
 		}
-		answer, err := t.one(s)
+		answer, err := t.receiveOne(s)
 		if errors.Is(err, errNoSchema) { // an answer without a Result is one
 			return []byte{}, nil
 		}
@@ -156,14 +158,14 @@
 
 // headers are the call headers of the attempt, the same at each of its calls.
 func (t *flightAttempt) headers() metadata.MD {
-	md := metadata.MD{flightwire.HeaderQuery: {t.a.Query.ID}, flightwire.HeaderAttempt: {strconv.Itoa(t.a.Number)}}
-	if t.a.HasResources {
-		md[flightwire.HeaderPriority] = []string{strconv.Itoa(t.a.Priority)}
-		if t.a.MemoryMB > 0 {
-			md[flightwire.HeaderMemory] = []string{strconv.FormatFloat(t.a.MemoryMB, 'f', 0, 64)}
+	md := metadata.MD{flightwire.HeaderQuery: {t.spec.Query.ID}, flightwire.HeaderAttempt: {strconv.Itoa(t.spec.Number)}}
+	if t.spec.HasResources {
+		md[flightwire.HeaderPriority] = []string{strconv.Itoa(t.spec.Priority)}
+		if t.spec.MemoryMB > 0 {
+			md[flightwire.HeaderMemory] = []string{strconv.FormatFloat(t.spec.MemoryMB, 'f', 0, 64)}
 		}
 	}
-	for _, pairs := range [][]string{t.f.opt.Headers, t.call.Headers} {
+	for _, pairs := range [][]string{t.fleet.options.Headers, t.call.Headers} {
 		for i := 0; i+1 < len(pairs); i += 2 {
 			md.Append(pairs[i], pairs[i+1])
 		}
@@ -176,7 +178,7 @@
 	var answer flightwire.Frame
 	var trailer metadata.MD
 	err := t.conn.Invoke(ctx, method, flightwire.NewFrame(request), &answer, grpc.Trailer(&trailer))
-	t.read(trailer)
+	t.readTrailer(trailer)
 	if err != nil {
 		return nil, err
 	}
@@ -184,9 +186,9 @@
 	return append([]byte(nil), answer.Bytes()...), nil
 }
 
-// read takes what a call's trailers tell.
-func (t *flightAttempt) read(trailer metadata.MD) {
-	if l := loadFrom(trailer); l != nil {
+// readAnswers takes what a call's trailers tell.
+func (t *flightAttempt) readTrailer(trailer metadata.MD) {
+	if l := flightLoad(trailer); l != nil {
 		t.load = l
 	}
 	if v := trailer.Get(flightwire.HeaderRan); len(v) == 1 && v[0] == "no" {
@@ -204,17 +206,17 @@
 	}
 	for _, r := range requests {
 		if err := s.SendMsg(flightwire.NewFrame(r)); err != nil {
-			return nil, t.end(s, err)
+			return nil, t.streamError(s, err)
 		}
 	}
 	if err := s.CloseSend(); err != nil {
-		return nil, t.end(s, err)
+		return nil, t.streamError(s, err)
 	}
 	return s, nil
 }
 
-// end reads a failed stream's own status: a send that fails with io.EOF has it in store.
-func (t *flightAttempt) end(s grpc.ClientStream, err error) error {
+// connClosed reads a failed stream's own status: a send that fails with io.EOF has it in store.
+func (t *flightAttempt) streamError(s grpc.ClientStream, err error) error {
 	if errors.Is(err, io.EOF) {
 		var f flightwire.Frame
 		if err = s.RecvMsg(&f); err == nil {
@@ -222,12 +224,12 @@
 			err = io.ErrUnexpectedEOF
 		}
 	}
-	t.read(s.Trailer())
+	t.readTrailer(s.Trailer())
 	return err
 }
 
-// get runs a query: GetFlightInfo, then DoGet at the same node.
-func (t *flightAttempt) get(ctx context.Context, command []byte) error {
+// query runs a query: GetFlightInfo, then DoGet at the same node.
+func (t *flightAttempt) query(ctx context.Context, command []byte) error {
 	info, err := t.unary(ctx, flightwire.MethodGetInfo, flightwire.Descriptor(command))
 	if err != nil {
 		return err
@@ -237,32 +239,32 @@
 		return err
 	}
 	if places != 1 {
-		return errPlaces
+		return errEndpointCount
 	}
 	s, err := t.stream(ctx, flightwire.MethodDoGet, flightwire.AppendBytes(nil, 1, ticket))
 	if err != nil {
 		return err
 	}
-	return t.pump(ctx, s)
+	return t.forwardFrames(ctx, s)
 }
 
-// pump passes an answer on. The first frame is kept back until the next one or the end is there: a schema alone
+// forwardFrames passes an answer on. The first frame is kept back until the next one or the end is there: a schema alone
 // commits to nothing, and while the client has seen nothing another node may still answer.
-func (t *flightAttempt) pump(ctx context.Context, s grpc.ClientStream) error {
+func (t *flightAttempt) forwardFrames(ctx context.Context, s grpc.ClientStream) error {
 	var first, next flightwire.Frame
 	defer first.Free()
 	defer func() { next.Free() }()
-	if err := t.recv(s, &first); err != nil {
+	if err := t.receiveFrame(s, &first); err != nil {
 		if err == io.EOF {
 			err = errNoSchema
 		}
 		return err
 	}
-	err := t.recv(s, &next)
+	err := t.receiveFrame(s, &next)
 	if err != nil && err != io.EOF {
 		return err
 	}
-	if err := t.mayFlow(ctx); err != nil {
+	if err := t.awaitForward(ctx); err != nil {
 		return err
 	}
 	if sinkErr := t.call.Sink.Frame(&first); sinkErr != nil {
@@ -273,7 +275,7 @@
 			return sinkErr
 		}
 		next.Free()
-		err = t.recv(s, &next)
+		err = t.receiveFrame(s, &next)
 	}
 	if err == io.EOF {
 		return nil
@@ -281,34 +283,34 @@
 	return err
 }
 
-// recv takes one frame and checks its envelope.
-func (t *flightAttempt) recv(s grpc.ClientStream, f *flightwire.Frame) error {
+// receiveFrame takes one frame and checks its envelope.
+func (t *flightAttempt) receiveFrame(s grpc.ClientStream, f *flightwire.Frame) error {
 	err := s.RecvMsg(f)
 	if err != nil {
-		t.read(s.Trailer())
+		t.readTrailer(s.Trailer())
 		return err
 	}
 	_, err = f.Envelope()
 	return err
 }
 
-// put runs an update: DoPut with the command in the first message.
-func (t *flightAttempt) put(ctx context.Context, command []byte, params [][]byte) ([]byte, error) {
-	s, err := t.stream(ctx, flightwire.MethodDoPut, described(command, params)...)
+// writeLocked runs an update: DoPut with the command in the first message.
+func (t *flightAttempt) update(ctx context.Context, command []byte, params [][]byte) ([]byte, error) {
+	s, err := t.stream(ctx, flightwire.MethodDoPut, withDescriptor(command, params)...)
 	if err != nil {
 		return nil, err
 	}
-	return t.one(s)
+	return t.receiveOne(s)
 }
 
-// one takes exactly one answer and the clean end behind it.
-func (t *flightAttempt) one(s grpc.ClientStream) ([]byte, error) {
+// receiveOne takes exactly one answer and the clean end behind it.
+func (t *flightAttempt) receiveOne(s grpc.ClientStream) ([]byte, error) {
 	var answer []byte
 	for i := 0; ; i++ {
 		var f flightwire.Frame
 		err := s.RecvMsg(&f)
 		if err != nil {
-			t.read(s.Trailer())
+			t.readTrailer(s.Trailer())
 			if err == io.EOF && i > 0 {
 				return answer, nil
 			}
@@ -324,8 +326,8 @@
 	}
 }
 
-// described puts a command's descriptor in front of FlightData messages.
-func described(command []byte, data [][]byte) [][]byte {
+// withDescriptor puts a command's descriptor in front of FlightData messages.
+func withDescriptor(command []byte, data [][]byte) [][]byte {
 	head := flightwire.AppendBytes(nil, 1, flightwire.Descriptor(command))
 	if len(data) == 0 {
 		return [][]byte{head}
@@ -344,7 +346,7 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := t.one(s)
+	answer, err := t.receiveOne(s)
 	if err != nil {
 		return nil, err
 	}
@@ -369,11 +371,11 @@
 		return flightwire.StatementCommand("CommandPreparedStatementUpdate", t.handle), t.call.Params, nil
 	}
 	command = flightwire.StatementCommand("CommandPreparedStatementQuery", t.handle)
-	s, err := t.stream(ctx, flightwire.MethodDoPut, described(command, t.call.Params)...)
+	s, err := t.stream(ctx, flightwire.MethodDoPut, withDescriptor(command, t.call.Params)...)
 	if err != nil {
 		return nil, nil, err
 	}
-	answer, err := t.one(s)
+	answer, err := t.receiveOne(s)
 	if err != nil && !errors.Is(err, errNoSchema) { // an answer is optional here
 		return nil, nil, err
 	}
@@ -385,19 +387,19 @@
 	return command, nil, nil
 }
 
-// after implements carrier: it lets go of the prepared statement made on the node, if there is one.
-func (t *flightAttempt) after() {
+// cleanUp implements carrier: it lets go of the prepared statement made on the node, if there is one.
+func (t *flightAttempt) cleanUp() {
 	if t.handle == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.f.ctx, t.f.opt.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(t.fleet.ctx, t.fleet.options.ProbeTimeout)
 	defer cancel()
-	drainCall(ctx, t.conn, flightwire.MethodDoAction, flightwire.Action{Type: "ClosePreparedStatement",
+	callDiscardingAnswer(ctx, t.conn, flightwire.MethodDoAction, flightwire.Action{Type: "ClosePreparedStatement",
 		Body: flightwire.StatementCommand("ActionClosePreparedStatementRequest", t.handle)}.Encode())
 }
 
-// drainCall makes a call whose answer is of no interest.
-func drainCall(ctx context.Context, conn *grpc.ClientConn, method string, request []byte) {
+// callDiscardingAnswer makes a call whose answer is of no interest.
+func callDiscardingAnswer(ctx context.Context, conn *grpc.ClientConn, method string, request []byte) {
 	s, err := conn.NewStream(ctx, bidi, method)
 	if err != nil || s.SendMsg(flightwire.NewFrame(request)) != nil || s.CloseSend() != nil {
 		return
@@ -423,19 +425,19 @@
 		body := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, handle), 2, flightwire.EndRollback)
 		action = flightwire.Action{Type: "EndTransaction", Body: flightwire.NewCommand("ActionEndTransactionRequest", body)}
 	}
-	f.spawn(func() { done(f.act(node, session, action) == nil) })
+	f.spawn(func() { done(f.doAction(node, session, action) == nil) })
 }
 
-// act makes one action at a node and waits for its end.
-func (f *Fleet) act(node, session string, a flightwire.Action) error {
-	n := f.use(node)
+// doAction makes one action at a node and waits for its end.
+func (f *Fleet) doAction(node, session string, a flightwire.Action) error {
+	n := f.acquire(node)
 	if n == nil {
 		return errUnknownNode
 	}
 	defer f.release(n)
-	ctx, cancel := context.WithTimeout(f.ctx, releaseWithin)
+	ctx, cancel := context.WithTimeout(f.ctx, releaseTimeout)
 	defer cancel()
-	conn, err := n.ready(ctx, &f.opt)
+	conn, err := n.flightReady(ctx, &f.options)
 	if err != nil {
 		return err
 	}
@@ -460,5 +462,5 @@
 	return err
 }
 
-// releaseWithin bounds the time for a node to end a session's state.
-const releaseWithin = 2 * time.Second
+// releaseTimeout bounds the time for a node to end a session's state.
+const releaseTimeout = 2 * time.Second
--- a/backend/load.go
+++ b/backend/flight_load_report.go
@@ -16,10 +16,10 @@
 // loadTrailer is where ORCA puts a load report (gRFC A51: per-call reports).
 const loadTrailer = "endpoint-load-metrics-bin"
 
-// loadFrom reads an ORCA report. Util is cpu_utilization; Memory and Disk are the utilizations "memory" (or
+// flightLoad reads an ORCA report. Util is cpu_utilization; Memory and Disk are the utilizations "memory" (or
 // mem_utilization) and "disk"; InFlight and Queue are the named metrics "inflight" and "queue". What is absent was not
 // reported. A report that does not parse counts as none.
-func loadFrom(trailer metadata.MD) *policy.Load {
+func flightLoad(trailer metadata.MD) *policy.Load {
 	v := trailer.Get(loadTrailer)
 	if len(v) == 0 {
 		return nil
@@ -48,28 +48,28 @@
 	f.group.Go(func() error {
 		begun := time.Now()
 		ev := policy.HealthCheckResult{Endpoint: id}
-		ev.Code, ev.Load = f.probe(id)
+		ev.Code, ev.Load = f.checkHealth(id)
 		ev.Latency = time.Since(begun).Microseconds()
 		f.post.Notify(ev)
 		return nil
 	})
 }
 
-func (f *Fleet) probe(id string) (policy.Code, *policy.Load) {
-	n := f.use(id)
+func (f *Fleet) checkHealth(id string) (policy.Code, *policy.Load) {
+	n := f.acquire(id)
 	if n == nil {
 		return policy.ConnectionRefused, nil
 	}
 	defer f.release(n)
-	ctx, cancel := context.WithTimeout(f.ctx, f.opt.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(f.ctx, f.options.ProbeTimeout)
 	defer cancel()
-	if n.lines.address != "" {
-		return n.linesProbe(ctx, f), nil
+	if n.platform.address != "" {
+		return n.checkPlatformHealth(ctx, f), nil
 	}
-	if n.address == "" {
-		return n.nativeProbe(ctx, &f.opt), nil
+	if n.flightAddress == "" {
+		return n.checkNativeHealth(ctx, &f.options), nil
 	}
-	conn, err := n.ready(ctx, &f.opt)
+	conn, err := n.flightReady(ctx, &f.options)
 	if err != nil {
 		return policy.ConnectionRefused, nil
 	}
@@ -79,7 +79,7 @@
 	case ctx.Err() != nil:
 		return policy.TimedOut, nil
 	case err != nil || answer.GetStatus() != healthpb.HealthCheckResponse_SERVING:
-		return policy.Failed, loadFrom(trailer)
+		return policy.Failed, flightLoad(trailer)
 	}
-	return policy.OK, loadFrom(trailer)
+	return policy.OK, flightLoad(trailer)
 }
--- a/backend/list.go
+++ b/backend/list.go
@@ -23,22 +23,22 @@
 	for _, n := range nodes {
 		listed[n.ID] = true
 		event.Endpoints = append(event.Endpoints, policy.Endpoint{ID: n.ID, Zone: n.Zone, Kind: n.Kind, PlacementGroup: n.PlacementGroup,
-			State: n.State, Weight: n.Weight, Started: f.place(n), Protocols: n.Protocols()})
-		f.drains.notice(n.ID, n.State != policy.Healthy)
+			State: n.State, Weight: n.Weight, Started: f.recordNode(n), Protocols: n.Protocols()})
+		f.drainDelays.record(n.ID, n.State != policy.Healthy)
 	}
 	var idle []*node
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		if n := f.nodes[id]; !listed[id] {
-			n.gone = true
-			n.notice(now, false)
-			f.drains.notice(id, true)
+			n.removed = true
+			n.recordState(now, false)
+			f.drainDelays.record(id, true)
 			if n.users == 0 {
 				idle = append(idle, n)
 				delete(f.nodes, id)
 			}
 		}
 	}
-	f.listedAt = now
+	f.listAcceptedAt = now
 	f.mu.Unlock()
 	for _, n := range idle {
 		n.close()
@@ -57,30 +57,30 @@
 	f.post.Notify(policy.EndpointUpdate{Failed: true})
 }
 
-// place books a node and tells its start by the dispatcher's clock; f.mu is held.
-func (f *Fleet) place(row nodelist.Node) policy.Micros {
+// recordNode books a node and tells its start by the dispatcher's clock; f.mu is held.
+func (f *Fleet) recordNode(row nodelist.Node) policy.Micros {
 	n := f.nodes[row.ID]
 	at := policy.Micros(0)
-	if n != nil && n.started.Equal(row.Started) {
+	if n != nil && n.listedStart.Equal(row.Started) {
 		at = n.startedAt
 	} else {
 		at = f.startOf(row)
 	}
-	if n != nil && n.address == row.Address && n.native == row.Native && n.lines.address == row.Platform {
-		n.gone, n.started, n.startedAt = false, row.Started, at
-		n.notice(f.clock.Now(), row.State == policy.Healthy)
+	if n != nil && n.flightAddress == row.Address && n.nativeAddress == row.Native && n.platform.address == row.Platform {
+		n.removed, n.listedStart, n.startedAt = false, row.Started, at
+		n.recordState(f.clock.Now(), row.State == policy.Healthy)
 		return at
 	}
 	if n != nil { // attempts that are out keep the old connection until they end
-		n.gone = true
-		n.notice(f.clock.Now(), false)
+		n.removed = true
+		n.recordState(f.clock.Now(), false)
 		if n.users == 0 {
 			n.close()
 		}
 	}
-	n = &node{id: row.ID, address: row.Address, native: row.Native, started: row.Started, startedAt: at,
-		lines: linesPool{address: row.Platform}}
-	n.notice(f.clock.Now(), row.State == policy.Healthy)
+	n = &node{id: row.ID, flightAddress: row.Address, nativeAddress: row.Native, listedStart: row.Started, startedAt: at,
+		platform: platformPool{address: row.Platform}}
+	n.recordState(f.clock.Now(), row.State == policy.Healthy)
 	f.nodes[row.ID] = n
 	return at
 }
@@ -94,15 +94,15 @@
 	return min(max(now-time.Since(t).Microseconds(), 0), now)
 }
 
-// listedWithin is how long after its start a node is on the list at the latest.
-const listedWithin = 5 * time.Second
+// maxListDelay is how long after its start a node is on the list at the latest.
+const maxListDelay = 5 * time.Second
 
 // startOf is the start of a node by the dispatcher's clock. One that a list before did not have has started not long before that list,
 // whatever the wall clock says; f.mu is held.
 func (f *Fleet) startOf(row nodelist.Node) policy.Micros {
 	at := f.clockTime(row.Started)
-	if at > 0 && f.listedAt > 0 && f.nodes[row.ID] == nil {
-		at = max(at, f.listedAt-listedWithin.Microseconds())
+	if at > 0 && f.listAcceptedAt > 0 && f.nodes[row.ID] == nil {
+		at = max(at, f.listAcceptedAt-maxListDelay.Microseconds())
 	}
 	return at
 }
--- a/backend/native.go
+++ b/backend/native_attempt.go
@@ -22,11 +22,11 @@
 
 // nativeConn is one connection to a node's native port. It carries one query at a time.
 type nativeConn struct {
-	conn     net.Conn
-	r        *native.Reader
-	w        *bufio.Writer
-	key      nativeKey
-	idleFrom time.Time
+	conn      net.Conn
+	r         *native.Reader
+	w         *bufio.Writer
+	key       nativeKey
+	idleSince time.Time
 }
 
 // nativeKey tells the connections apart that serve a query: a client's revision and database.
@@ -37,59 +37,59 @@
 
 // Bounds of the idle connections kept to one node.
 const (
-	idleMost = 64
-	idleLife = 30 * time.Second
+	maxNativeIdleConns = 64
+	nativeIdleTimeout  = 30 * time.Second
 )
 
-// nativeIdle takes a kept connection that is still up; nil if there is none. One on which anything has come meanwhile, or
+// takeNativeIdle takes a kept connection that is still up; nil if there is none. One on which anything has come meanwhile, or
 // which the node has closed, is not used.
-func (n *node) nativeIdle(key nativeKey) *nativeConn {
+func (n *node) takeNativeIdle(key nativeKey) *nativeConn {
 	for {
 		n.mu.Lock()
 		var c *nativeConn
-		for i := len(n.idle) - 1; i >= 0 && c == nil; i-- { // the latest first: the others may grow old
-			if n.idle[i].key == key {
-				c = n.idle[i]
-				n.idle = append(n.idle[:i], n.idle[i+1:]...)
+		for i := len(n.nativeIdleConns) - 1; i >= 0 && c == nil; i-- { // the latest first: the others may grow old
+			if n.nativeIdleConns[i].key == key {
+				c = n.nativeIdleConns[i]
+				n.nativeIdleConns = append(n.nativeIdleConns[:i], n.nativeIdleConns[i+1:]...)
 			}
 		}
 		n.mu.Unlock()
-		if c == nil || time.Since(c.idleFrom) < idleLife && quiet(c.conn) {
+		if c == nil || time.Since(c.idleSince) < nativeIdleTimeout && reusable(c.conn) {
 			return c
 		}
 		c.conn.Close()
 	}
 }
 
-// keep puts a connection back on which nothing was left unfinished.
-func (n *node) keep(c *nativeConn) {
-	c.idleFrom = time.Now()
+// release puts a connection back on which nothing was left unfinished.
+func (n *node) releaseNative(c *nativeConn) {
+	c.idleSince = time.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.closed || len(n.idle) >= idleMost {
+	if n.closed || len(n.nativeIdleConns) >= maxNativeIdleConns {
 		c.conn.Close()
 		return
 	}
-	n.idle = append(n.idle, c)
+	n.nativeIdleConns = append(n.nativeIdleConns, c)
 }
 
 // nativeReady returns a connection that has shaken hands. What fails here was never sent.
 func (n *node) nativeReady(ctx context.Context, o *Options, key nativeKey) (*nativeConn, error) {
-	if n.native == "" {
-		return nil, errOtherWork
+	if n.nativeAddress == "" {
+		return nil, errWrongProtocol
 	}
-	if c := n.nativeIdle(key); c != nil {
+	if c := n.takeNativeIdle(key); c != nil {
 		return c, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.ConnectTimeout)
 	defer cancel()
-	conn, err := dialTCP(ctx, n.native)
+	conn, err := dialTCP(ctx, n.nativeAddress)
 	if err != nil {
 		return nil, errNotConnected
 	}
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	c := &nativeConn{conn: conn, r: native.NewReader(conn, o.MaxFrame), w: bufio.NewWriter(conn), key: key}
-	err = c.shake(o, n)
+	err = c.handshake(o, n)
 	if !stop() || err != nil {
 		conn.Close()
 		return nil, errNotConnected
@@ -104,14 +104,14 @@
 	defer f.mu.Unlock()
 	least := int64(0)
 	for _, n := range f.nodes { // the least: the order does not matter
-		if r := n.revision.Load(); r > 0 && !n.gone && (least == 0 || r < least) {
+		if r := n.nativeRevision.Load(); r > 0 && !n.removed && (least == 0 || r < least) {
 			least = r
 		}
 	}
 	return int(least)
 }
 
-func (c *nativeConn) shake(o *Options, n *node) error {
+func (c *nativeConn) handshake(o *Options, n *node) error {
 	c.w.Write(native.Hello{Name: "embershunt", Major: 1, Revision: c.key.revision, Database: c.key.database,
 		User: o.NativeUser, Password: o.NativePassword}.Encode())
 	if err := c.w.Flush(); err != nil {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	n.revision.Store(int64(s.Revision))
+	n.nativeRevision.Store(int64(s.Revision))
 	if s.Revision < c.key.revision { // packets would have another form than the client's
 		return errors.New("the node speaks an older revision")
 	}
@@ -131,10 +131,10 @@
 	return c.w.Flush()
 }
 
-// nativeProbe sends a Ping on a connection as queries use it, and waits for its Pong.
-func (n *node) nativeProbe(ctx context.Context, o *Options) policy.Code {
+// checkNativeHealth sends a Ping on a connection as queries use it, and waits for its Pong.
+func (n *node) checkNativeHealth(ctx context.Context, o *Options) policy.Code {
 	key := nativeKey{revision: native.Newest}
-	if r := int(n.revision.Load()); r >= native.Oldest {
+	if r := int(n.nativeRevision.Load()); r >= native.Oldest {
 		key.revision = min(r, native.Newest)
 	}
 	c, err := n.nativeReady(ctx, o, key)
@@ -149,7 +149,7 @@
 		p, err = c.r.ReadServer(key.revision)
 	}
 	if stop() && err == nil && p.Code == native.ServerPong {
-		n.keep(c)
+		n.releaseNative(c)
 		return policy.OK
 	}
 	c.conn.Close()
@@ -162,76 +162,76 @@
 // nativeAttempt makes an attempt over the ClickHouse native protocol.
 type nativeAttempt struct {
 	*attempt
-	call  *native.Call
-	share progress
+	call     *native.Call
+	progress readProgress
 }
 
-// progress is how far a node says it is, and what of that was passed on.
-type progress struct {
+// readProgress is how far a node says it is, and what of that was passed on.
+type readProgress struct {
 	read, total uint64
-	told        time.Time
+	reportedAt  time.Time
 }
 
-// noteEvery is the least time between two notes on one attempt.
-const noteEvery = 100 * time.Millisecond
+// progressInterval is the least time between two notes on one attempt.
+const progressInterval = 100 * time.Millisecond
 
-// note passes on the share of its rows that a node has read, where it knows how many there are.
-func (t *nativeAttempt) note(p native.Progress) {
-	t.share.read += p.Rows
-	t.share.total += p.Total
+// reportProgress passes on the share of its rows that a node has read, where it knows how many there are.
+func (t *nativeAttempt) reportProgress(p native.Progress) {
+	t.progress.read += p.Rows
+	t.progress.total += p.Total
 	now := time.Now()
-	if t.share.total == 0 || t.share.read > t.share.total || now.Sub(t.share.told) < noteEvery {
+	if t.progress.total == 0 || t.progress.read > t.progress.total || now.Sub(t.progress.reportedAt) < progressInterval {
 		return
 	}
-	t.share.told = now
-	t.f.post.Post(dispatch.PolicyEvent{Event: policy.Progress{ID: t.a.Query.ID, Attempt: t.a.Number, Endpoint: t.a.Node, Kind: policy.FractionDone,
-		Value: float64(t.share.read) / float64(t.share.total)}})
+	t.progress.reportedAt = now
+	t.fleet.post.Post(dispatch.PolicyEvent{Event: policy.Progress{ID: t.spec.Query.ID, Attempt: t.spec.Number, Endpoint: t.spec.Node, Kind: policy.FractionDone,
+		Value: float64(t.progress.read) / float64(t.progress.total)}})
 }
 
-// cost adds what a node tells of a query's work and memory; what cannot be read is left out.
-func (t *nativeAttempt) cost(r *native.Reader, block []byte) {
+// recordCost adds what a node tells of a query's work and memory; what cannot be read is left out.
+func (t *nativeAttempt) recordCost(r *native.Reader, block []byte) {
 	p, err := r.ReadProfile(block, t.call.Revision)
 	if err != nil {
 		return
 	}
-	t.workUs += p.WorkUs
-	t.needMB = max(t.needMB, float64(p.Peak)/1e6)
+	t.workMicros += p.WorkUs
+	t.neededMB = max(t.neededMB, float64(p.Peak)/1e6)
 }
 
-// try implements carrier.
-func (t *nativeAttempt) try(ctx context.Context, n *node) (any, error) {
+// run implements carrier.
+func (t *nativeAttempt) run(ctx context.Context, n *node) (any, error) {
 	key := nativeKey{t.call.Revision, t.call.Database}
-	c := t.f.takeSession(t.call.Session, n, key)
-	if c == nil && t.a.Query.StickyTo != "" && t.call.Session != "" {
+	c := t.fleet.takeSession(t.call.Session, n, key)
+	if c == nil && t.spec.Query.StickyTo != "" && t.call.Session != "" {
 		return nil, session.ErrStateMissing
 	}
 	if c == nil {
 		var err error
-		if c, err = n.nativeReady(ctx, &t.f.opt, key); err != nil {
+		if c, err = n.nativeReady(ctx, &t.fleet.options, key); err != nil {
 			return nil, err
 		}
 	}
-	if t.mayBegin(ctx, n) != permit.Permitted { // the connection may have taken long to come up
-		t.putBack(n, c)
-		return nil, errUnsent
+	if t.checkSendPermitted(ctx, n) != permit.Permitted { // the connection may have taken long to come up
+		t.releaseConn(n, c)
+		return nil, errNeverSent
 	}
 	stop := context.AfterFunc(ctx, func() { c.conn.SetDeadline(time.Unix(1, 0)) })
 	t.unsent = true
-	clean, result, err := t.speak(ctx, c)
+	clean, result, err := t.exchange(ctx, c)
 	if !stop() || !clean {
-		t.giveUp(c)
+		t.abandon(c)
 	} else {
-		t.putBack(n, c)
+		t.releaseConn(n, c)
 	}
 	return result, err
 }
 
-// putBack keeps a connection on which nothing is open.
-func (t *nativeAttempt) putBack(n *node, c *nativeConn) {
+// releaseConn keeps a connection on which nothing is open.
+func (t *nativeAttempt) releaseConn(n *node, c *nativeConn) {
 	if t.call.Session != "" {
-		t.f.keepSession(t.call.Session, n, c)
+		t.fleet.cacheSession(t.call.Session, n, c)
 	} else {
-		n.keep(c)
+		n.releaseNative(c)
 	}
 }
 
@@ -247,45 +247,45 @@
 		return nil
 	}
 	f.mu.Lock()
-	s := f.sessions[name]
-	delete(f.sessions, name)
+	s := f.sessionConns[name]
+	delete(f.sessionConns, name)
 	f.mu.Unlock()
 	if s == nil {
 		return nil
 	}
-	if s.node != n || s.conn.key.revision != key.revision || !quiet(s.conn.conn) {
+	if s.node != n || s.conn.key.revision != key.revision || !reusable(s.conn.conn) {
 		s.conn.conn.Close()
 		return nil
 	}
 	return s.conn
 }
 
-// keepSession keeps a session's connection for its next statement.
-func (f *Fleet) keepSession(name string, n *node, c *nativeConn) {
+// cacheSession keeps a session's connection for its next statement.
+func (f *Fleet) cacheSession(name string, n *node, c *nativeConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.ctx.Err() != nil || f.nodes[n.id] != n {
 		c.conn.Close()
 		return
 	}
-	f.sessions[name] = &sessionConn{n, c}
+	f.sessionConns[name] = &sessionConn{n, c}
 }
 
 // dropSession closes a session's connection, which ends all that lives on it; false where there is none.
 func (f *Fleet) dropSession(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.sessions[name]
+	s := f.sessionConns[name]
 	if s != nil {
 		s.conn.conn.Close()
-		delete(f.sessions, name)
+		delete(f.sessionConns, name)
 	}
 	return s != nil
 }
 
-// giveUp tells the node that nobody waits any more, as far as that can be done at once, and closes the connection: what is
+// abandon tells the node that nobody waits any more, as far as that can be done at once, and closes the connection: what is
 // left on it would be taken for the next answer.
-func (t *nativeAttempt) giveUp(c *nativeConn) {
+func (t *nativeAttempt) abandon(c *nativeConn) {
 	c.conn.SetDeadline(time.Now().Add(20 * time.Millisecond))
 	c.conn.Write(native.PutUvarint(nil, native.ClientCancel))
 	c.conn.Close()
@@ -294,7 +294,7 @@
 // query is what goes to the node: the client's, with the module's terms as settings.
 func (t *nativeAttempt) query() native.Query {
 	q := t.call.Query
-	q.ID = t.a.Query.ID + "-" + strconv.Itoa(t.a.Number)
+	q.ID = t.spec.Query.ID + "-" + strconv.Itoa(t.spec.Number)
 	q.Settings = append([]native.Setting(nil), q.Settings...)
 	set := func(name, value string) {
 		for i := range q.Settings {
@@ -305,21 +305,21 @@
 		}
 		q.Settings = append(q.Settings, native.Setting{Name: name, Value: value})
 	}
-	if t.a.HasResources {
+	if t.spec.HasResources {
 		// 1 is the most urgent there, 0 means none; the module's 3 is its most urgent.
-		set("priority", strconv.Itoa(4-t.a.Priority))
-		if t.a.MemoryMB > 0 {
-			set("max_memory_usage", strconv.FormatInt(int64(t.a.MemoryMB*1e6), 10))
+		set("priority", strconv.Itoa(4-t.spec.Priority))
+		if t.spec.MemoryMB > 0 {
+			set("max_memory_usage", strconv.FormatInt(int64(t.spec.MemoryMB*1e6), 10))
 		}
 	}
 	return q
 }
 
-// heldMost bounds the packets kept back until the first rows, in bytes.
-const heldMost = 256 << 10
+// maxHeldBytes bounds the packets kept back until the first rows, in bytes.
+const maxHeldBytes = 256 << 10
 
-// speak sends the query and passes its answer on; clean tells that the connection may serve another one.
-func (t *nativeAttempt) speak(ctx context.Context, c *nativeConn) (clean bool, result any, err error) {
+// exchange sends the query and passes its answer on; clean tells that the connection may serve another one.
+func (t *nativeAttempt) exchange(ctx context.Context, c *nativeConn) (clean bool, result any, err error) {
 	c.r.Packed = t.call.Query.Compression
 	// An INSERT does nothing before its rows are there, and what is asked for a sample never gets any.
 	t.unsent = t.call.Data != nil || t.call.Sample
@@ -329,7 +329,7 @@
 		return false, nil, err
 	}
 	if t.call.Data != nil || t.call.Sample {
-		sample, err := t.sample(ctx, c)
+		sample, err := t.readSample(ctx, c)
 		if err != nil {
 			var e *native.Exception
 			return errors.As(err, &e), nil, err
@@ -344,7 +344,7 @@
 			if err := c.w.Flush(); err != nil {
 				return false, nil, err
 			}
-			clean, _, err := t.answer(ctx, c)
+			clean, _, err := t.forwardAnswer(ctx, c)
 			return clean, raw, err
 		}
 		if t.call.Sample { // the node is left waiting for rows, so that the connection ends here
@@ -356,7 +356,7 @@
 		t.unsent = false
 		upload.Go(func() error { return t.upload(c) })
 	}
-	clean, result, err = t.answer(ctx, c)
+	clean, result, err = t.forwardAnswer(ctx, c)
 	if t.call.Data != nil {
 		if !clean || err != nil { // the node has spoken: what it has not taken by now it does not want
 			c.conn.SetWriteDeadline(time.Unix(1, 0))
@@ -372,13 +372,13 @@
 	return clean, result, err
 }
 
-// columnsWithin is how long a node may take to tell which columns an INSERT takes, in connect time-outs: that is no work,
+// sampleConnectTimeouts is how long a node may take to tell which columns an INSERT takes, in connect time-outs: that is no work,
 // and nothing has run yet, so that a silent node is as one that is not connected.
-const columnsWithin = 4
+const sampleConnectTimeouts = 4
 
-// sample reads up to the block that tells which columns an INSERT takes.
-func (t *nativeAttempt) sample(ctx context.Context, c *nativeConn) (p native.Packet, err error) {
-	c.conn.SetReadDeadline(time.Now().Add(columnsWithin * t.f.opt.ConnectTimeout))
+// readSample reads up to the block that tells which columns an INSERT takes.
+func (t *nativeAttempt) readSample(ctx context.Context, c *nativeConn) (p native.Packet, err error) {
+	c.conn.SetReadDeadline(time.Now().Add(sampleConnectTimeouts * t.fleet.options.ConnectTimeout))
 	defer func() {
 		if c.conn.SetReadDeadline(time.Time{}); ctx.Err() != nil { // the attempt's end may have set one of its own
 			err = context.Cause(ctx)
@@ -412,10 +412,10 @@
 	return c.w.Flush()
 }
 
-// answer passes the node's answer on. One that is there as a whole is the result: it goes out with the final answer, and
+// forwardAnswer passes the node's answer on. One that is there as a whole is the result: it goes out with the final answer, and
 // until then another node's may take its place. Of a longer one head and progress are kept back until its first rows are
 // there.
-func (t *nativeAttempt) answer(ctx context.Context, c *nativeConn) (clean bool, result any, err error) {
+func (t *nativeAttempt) forwardAnswer(ctx context.Context, c *nativeConn) (clean bool, result any, err error) {
 	held, flows := []byte{}, false
 	for {
 		p, err := c.r.ReadServer(t.call.Revision)
@@ -425,12 +425,12 @@
 		more := c.r.Buffered()
 		switch p.Code {
 		case native.ServerProfileEvents:
-			t.cost(c.r, p.Raw[p.Body:])
+			t.recordCost(c.r, p.Raw[p.Body:])
 			continue
 		case native.ServerLog, native.ServerPong, native.ServerTableColumns:
 			continue // the node's own affairs
 		case native.ServerProgress:
-			t.note(p.Progress)
+			t.reportProgress(p.Progress)
 		case native.ServerException:
 			return true, nil, p.Exception
 		case native.ServerEndOfStream:
@@ -441,10 +441,10 @@
 		}
 		if !flows {
 			held = append(held, p.Raw...)
-			if len(held) <= heldMost && (more || p.Code != native.ServerData || p.Block.Rows == 0) {
+			if len(held) <= maxHeldBytes && (more || p.Code != native.ServerData || p.Block.Rows == 0) {
 				continue
 			}
-			if flows = true; t.mayFlow(ctx) != nil {
+			if flows = true; t.awaitForward(ctx) != nil {
 				return false, nil, context.Cause(ctx)
 			}
 			p.Raw, held = held, nil
@@ -455,24 +455,24 @@
 	}
 }
 
-// after implements carrier.
-func (t *nativeAttempt) after() {}
+// cleanUp implements carrier.
+func (t *nativeAttempt) cleanUp() {}
 
 // Exceptions that are no word on the statement (ErrorCodes.cpp of ClickHouse): another node may fare better.
-var nodeTroubles = map[int32]bool{159: true, 173: true, 198: true, 203: true, 209: true, 210: true, 236: true, 241: true,
+var nodeExceptions = map[int32]bool{159: true, 173: true, 198: true, 203: true, 209: true, 210: true, 236: true, 241: true,
 	243: true, 279: true, 285: true, 394: true, 425: true, 439: true, 473: true, 999: true, 1000: true, 1001: true, 1002: true}
 
 // tooManyQueries is the exception that proves that nothing ran (TOO_MANY_SIMULTANEOUS_QUERIES).
 const tooManyQueries = 202
 
-// ended implements carrier.
-func (t *nativeAttempt) ended(err error) (code policy.Code, rejected bool) {
+// classify implements carrier.
+func (t *nativeAttempt) classify(err error) (code policy.Code, rejected bool) {
 	var e *native.Exception
 	var form *native.FormatError
 	switch {
 	case errors.As(err, &e) && e.Code == tooManyQueries:
 		return policy.Rejected, false
-	case errors.As(err, &e) && !nodeTroubles[e.Code]:
+	case errors.As(err, &e) && !nodeExceptions[e.Code]:
 		return policy.Failed, true
 	case t.unsent:
 		return policy.ConnectionRefused, false
--- a/backend/native_test.go
+++ b/backend/native_attempt_test.go
@@ -14,28 +14,28 @@
 	"embershunt/simulated"
 )
 
-// tape keeps what a fleet has seen.
-type tape struct{ events chan dispatch.Event }
+// eventRecorder keeps what a fleet has seen.
+type eventRecorder struct{ events chan dispatch.Event }
 
-func (t tape) Post(ev dispatch.Event) { t.events <- ev }
+func (t eventRecorder) Post(ev dispatch.Event) { t.events <- ev }
 
-// taker takes an answer.
-type taker struct{}
+// discardSink takes an answer.
+type discardSink struct{}
 
-func (s *taker) Pass([]byte, bool) error { return nil }
+func (s *discardSink) Pass([]byte, bool) error { return nil }
 
-// play sends one attempt to one node and returns what was seen of it, up to its end.
-func play(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.AttemptEnded) {
+// runNativeAttempt sends one attempt to one node and returns what was seen of it, up to its end.
+func runNativeAttempt(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.AttemptEnded) {
 	t.Helper()
 	clock := dispatch.NewClock()
 	f := New(Options{Clock: clock, ConnectTimeout: 200 * time.Millisecond})
-	tp := tape{make(chan dispatch.Event, 10000)}
+	tp := eventRecorder{make(chan dispatch.Event, 10000)}
 	f.Bind(tp)
 	defer f.Close()
 	if err := f.SetNodes([]nodelist.Node{{ID: "n", Native: address}}); err != nil {
 		t.Fatal(err)
 	}
-	call.Revision, call.Sink = native.Newest, &taker{}
+	call.Revision, call.Sink = native.Newest, &discardSink{}
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
 	call.Tables = native.EndOfData()
 	now := clock.Now()
@@ -98,9 +98,9 @@
 			if c.down {
 				n.Die()
 			}
-			_, end := play(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
+			_, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
 			if c.text == insert && c.fault.Hang { // told well before the attempt's own time-out would have been
-				_, end = play(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
+				_, end = runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
 				if end.Latency > 2e6 {
 					t.Errorf("told after %d us", end.Latency)
 				}
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	defer n.Die()
-	notes, end := play(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
+	notes, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
 	if end.Code != policy.OK || end.WorkMicros != 600000 || end.NeededMB != 50 {
 		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkMicros, end.NeededMB)
 	}
@@ -159,7 +159,7 @@
 		conn.Close()
 	}()
 	large := make([]byte, 32<<20)
-	_, end := play(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
+	_, end := runNativeAttempt(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
 	if end.Code != policy.ConnectionReset {
 		t.Errorf("code %d, want that the connection broke (%v)", end.Code, end.Err)
 	}
@@ -168,7 +168,7 @@
 // A node's start is the same by the dispatcher's clock in every list that tells it: another one would be a restart.
 func TestAStartIsReckonedOnce(t *testing.T) {
 	f := New(Options{Clock: dispatch.NewClock()})
-	tp := tape{make(chan dispatch.Event, 100)}
+	tp := eventRecorder{make(chan dispatch.Event, 100)}
 	f.Bind(tp)
 	defer f.Close()
 	started := time.Now().Add(-time.Minute)
--- a/backend/node.go
+++ b/backend/node.go
@@ -17,34 +17,34 @@
 
 // node is one query node and its kept connection.
 type node struct {
-	id, address string
-	native      string
-	lines       linesPool
-	started     time.Time     // by the list
-	startedAt   policy.Micros // the same by the dispatcher's clock, reckoned once: told anew it would look like another start
-	users       int           // calls that hold it; under Fleet.mu
-	gone        bool          // left the list, or moved to another address; under Fleet.mu
+	id, flightAddress string
+	nativeAddress     string
+	platform          platformPool
+	listedStart       time.Time     // by the list
+	startedAt         policy.Micros // the same by the dispatcher's clock, reckoned once: told anew it would look like another start
+	users             int           // calls that hold it; under Fleet.mu
+	removed           bool          // left the list, or moved to another address; under Fleet.mu
 
-	notified atomic.Int64 // when it was told that the node drains or is gone, by the dispatcher's clock; 0: it is ready
-	revision atomic.Int64 // newest of the native protocol that it speaks; 0: not known yet
+	drainNotifiedAt atomic.Int64 // when it was told that the node drains or is gone, by the dispatcher's clock; 0: it is ready
+	nativeRevision  atomic.Int64 // newest of the native protocol that it speaks; 0: not known yet
 
-	mu     sync.Mutex
-	conn   *grpc.ClientConn
-	idle   []*nativeConn
-	closed bool
+	mu              sync.Mutex
+	flightConn      *grpc.ClientConn
+	nativeIdleConns []*nativeConn
+	closed          bool
 }
 
-// dial returns the node's connection, made at the first call. Dialling itself happens in the background.
-func (n *node) dial(o *Options) (*grpc.ClientConn, error) {
+// flightDial returns the node's connection, made at the first call. Dialling itself happens in the background.
+func (n *node) flightDial(o *Options) (*grpc.ClientConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.conn != nil || n.closed {
-		return n.conn, nil
+	if n.flightConn != nil || n.closed {
+		return n.flightConn, nil
 	}
 	options := []grpc.DialOption{
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(flightwire.Codec{}),
 			grpc.MaxCallRecvMsgSize(o.MaxFrame), grpc.MaxCallSendMsgSize(o.MaxFrame)),
-		grpc.WithStatsHandler(fateHandler{}),
+		grpc.WithStatsHandler(callStatsHandler{}),
 		grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(), grpc.WithNoProxy(),
 		grpc.WithIdleTimeout(0),
 		grpc.WithContextDialer(dialTCP),
@@ -54,29 +54,29 @@
 	if len(o.Dial) == 0 {
 		options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	}
-	conn, err := grpc.NewClient("passthrough:///"+n.address, append(options, o.Dial...)...)
+	conn, err := grpc.NewClient("passthrough:///"+n.flightAddress, append(options, o.Dial...)...)
 	if err != nil {
 		return nil, err
 	}
-	n.conn = conn
+	n.flightConn = conn
 	return conn, nil
 }
 
-// notice notes whether the list calls the node ready.
-func (n *node) notice(now policy.Micros, ready bool) {
+// record notes whether the list calls the node ready.
+func (n *node) recordState(now policy.Micros, ready bool) {
 	if ready {
-		n.notified.Store(0)
+		n.drainNotifiedAt.Store(0)
 	} else {
-		n.notified.CompareAndSwap(0, now)
+		n.drainNotifiedAt.CompareAndSwap(0, now)
 	}
 }
 
-// ready waits until the connection is up, at most for the connect time-out. What fails here was never sent.
-func (n *node) ready(ctx context.Context, o *Options) (*grpc.ClientConn, error) {
-	if n.address == "" {
-		return nil, errOtherWork
+// flightReady waits until the connection is up, at most for the connect time-out. What fails here was never sent.
+func (n *node) flightReady(ctx context.Context, o *Options) (*grpc.ClientConn, error) {
+	if n.flightAddress == "" {
+		return nil, errWrongProtocol
 	}
-	conn, err := n.dial(o)
+	conn, err := n.flightDial(o)
 	if err != nil || conn == nil {
 		return nil, errNotConnected
 	}
@@ -115,12 +115,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.closed = true
-	for _, c := range n.idle {
+	for _, c := range n.nativeIdleConns {
 		c.conn.Close()
 	}
-	n.idle = nil
-	n.lines.close()
-	if n.conn != nil {
-		n.conn.Close()
+	n.nativeIdleConns = nil
+	n.platform.close()
+	if n.flightConn != nil {
+		n.flightConn.Close()
 	}
 }
--- a/backend/permit_test.go
+++ b/backend/permission_audit_test.go
@@ -21,8 +21,8 @@
 	for errno, want := range map[syscall.Errno]policy.Code{syscall.EMFILE: policy.NeverSent, syscall.ENFILE: policy.NeverSent, syscall.ENOBUFS: policy.NeverSent,
 		syscall.EADDRNOTAVAIL: policy.NeverSent, syscall.ENETUNREACH: policy.NeverSent, syscall.ECONNREFUSED: policy.ConnectionRefused,
 		syscall.EHOSTUNREACH: policy.ConnectionRefused, syscall.ETIMEDOUT: policy.ConnectionRefused} {
-		f := newLineFleet(t, Options{}, "127.0.0.1:1")
-		f.dialLines = func(context.Context, string) (net.Conn, error) {
+		f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
+		f.dialPlatform = func(context.Context, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", errno)}
 		}
 		f.send("id", 0, "n0", time.Second)
@@ -46,7 +46,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{DrainGrace: time.Millisecond}, node.Address())
+	f := newPlatformFleet(t, Options{DrainGrace: time.Millisecond}, node.Address())
 	f.send("one", 0, "n0", time.Second)
 	if end := f.end(); end.Code != policy.OK || len(f.Audit().Counts()) != 0 {
 		t.Fatalf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
@@ -56,19 +56,19 @@
 	if end := f.end(); end.Code != policy.NeverSent || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
 		t.Errorf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
-	n := f.use("n0")
+	n := f.acquire("n0")
 	defer f.release(n)
-	a := &attempt{f: f.Fleet}
-	a.a.Query, a.a.Deadline = &dispatch.Query{ID: "q"}, f.clock.Now()+1e6
-	n.notified.Store(f.clock.Now() - 1e6)
-	if a.begunAt(n); f.Audit().Violated(permit.Draining) != 1 {
+	a := &attempt{fleet: f.Fleet}
+	a.spec.Query, a.spec.Deadline = &dispatch.Query{ID: "q"}, f.clock.Now()+1e6
+	n.drainNotifiedAt.Store(f.clock.Now() - 1e6)
+	if a.auditSent(n); f.Audit().Violated(permit.Draining) != 1 {
 		t.Errorf("counts %v", f.Audit().Counts())
 	}
 }
 
 // A wall clock that steps by an hour does not make a node that has just joined look old, nor one look as if it had yet to start.
 func TestStartsAreBoundedByTheListsBefore(t *testing.T) {
-	f := newLineFleet(t, Options{}, "127.0.0.1:1")
+	f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
 	listed := f.clock.Now()
 	rows := []nodelist.Node{{ID: "n0", Platform: "127.0.0.1:1"}, {ID: "old", Platform: "127.0.0.1:2", Started: time.Now().Add(-time.Hour)},
 		{ID: "early", Platform: "127.0.0.1:3", Started: time.Now().Add(time.Hour)}, {ID: "true", Platform: "127.0.0.1:4", Started: time.Now().Add(-time.Second)}}
@@ -78,7 +78,7 @@
 	now := f.clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := f.nodes["old"].startedAt; at < listed-listedWithin.Microseconds()-100_000 {
+	if at := f.nodes["old"].startedAt; at < listed-maxListDelay.Microseconds()-100_000 {
 		t.Errorf("started %v ago", time.Duration(now-at)*time.Microsecond)
 	}
 	if at := f.nodes["early"].startedAt; at > now {
--- a/backend/lines_test.go
+++ b/backend/platform_attempt_test.go
@@ -17,23 +17,23 @@
 	"embershunt/simulated"
 )
 
-// lineFleet is a fleet with one node that speaks lines.
-type lineFleet struct {
+// platformFleet is a fleet with one node that speaks lines.
+type platformFleet struct {
 	*Fleet
-	t     *testing.T
-	tape  tape
-	clock dispatch.Clock
-	notes []policy.Progress
+	t        *testing.T
+	events   eventRecorder
+	clock    dispatch.Clock
+	progress []policy.Progress
 
-	before policy.Micros // of the attempts sent
+	startBefore policy.Micros // of the attempts sent
 }
 
-func newLineFleet(t *testing.T, o Options, addresses ...string) *lineFleet {
+func newPlatformFleet(t *testing.T, o Options, addresses ...string) *platformFleet {
 	t.Helper()
-	f := &lineFleet{t: t, clock: dispatch.NewClock(), tape: tape{make(chan dispatch.Event, 10000)}}
+	f := &platformFleet{t: t, clock: dispatch.NewClock(), events: eventRecorder{make(chan dispatch.Event, 10000)}}
 	o.Clock, o.ConnectTimeout = f.clock, 200*time.Millisecond
 	f.Fleet = New(o)
-	f.Bind(f.tape)
+	f.Bind(f.events)
 	t.Cleanup(func() { f.Close() })
 	var nodes []nodelist.Node
 	for i, a := range addresses {
@@ -45,13 +45,13 @@
 	return f
 }
 
-func (f *lineFleet) send(id string, n int, node string, within time.Duration) {
+func (f *platformFleet) send(id string, n int, node string, within time.Duration) {
 	now := f.clock.Now()
 	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
-		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + within.Microseconds(), StartBefore: f.before})
+		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + within.Microseconds(), StartBefore: f.startBefore})
 }
 
-func (f *lineFleet) end() dispatch.AttemptEnded {
+func (f *platformFleet) end() dispatch.AttemptEnded {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
 	defer cancel()
@@ -59,13 +59,13 @@
 		select {
 		case <-ctx.Done():
 			f.t.Fatal("no end in 5 s")
-		case ev := <-f.tape.events:
+		case ev := <-f.events.events:
 			switch ev := ev.(type) {
 			case dispatch.AttemptEnded:
 				return ev
 			case dispatch.PolicyEvent:
 				if p, ok := ev.Event.(policy.Progress); ok {
-					f.notes = append(f.notes, p)
+					f.progress = append(f.progress, p)
 				}
 			}
 		}
@@ -154,7 +154,7 @@
 				t.Fatal(err)
 			}
 			defer node.Close()
-			f := newLineFleet(t, Options{}, node.Address())
+			f := newPlatformFleet(t, Options{}, node.Address())
 			f.send("id", 0, "n0", 300*time.Millisecond)
 			end := f.end()
 			if end.Code != c.code || rowsOf(end.Result) != c.rows {
@@ -179,9 +179,9 @@
 		t.Fatal(err)
 	}
 	address := node.Address()
-	f := newLineFleet(t, Options{}, address)
+	f := newPlatformFleet(t, Options{}, address)
 	broken := 2
-	f.dialLines = func(ctx context.Context, address string) (net.Conn, error) {
+	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
 		if broken--; broken >= 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
 		}
@@ -191,7 +191,7 @@
 	if end := f.end(); end.Code != policy.OK {
 		t.Errorf("two new connections broke: code %d (%v)", end.Code, end.Err)
 	}
-	broken = linesTries
+	broken = maxPlatformConnAttempts
 	f.send("b", 0, "n0", time.Second) // on the kept connection
 	if end := f.end(); end.Code != policy.OK || node.Accepted() != 1 {
 		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
@@ -224,14 +224,14 @@
 // refused connection it would make the node cold for its whole ramp.
 func TestWhatEndsWhileItConnectsIsNoFault(t *testing.T) {
 	for _, within := range []time.Duration{5 * time.Second, 20 * time.Millisecond} {
-		f := newLineFleet(t, Options{}, "127.0.0.1:1")
+		f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
 		dialling := make(chan struct{})
-		f.dialLines = func(ctx context.Context, _ string) (net.Conn, error) {
+		f.dialPlatform = func(ctx context.Context, _ string) (net.Conn, error) {
 			close(dialling)
 			<-ctx.Done()
 			return nil, &net.OpError{Op: "dial", Err: ctx.Err()}
 		}
-		f.opt.ConnectTimeout = 5 * time.Second
+		f.options.ConnectTimeout = 5 * time.Second
 		f.send("id", 0, "n0", within)
 		<-dialling
 		if within == 5*time.Second {
@@ -247,7 +247,7 @@
 // it must not begin, and that it never ran is known.
 func TestNothingBeginsLate(t *testing.T) {
 	type crossing struct {
-		f    *lineFleet
+		f    *platformFleet
 		rows []nodelist.Node
 	}
 	for name, cross := range map[string]func(c *crossing){
@@ -259,12 +259,12 @@
 			c.f.SetNodes(c.rows)
 		},
 		"the window is over": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.StartBefore {
+			for c.f.clock.Now() < c.f.attempt("q-id", 0).spec.StartBefore {
 				time.Sleep(time.Millisecond)
 			}
 		},
 		"the time is up": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).a.Deadline {
+			for c.f.clock.Now() < c.f.attempt("q-id", 0).spec.Deadline {
 				time.Sleep(time.Millisecond)
 			}
 		},
@@ -280,12 +280,12 @@
 					t.Fatal(err)
 				}
 				defer node.Close()
-				f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address())
+				f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address())
 				c := &crossing{f, []nodelist.Node{{ID: "n0", Platform: node.Address()}}}
 				arrived, release := make(chan struct{}), func() {}
 				within := 3 * time.Second
 				if name == "the window is over" {
-					f.before = f.clock.Now() + 50000
+					f.startBefore = f.clock.Now() + 50000
 				}
 				if name == "the time is up" {
 					within = 50 * time.Millisecond
@@ -293,7 +293,7 @@
 				if held == "connecting" {
 					barrier := make(chan struct{})
 					release = func() { close(barrier) }
-					f.dialLines = func(_ context.Context, address string) (net.Conn, error) { // up in the very moment it is not wanted
+					f.dialPlatform = func(_ context.Context, address string) (net.Conn, error) { // up in the very moment it is not wanted
 						conn, err := dialTCP(context.Background(), address)
 						close(arrived)
 						<-barrier
@@ -306,11 +306,11 @@
 					for len(node.Commands()) == 0 {
 						time.Sleep(time.Millisecond)
 					}
-					shared := f.attempt("q-before", 0).carrier.(*linesAttempt).conn
-					shared.wmu.Lock()
-					release = shared.wmu.Unlock
+					shared := f.attempt("q-before", 0).protocol.(*platformAttempt).conn
+					shared.writeMu.Lock()
+					release = shared.writeMu.Unlock
 					f.send("id", 0, "n0", within)
-					for shared.load() < 2 {
+					for shared.attemptCount() < 2 {
 						time.Sleep(time.Millisecond)
 					}
 				}
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{}, node.Address())
+	f := newPlatformFleet(t, Options{}, node.Address())
 	for _, id := range []string{"a", "b", "c"} {
 		f.send(id, 0, "n0", time.Second)
 		if end := f.end(); end.Code != policy.OK || rowsOf(end.Result) != id+"||;" {
@@ -378,15 +378,15 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address())
+	f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address())
 	f.send("id", 0, "n0", 5*time.Second)
 	for len(node.Commands()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	out := f.attempt("q-id", 0).carrier.(*linesAttempt)
-	ended := &linesConn{f: f.Fleet, open: map[string]*linesAttempt{"id": out}}
-	out.end(ended, net.ErrClosed)
-	if err := out.take(ended, &lineproto.Answer{ID: "id", Word: lineproto.Failed}); err != nil {
+	out := f.attempt("q-id", 0).protocol.(*platformAttempt)
+	ended := &platformConn{fleet: f.Fleet, attempts: map[string]*platformAttempt{"id": out}}
+	out.connClosed(ended, net.ErrClosed)
+	if err := out.receive(ended, &lineproto.Answer{ID: "id", Word: lineproto.Failed}); err != nil {
 		t.Error(err)
 	}
 	f.send("go", 0, "n0", 5*time.Second) // on the same connection
@@ -413,9 +413,9 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	f := newLineFleet(t, Options{MaxPlatformConns: 1}, node.Address(), other.Address())
+	f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address(), other.Address())
 	dialled := make(chan int64, 1)
-	f.dialLines = func(ctx context.Context, address string) (net.Conn, error) {
+	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
 		dialled <- f.PlatformConns()
 		return dialTCP(ctx, address)
 	}
@@ -447,7 +447,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{MaxPlatformConns: 2, MaxAttemptsPerConn: 2}, node.Address())
+	f := newPlatformFleet(t, Options{MaxPlatformConns: 2, MaxAttemptsPerConn: 2}, node.Address())
 	for i := range 4 {
 		id := fmt.Sprintf("r%d", i)
 		if i == 3 {
@@ -489,7 +489,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{}, node.Address())
+	f := newPlatformFleet(t, Options{}, node.Address())
 	f.send("id", 0, "n0", 3*time.Second)
 	for len(got) < 1 {
 		time.Sleep(time.Millisecond)
@@ -522,12 +522,12 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	f := newLineFleet(t, Options{}, node.Address())
+	f := newPlatformFleet(t, Options{}, node.Address())
 	f.send("a", 0, "n0", time.Second)
 	f.end()
 	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5}, {ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
-	if fmt.Sprint(f.notes) != fmt.Sprint(want) {
-		t.Errorf("notes %v, want %v", f.notes, want)
+	if fmt.Sprint(f.progress) != fmt.Sprint(want) {
+		t.Errorf("notes %v, want %v", f.progress, want)
 	}
 	f.SetNodes([]nodelist.Node{{ID: "n1", Platform: node.Address()}})
 	f.send("b", 0, "n1", time.Second)
@@ -552,7 +552,7 @@
 		"util:-1":                    nil,
 		"util:NaN":                   nil,
 	} {
-		got := linesLoad(s)
+		got := platformLoad(s)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %+v, want %+v", s, got, want)
 		}
--- a/backend/lines_probe.go
+++ b/backend/platform_health_check.go
@@ -8,16 +8,16 @@
 	"embershunt/policy"
 )
 
-// linesProbe pings a node on a connection of its own.
-func (n *node) linesProbe(ctx context.Context, f *Fleet) policy.Code {
-	ctx, cancel := context.WithTimeout(ctx, f.opt.ConnectTimeout)
+// checkPlatformHealth pings a node on a connection of its own.
+func (n *node) checkPlatformHealth(ctx context.Context, f *Fleet) policy.Code {
+	ctx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
 	defer cancel()
-	if !f.reserveLines() { // a probe holds a descriptor like any attempt
+	if !f.reservePlatformConn() { // a probe holds a descriptor like any attempt
 		return policy.NeverSent
 	}
-	defer f.linesOpen.Add(-1)
-	conn, err := f.dialLines(ctx, n.lines.address)
-	if isLocal(err) {
+	defer f.platformConns.Add(-1)
+	conn, err := f.dialPlatform(ctx, n.platform.address)
+	if isLocalDialError(err) {
 		return policy.NeverSent
 	}
 	if err != nil {
@@ -42,4 +42,4 @@
 }
 
 // PlatformConns counts the connections to nodes that speak lines.
-func (f *Fleet) PlatformConns() int64 { return f.linesOpen.Load() }
+func (f *Fleet) PlatformConns() int64 { return f.platformConns.Load() }
--- a/backend/lines_report.go
+++ b/backend/platform_load_report.go
@@ -7,9 +7,9 @@
 	"embershunt/policy"
 )
 
-// linesLoad reads a load report, name:value separated by semicolons; names of the settings and of the lines alike. One that
+// platformLoad reads a load report, name:value separated by semicolons; names of the settings and of the lines alike. One that
 // does not parse counts as none.
-func linesLoad(s string) *policy.Load {
+func platformLoad(s string) *policy.Load {
 	if s == "" {
 		return nil
 	}
@@ -36,8 +36,8 @@
 	return &l
 }
 
-// linesNote reads a note on an attempt that is out; ok is false where there is none.
-func linesNote(why, datum string) (p policy.Progress, ok bool) {
+// platformProgress reads a note on an attempt that is out; ok is false where there is none.
+func platformProgress(why, datum string) (p policy.Progress, ok bool) {
 	v, err := strconv.ParseFloat(datum, 64)
 	if err != nil || !(v >= 0 && v < 1e9) {
 		return p, false
