--- a/backend/attempt.go
+++ b/backend/attempt.go
@@ -16,48 +16,54 @@
 	"embershunt/session"
 )
 
-// Errors of attempts; nodes' own words come as their protocol's errors.
+// Errors of attempts in any protocol. What a node answers is an error of its protocol.
 var (
 	errNotConnected  = errors.New("no connection to the node in time")
 	errUnknownNode   = errors.New("the node is not in the list")
 	errWrongProtocol = errors.New("the node does not speak the query's protocol")
 	errCancelled     = errors.New("called off")
 	errTimedOut      = errors.New("no answer in time")
-	errNoSchema      = errors.New("the answer ended before its schema")
-	errEndpointCount = errors.New("the node answers from several endpoints or from none, which is not supported")
+	errNeverSent     = errors.New("over before anything was sent")
 )
 
-// attempt is one send that is out, whatever its protocol.
+// attempt is one attempt in flight, whatever its protocol: created by Send, released to the client by ForwardResponse, ended by
+// its node, its deadline or Cancel, reported with one dispatch.AttemptEnded.
 type attempt struct {
 	fleet     *Fleet
 	spec      dispatch.Attempt
 	startedAt time.Time
 	cancel    context.CancelCauseFunc
-	forward   chan struct{} // closed when the answer may flow
-	timer     *time.Timer
-	load      *policy.Load
-	notRun    bool // the node proved that nothing ran
-	unsent    bool // nothing that could run has been written yet
+	forward   chan struct{} // closed when the response may be forwarded
+	timer     *time.Timer   // of the attempt's own deadline
+	load      *policy.Load  // of the node's latest load report; nil: none was received
+	notRun    bool          // the node proved that nothing ran
+	unsent    bool          // nothing that could run has been written yet
 
-	cancelledAt atomic.Int64 // when the query's client left or it was called off, by the dispatcher's clock; 0: neither
-	workMicros  int64
-	neededMB    float64
+	cancelledAt atomic.Int64 // when the attempt was cancelled or its client disconnected, by the dispatcher's clock; 0: neither
+	workMicros  int64        // CPU time that the node reports
+	neededMB    float64      // peak memory that the node reports
 
 	protocol protocolAttempt
 }
 
-// protocolAttempt makes an attempt in one protocol.
+// protocolAttempt makes one attempt in one protocol.
 type protocolAttempt interface {
-	// run runs it to its end; a result is what is not streamed.
+	// run makes the attempt and returns when it is over; result is the part of the response that was not streamed.
 	run(ctx context.Context, n *node) (result any, err error)
-	// classify tells how an error that came neither from a time-out nor from a cancel is to be read, with care for what may
-	// have run.
+	// classify maps an error that is neither a timeout nor a cancellation to an outcome. It is conservative: unless it is proved
+	// that nothing ran, the query may have run.
 	classify(err error) (code policy.Code, rejected bool)
-	// cleanUp cleans up what the attempt left on the node; its end has been told by then.
+	// cleanUp removes what the attempt left on the node. It runs after the attempt's end was reported.
 	cleanUp()
 }
 
-// newProtocolAttempt makes the carrier for a query's work.
+var (
+	_ protocolAttempt = (*flightAttempt)(nil)
+	_ protocolAttempt = (*nativeAttempt)(nil)
+	_ protocolAttempt = (*platformAttempt)(nil)
+)
+
+// newProtocolAttempt returns the implementation for the protocol of a query's work.
 func (t *attempt) newProtocolAttempt() protocolAttempt {
 	switch call := t.spec.Query.Work.(type) {
 	case *flightwire.Call:
@@ -75,106 +81,108 @@
 	f.drainDelays.recordSend(a.Node)
 	ctx, cancel := context.WithCancelCause(f.ctx)
 	t := &attempt{fleet: f, spec: a, startedAt: time.Now(), cancel: cancel, forward: make(chan struct{})}
-	wait := time.Duration(a.Deadline-f.clock.Now()) * time.Microsecond
-	t.timer = time.AfterFunc(wait, func() { cancel(errTimedOut) })
+	remaining := time.Duration(a.Deadline-f.clock.Now()) * time.Microsecond
+	t.timer = time.AfterFunc(remaining, func() { cancel(errTimedOut) })
 	t.protocol = t.newProtocolAttempt()
 	f.mu.Lock()
 	f.attempts[a.Query.ID] = append(f.attempts[a.Query.ID], t)
 	f.mu.Unlock()
 	f.group.Go(func() error {
-		c := t.protocol
-		ev := t.execute(ctx, c)
+		ended := t.execute(ctx)
 		t.timer.Stop()
 		cancel(nil)
 		f.forget(t)
-		f.post.Post(ev)
-		c.cleanUp()
+		f.post.Post(ended)
+		t.protocol.cleanUp()
 		return nil
 	})
 }
 
-func (f *Fleet) attempt(id string, n int) *attempt {
+// attempt finds an attempt in flight by its query and number; nil where there is none.
+func (f *Fleet) attempt(id string, number int) *attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, t := range f.attempts[id] {
-		if t.spec.Number == n {
+		if t.spec.Number == number {
 			return t
 		}
 	}
 	return nil
 }
 
+// forget removes an attempt that has ended.
 func (f *Fleet) forget(t *attempt) {
 	id := t.spec.Query.ID
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if left := slices.DeleteFunc(f.attempts[id], func(o *attempt) bool { return o == t }); len(left) > 0 {
-		f.attempts[id] = left
+	if remaining := slices.DeleteFunc(f.attempts[id], func(o *attempt) bool { return o == t }); len(remaining) > 0 {
+		f.attempts[id] = remaining
 	} else {
 		delete(f.attempts, id)
 	}
 }
 
-// ForwardResponse implements dispatch.Fleet: from now on the query's deadline alone counts, which the ledger keeps.
-func (f *Fleet) ForwardResponse(id string, n int) {
-	if t := f.attempt(id, n); t != nil {
+// ForwardResponse implements dispatch.Fleet. From now on only the query's deadline holds, which the ledger enforces.
+func (f *Fleet) ForwardResponse(id string, number int) {
+	if t := f.attempt(id, number); t != nil {
 		t.timer.Stop()
 		close(t.forward)
 	}
 }
 
 // Cancel implements dispatch.Fleet.
-func (f *Fleet) Cancel(id string, n int) {
-	if t := f.attempt(id, n); t != nil {
+func (f *Fleet) Cancel(id string, number int) {
+	if t := f.attempt(id, number); t != nil {
 		t.cancelledAt.CompareAndSwap(0, f.clock.Now())
 		t.cancel(errCancelled)
 	}
 }
 
-// execute makes the attempt and tells how it ended.
-func (t *attempt) execute(ctx context.Context, c protocolAttempt) dispatch.AttemptEnded {
-	result, err := t.runOnNode(ctx, c)
-	ev := dispatch.AttemptEnded{ID: t.spec.Query.ID, Number: t.spec.Number, Latency: time.Since(t.startedAt).Microseconds(), Load: t.load,
-		WorkMicros: t.workMicros, NeededMB: t.neededMB, Result: result, Err: err}
-	ev.Code, ev.Rejected = t.outcome(ctx, c, err)
-	return ev
+// execute makes the attempt and reports how it ended.
+func (t *attempt) execute(ctx context.Context) dispatch.AttemptEnded {
+	result, err := t.runOnNode(ctx)
+	ended := dispatch.AttemptEnded{ID: t.spec.Query.ID, Number: t.spec.Number, Latency: time.Since(t.startedAt).Microseconds(),
+		Load: t.load, WorkMicros: t.workMicros, NeededMB: t.neededMB, Result: result, Err: err}
+	ended.Code, ended.Rejected = t.classifyOutcome(ctx, err)
+	return ended
 }
 
-func (t *attempt) runOnNode(ctx context.Context, c protocolAttempt) (any, error) {
+// runOnNode holds the node while the attempt runs there.
+func (t *attempt) runOnNode(ctx context.Context) (any, error) {
 	n := t.fleet.acquire(t.spec.Node)
 	if n == nil {
 		return nil, errUnknownNode
 	}
 	defer t.fleet.release(n)
-	return c.run(ctx, n)
+	return t.protocol.run(ctx, n)
 }
 
-// outcome tells how an attempt ended, with care for what may have run: only a connection that was never up, a request that
-// was never written and a node's explicit word prove that nothing ran.
-func (t *attempt) outcome(ctx context.Context, c protocolAttempt, err error) (code policy.Code, rejected bool) {
+// classifyOutcome maps the end of an attempt to its outcome. It is conservative about what may have run: only a connection that
+// was never established, a request that was never written and an explicit answer of the node prove that nothing ran.
+func (t *attempt) classifyOutcome(ctx context.Context, err error) (code policy.Code, rejected bool) {
 	cause := context.Cause(ctx)
 	switch {
 	case err == nil:
 		return policy.OK, false
 	case t.notRun:
 		return policy.Rejected, false
-	case errors.Is(err, session.ErrStateMissing): // the node's word, as it were: another one has nothing of it either
+	case errors.Is(err, session.ErrStateMissing): // as if the node had rejected it: no other node has the session's state either
 		return policy.Failed, true
 	case errors.Is(err, errNotConnected), errors.Is(err, errUnknownNode), errors.Is(err, errWrongProtocol):
 		return policy.ConnectionRefused, false
-	case errors.Is(err, errNeverSent), errors.Is(err, errLocalDial): // whatever ended it: it proves nothing of the node
+	case errors.Is(err, errNeverSent), errors.Is(err, errLocalDial): // whatever the cause: it says nothing about the node
 		return policy.NeverSent, false
 	case errors.Is(cause, errTimedOut) && t.unsent:
 		return policy.ConnectionRefused, false
 	case errors.Is(cause, errTimedOut):
 		return policy.TimedOut, false
-	case cause != nil: // called off, or the fleet closes
+	case cause != nil: // cancelled, or the fleet closes
 		return policy.Cancelled, false
 	}
-	return c.classify(err)
+	return t.protocol.classify(err)
 }
 
-// awaitForward asks the loop to let the answer through, and waits for its word.
+// awaitForward reports to the dispatch loop that a response is ready, and waits until it may be forwarded to the client.
 func (t *attempt) awaitForward(ctx context.Context) error {
 	t.fleet.post.Post(dispatch.ResponseReady{ID: t.spec.Query.ID, Number: t.spec.Number})
 	select {
--- a/backend/dial_other.go
+++ b/backend/dial_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// limitUnacknowledged does nothing here: the system's own limit holds.
+// limitUnacknowledged does nothing on this system: its own retransmission limit holds.
 func limitUnacknowledged(syscall.RawConn, time.Duration) error { return nil }
--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -1,8 +1,12 @@
-// Package backend is the query nodes as one dispatcher sees them: the node list, kept connections, attempts and how they
-// end, load reports, probes. It decides nothing: what it is told to do comes from the module, what it sees goes there.
+// Package backend manages the query nodes as one dispatcher sees them: the node list, connection pools, attempts and their
+// outcomes, load reports, health checks. It decides nothing: commands come from the dispatch loop, observations go back to it.
+//
+// Three protocols are spoken: Flight SQL over gRPC (flight_*.go), the ClickHouse native protocol (native_*.go) and the platform's
+// line protocol (platform_*.go). What they share is in attempt.go, node.go, fleet.go, list.go, drain.go and permission_audit.go.
 package backend
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
 	"net"
@@ -23,50 +27,64 @@
 type Options struct {
 	Log                 *slog.Logger
 	Clock               dispatch.Clock
-	ConnectTimeout      time.Duration     // a connection that is not up by then is refused; default 250 ms
-	ProbeTimeout        time.Duration     // default 500 ms
-	MaxFrame            int               // most bytes of one message from a node; default 16 MiB
+	ConnectTimeout      time.Duration     // a connection that is not established by then counts as refused; default 250 ms
+	ProbeTimeout        time.Duration     // of a health check; default 500 ms
+	MaxFrame            int               // bytes of one message from a node; default 16 MiB
 	Dial                []grpc.DialOption // credentials; default: plain text
 	NativeUser          string            // for the native protocol
 	NativePassword      string
-	Headers             []string      // key and value in turn, sent with every call
-	MaxPlatformConns    int           // connections held to nodes that speak lines, all together; default 256
-	MaxAttemptsPerConn  int           // attempts that share one of them where there are no more; default 100
+	Headers             []string      // keys and values in turn, sent with every gRPC call
+	MaxPlatformConns    int           // connections to nodes in the platform's protocol, all together; default 256
+	MaxAttemptsPerConn  int           // attempts that share one of them when all are open; default 100
 	PlatformIdleTimeout time.Duration // one without an attempt is closed after this; default 10 s
-	DrainGrace          time.Duration // nothing new begins at a node so long after it was told to drain
+	DrainGrace          time.Duration // nothing new starts at a node this long after its drain notice
 }
 
-// Poster takes what the fleet has seen; *dispatch.Loop is one.
+// setDefaults replaces zero values.
+func (o *Options) setDefaults() {
+	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, 250*time.Millisecond)
+	o.ProbeTimeout = cmp.Or(o.ProbeTimeout, 500*time.Millisecond)
+	o.MaxPlatformConns = cmp.Or(o.MaxPlatformConns, 256)
+	o.MaxAttemptsPerConn = cmp.Or(o.MaxAttemptsPerConn, 100)
+	o.PlatformIdleTimeout = cmp.Or(o.PlatformIdleTimeout, 10*time.Second)
+	o.MaxFrame = cmp.Or(o.MaxFrame, 16<<20)
+	if o.Log == nil {
+		o.Log = slog.New(slog.DiscardHandler)
+	}
+}
+
+// Poster takes what the fleet observes; *dispatch.Loop is one.
 type Poster interface{ Post(dispatch.Event) }
 
+// poster posts events of the policy as well.
 type poster struct{ Poster }
 
 func (p poster) Notify(ev policy.Event) { p.Post(dispatch.PolicyEvent{Event: ev}) }
 
-// Fleet implements dispatch.Fleet over gRPC.
+// Fleet implements dispatch.Fleet for all three protocols.
 type Fleet struct {
 	log     *slog.Logger
 	clock   dispatch.Clock
 	options Options
 	post    poster
 	group   *errgroup.Group // every goroutine of the fleet
-	ctx     context.Context
+	ctx     context.Context // ends with Close
 	stop    context.CancelFunc
-	onNodes func([]nodelist.Node) // told of each list that comes into force; nil: nobody
-	// dialPlatform opens a connection to a node that speaks lines.
-	dialPlatform func(ctx context.Context, address string) (net.Conn, error)
-	sendGossip   func(int, []byte) // carries messages to other dispatchers; nil: nothing does
-	refetch      func()            // asks the list's source again; nil: there is nothing to ask
+
+	onNodes      func([]nodelist.Node)                                       // see OnNodes; nil: not set
+	dialPlatform func(ctx context.Context, address string) (net.Conn, error) // replaced by tests
+	sendGossip   func(peer int, data []byte)                                 // see OnGossip; nil: not set
+	refetch      func()                                                      // see OnFetch; nil: not set
 
 	mu             sync.Mutex
 	closed         bool
 	nodes          map[string]*node
-	listAcceptedAt policy.Micros         // when the list in force was taken; 0: there is none
-	attempts       map[string][]*attempt // those out, by query
+	listAcceptedAt policy.Micros         // when the list in force was accepted; 0: there is none
+	attempts       map[string][]*attempt // in flight, by query
 	sessionConns   map[string]*sessionConn
 
 	listFailures  atomic.Int64
-	platformConns atomic.Int64 // connections to nodes that speak lines
+	platformConns atomic.Int64 // open or reserved connections in the platform's protocol
 	drainDelays   drainDelays
 	audit         permit.Audit
 }
@@ -75,33 +93,13 @@
 
 // New returns a fleet without nodes. Bind must be called before the loop runs.
 func New(o Options) *Fleet {
-	if o.ConnectTimeout == 0 {
-		o.ConnectTimeout = 250 * time.Millisecond
-	}
-	if o.ProbeTimeout == 0 {
-		o.ProbeTimeout = 500 * time.Millisecond
-	}
-	if o.MaxPlatformConns == 0 {
-		o.MaxPlatformConns = 256
-	}
-	if o.MaxAttemptsPerConn == 0 {
-		o.MaxAttemptsPerConn = 100
-	}
-	if o.PlatformIdleTimeout == 0 {
-		o.PlatformIdleTimeout = 10 * time.Second
-	}
-	if o.MaxFrame == 0 {
-		o.MaxFrame = 16 << 20
-	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
-	}
+	o.setDefaults()
 	ctx, stop := context.WithCancel(context.Background())
 	return &Fleet{log: o.Log, clock: o.Clock, options: o, dialPlatform: dialTCP, group: new(errgroup.Group), ctx: ctx, stop: stop,
 		nodes: map[string]*node{}, attempts: map[string][]*attempt{}, sessionConns: map[string]*sessionConn{}}
 }
 
-// Bind names who is told of what happens.
+// Bind sets who receives the fleet's events.
 func (f *Fleet) Bind(p Poster) { f.post = poster{p} }
 
 // Go runs a goroutine that belongs to the fleet, such as a watch on the node list. It must end with ctx.
@@ -109,13 +107,13 @@
 	f.group.Go(func() error { run(f.ctx); return nil })
 }
 
-// OnFetch sets what Fetch and Watch call: it asks the list's source again and must not block.
-func (f *Fleet) OnFetch(ask func()) { f.refetch = ask }
+// OnFetch sets what WatchEndpoints and FetchEndpoints call: it polls the list's source again and must not block.
+func (f *Fleet) OnFetch(refetch func()) { f.refetch = refetch }
 
-// OnNodes sets who is told of each node list that comes into force; it must not block.
-func (f *Fleet) OnNodes(told func([]nodelist.Node)) { f.onNodes = told }
+// OnNodes sets who is notified of each node list that comes into force; it must not block.
+func (f *Fleet) OnNodes(notify func([]nodelist.Node)) { f.onNodes = notify }
 
-// WatchEndpoints implements dispatch.Fleet. The watch is kept by the list's source; asking again renews it.
+// WatchEndpoints implements dispatch.Fleet. The list's source keeps the watch; polling it again renews the watch.
 func (f *Fleet) WatchEndpoints() { f.FetchEndpoints() }
 
 // FetchEndpoints implements dispatch.Fleet.
@@ -125,9 +123,9 @@
 	}
 }
 
-// OnGossip sets what carries messages to other dispatchers; it must not block. Without one they stay off, and the module is
-// told so (CanTell).
-func (f *Fleet) OnGossip(tell func(peer int, data []byte)) { f.sendGossip = tell }
+// OnGossip sets what carries gossip messages to other dispatchers; it must not block. Without it gossip is off, which the policy's
+// settings say as well.
+func (f *Fleet) OnGossip(send func(peer int, data []byte)) { f.sendGossip = send }
 
 // SendGossip implements dispatch.Fleet.
 func (f *Fleet) SendGossip(peer int, data []byte) {
@@ -136,22 +134,23 @@
 	}
 }
 
-// LastSendAfterDrain is the longest time from a drain notice to a send to that node after it; 0 where none was sent.
-// The module alone keeps nodes that drain free of new work: this only measures it.
+// LastSendAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Only the
+// policy keeps new work away from nodes that drain: this measures it.
 func (f *Fleet) LastSendAfterDrain() time.Duration { return f.drainDelays.longest() }
 
-// Audit counts attempts that were not permitted at the moment they would have begun, and those that began against a rule.
+// Audit counts attempts that were not permitted at the moment at which they would have started, and those that started against a
+// rule.
 func (f *Fleet) Audit() *permit.Audit { return &f.audit }
 
-// ListFailures counts the node lists that failed or could not be used.
+// ListFailures counts the node lists that could not be fetched or used.
 func (f *Fleet) ListFailures() int64 { return f.listFailures.Load() }
 
-// Close calls everything off, waits for it to end and closes the connections.
+// Close cancels everything, waits for it to end and closes the connections.
 func (f *Fleet) Close() error {
 	f.stop()
 	f.mu.Lock()
 	f.closed = true
-	for _, n := range f.nodes { // their readers are waited for
+	for _, n := range f.nodes { // the group waits for their readers
 		n.platform.close()
 	}
 	f.mu.Unlock()
@@ -159,7 +158,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, s := range f.sessionConns {
-		s.conn.conn.Close()
+		s.conn.close()
 		delete(f.sessionConns, name)
 	}
 	for id, n := range f.nodes {
@@ -169,7 +168,7 @@
 	return err
 }
 
-// spawn runs a goroutine for callers that may come while the fleet closes; nothing is run for them then, and false returned.
+// spawn runs a goroutine for callers that may call while the fleet closes; then it runs nothing and returns false.
 func (f *Fleet) spawn(run func()) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,7 +178,7 @@
 	return !f.closed
 }
 
-// acquire takes a node for one call; nil where it is not known. Every use is ended by release.
+// acquire holds a node for one call; nil where it is not known. Each acquire is followed by release.
 func (f *Fleet) acquire(id string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -190,15 +189,16 @@
 	return n
 }
 
+// release ends the hold of a call on a node, and closes the node where it was removed meanwhile and no other call holds it.
 func (f *Fleet) release(n *node) {
 	f.mu.Lock()
 	n.users--
-	idle := n.removed && n.users == 0
-	if idle && f.nodes[n.id] == n {
+	unused := n.removed && n.users == 0
+	if unused && f.nodes[n.id] == n {
 		delete(f.nodes, n.id)
 	}
 	f.mu.Unlock()
-	if idle {
+	if unused {
 		n.close()
 	}
 }
--- /dev/null
+++ b/backend/native_health_check.go
@@ -0,0 +1,35 @@
+package backend
+
+import (
+	"context"
+
+	"embershunt/internal/native"
+	"embershunt/policy"
+)
+
+// checkNativeHealth sends a Ping on a connection like those of queries, and waits for its Pong.
+func (n *node) checkNativeHealth(ctx context.Context, o *Options) policy.Code {
+	key := nativeKey{revision: native.Newest}
+	if r := int(n.nativeRevision.Load()); r >= native.Oldest {
+		key.revision = min(r, native.Newest)
+	}
+	c, err := n.acquireNativeConn(ctx, o, key)
+	if err != nil {
+		return policy.ConnectionRefused
+	}
+	stop := interruptOnDone(ctx, c.conn)
+	err = c.send([]byte{native.ClientPing})
+	var p native.Packet
+	if err == nil {
+		p, err = c.r.ReadServer(key.revision)
+	}
+	if stop() && err == nil && p.Code == native.ServerPong {
+		n.releaseNativeConn(c)
+		return policy.OK
+	}
+	c.close()
+	if ctx.Err() != nil {
+		return policy.TimedOut
+	}
+	return policy.Failed
+}
--- a/backend/permission_audit_test.go
+++ b/backend/permission_audit_test.go
@@ -61,7 +61,7 @@
 	a := &attempt{fleet: f.Fleet}
 	a.spec.Query, a.spec.Deadline = &dispatch.Query{ID: "q"}, f.clock.Now()+1e6
 	n.drainNotifiedAt.Store(f.clock.Now() - 1e6)
-	if a.auditSent(n); f.Audit().Violated(permit.Draining) != 1 {
+	if a.auditStart(n); f.Audit().Violated(permit.Draining) != 1 {
 		t.Errorf("counts %v", f.Audit().Counts())
 	}
 }
--- a/backend/platform_attempt.go
+++ b/backend/platform_attempt.go
@@ -12,68 +12,64 @@
 	"embershunt/policy"
 )
 
-// Errors of attempts over lines.
+// Errors of attempts in the platform's protocol.
 var (
 	errNodeAtCapacity = errors.New("the node is full")
 	errNodeExpired    = errors.New("the node says that the request was over")
 	errNodeFailed     = errors.New("the node answers with an error")
 	errPoolExhausted  = errors.New("every connection to the node is in full use")
-	errNeverSent      = errors.New("over before anything was sent")
 )
 
-// platformAttempt makes an attempt over lines.
+// connectionError means that an attempt ended with its connection.
+type connectionError struct{ err error }
+
+func (e *connectionError) Error() string { return "the connection ended: " + e.err.Error() }
+func (e *connectionError) Unwrap() error { return e.err }
+
+// platformAttempt makes an attempt in the platform's protocol. The reader of its connection fills in the answer; run waits for it.
 type platformAttempt struct {
 	*attempt
 	call    *lineproto.Request
-	changed chan struct{} // holds one token when something has changed
+	changed chan struct{} // holds one token when the fields below have changed
 
 	mu              sync.Mutex
 	result          lineproto.Result
 	done            bool
-	err             error         // of a done attempt; nil: the result is whole
+	err             error         // of a done attempt; nil: the result is complete
 	conn            *platformConn // nil: the request is on none yet
-	progressReports int           // progress notes that came
+	progressReports int           // received so far
 }
 
-// maxPlatformConnAttempts bounds the connections tried for one attempt: kept ones may have ended without a word.
+// maxPlatformConnAttempts bounds the connections tried for one attempt: the node may have closed pooled ones unnoticed.
 const maxPlatformConnAttempts = 3
 
-// run implements carrier.
+// run implements protocolAttempt.
 func (t *platformAttempt) run(ctx context.Context, n *node) (any, error) {
 	if n.platform.address == "" {
 		return nil, errWrongProtocol
 	}
 	t.unsent = true
 	for range maxPlatformConnAttempts {
-		c, failed := n.acquirePlatformConn(ctx, t.fleet, t)
-		if errors.Is(failed, syscall.ECONNRESET) && ctx.Err() == nil { // a new connection broke: the machine is there
+		c, err := n.acquirePlatformConn(ctx, t)
+		if errors.Is(err, syscall.ECONNRESET) && ctx.Err() == nil { // a new connection was reset: the machine is up
 			continue
 		}
-		if failed != nil {
-			return nil, failed
+		if err != nil {
+			return nil, err
 		}
-		t.mu.Lock()
-		t.conn = c
-		t.mu.Unlock()
-		written, failed := t.sendRequest(ctx, n, c)
-		if t.unsent = written == 0; errors.Is(failed, errNeverSent) { // the connection is as good as before
-			c.removeAttempt(t, false, false)
-			return nil, failed
+		t.setConn(c)
+		written, err := t.sendRequest(ctx, n, c)
+		if t.unsent = written == 0; errors.Is(err, errNeverSent) { // the connection is as good as before
+			c.removeAttempt(t, attemptAnswered)
+			return nil, err
 		}
-		if failed != nil {
-			c.close(failed)
+		if err != nil {
+			c.close(err)
 		}
 		if !t.unsent {
 			return t.awaitAnswer(ctx, c)
 		}
-		// Nothing has left: another connection may do.
-		t.mu.Lock()
-		t.conn, t.done, t.err = nil, false, nil
-		t.mu.Unlock()
-		select {
-		case <-t.changed:
-		default:
-		}
+		t.reset() // nothing was written: another connection may do
 		if ctx.Err() != nil {
 			return nil, errNeverSent
 		}
@@ -81,9 +77,27 @@
 	return nil, errNotConnected
 }
 
-// sendRequest writes the request, unless it must not begin any more: a connection may have taken long to come up, or a command before
-// it long to be written. Meanwhile the client may have left, the time or a keyed request's window run out, the node begun to drain, or
-// gone from its address.
+// setConn records the connection that the request goes to.
+func (t *platformAttempt) setConn(c *platformConn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.conn = c
+}
+
+// reset takes the attempt off a connection on which nothing was written.
+func (t *platformAttempt) reset() {
+	t.mu.Lock()
+	t.conn, t.done, t.err = nil, false, nil
+	t.mu.Unlock()
+	select {
+	case <-t.changed:
+	default:
+	}
+}
+
+// sendRequest writes the request, unless it may not start any more: establishing the connection or writing a command before it may
+// have taken long. Meanwhile the client may have disconnected, the deadline or the window of an idempotency key have passed, or the
+// node have begun to drain or left its address.
 func (t *platformAttempt) sendRequest(ctx context.Context, n *node, c *platformConn) (written int, err error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -91,29 +105,27 @@
 		return 0, errNeverSent
 	}
 	q := *t.call
-	q.TTL = (int64(t.spec.Deadline-t.fleet.clock.Now()) + 999) / 1000
+	q.TTL = (t.spec.Deadline - t.fleet.clock.Now() + 999) / 1000 // rounded up to milliseconds
 	if t.spec.HasResources {
 		q.MemoryMB, q.Priority = int64(t.spec.MemoryMB), t.spec.Priority
 	}
-	written, err = c.writeLocked(q.Append(make([]byte, 0, len(q.Text)+200)), requestWriteTimeout)
+	const headerSize = 200 // bytes, an estimate
+	written, err = c.writeLocked(q.Append(make([]byte, 0, len(q.Text)+headerSize)), requestWriteTimeout)
 	if written > 0 {
-		t.auditSent(n)
+		t.auditStart(n)
 	}
 	return written, err
 }
 
-// awaitAnswer gathers the answer.
+// awaitAnswer waits for the answer and requests its further pages.
 func (t *platformAttempt) awaitAnswer(ctx context.Context, c *platformConn) (any, error) {
-	asked := false
+	requested := false
 	for {
 		select {
 		case <-t.changed:
 		case <-ctx.Done():
 			t.abandon(ctx, c)
-			t.mu.Lock()
-			why := fmt.Errorf("%w, after %d notes and %d of %d pages", context.Cause(ctx), t.progressReports, t.result.Have(), t.result.Pages())
-			t.mu.Unlock()
-			return nil, why
+			return nil, t.abandonedError(ctx)
 		}
 		t.mu.Lock()
 		done, err, pages := t.done, t.err, t.result.Pages()
@@ -121,47 +133,59 @@
 		switch {
 		case done && err == nil:
 			if pages > 1 {
-				c.write(lineproto.AppendClose(nil, t.call.ID))
+				_ = c.write(lineproto.AppendClose(nil, t.call.ID)) // the node discards its pages by itself, if later
 			}
-			c.removeAttempt(t, false, false)
+			c.removeAttempt(t, attemptAnswered)
 			return &t.result, nil
 		case done:
-			c.removeAttempt(t, false, false)
+			c.removeAttempt(t, attemptAnswered)
 			return nil, err
-		case pages > 1 && !asked:
-			asked = true
+		case pages > 1 && !requested:
+			requested = true
 			var b []byte
 			for i := 1; i < pages; i++ {
 				b = lineproto.AppendPage(b, t.call.ID, i)
 			}
-			c.write(b) // what goes wrong ends the connection, and with it this attempt
+			_ = c.write(b) // an error ends the connection, and with it this attempt
 		}
 	}
 }
 
-// abandon tells the node that nobody waits any more. A connection on which an answer is overdue is not used again: it may
-// be a machine that is gone.
+// abandon tells the node that nobody waits any more. A connection on which an answer is overdue is not used again: the machine may
+// be gone.
 func (t *platformAttempt) abandon(ctx context.Context, c *platformConn) {
 	t.mu.Lock()
 	t.done = true
 	t.mu.Unlock()
-	silent := errors.Is(context.Cause(ctx), errTimedOut)
-	if _, err := c.write(lineproto.AppendDrop(nil, t.call.ID)); err != nil { // a close gives it up as well
+	end := attemptAbandoned
+	if errors.Is(context.Cause(ctx), errTimedOut) {
+		end = attemptTimedOut
+	}
+	if err := c.write(lineproto.AppendDrop(nil, t.call.ID)); err != nil { // closing the connection drops the request as well
 		c.close(err)
 	}
-	c.removeAttempt(t, true, silent)
+	c.removeAttempt(t, end)
 }
 
-// connClosed ends the attempt with its connection. It may be on another one by now: where nothing had left on this one.
-func (t *platformAttempt) connClosed(c *platformConn, why error) {
+// abandonedError is the cause of an abandoned attempt, with how far its answer had come.
+func (t *platformAttempt) abandonedError(ctx context.Context) error {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return fmt.Errorf("%w, after %d notes and %d of %d pages", context.Cause(ctx), t.progressReports, t.result.Have(), t.result.Pages())
+}
+
+// connClosed ends the attempt with its connection. It ignores a connection on which nothing was written: the attempt may be on another
+// one by now.
+func (t *platformAttempt) connClosed(c *platformConn, cause error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.conn == c && !t.done {
-		t.done, t.err = true, &connectionError{why}
+		t.done, t.err = true, &connectionError{cause}
 		t.notify()
 	}
 }
 
+// notify wakes awaitAnswer.
 func (t *platformAttempt) notify() {
 	select {
 	case t.changed <- struct{}{}:
@@ -169,7 +193,7 @@
 	}
 }
 
-// receive takes one answer; an error ends the connection.
+// receive takes one answer of the node; an error ends the connection.
 func (t *platformAttempt) receive(c *platformConn, a *lineproto.Answer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,15 +205,7 @@
 	}
 	switch a.Word {
 	case lineproto.Data, lineproto.Page:
-		first := !t.result.Begun()
-		done, err := t.result.Add(a)
-		if err != nil {
-			return err
-		}
-		if t.done = done; done || first {
-			t.notify()
-		}
-		return nil
+		return t.receivePage(a)
 	case lineproto.News:
 		t.progressReports++
 		if p, ok := platformProgress(a.Field("why"), a.Field("datum")); ok {
@@ -211,30 +227,37 @@
 	return nil
 }
 
-// connectionError tells that an attempt ended with its connection.
-type connectionError struct{ err error }
-
-func (e *connectionError) Error() string { return "the connection ended: " + e.err.Error() }
-func (e *connectionError) Unwrap() error { return e.err }
+// receivePage adds a page to the result; t.mu is held.
+func (t *platformAttempt) receivePage(a *lineproto.Answer) error {
+	first := !t.result.Begun()
+	done, err := t.result.Add(a)
+	if err != nil {
+		return err
+	}
+	if t.done = done; done || first {
+		t.notify()
+	}
+	return nil
+}
 
-// classify implements carrier.
+// classify implements protocolAttempt.
 func (t *platformAttempt) classify(err error) (policy.Code, bool) {
-	var form *lineproto.FormatError
+	var format *lineproto.FormatError
 	switch {
 	case errors.Is(err, errNodeAtCapacity):
 		return policy.Rejected, false
-	case errors.Is(err, errNodeExpired), errors.Is(err, errPoolExhausted): // no fault of the node
+	case errors.Is(err, errNodeExpired), errors.Is(err, errPoolExhausted): // not the node's fault
 		return policy.NeverSent, false
-	case errors.Is(err, errNodeFailed), errors.As(err, &form):
+	case errors.Is(err, errNodeFailed), errors.As(err, &format):
 		return policy.Failed, false
 	}
 	return policy.ConnectionReset, false
 }
 
-// cleanUp implements carrier.
+// cleanUp implements protocolAttempt.
 func (t *platformAttempt) cleanUp() {}
 
-// setPriority sets a new priority for what runs.
+// setPriority changes the priority of a running request.
 func (t *platformAttempt) setPriority(priority int) {
 	t.mu.Lock()
 	c := t.conn
@@ -243,6 +266,6 @@
 	}
 	t.mu.Unlock()
 	if c != nil {
-		c.write(lineproto.AppendRank(nil, t.call.ID, priority))
+		_ = c.write(lineproto.AppendRank(nil, t.call.ID, priority)) // advice: losing it costs little
 	}
 }
--- /dev/null
+++ b/backend/platform_connection.go
@@ -0,0 +1,144 @@
+package backend
+
+import (
+	"net"
+	"slices"
+	"sync"
+	"time"
+
+	"embershunt/internal/lineproto"
+)
+
+// platformConn is one connection in the platform's protocol. Its reader belongs to the fleet's group.
+type platformConn struct {
+	fleet   *Fleet
+	pool    *platformPool
+	conn    net.Conn
+	writeMu sync.Mutex // held while one command is written
+
+	mu           sync.Mutex
+	attempts     map[string]*platformAttempt // by request id
+	abandonedIDs []string                    // of requests abandoned on this connection: their answers may still come
+	retired      bool                        // takes no more attempts
+	closed       bool
+}
+
+// maxAbandonedIDs bounds the abandoned requests of a connection. One that has so many takes no more attempts and is closed when it
+// is idle.
+const maxAbandonedIDs = 32
+
+// addAttempt adds an attempt; false where the connection takes none, or has seen the request's id before.
+func (c *platformConn) addAttempt(t *platformAttempt) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed || c.retired || c.attempts[t.call.ID] != nil || slices.Contains(c.abandonedIDs, t.call.ID) {
+		return false
+	}
+	c.attempts[t.call.ID] = t
+	c.setReadDeadline(time.Time{})
+	return true
+}
+
+// setReadDeadline sets until when the reader waits for an answer.
+func (c *platformConn) setReadDeadline(at time.Time) {
+	_ = c.conn.SetReadDeadline(at) // fails only on a closed connection, which the reader notices
+}
+
+// attemptCount counts the attempts on the connection.
+func (c *platformConn) attemptCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.attempts)
+}
+
+// attemptEnd is how an attempt leaves its connection.
+type attemptEnd uint8
+
+const (
+	attemptAnswered  attemptEnd = iota // answered, or nothing of it was written
+	attemptAbandoned                   // its answer may still come
+	attemptTimedOut                    // likewise, and the node may be gone: the connection is not used again
+)
+
+// removeAttempt takes an attempt off the connection, which goes back to the pool where it can be used again.
+func (c *platformConn) removeAttempt(t *platformAttempt, end attemptEnd) {
+	c.mu.Lock()
+	delete(c.attempts, t.call.ID)
+	if end != attemptAnswered {
+		c.abandonedIDs = append(c.abandonedIDs, t.call.ID)
+	}
+	idle := len(c.attempts) == 0 && !c.closed
+	c.retired = c.retired || end == attemptTimedOut || len(c.abandonedIDs) >= maxAbandonedIDs
+	retired := c.retired
+	if idle {
+		c.setReadDeadline(time.Now().Add(c.fleet.options.PlatformIdleTimeout))
+	}
+	c.mu.Unlock()
+	if idle && (retired || !c.pool.release(c)) {
+		c.close(net.ErrClosed)
+	}
+}
+
+// close closes the connection and ends all attempts on it.
+func (c *platformConn) close(cause error) {
+	c.mu.Lock()
+	if c.closed {
+		c.mu.Unlock()
+		return
+	}
+	c.closed = true
+	attempts := make([]*platformAttempt, 0, len(c.attempts))
+	for _, t := range c.attempts { // each by itself: the order does not matter
+		attempts = append(attempts, t)
+	}
+	c.mu.Unlock()
+	_ = c.conn.Close() // its attempts end with the cause
+	c.fleet.platformConns.Add(-1)
+	c.pool.remove(c)
+	for _, t := range attempts {
+		t.connClosed(c, cause)
+	}
+}
+
+// readAnswers passes answers to their attempts until the connection ends.
+func (c *platformConn) readAnswers() {
+	r := lineproto.NewReader(c.conn)
+	for {
+		a, err := r.Read()
+		if err != nil {
+			c.close(err)
+			return
+		}
+		c.mu.Lock()
+		t := c.attempts[a.ID]
+		c.mu.Unlock()
+		if t == nil { // abandoned, answered before, or never requested here
+			continue
+		}
+		if err := t.receive(c, &a); err != nil {
+			c.close(err)
+			return
+		}
+	}
+}
+
+// Bounds of the writing of one command: a node that does not read must not hold the attempt for long. A request has less time: the
+// permission to start it is checked before it is written, and its first byte may leave only at the end of a write that blocks.
+const (
+	commandWriteTimeout = time.Second
+	requestWriteTimeout = 200 * time.Millisecond
+)
+
+// write writes one command.
+func (c *platformConn) write(b []byte) error {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_, err := c.writeLocked(b, commandWriteTimeout)
+	return err
+}
+
+// writeLocked writes one command within a timeout; c.writeMu is held.
+func (c *platformConn) writeLocked(b []byte, timeout time.Duration) (written int, err error) {
+	_ = c.conn.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, where the write fails as well
+	return c.conn.Write(b)
+}
--- a/backend/platform_health_check.go
+++ b/backend/platform_health_check.go
@@ -2,17 +2,16 @@
 
 import (
 	"context"
-	"time"
 
 	"embershunt/internal/lineproto"
 	"embershunt/policy"
 )
 
-// checkPlatformHealth pings a node on a connection of its own.
+// checkPlatformHealth pings a node on a connection of its own, which counts against the bound on connections like any other.
 func (n *node) checkPlatformHealth(ctx context.Context, f *Fleet) policy.Code {
 	ctx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
 	defer cancel()
-	if !f.reservePlatformConn() { // a probe holds a descriptor like any attempt
+	if !f.reservePlatformConn() {
 		return policy.NeverSent
 	}
 	defer f.platformConns.Add(-1)
@@ -23,10 +22,11 @@
 	if err != nil {
 		return policy.ConnectionRefused
 	}
-	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	defer func() { _ = conn.Close() }() // nothing on it is needed any more
+	stop := interruptOnDone(ctx, conn)
 	defer stop()
-	if _, err := conn.Write(lineproto.AppendPing(nil, "ping")); err != nil {
+	const tag = "ping"
+	if _, err := conn.Write(lineproto.AppendPing(nil, tag)); err != nil {
 		return policy.ConnectionReset
 	}
 	a, err := lineproto.NewReader(conn).Read()
@@ -35,11 +35,8 @@
 		return policy.TimedOut
 	case err != nil:
 		return policy.ConnectionReset
-	case a.Word != lineproto.Well || a.ID != "ping":
+	case a.Word != lineproto.Well || a.ID != tag:
 		return policy.Failed
 	}
 	return policy.OK
 }
-
-// PlatformConns counts the connections to nodes that speak lines.
-func (f *Fleet) PlatformConns() int64 { return f.platformConns.Load() }
--- a/backend/platform_load_report.go
+++ b/backend/platform_load_report.go
@@ -7,17 +7,17 @@
 	"embershunt/policy"
 )
 
-// platformLoad reads a load report, name:value separated by semicolons; names of the settings and of the lines alike. One that
-// does not parse counts as none.
-func platformLoad(s string) *policy.Load {
-	if s == "" {
+// platformLoad reads a load report: name:value pairs separated by semicolons, with the names of the platform's settings or of its
+// protocol. A report that does not parse counts as none.
+func platformLoad(report string) *policy.Load {
+	if report == "" {
 		return nil
 	}
-	l := policy.Load{Util: -1, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}
-	for part := range strings.SplitSeq(s, ";") {
-		name, value, _ := strings.Cut(part, ":")
-		v, err := strconv.ParseFloat(value, 64)
-		if err != nil || !(v >= 0 && v < 1e9) {
+	l := policy.Load{Util: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported, Disk: loadNotReported}
+	for pair := range strings.SplitSeq(report, ";") {
+		name, value, _ := strings.Cut(pair, ":")
+		v, ok := parseFigure(value)
+		if !ok {
 			return nil
 		}
 		switch name {
@@ -36,24 +36,33 @@
 	return &l
 }
 
-// platformProgress reads a note on an attempt that is out; ok is false where there is none.
+// maxFigure bounds the figures of a report that can be meant.
+const maxFigure = 1e9
+
+// parseFigure reads a figure of a report; NaN, negative and excessive ones are none.
+func parseFigure(s string) (v float64, ok bool) {
+	v, err := strconv.ParseFloat(s, 64)
+	return v, err == nil && v >= 0 && v < maxFigure
+}
+
+// platformProgress reads a progress report of an attempt in flight; ok is false where it does not parse.
 func platformProgress(why, datum string) (p policy.Progress, ok bool) {
-	v, err := strconv.ParseFloat(datum, 64)
-	if err != nil || !(v >= 0 && v < 1e9) {
-		return p, false
+	const waitingForTables = 2 // the datum of a wait for tables; any other is a wait for memory
+	if p.Value, ok = parseFigure(datum); !ok {
+		return policy.Progress{}, false
 	}
-	p.Value = v
-	switch {
-	case why == "p":
+	switch why {
+	case "p":
 		p.Kind = policy.FractionDone
-	case why == "s":
+	case "s":
 		p.Kind = policy.MemorySpilled
-	case why == "w" && v == 2:
-		p.Kind = policy.WaitingForTables
-	case why == "w":
+	case "w":
 		p.Kind = policy.WaitingForMemory
+		if p.Value == waitingForTables {
+			p.Kind = policy.WaitingForTables
+		}
 	default:
-		return p, false
+		return policy.Progress{}, false
 	}
 	return p, true
 }
--- a/backend/platform_pool.go
+++ b/backend/platform_pool.go
@@ -6,77 +6,44 @@
 	"net"
 	"slices"
 	"sync"
-	"time"
-
-	"embershunt/internal/lineproto"
 )
 
-// platformPool is the connections to one node that speaks lines. As long as descriptors last each attempt has one of its own:
-// what spoils an answer ends all that is open on its connection.
+// platformPool is the connections to one node in the platform's protocol. As long as descriptors last each attempt has a connection
+// of its own: what cannot be parsed ends all attempts on its connection.
+//
+// Locks are taken in the order Fleet.mu, platformPool.mu, platformConn.mu.
 type platformPool struct {
-	address string
+	address string // "": the node does not speak this protocol
 
 	mu     sync.Mutex
-	idle   []*platformConn // the one used last at the end
+	idle   []*platformConn // the most recently used last
 	busy   []*platformConn
 	closed bool
 }
 
-// platformConn is one connection. Its reader belongs to the fleet's group.
-type platformConn struct {
-	fleet   *Fleet
-	pool    *platformPool
-	conn    net.Conn
-	writeMu sync.Mutex // one command at a time
-
-	mu           sync.Mutex
-	attempts     map[string]*platformAttempt
-	abandonedIDs []string // ids given up here: their answers may still come
-	retired      bool     // takes no more attempts
-	closed       bool
-}
-
-// maxAbandonedIDs bounds the ids given up on a connection. One with so many takes no more attempts and is closed when it is idle.
-const maxAbandonedIDs = 32
-
-// acquirePlatformConn finds a connection for an attempt: an idle one, a new one, or one in use where descriptors have run out.
-func (n *node) acquirePlatformConn(ctx context.Context, f *Fleet, t *platformAttempt) (*platformConn, error) {
-	p := &n.platform
+// acquirePlatformConn finds a connection for an attempt and adds the attempt to it: an idle one, a new one, or a busy one where
+// descriptors have run out.
+func (n *node) acquirePlatformConn(ctx context.Context, t *platformAttempt) (*platformConn, error) {
+	f, p := t.fleet, &n.platform
 	if c := p.takeIdle(t); c != nil {
 		return c, nil
 	}
 	if !f.reservePlatformConn() {
-		if c := p.takeBusy(t, f.options.MaxAttemptsPerConn); c != nil {
+		if c := p.shareBusy(t, f.options.MaxAttemptsPerConn); c != nil {
 			return c, nil
 		}
 		return nil, errPoolExhausted
 	}
-	dial, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
-	defer cancel()
-	conn, err := f.dialPlatform(dial, p.address)
+	conn, err := p.dialReserved(ctx, f)
 	if err != nil {
-		f.platformConns.Add(-1)
-		if ctx.Err() != nil { // the attempt is over: that tells nothing of the node
-			return nil, errNeverSent
-		}
-		if isLocalDialError(err) { // it says nothing of the node
-			return nil, errors.Join(errLocalDial, err)
-		}
-		if dial.Err() != nil { // what does not come up has not been alive on older connections either
-			p.closeIdle()
-		}
-		return nil, errors.Join(errNotConnected, err)
+		return nil, err
 	}
 	c := &platformConn{fleet: f, pool: p, conn: conn, attempts: map[string]*platformAttempt{t.call.ID: t}}
-	p.mu.Lock()
-	if p.closed {
-		p.mu.Unlock()
-		conn.Close()
+	if !p.addBusy(c) {
+		_ = conn.Close() // nothing was sent on it
 		f.platformConns.Add(-1)
 		return nil, errNotConnected
 	}
-	p.busy = append(p.busy, c)
-	p.mu.Unlock()
 	if !f.spawn(c.readAnswers) {
 		c.close(net.ErrClosed)
 		return nil, errNotConnected
@@ -84,29 +51,60 @@
 	return c, nil
 }
 
-// reservePlatformConn books a descriptor; idle connections to other nodes make room.
+// dialReserved establishes a reserved connection within the connect timeout; where that fails the reservation is given back.
+func (p *platformPool) dialReserved(ctx context.Context, f *Fleet) (net.Conn, error) {
+	dialCtx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
+	defer cancel()
+	conn, err := f.dialPlatform(dialCtx, p.address)
+	if err == nil {
+		return conn, nil
+	}
+	f.platformConns.Add(-1)
+	switch {
+	case ctx.Err() != nil: // the attempt is over: that says nothing about the node
+		return nil, errNeverSent
+	case isLocalDialError(err):
+		return nil, errors.Join(errLocalDial, err)
+	}
+	if dialCtx.Err() != nil { // a node that does not answer a connect is not alive on older connections either
+		p.closeIdle()
+	}
+	return nil, errors.Join(errNotConnected, err)
+}
+
+// reservePlatformConn counts one more connection against the bound; an idle connection, to whatever node, is closed to make room.
+// false: the bound is reached and no connection is idle.
 func (f *Fleet) reservePlatformConn() bool {
 	for range 2 {
 		if f.platformConns.Add(1) <= int64(f.options.MaxPlatformConns) {
 			return true
 		}
 		f.platformConns.Add(-1)
-		f.mu.Lock()
-		var oldest *platformConn
-		for _, n := range f.nodes { // any idle one will do
-			if oldest = n.platform.takeOldest(); oldest != nil {
-				break
-			}
-		}
-		f.mu.Unlock()
-		if oldest == nil {
+		idle := f.takeAnyIdlePlatformConn()
+		if idle == nil {
 			return false
 		}
-		oldest.close(net.ErrClosed)
+		idle.close(net.ErrClosed)
 	}
 	return false
 }
 
+// takeAnyIdlePlatformConn takes an idle connection out of any node's pool; nil if there is none.
+func (f *Fleet) takeAnyIdlePlatformConn() *platformConn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, n := range f.nodes { // any will do: the order does not matter
+		if c := n.platform.takeOldestIdle(); c != nil {
+			return c
+		}
+	}
+	return nil
+}
+
+// PlatformConns counts the connections to nodes in the platform's protocol.
+func (f *Fleet) PlatformConns() int64 { return f.platformConns.Load() }
+
+// takeIdle adds an attempt to the most recently used idle connection that takes it; nil if there is none.
 func (p *platformPool) takeIdle(t *platformAttempt) *platformConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +118,8 @@
 	return nil
 }
 
-func (p *platformPool) takeOldest() *platformConn {
+// takeOldestIdle takes the least recently used idle connection out of the pool; nil if there is none.
+func (p *platformPool) takeOldestIdle() *platformConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle) == 0 {
@@ -131,14 +130,15 @@
 	return c
 }
 
-func (p *platformPool) takeBusy(t *platformAttempt, most int) *platformConn {
+// shareBusy adds an attempt to the busy connection with the fewest attempts; nil where all have maxAttempts.
+func (p *platformPool) shareBusy(t *platformAttempt, maxAttempts int) *platformConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *platformConn
-	least := most
+	fewest := maxAttempts
 	for _, c := range p.busy {
-		if n := c.attemptCount(); n < least {
-			best, least = c, n
+		if n := c.attemptCount(); n < fewest {
+			best, fewest = c, n
 		}
 	}
 	if best == nil || !best.addAttempt(t) {
@@ -147,28 +147,31 @@
 	return best
 }
 
-func (p *platformPool) closeIdle() {
+// addBusy adds a new connection that has an attempt; false where the pool is closed.
+func (p *platformPool) addBusy(c *platformConn) bool {
 	p.mu.Lock()
-	idle := p.idle
-	p.idle = nil
-	p.mu.Unlock()
-	for _, c := range idle {
-		c.close(net.ErrClosed)
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
 	}
+	p.busy = append(p.busy, c)
+	return true
 }
 
-func (p *platformPool) close() {
+// release moves a connection without attempts to the idle ones; false where the pool is closed.
+func (p *platformPool) release(c *platformConn) bool {
 	p.mu.Lock()
-	p.closed = true
-	all := append(p.idle, p.busy...)
-	p.idle, p.busy = nil, nil
-	p.mu.Unlock()
-	for _, c := range all {
-		c.close(net.ErrClosed)
+	defer p.mu.Unlock()
+	if c.attemptCount() > 0 { // a new attempt shares it since
+		return true
+	}
+	if others := withoutConn(p.busy, c); len(others) < len(p.busy) {
+		p.busy, p.idle = others, append(p.idle, c)
 	}
+	return !p.closed
 }
 
-// remove takes a connection off the books.
+// remove takes a closed connection out of the pool.
 func (p *platformPool) remove(c *platformConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -179,115 +182,25 @@
 	return slices.DeleteFunc(list, func(o *platformConn) bool { return o == c })
 }
 
-// addAttempt puts an attempt on a connection; false where it is dead or knows the id already.
-func (c *platformConn) addAttempt(t *platformAttempt) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.closed || c.retired || c.attempts[t.call.ID] != nil || slices.Contains(c.abandonedIDs, t.call.ID) {
-		return false
-	}
-	c.attempts[t.call.ID] = t
-	c.conn.SetReadDeadline(time.Time{})
-	return true
-}
-
-func (c *platformConn) attemptCount() int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return len(c.attempts)
-}
-
-// removeAttempt takes an attempt off its connection, which is kept where nothing speaks against that. What was given up may still
-// be answered; a connection that let an attempt time out is not used again.
-func (c *platformConn) removeAttempt(t *platformAttempt, given, silent bool) {
-	c.mu.Lock()
-	delete(c.attempts, t.call.ID)
-	if given {
-		c.abandonedIDs = append(c.abandonedIDs, t.call.ID)
-	}
-	idle := len(c.attempts) == 0 && !c.closed
-	c.retired = c.retired || silent || len(c.abandonedIDs) >= maxAbandonedIDs
-	worn := c.retired
-	if idle {
-		c.conn.SetReadDeadline(time.Now().Add(c.fleet.options.PlatformIdleTimeout))
-	}
-	c.mu.Unlock()
-	if idle && (worn || !c.pool.release(c)) {
+// closeIdle closes the idle connections.
+func (p *platformPool) closeIdle() {
+	p.mu.Lock()
+	idle := p.idle
+	p.idle = nil
+	p.mu.Unlock()
+	for _, c := range idle {
 		c.close(net.ErrClosed)
 	}
 }
 
-// release puts a connection with nothing open among the idle ones; false where the pool is closed.
-func (p *platformPool) release(c *platformConn) bool {
+// close closes all connections; the pool takes no new ones.
+func (p *platformPool) close() {
 	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.attemptCount() > 0 { // shared with a new attempt meanwhile
-		return true
-	}
-	if left := withoutConn(p.busy, c); len(left) < len(p.busy) {
-		p.busy, p.idle = left, append(p.idle, c)
-	}
-	return !p.closed
-}
-
-// close ends a connection and all that is open on it.
-func (c *platformConn) close(why error) {
-	c.mu.Lock()
-	if c.closed {
-		c.mu.Unlock()
-		return
-	}
-	c.closed = true
-	open := make([]*platformAttempt, 0, len(c.attempts))
-	for _, t := range c.attempts { // each by itself: the order does not matter
-		open = append(open, t)
-	}
-	c.mu.Unlock()
-	c.conn.Close()
-	c.fleet.platformConns.Add(-1)
-	c.pool.remove(c)
-	for _, t := range open {
-		t.connClosed(c, why)
-	}
-}
-
-// readAnswers takes what the node sends until the connection ends.
-func (c *platformConn) readAnswers() {
-	r := lineproto.NewReader(c.conn)
-	for {
-		a, err := r.Read()
-		if err != nil {
-			c.close(err)
-			return
-		}
-		c.mu.Lock()
-		t := c.attempts[a.ID]
-		c.mu.Unlock()
-		if t == nil { // given up, answered already, or never asked for here
-			continue
-		}
-		if err := t.receive(c, &a); err != nil {
-			c.close(err)
-			return
-		}
+	p.closed = true
+	all := slices.Concat(p.idle, p.busy)
+	p.idle, p.busy = nil, nil
+	p.mu.Unlock()
+	for _, c := range all {
+		c.close(net.ErrClosed)
 	}
 }
-
-// Bounds of the writing of one command: a node that does not read must not hold the attempt for long. A request has less time: what
-// permits it to begin is known before it is written, and its first byte leaves at the end of a write that blocks.
-const (
-	commandWriteTimeout = time.Second
-	requestWriteTimeout = 200 * time.Millisecond
-)
-
-func (c *platformConn) write(b []byte) (int, error) {
-	c.writeMu.Lock()
-	defer c.writeMu.Unlock()
-	return c.writeLocked(b, commandWriteTimeout)
-}
-
-// writeLocked writes one command within some time; c.wmu is held.
-func (c *platformConn) writeLocked(b []byte, within time.Duration) (int, error) {
-	c.conn.SetWriteDeadline(time.Now().Add(within))
-	return c.conn.Write(b)
-}
