--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"testing"
@@ -12,26 +13,23 @@
 	"embershunt/nodelist"
 	"embershunt/policy"
 	"embershunt/simulated"
-)
-
-// eventRecorder keeps what a fleet has seen.
-type eventRecorder struct{ events chan dispatch.Event }
 
-func (t eventRecorder) Post(ev dispatch.Event) { t.events <- ev }
+	"golang.org/x/sync/errgroup"
+)
 
-// discardSink takes an answer.
+// discardSink takes an answer and drops it.
 type discardSink struct{}
 
 func (s *discardSink) Pass([]byte, bool) error { return nil }
 
-// runNativeAttempt sends one attempt to one node and returns what was seen of it, up to its end.
-func runNativeAttempt(t *testing.T, address string, call native.Call, until time.Duration) (notes []policy.Progress, end dispatch.AttemptEnded) {
+// runNativeAttempt sends one attempt to one node, and returns its progress reports and its end.
+func runNativeAttempt(t *testing.T, address string, call native.Call, timeout time.Duration) (progress []policy.Progress, end dispatch.AttemptEnded) {
 	t.Helper()
 	clock := dispatch.NewClock()
 	f := New(Options{Clock: clock, ConnectTimeout: 200 * time.Millisecond})
-	tp := eventRecorder{make(chan dispatch.Event, 10000)}
-	f.Bind(tp)
-	defer f.Close()
+	recorder := eventRecorder{make(chan dispatch.Event, 10000)}
+	f.Bind(recorder)
+	defer closeFleet(t, f)
 	if err := f.SetNodes([]nodelist.Node{{ID: "n", Native: address}}); err != nil {
 		t.Fatal(err)
 	}
@@ -39,30 +37,30 @@
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
 	call.Tables = native.EndOfData()
 	now := clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Deadline: now + 1e7}, Node: "n", Deadline: now + until.Microseconds()})
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Deadline: now + 1e7}, Node: "n", Deadline: now + timeout.Microseconds()})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			t.Fatal("no end in 5 s")
-		case ev := <-tp.events:
+		case ev := <-recorder.events:
 			switch ev := ev.(type) {
 			case dispatch.ResponseReady:
 				f.ForwardResponse(ev.ID, ev.Number)
 			case dispatch.AttemptEnded:
-				return notes, ev
+				return progress, ev
 			case dispatch.PolicyEvent:
 				if p, ok := ev.Event.(policy.Progress); ok {
-					notes = append(notes, p)
+					progress = append(progress, p)
 				}
 			}
 		}
 	}
 }
 
-// Every way in which an attempt over the native protocol ends, with care for what may have run.
-func TestEndsOfNativeAttempts(t *testing.T) {
+// The outcome of every way in which an attempt over the native protocol ends: conservative about what may have run.
+func TestNativeAttemptOutcomes(t *testing.T) {
 	const insert = "INSERT INTO events (id, name) VALUES"
 	rows := [][]byte{native.EndOfData()}
 	cases := []struct {
@@ -76,12 +74,12 @@
 	}{
 		{"an answer", simulated.Faults{}, false, "SELECT 1 /* rows=10 */", nil, policy.OK, false},
 		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.ConnectionRefused, false},
-		{"turned away", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
+		{"rejected", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
 		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
 		{"a wrong statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
 		{"silent", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
 		{"an update without an answer", simulated.Faults{Lost: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
-		{"a cut answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
+		{"a truncated answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
 		{"rows taken", simulated.Faults{}, false, insert, rows, policy.OK, false},
 		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
 		{"rows taken and no answer", simulated.Faults{Lost: true}, false, insert, rows, policy.TimedOut, false},
@@ -99,10 +97,10 @@
 				n.Die()
 			}
 			_, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
-			if c.text == insert && c.fault.Hang { // told well before the attempt's own time-out would have been
+			if c.text == insert && c.fault.Hang { // reported well before the attempt's own timeout
 				_, end = runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
 				if end.Latency > 2e6 {
-					t.Errorf("told after %d us", end.Latency)
+					t.Errorf("reported after %d us", end.Latency)
 				}
 			}
 			if end.Code != c.code || end.Rejected != c.rejected {
@@ -112,52 +110,41 @@
 	}
 }
 
-// What a node tells of a query's course and cost comes to the module.
-func TestNativeNodesTellProgressAndCost(t *testing.T) {
+// What a node reports of a query's progress and cost reaches the policy.
+func TestNativeProgressAndCost(t *testing.T) {
 	n := simulated.NewNode("n", simulated.Model{}, 1)
 	if err := n.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
 	defer n.Die()
-	notes, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
+	progress, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
 	if end.Code != policy.OK || end.WorkMicros != 600000 || end.NeededMB != 50 {
 		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkMicros, end.NeededMB)
 	}
-	if len(notes) < 3 || len(notes) > 8 {
-		t.Errorf("%d notes, want one each 100 ms", len(notes))
+	if len(progress) < 3 || len(progress) > 8 {
+		t.Errorf("%d progress reports, want one each 100 ms", len(progress))
 	}
-	for i, p := range notes {
-		if p.ID != "q" || p.Endpoint != "n" || p.Kind != policy.FractionDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < notes[i-1].Value {
-			t.Errorf("note %d: %+v", i, p)
+	for i, p := range progress {
+		if p.ID != "q" || p.Endpoint != "n" || p.Kind != policy.FractionDone || p.Value <= 0 || p.Value > 1 || i > 0 && p.Value < progress[i-1].Value {
+			t.Errorf("report %d: %+v", i, p)
 		}
 	}
 }
 
-// A node that breaks off while rows are written to it ends the attempt, and the writer with it.
-func TestANodeThatLeavesDuringAnUpload(t *testing.T) {
+// A node that closes the connection while rows are written to it ends the attempt, and the writer with it.
+func TestNodeClosesDuringAnUpload(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	done := make(chan struct{})
-	defer func() { <-done }()
-	go func() {
-		defer close(done)
-		conn, err := l.Accept()
-		if err != nil {
-			return
+	defer closeConn(t, l)
+	var group errgroup.Group
+	defer func() {
+		if err := group.Wait(); err != nil {
+			t.Error(err)
 		}
-		r := native.NewReader(conn, 1<<20)
-		r.ReadHello()
-		conn.Write(native.Server{Name: "n", Revision: native.Newest}.Encode())
-		r.ReadAddendum(native.Newest)
-		r.ReadClient()
-		r.ReadQuery(native.Newest)
-		conn.Write([]byte{native.ServerData, 0, 0, 0, 0}) // no columns at all will do here
-		io.CopyN(io.Discard, conn, 1<<20)
-		conn.Close()
 	}()
+	group.Go(func() error { return acceptPartOfUpload(l, 1<<20) })
 	large := make([]byte, 32<<20)
 	_, end := runNativeAttempt(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
 	if end.Code != policy.ConnectionReset {
@@ -165,25 +152,29 @@
 	}
 }
 
-// A node's start is the same by the dispatcher's clock in every list that tells it: another one would be a restart.
-func TestAStartIsReckonedOnce(t *testing.T) {
-	f := New(Options{Clock: dispatch.NewClock()})
-	tp := eventRecorder{make(chan dispatch.Event, 100)}
-	f.Bind(tp)
-	defer f.Close()
-	started := time.Now().Add(-time.Minute)
-	seen := map[policy.Micros]bool{}
-	for range 50 {
-		if err := f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started}}); err != nil {
-			t.Fatal(err)
-		}
-		seen[(<-tp.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started] = true
-	}
-	if len(seen) != 1 {
-		t.Errorf("one start, told as %d", len(seen))
+// acceptPartOfUpload serves one connection as a node that closes it when so many bytes of an INSERT's rows were read.
+func acceptPartOfUpload(l net.Listener, bytes int64) error {
+	conn, err := l.Accept()
+	if err != nil {
+		return err
 	}
-	f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started.Add(time.Second)}})
-	if at := (<-tp.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started; seen[at] {
-		t.Error("another start is told as the old one")
+	r := native.NewReader(conn, 1<<20)
+	noColumns := []byte{native.ServerData, 0, 0, 0, 0} // a sample block without columns will do here
+	for _, step := range []func() error{
+		func() error { _, err := r.ReadHello(); return err },
+		func() error {
+			_, err := conn.Write(native.Server{Name: "n", Revision: native.Newest}.Encode())
+			return err
+		},
+		func() error { return r.ReadAddendum(native.Newest) },
+		func() error { _, err := r.ReadClient(); return err },
+		func() error { _, err := r.ReadQuery(native.Newest); return err },
+		func() error { _, err := conn.Write(noColumns); return err },
+		func() error { _, err := io.CopyN(io.Discard, conn, bytes); return err },
+	} {
+		if err := step(); err != nil {
+			return errors.Join(err, conn.Close())
+		}
 	}
+	return conn.Close()
 }
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -5,151 +5,83 @@
 	"fmt"
 	"net"
 	"strings"
-	"sync"
-	"syscall"
 	"testing"
 	"time"
 
-	"embershunt/dispatch"
 	"embershunt/internal/lineproto"
 	"embershunt/nodelist"
 	"embershunt/policy"
 	"embershunt/simulated"
 )
 
-// platformFleet is a fleet with one node that speaks lines.
-type platformFleet struct {
-	*Fleet
-	t        *testing.T
-	events   eventRecorder
-	clock    dispatch.Clock
-	progress []policy.Progress
-
-	startBefore policy.Micros // of the attempts sent
-}
-
-func newPlatformFleet(t *testing.T, o Options, addresses ...string) *platformFleet {
-	t.Helper()
-	f := &platformFleet{t: t, clock: dispatch.NewClock(), events: eventRecorder{make(chan dispatch.Event, 10000)}}
-	o.Clock, o.ConnectTimeout = f.clock, 200*time.Millisecond
-	f.Fleet = New(o)
-	f.Bind(f.events)
-	t.Cleanup(func() { f.Close() })
-	var nodes []nodelist.Node
-	for i, a := range addresses {
-		nodes = append(nodes, nodelist.Node{ID: fmt.Sprintf("n%d", i), Platform: a})
-	}
-	if err := f.SetNodes(nodes); err != nil {
-		t.Fatal(err)
-	}
-	return f
-}
-
-func (f *platformFleet) send(id string, n int, node string, within time.Duration) {
-	now := f.clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
-		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + within.Microseconds(), StartBefore: f.startBefore})
-}
-
-func (f *platformFleet) end() dispatch.AttemptEnded {
-	f.t.Helper()
-	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
-	defer cancel()
-	for {
-		select {
-		case <-ctx.Done():
-			f.t.Fatal("no end in 5 s")
-		case ev := <-f.events.events:
-			switch ev := ev.(type) {
-			case dispatch.AttemptEnded:
-				return ev
-			case dispatch.PolicyEvent:
-				if p, ok := ev.Event.(policy.Progress); ok {
-					f.progress = append(f.progress, p)
-				}
-			}
-		}
-	}
-}
-
-func rowsOf(r any) string {
-	result, ok := r.(*lineproto.Result)
-	if !ok {
-		return ""
-	}
-	var b strings.Builder
-	result.Rows(func(c [][]byte) { fmt.Fprintf(&b, "%s|%s|%s;", c[0], c[1], c[2]) })
-	return b.String()
-}
-
-// Every way in which a node may end an attempt over lines, with care for what may have run.
-func TestEndsOfLineAttempts(t *testing.T) {
-	say := func(word, fields, body string) func(net.Conn, simulated.LineCommand) {
+// The outcome of every way in which a node may end an attempt in the platform's protocol: conservative about what may have run.
+func TestPlatformAttemptOutcomes(t *testing.T) {
+	answer := func(word, fields, body string) func(net.Conn, simulated.LineCommand) {
 		return func(c net.Conn, cmd simulated.LineCommand) {
 			if cmd.Verb == "GET" {
-				fmt.Fprint(c, simulated.LineAnswer(cmd.ID, word, fields, body))
+				reply(c, simulated.LineAnswer(cmd.ID, word, fields, body))
 			}
 		}
 	}
 	raw := func(text string) func(net.Conn, simulated.LineCommand) {
-		return func(c net.Conn, cmd simulated.LineCommand) { fmt.Fprint(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
+		return func(c net.Conn, cmd simulated.LineCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
 	}
-	paged := func(page func(n int) string) func(net.Conn, simulated.LineCommand) {
+	paged := func(answerPage func(n int) string) func(net.Conn, simulated.LineCommand) {
 		return func(c net.Conn, cmd simulated.LineCommand) {
 			switch cmd.Verb {
 			case "GET":
-				fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
+				reply(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
 			case "PAGE":
-				fmt.Fprint(c, page(cmd.N))
+				reply(c, answerPage(cmd.N))
 			}
 		}
 	}
-	whole := func(n int) string {
+	page := func(n int) string {
 		return simulated.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
 	}
 	cases := []struct {
-		name string
-		play func(net.Conn, simulated.LineCommand)
-		code policy.Code
-		rows string
+		name  string
+		serve func(net.Conn, simulated.LineCommand)
+		code  policy.Code
+		rows  string
 	}{
-		{"one page", say("data", "total=1", "a\tb\tc\nd\te\tf\n"), policy.OK, "a|b|c;d|e|f;"},
-		{"no rows", say("data", "total=1", ""), policy.OK, ""},
-		{"three pages", paged(whole), policy.OK, "a|b|c;p|1|;p|2|;"},
+		{"one page", answer("data", "total=1", "a\tb\tc\nd\te\tf\n"), policy.OK, "a|b|c;d|e|f;"},
+		{"no rows", answer("data", "total=1", ""), policy.OK, ""},
+		{"three pages", paged(page), policy.OK, "a|b|c;p|1|;p|2|;"},
 		{"pages in another order, each twice", func(c net.Conn, cmd simulated.LineCommand) {
 			if cmd.Verb == "GET" {
 				paged(nil)(c, cmd)
 			} else if cmd.Verb == "PAGE" && cmd.N == 2 {
-				fmt.Fprint(c, whole(2)+whole(2)+whole(1)+whole(1))
+				reply(c, page(2)+page(2)+page(1)+page(1))
 			}
 		}, policy.OK, "a|b|c;p|1|;p|2|;"},
-		{"a second copy and an answer to nobody before it", raw(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
+		{"a duplicate, and an answer to an unknown request before it", raw(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
 			simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
-		{"full", say("full", "", ""), policy.Rejected, ""},
-		{"moot", say("moot", "", ""), policy.NeverSent, ""},
-		{"failed", say("failed", "", "what went wrong"), policy.Failed, ""},
+		{"full", answer("full", "", ""), policy.Rejected, ""},
+		{"expired", answer("moot", "", ""), policy.NeverSent, ""},
+		{"failed", answer("failed", "", "what went wrong"), policy.Failed, ""},
 		{"a page that its node has lost", paged(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
-		{"a page beyond the last", paged(func(int) string { return whole(7) }), policy.Failed, ""},
-		{"a page within a row", say("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
-		{"a row of two columns", say("data", "total=1", "a\tb\n"), policy.Failed, ""},
-		{"noise in a row", say("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
+		{"a page beyond the last", paged(func(int) string { return page(7) }), policy.Failed, ""},
+		{"a page within a row", answer("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
+		{"a row of two columns", answer("data", "total=1", "a\tb\n"), policy.Failed, ""},
+		{"noise in a row", answer("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
 		{"noise", raw("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
 		{"an endless line", raw(strings.Repeat("x", 100000)), policy.Failed, ""},
 		{"3 GB", raw("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
 		{"a negative length", raw("ID data total=1 -5\r\nabc\r\n"), policy.Failed, ""},
 		{"a length that does not fit", raw("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
-		{"no total", say("data", "", "a\tb\tc\n"), policy.Failed, ""},
-		{"cut short", func(c net.Conn, cmd simulated.LineCommand) {
-			fmt.Fprintf(c, "%s data total=1 6\r\na\tb", cmd.ID)
-			c.Close()
+		{"no total", answer("data", "", "a\tb\tc\n"), policy.Failed, ""},
+		{"truncated", func(c net.Conn, cmd simulated.LineCommand) {
+			reply(c, cmd.ID+" data total=1 6\r\na\tb")
+			closeConn(t, c)
 		}, policy.ConnectionReset, ""},
 		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
-		{"never", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
-		{"a whole page and then nothing", paged(func(int) string { return "" }), policy.TimedOut, ""},
+		{"no answer", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
+		{"a complete page and then nothing", paged(func(int) string { return "" }), policy.TimedOut, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			node, err := simulated.NewLineNode("", c.play)
+			node, err := simulated.NewLineNode("", c.serve)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -167,62 +99,9 @@
 	}
 }
 
-// What proves that nothing ran, and what does not: nobody listens, a new connection that breaks, a kept one that has ended.
-func TestConnectionsOfLineAttempts(t *testing.T) {
-	serve := func(c net.Conn, cmd simulated.LineCommand) {
-		if cmd.Verb == "GET" {
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
-		}
-	}
-	node, err := simulated.NewLineNode("", serve)
-	if err != nil {
-		t.Fatal(err)
-	}
-	address := node.Address()
-	f := newPlatformFleet(t, Options{}, address)
-	broken := 2
-	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
-		if broken--; broken >= 0 {
-			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
-		}
-		return dialTCP(ctx, address)
-	}
-	f.send("a", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.OK {
-		t.Errorf("two new connections broke: code %d (%v)", end.Code, end.Err)
-	}
-	broken = maxPlatformConnAttempts
-	f.send("b", 0, "n0", time.Second) // on the kept connection
-	if end := f.end(); end.Code != policy.OK || node.Accepted() != 1 {
-		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
-	}
-	f.send("c", 0, "gone", time.Second)
-	if end := f.end(); end.Code != policy.ConnectionRefused {
-		t.Errorf("a node that is not listed: code %d", end.Code)
-	}
-	node.Close()
-	broken = 0
-	f.send("d", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.ConnectionRefused && end.Code != policy.ConnectionReset {
-		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
-	}
-	f.send("e", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.ConnectionRefused {
-		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
-	}
-	if node, err = simulated.NewLineNode(address, serve); err != nil {
-		t.Fatal(err)
-	}
-	defer node.Close()
-	f.send("f", 0, "n0", time.Second)
-	if end := f.end(); end.Code != policy.OK {
-		t.Errorf("it is back: code %d (%v)", end.Code, end.Err)
-	}
-}
-
-// A client that leaves while its attempt connects, or an attempt whose time is up then, tells nothing of the node: taken for a
-// refused connection it would make the node cold for its whole ramp.
-func TestWhatEndsWhileItConnectsIsNoFault(t *testing.T) {
+// A client that disconnects while its attempt connects, or an attempt whose deadline passes then, says nothing about the node: taken for
+// a refused connection it would put the node through a whole slow start.
+func TestEndWhileConnectingIsNoFault(t *testing.T) {
 	for _, within := range []time.Duration{5 * time.Second, 20 * time.Millisecond} {
 		f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
 		dialling := make(chan struct{})
@@ -243,37 +122,38 @@
 	}
 }
 
-// What happened while a connection came up, or while a command before it was written, counts when the request is to be written: then
-// it must not begin, and that it never ran is known.
-func TestNothingBeginsLate(t *testing.T) {
-	type crossing struct {
-		f    *platformFleet
-		rows []nodelist.Node
-	}
-	for name, cross := range map[string]func(c *crossing){
-		"the client left":  func(c *crossing) { c.f.Cancel("q-id", 0) },
-		"the node drains":  func(c *crossing) { c.rows[0].State = policy.Draining; c.f.SetNodes(c.rows) },
-		"the node is gone": func(c *crossing) { c.f.SetNodes(nil) },
-		"another node has its address": func(c *crossing) {
-			c.rows[0].ID = "other"
-			c.f.SetNodes(c.rows)
+// What happens while a connection is established, or while a command before it is written, counts when the request is to be written:
+// then it must not start, and it is known that it never ran.
+func TestNothingStartsLate(t *testing.T) {
+	for name, change := range map[string]func(f *platformFleet, rows []nodelist.Node){
+		"the client disconnected": func(f *platformFleet, _ []nodelist.Node) { f.Cancel("q-id", 0) },
+		"the node drains": func(f *platformFleet, rows []nodelist.Node) {
+			rows[0].State = policy.Draining
+			f.setNodes(rows)
+		},
+		"the node is removed": func(f *platformFleet, _ []nodelist.Node) { f.setNodes(nil) },
+		"another node has its address": func(f *platformFleet, rows []nodelist.Node) {
+			rows[0].ID = "other"
+			f.setNodes(rows)
 		},
-		"the window is over": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).spec.StartBefore {
+		windowOver: func(f *platformFleet, _ []nodelist.Node) {
+			for f.clock.Now() < f.attempt("q-id", 0).spec.StartBefore {
 				time.Sleep(time.Millisecond)
 			}
 		},
-		"the time is up": func(c *crossing) {
-			for c.f.clock.Now() < c.f.attempt("q-id", 0).spec.Deadline {
+		deadlineOver: func(f *platformFleet, _ []nodelist.Node) {
+			for f.clock.Now() < f.attempt("q-id", 0).spec.Deadline {
 				time.Sleep(time.Millisecond)
 			}
 		},
 	} {
-		for _, held := range []string{"connecting", "behind another command"} {
-			t.Run(name+", "+held, func(t *testing.T) {
+		for blocking, block := range map[string]func(*platformFleet, *simulated.LineNode, time.Duration) func(){
+			"connecting": sendConnecting, "behind another command": sendBehindAnother,
+		} {
+			t.Run(name+", "+blocking, func(t *testing.T) {
 				node, err := simulated.NewLineNode("", func(conn net.Conn, cmd simulated.LineCommand) {
 					if cmd.Verb == "GET" && cmd.ID != "before" {
-						fmt.Fprint(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+						reply(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 					}
 				})
 				if err != nil {
@@ -281,61 +161,78 @@
 				}
 				defer node.Close()
 				f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address())
-				c := &crossing{f, []nodelist.Node{{ID: "n0", Platform: node.Address()}}}
-				arrived, release := make(chan struct{}), func() {}
-				within := 3 * time.Second
-				if name == "the window is over" {
+				timeout := 3 * time.Second
+				switch name {
+				case windowOver:
 					f.startBefore = f.clock.Now() + 50000
+				case deadlineOver:
+					timeout = 50 * time.Millisecond
 				}
-				if name == "the time is up" {
-					within = 50 * time.Millisecond
-				}
-				if held == "connecting" {
-					barrier := make(chan struct{})
-					release = func() { close(barrier) }
-					f.dialPlatform = func(_ context.Context, address string) (net.Conn, error) { // up in the very moment it is not wanted
-						conn, err := dialTCP(context.Background(), address)
-						close(arrived)
-						<-barrier
-						return conn, err
-					}
-					f.send("id", 0, "n0", within)
-					<-arrived
-				} else {
-					f.send("before", 0, "n0", 5*time.Second)
-					for len(node.Commands()) == 0 {
-						time.Sleep(time.Millisecond)
-					}
-					shared := f.attempt("q-before", 0).protocol.(*platformAttempt).conn
-					shared.writeMu.Lock()
-					release = shared.writeMu.Unlock
-					f.send("id", 0, "n0", within)
-					for shared.attemptCount() < 2 {
-						time.Sleep(time.Millisecond)
-					}
-				}
-				cross(c)
+				release := block(f, node, timeout)
+				change(f, []nodelist.Node{{ID: "n0", Platform: node.Address()}})
 				release()
-				end := f.end()
-				for end.ID == "q-before" { // ends with its node
-					end = f.end()
-				}
-				if end.Code != policy.NeverSent {
-					t.Errorf("code %d (%v), want %d", end.Code, end.Err, policy.NeverSent)
-				}
-				for _, cmd := range node.Commands() {
-					if cmd.ID == "id" {
-						t.Errorf("the node got %+v", cmd)
-					}
-				}
+				checkNeverSent(t, f, node)
 			})
 		}
 	}
 }
 
-// A second copy of an answer that comes when its attempt is over belongs to nobody: neither to the next attempt on the connection nor to
-// the same query asked again.
-func TestASecondCopyLater(t *testing.T) {
+// Cases of TestNothingStartsLate that need settings of their own.
+const (
+	windowOver   = "the window is over"
+	deadlineOver = "the deadline is over"
+)
+
+// sendConnecting sends the attempt "id", whose connection is established when release is called: in the very moment in which it is
+// not wanted any more.
+func sendConnecting(f *platformFleet, _ *simulated.LineNode, timeout time.Duration) (release func()) {
+	arrived, barrier := make(chan struct{}), make(chan struct{})
+	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
+		conn, err := dialTCP(context.WithoutCancel(ctx), address)
+		close(arrived)
+		<-barrier
+		return conn, err
+	}
+	f.send("id", 0, "n0", timeout)
+	<-arrived
+	return func() { close(barrier) }
+}
+
+// sendBehindAnother sends the attempt "id" on a connection on which a command is being written until release is called.
+func sendBehindAnother(f *platformFleet, node *simulated.LineNode, timeout time.Duration) (release func()) {
+	f.send("before", 0, "n0", 5*time.Second)
+	for len(node.Commands()) == 0 {
+		time.Sleep(time.Millisecond)
+	}
+	shared := f.attempt("q-before", 0).protocol.(*platformAttempt).conn
+	shared.writeMu.Lock()
+	f.send("id", 0, "n0", timeout)
+	for shared.attemptCount() < 2 {
+		time.Sleep(time.Millisecond)
+	}
+	return shared.writeMu.Unlock
+}
+
+// checkNeverSent waits for the end of the attempt "id" and checks that it was never sent, and is known as such.
+func checkNeverSent(t *testing.T, f *platformFleet, node *simulated.LineNode) {
+	t.Helper()
+	end := f.end()
+	for end.ID == "q-before" { // ends with its node
+		end = f.end()
+	}
+	if end.Code != policy.NeverSent {
+		t.Errorf("code %d (%v), want %d", end.Code, end.Err, policy.NeverSent)
+	}
+	for _, cmd := range node.Commands() {
+		if cmd.ID == "id" {
+			t.Errorf("the node got %+v", cmd)
+		}
+	}
+}
+
+// A duplicate of an answer that arrives when its attempt is over is ignored: it goes neither to the next attempt on the connection nor to
+// the same query sent again.
+func TestDuplicateAnswerAfterTheEnd(t *testing.T) {
 	first := ""
 	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.Verb != "GET" {
@@ -345,10 +242,10 @@
 			first = cmd.ID
 		} else { // half of the copy, then the rest with the next answer behind it
 			copied := simulated.LineAnswer(first, "data", "total=1", "old\t\t\n")
-			fmt.Fprint(c, copied[:11])
-			fmt.Fprint(c, copied[11:])
+			reply(c, copied[:11])
+			reply(c, copied[11:])
 		}
-		fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
+		reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -366,12 +263,12 @@
 	}
 }
 
-// A connection that ended before anything was written on it may tell so when the attempt is on another one already: that is no end of
-// it, and it is not sent a second time while it runs.
-func TestALateEndOfAnotherConnection(t *testing.T) {
+// The end of a connection on which nothing was written may be noticed when the attempt is on another one already: that does not end the
+// attempt, which is not sent a second time while it runs.
+func TestLateCloseOfAnotherConnection(t *testing.T) {
 	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		if cmd.ID == "go" {
-			fmt.Fprint(c, simulated.LineAnswer("id", "data", "total=1", "a\tb\tc\n"))
+			reply(c, simulated.LineAnswer("id", "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
@@ -395,93 +292,15 @@
 	}
 }
 
-// Probes count among the connections held, and a connection that was closed makes room at once.
-func TestEverySocketIsCounted(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		if cmd.Verb == "GET" {
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
-		}
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer node.Close()
-	other, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer other.Close()
-	f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address(), other.Address())
-	dialled := make(chan int64, 1)
-	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
-		dialled <- f.PlatformConns()
-		return dialTCP(ctx, address)
-	}
-	f.HealthCheck("n0")
-	if n := <-dialled; n != 1 {
-		t.Errorf("%d connections counted while a probe connects, want 1", n)
-	}
-	for f.PlatformConns() > 0 {
-		time.Sleep(time.Millisecond)
-	}
-	for i := range 20 { // each has to take the other node's idle connection
-		f.send(fmt.Sprintf("r%d", i), 0, fmt.Sprintf("n%d", i%2), time.Second)
-		if end := f.end(); end.Code != policy.OK {
-			t.Fatalf("attempt %d: code %d (%v)", i, end.Code, end.Err)
-		}
-		<-dialled
-	}
-}
-
-// Attempts share a connection only where there are no more, never beyond what the node takes, and never with their own id.
-func TestAttemptsShareConnectionsAtLast(t *testing.T) {
-	hold := make(chan struct{})
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		if cmd.Verb == "GET" && cmd.ID == "last" {
-			close(hold)
-		}
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer node.Close()
-	f := newPlatformFleet(t, Options{MaxPlatformConns: 2, MaxAttemptsPerConn: 2}, node.Address())
-	for i := range 4 {
-		id := fmt.Sprintf("r%d", i)
-		if i == 3 {
-			id = "last"
-		}
-		f.send(id, 0, "n0", 3*time.Second)
-		for len(node.Commands()) < i+1 {
-			time.Sleep(time.Millisecond)
-		}
-	}
-	<-hold
-	if node.Accepted() != 2 {
-		t.Errorf("%d connections for 4 attempts, want 2", node.Accepted())
-	}
-	f.send("more", 0, "n0", 3*time.Second)
-	if end := f.end(); end.Code != policy.NeverSent {
-		t.Errorf("no room on any connection: code %d (%v)", end.Code, end.Err)
-	}
-}
-
-// A given-up request is dropped at its node, its late answer goes to nobody, and its id does not come back on the connection.
-func TestGivenUpRequests(t *testing.T) {
-	var mu sync.Mutex
-	conns := map[string]net.Conn{}
+// An abandoned request is dropped on its node, its late answer is ignored, and its id is not used again on the connection.
+func TestAbandonedRequests(t *testing.T) {
 	got := make(chan simulated.LineCommand, 10)
 	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		mu.Lock()
-		conns[cmd.Verb] = c
-		mu.Unlock()
 		if cmd.Verb == "DROP" {
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
+			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
 		}
 		if cmd.Verb == "GET" && cmd.Text == "SELECT 1" && len(got) > 1 {
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
+			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
 		}
 		got <- cmd
 	})
@@ -506,55 +325,6 @@
 		t.Errorf("code %d, rows %q", end.Code, rowsOf(end.Result))
 	}
 	if node.Accepted() != 2 {
-		t.Errorf("%d connections: the id came back where it had been given up", node.Accepted())
-	}
-}
-
-// A node in place of another at its address inherits no connection, and one that has gone keeps none.
-func TestANodeThatTakesAnAddress(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		if cmd.Verb == "GET" {
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.LineAnswer(cmd.ID, "news", "why=w,datum=2", "")+
-				simulated.LineAnswer(cmd.ID, "data", "total=1", ""))
-		}
-	})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer node.Close()
-	f := newPlatformFleet(t, Options{}, node.Address())
-	f.send("a", 0, "n0", time.Second)
-	f.end()
-	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5}, {ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
-	if fmt.Sprint(f.progress) != fmt.Sprint(want) {
-		t.Errorf("notes %v, want %v", f.progress, want)
-	}
-	f.SetNodes([]nodelist.Node{{ID: "n1", Platform: node.Address()}})
-	f.send("b", 0, "n1", time.Second)
-	if f.end(); node.Accepted() != 2 {
-		t.Errorf("%d connections, want one for each node", node.Accepted())
-	}
-	f.SetNodes(nil)
-	for f.PlatformConns() > 0 { // readers see the end of their connections
-		time.Sleep(time.Millisecond)
-	}
-	if f.nodes["n0"] != nil || f.nodes["n1"] != nil || len(f.attempts) > 0 {
-		t.Error("something is kept of nodes that have gone")
-	}
-}
-
-func TestLoadReports(t *testing.T) {
-	for s, want := range map[string]*policy.Load{
-		"inflight:7;util:0.61":       {Util: 0.61, InFlight: 7, Queue: -1, Memory: -1, Disk: -1},
-		"rif:7;busy:0.61;q:2;x0:0.5": {Util: 0.61, InFlight: 7, Queue: 2, Memory: 0.5, Disk: -1},
-		"":                           nil,
-		"util:x":                     nil,
-		"util:-1":                    nil,
-		"util:NaN":                   nil,
-	} {
-		got := platformLoad(s)
-		if (got == nil) != (want == nil) || got != nil && *got != *want {
-			t.Errorf("%q: %+v, want %+v", s, got, want)
-		}
+		t.Errorf("%d connections: the id was used again where it had been abandoned", node.Accepted())
 	}
 }
--- /dev/null
+++ b/backend/platform_pool_test.go
@@ -0,0 +1,173 @@
+package backend
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"syscall"
+	"testing"
+	"time"
+
+	"embershunt/nodelist"
+	"embershunt/policy"
+	"embershunt/simulated"
+)
+
+// What proves that nothing ran, and what does not: nobody listens, a new connection that is reset, a pooled one that the node has closed.
+func TestOutcomesOfPlatformConnections(t *testing.T) {
+	serve := func(c net.Conn, cmd simulated.LineCommand) {
+		if cmd.Verb == "GET" {
+			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+		}
+	}
+	node, err := simulated.NewLineNode("", serve)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := node.Address()
+	f := newPlatformFleet(t, Options{}, address)
+	broken := 2
+	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
+		if broken--; broken >= 0 {
+			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
+		}
+		return dialTCP(ctx, address)
+	}
+	f.send("a", 0, "n0", time.Second)
+	if end := f.end(); end.Code != policy.OK {
+		t.Errorf("two new connections broke: code %d (%v)", end.Code, end.Err)
+	}
+	broken = maxPlatformConnAttempts
+	f.send("b", 0, "n0", time.Second) // on the pooled connection
+	if end := f.end(); end.Code != policy.OK || node.Accepted() != 1 {
+		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
+	}
+	f.send("c", 0, "unlisted", time.Second)
+	if end := f.end(); end.Code != policy.ConnectionRefused {
+		t.Errorf("a node that is not listed: code %d", end.Code)
+	}
+	node.Close()
+	broken = 0
+	f.send("d", 0, "n0", time.Second)
+	if end := f.end(); end.Code != policy.ConnectionRefused && end.Code != policy.ConnectionReset {
+		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
+	}
+	f.send("e", 0, "n0", time.Second)
+	if end := f.end(); end.Code != policy.ConnectionRefused {
+		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
+	}
+	if node, err = simulated.NewLineNode(address, serve); err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	f.send("f", 0, "n0", time.Second)
+	if end := f.end(); end.Code != policy.OK {
+		t.Errorf("it is back: code %d (%v)", end.Code, end.Err)
+	}
+}
+
+// Health checks count against the bound on connections, and a connection that was closed makes room at once.
+func TestEveryConnectionIsCounted(t *testing.T) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+		if cmd.Verb == "GET" {
+			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	other, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+		reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer other.Close()
+	f := newPlatformFleet(t, Options{MaxPlatformConns: 1}, node.Address(), other.Address())
+	dialled := make(chan int64, 1)
+	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
+		dialled <- f.PlatformConns()
+		return dialTCP(ctx, address)
+	}
+	f.HealthCheck("n0")
+	if n := <-dialled; n != 1 {
+		t.Errorf("%d connections counted while a health check connects, want 1", n)
+	}
+	for f.PlatformConns() > 0 {
+		time.Sleep(time.Millisecond)
+	}
+	for i := range 20 { // each has to take the other node's idle connection
+		f.send(fmt.Sprintf("r%d", i), 0, fmt.Sprintf("n%d", i%2), time.Second)
+		if end := f.end(); end.Code != policy.OK {
+			t.Fatalf("attempt %d: code %d (%v)", i, end.Code, end.Err)
+		}
+		<-dialled
+	}
+}
+
+// Attempts share a connection only where the bound on connections is reached, never beyond the bound on attempts, and never with the same id.
+func TestAttemptsShareConnectionsAtTheBound(t *testing.T) {
+	hold := make(chan struct{})
+	node, err := simulated.NewLineNode("", func(_ net.Conn, cmd simulated.LineCommand) {
+		if cmd.Verb == "GET" && cmd.ID == "last" {
+			close(hold)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	f := newPlatformFleet(t, Options{MaxPlatformConns: 2, MaxAttemptsPerConn: 2}, node.Address())
+	for i := range 4 {
+		id := fmt.Sprintf("r%d", i)
+		if i == 3 {
+			id = "last"
+		}
+		f.send(id, 0, "n0", 3*time.Second)
+		for len(node.Commands()) < i+1 {
+			time.Sleep(time.Millisecond)
+		}
+	}
+	<-hold
+	if node.Accepted() != 2 {
+		t.Errorf("%d connections for 4 attempts, want 2", node.Accepted())
+	}
+	f.send("more", 0, "n0", 3*time.Second)
+	if end := f.end(); end.Code != policy.NeverSent {
+		t.Errorf("every connection is full: code %d (%v)", end.Code, end.Err)
+	}
+}
+
+// A node that takes the address of another inherits no connection, and one that was removed keeps none.
+func TestNodeAtTheAddressOfAnother(t *testing.T) {
+	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+		if cmd.Verb == "GET" {
+			reply(c, simulated.LineAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.LineAnswer(cmd.ID, "news", "why=w,datum=2", "")+
+				simulated.LineAnswer(cmd.ID, "data", "total=1", ""))
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer node.Close()
+	f := newPlatformFleet(t, Options{}, node.Address())
+	f.send("a", 0, "n0", time.Second)
+	f.end()
+	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5}, {ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
+	if fmt.Sprint(f.progress) != fmt.Sprint(want) {
+		t.Errorf("progress %v, want %v", f.progress, want)
+	}
+	f.setNodes([]nodelist.Node{{ID: "n1", Platform: node.Address()}})
+	f.send("b", 0, "n1", time.Second)
+	if f.end(); node.Accepted() != 2 {
+		t.Errorf("%d connections, want one for each node", node.Accepted())
+	}
+	f.setNodes(nil)
+	for f.PlatformConns() > 0 { // until readers notice the end of their connections
+		time.Sleep(time.Millisecond)
+	}
+	if f.nodes["n0"] != nil || f.nodes["n1"] != nil || len(f.attempts) > 0 {
+		t.Error("something is left of nodes that were removed")
+	}
+}
