--- a/frontend/postgres/closed.go
+++ b/frontend/postgres/close_reason.go
@@ -25,8 +25,8 @@
 // because notes why the session ends; the first reason counts.
 func (s *session) because(why closeReason) {
 	s.closeOnce.Do(func() {
-		s.f.closures[why].Add(1)
-		s.f.opt.Log.Debug("session closed", "client", s.conn.RemoteAddr().String(), "reason", closeNames[why])
+		s.front.closures[why].Add(1)
+		s.front.options.Log.Debug("session closed", "client", s.conn.RemoteAddr().String(), "reason", closeNames[why])
 	})
 }
 
--- a/frontend/postgres/postgres.go
+++ b/frontend/postgres/front.go
@@ -27,29 +27,29 @@
 	MostSessions int             // connections held at once; default 256
 	MaxStatement int             // bytes of one message; default 64 KiB
 	Idle         time.Duration   // a session without a query for so long ends; default 30 s
-	Begin        time.Duration   // a connection has so long to bring its first query; default 2 s
-	Write        time.Duration   // an answer has so long to be taken; default 5 s
-	Quiet        time.Duration   // at the end, so long without a connection or a query; default 200 ms
-	Spare        int             // connections beyond MostSessions that are on their way out; default 8
+	BeginTimeout time.Duration   // a connection has so long to bring its first query; default 2 s
+	WriteTimeout time.Duration   // an answer has so long to be taken; default 5 s
+	DrainIdle    time.Duration   // at the end, so long without a connection or a query; default 200 ms
+	MaxClosing   int             // connections beyond MostSessions that are on their way out; default 8
 }
 
 // Front serves sessions.
 type Front struct {
-	opt   Options
-	desk  *frontend.Intake
-	group errgroup.Group
+	options Options
+	intake  *frontend.Intake
+	group   errgroup.Group
 
-	mu       sync.Mutex
-	sessions map[uint32]*session // by the process number of their key
-	traces   map[string]struct{} // of open queries
-	parted   chan struct{}       // closed at the end, when all sessions have been told to close
+	mu          sync.Mutex
+	sessions    map[uint32]*session // by the process number of their key
+	traces      map[string]struct{} // of open queries
+	closesBegun chan struct{}       // closed at the end, when all sessions have been told to close
 
-	began        time.Time
-	lastCame     atomic.Int64 // when a connection or a query came, in nanoseconds since began
-	acceptErrors atomic.Int64
-	closures     closures
-	turnedAway   atomic.Int64 // connections closed because there were too many
-	unreadable   atomic.Int64 // messages that could not be read or used
+	startedAt      time.Time
+	lastActivity   atomic.Int64 // when a connection or a query came, in nanoseconds since began
+	acceptErrors   atomic.Int64
+	closures       closures
+	rejected       atomic.Int64 // connections closed because there were too many
+	protocolErrors atomic.Int64 // messages that could not be read or used
 }
 
 // New returns a front; nothing is served before Serve.
@@ -63,23 +63,23 @@
 	if o.Idle == 0 {
 		o.Idle = 30 * time.Second
 	}
-	if o.Begin == 0 {
-		o.Begin = 2 * time.Second
+	if o.BeginTimeout == 0 {
+		o.BeginTimeout = 2 * time.Second
 	}
-	if o.Write == 0 {
-		o.Write = 5 * time.Second
+	if o.WriteTimeout == 0 {
+		o.WriteTimeout = 5 * time.Second
 	}
-	if o.Quiet == 0 {
-		o.Quiet = 200 * time.Millisecond
+	if o.DrainIdle == 0 {
+		o.DrainIdle = 200 * time.Millisecond
 	}
-	if o.Spare == 0 {
-		o.Spare = 8
+	if o.MaxClosing == 0 {
+		o.MaxClosing = 8
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Front{opt: o, desk: d, sessions: map[uint32]*session{}, traces: map[string]struct{}{}, parted: make(chan struct{}),
-		began: time.Now()}
+	return &Front{options: o, intake: d, sessions: map[uint32]*session{}, traces: map[string]struct{}{}, closesBegun: make(chan struct{}),
+		startedAt: time.Now()}
 }
 
 // Counts tells how many sessions are open and do not close, how many were turned away for their number, and how many messages could not be
@@ -88,11 +88,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.sessions {
-		if phase, _, _ := s.state(); phase != closing && !s.full {
+		if phase, _, _ := s.snapshot(); phase != closing && !s.overCapacity {
 			open++
 		}
 	}
-	return open, f.turnedAway.Load(), f.unreadable.Load()
+	return open, f.rejected.Load(), f.protocolErrors.Load()
 }
 
 // acceptPause is how long accepting rests after an error such as a lack of descriptors.
@@ -104,8 +104,8 @@
 	SetDeadline(time.Time) error
 }
 
-// quietMost is how many times Quiet the front goes on at the end, at most.
-const quietMost = 8
+// maxDrainIdles is how many times Quiet the front goes on at the end, at most.
+const maxDrainIdles = 8
 
 // Serve takes connections until ctx ends, which may only be after the loop has: then every query taken has its answer, and
 // what comes is refused. It goes on with that until nothing has come for a while, so that nothing is left in a queue of the
@@ -118,8 +118,8 @@
 	for {
 		conn, err := l.Accept()
 		if err == nil {
-			f.came()
-			f.take(conn)
+			f.recordActivity()
+			f.accept(conn)
 			continue
 		}
 		if errors.Is(err, net.ErrClosed) {
@@ -127,16 +127,16 @@
 		}
 		if ctx.Err() == nil {
 			if !isTimeout(err) {
-				f.refusedByTheSystem(ctx, err)
+				f.handleAcceptError(ctx, err)
 			}
 			continue
 		}
 		if over.IsZero() {
 			over = time.Now()
-			f.came()
+			f.recordActivity()
 		}
-		until := f.began.Add(time.Duration(f.lastCame.Load()) + f.opt.Quiet)
-		if last := over.Add(quietMost * f.opt.Quiet); until.After(last) {
+		until := f.startedAt.Add(time.Duration(f.lastActivity.Load()) + f.options.DrainIdle)
+		if last := over.Add(maxDrainIdles * f.options.DrainIdle); until.After(last) {
 			until = last
 		}
 		if !time.Now().Before(until) {
@@ -150,21 +150,21 @@
 		s.shut(true)
 	}
 	f.mu.Unlock()
-	close(f.parted)
+	close(f.closesBegun)
 	return f.group.Wait()
 }
 
-// came notes that a client has brought something.
-func (f *Front) came() { f.lastCame.Store(int64(time.Since(f.began))) }
+// recordActivity notes that a client has brought something.
+func (f *Front) recordActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
 
-// refusedByTheSystem deals with an error of accept(2). A connection that ended before it was taken says nothing of the next one. Where this
+// handleAcceptError deals with an error of accept(2). A connection that ended before it was taken says nothing of the next one. Where this
 // process has no descriptor left an idle connection makes room; what the whole system lacks no client here is to blame for.
-func (f *Front) refusedByTheSystem(ctx context.Context, err error) {
+func (f *Front) handleAcceptError(ctx context.Context, err error) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EPROTO) {
 		return
 	}
 	f.acceptErrors.Add(1)
-	f.opt.Log.Warn("a connection could not be taken", "error", err)
+	f.options.Log.Warn("a connection could not be taken", "error", err)
 	if errors.Is(err, syscall.EMFILE) {
 		f.evict(true)
 	}
@@ -176,24 +176,24 @@
 	}
 }
 
-// take starts a session. Where there is no room and none can be made it may call off another session's query, or is turned
+// accept starts a session. Where there is no room and none can be made it may call off another session's query, or is turned
 // away.
-func (f *Front) take(conn net.Conn) {
+func (f *Front) accept(conn net.Conn) {
 	f.mu.Lock()
 	count := len(f.sessions)
-	if count >= f.opt.MostSessions {
+	if count >= f.options.MostSessions {
 		for _, s := range f.sessions {
-			if phase, _, _ := s.state(); phase == closing || s.full {
+			if phase, _, _ := s.snapshot(); phase == closing || s.overCapacity {
 				count--
 			}
 		}
 	}
 	f.mu.Unlock()
-	full := count >= f.opt.MostSessions && !f.evict(false)
+	full := count >= f.options.MostSessions && !f.evict(false)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.sessions) >= f.opt.MostSessions+f.opt.Spare && !f.cut() {
-		f.turnedAway.Add(1)
+	if len(f.sessions) >= f.options.MostSessions+f.options.MaxClosing && !f.disconnectClosing() {
+		f.rejected.Add(1)
 		conn.Close()
 		return
 	}
@@ -208,14 +208,14 @@
 	f.group.Go(func() error { s.run(); return nil })
 }
 
-// cut closes a connection that is on its way out and owes nothing, the one whose close has come furthest and of those the oldest; false
+// disconnectClosing closes a connection that is on its way out and owes nothing, the one whose close has come furthest and of those the oldest; false
 // where there is none. f.mu is held.
-func (f *Front) cut() bool {
+func (f *Front) disconnectClosing() bool {
 	var oldest *session
 	furthest := onItsWay
 	for _, s := range f.sessions {
 		stage := s.leaving()
-		if stage == onItsWay || stage < furthest || stage == furthest && !s.begun.Before(oldest.begun) {
+		if stage == onItsWay || stage < furthest || stage == furthest && !s.startedAt.Before(oldest.startedAt) {
 			continue
 		}
 		oldest, furthest = s, stage
@@ -242,7 +242,7 @@
 func (f *Front) evict(now bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now && f.cut() {
+	if now && f.disconnectClosing() {
 		return true
 	}
 	for {
@@ -250,13 +250,13 @@
 		var oldest time.Time
 		rank, at := 0, time.Now()
 		for _, s := range f.sessions {
-			phase, asked, last := s.state()
-			if phase == working || phase == closing || s.full {
+			phase, asked, last := s.snapshot()
+			if phase == working || phase == closing || s.overCapacity {
 				continue
 			}
 			r, age := 1, at.Sub(last)
 			switch {
-			case phase == within:
+			case phase == receiving:
 				r = 0
 			case asked && age > usualIdle:
 				r = 4
@@ -293,8 +293,8 @@
 	}
 }
 
-// open books a query by its id; false where that is open already.
-func (f *Front) open(trace string) bool {
+// registerTrace books a query by its id; false where that is open already.
+func (f *Front) registerTrace(trace string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, is := f.traces[trace]
@@ -302,8 +302,8 @@
 	return !is
 }
 
-// shut lets an id go.
-func (f *Front) shut(trace string) {
+// close lets an id go.
+func (f *Front) releaseTrace(trace string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.traces, trace)
--- a/frontend/postgres/fields.go
+++ b/frontend/postgres/query_fields.go
@@ -13,16 +13,16 @@
 	"embershunt/policy"
 )
 
-// asked is what a client says of its query in the comment before it.
-type asked struct {
-	trace    string
-	class    int
-	tenant   int // -1: none was named
-	patience time.Duration
-	nonce    string
-	weight   time.Duration // 0: none was given
-	needMB   float64       // 0: none was given
-	text     string        // the statement less the comment
+// queryFields is what a client says of its query in the comment before it.
+type queryFields struct {
+	trace          string
+	class          int
+	tenant         int // -1: none was named
+	clientTimeout  time.Duration
+	idempotencyKey string
+	workEstimate   time.Duration // 0: none was given
+	memoryMB       float64       // 0: none was given
+	text           string        // the statement less the comment
 }
 
 // BadFieldError tells that a field of a query's comment cannot be used.
@@ -35,20 +35,20 @@
 	return fmt.Sprintf("%s: found %.40q; allowed: %s", e.Field, e.Found, e.Allowed)
 }
 
-// weightMost bounds an estimate of work that can be meant, in milliseconds: eleven days on one core.
-const weightMost = 1e9
+// maxWorkMillis bounds an estimate of work that can be meant, in milliseconds: eleven days on one core.
+const maxWorkMillis = 1e9
 
-// patienceTimes bounds the time that a client can mean to wait, in times of its class's deadline: it may count from a little
+// maxClassDeadlines bounds the time that a client can mean to wait, in times of its class's deadline: it may count from a little
 // earlier than that does, so that the deadline itself is no bound.
-const patienceTimes = 2
+const maxClassDeadlines = 2
 
-// fieldsMost bounds the fields of a comment.
-const fieldsMost = 32
+// maxFields bounds the fields of a comment.
+const maxFields = 32
 
-// read takes a statement apart. The error is a *BadFieldError.
-func read(statement string, s *policy.Settings) (asked, error) {
-	a := asked{tenant: -1}
-	fields, text, err := split(statement)
+// parseQuery takes a statement apart. The error is a *BadFieldError.
+func parseQuery(statement string, s *policy.Settings) (queryFields, error) {
+	a := queryFields{tenant: -1}
+	fields, text, err := splitComment(statement)
 	if err != nil {
 		return a, err
 	}
@@ -58,46 +58,46 @@
 	if !utf8.ValidString(text) {
 		return a, &BadFieldError{"statement", "bytes that are not UTF-8", "text in UTF-8"}
 	}
-	if a.trace = fields["trace"]; !hex(a.trace, 16) {
+	if a.trace = fields["trace"]; !isHex(a.trace, 16) {
 		return a, &BadFieldError{"trace", a.trace, "16 hex digits"}
 	}
-	if a.class, err = index("route", fields["route"], len(s.Classes), func(i int) string { return s.Classes[i].Name }); err != nil {
+	if a.class, err = parseName("route", fields["route"], len(s.Classes), func(i int) string { return s.Classes[i].Name }); err != nil {
 		return a, err
 	}
 	if name, ok := fields["customer"]; ok {
-		if a.tenant, err = index("customer", name, len(s.Tenants), func(i int) string { return s.Tenants[i].Name }); err != nil {
+		if a.tenant, err = parseName("customer", name, len(s.Tenants), func(i int) string { return s.Tenants[i].Name }); err != nil {
 			return a, err
 		}
 	}
 	class := &s.Classes[a.class]
-	patience, err := figure("patience", fields["patience"], 1, patienceTimes*float64(class.Deadline)/1e3)
+	patience, err := parseNumber("patience", fields["patience"], 1, maxClassDeadlines*float64(class.Deadline)/1e3)
 	if err != nil {
 		return a, err
 	}
-	a.patience = time.Duration(patience * float64(time.Millisecond))
+	a.clientTimeout = time.Duration(patience * float64(time.Millisecond))
 	if v, ok := fields["weight"]; ok {
-		ms, err := figure("weight", v, 0, weightMost)
+		ms, err := parseNumber("weight", v, 0, maxWorkMillis)
 		if err != nil {
 			return a, err
 		}
-		a.weight = time.Duration(ms * float64(time.Millisecond))
+		a.workEstimate = time.Duration(ms * float64(time.Millisecond))
 	}
 	if v, ok := fields["need_mb"]; ok {
-		if a.needMB, err = figure("need_mb", v, 0, memoryMost(s)); err != nil {
+		if a.memoryMB, err = parseNumber("need_mb", v, 0, maxMemoryMB(s)); err != nil {
 			return a, err
 		}
 	}
-	a.nonce = fields["nonce"]
-	if a.nonce != "" && !lineproto.Token(a.nonce) || a.nonce == "" && class.Effect == policy.IdempotentByKey {
-		return a, &BadFieldError{"nonce", a.nonce, "a key of 1 to 64 letters and digits, in keyed classes"}
+	a.idempotencyKey = fields["nonce"]
+	if a.idempotencyKey != "" && !lineproto.Token(a.idempotencyKey) || a.idempotencyKey == "" && class.Effect == policy.IdempotentByKey {
+		return a, &BadFieldError{"nonce", a.idempotencyKey, "a key of 1 to 64 letters and digits, in keyed classes"}
 	}
 	return a, nil
 }
 
-// memoryTimes bounds an estimate of memory that can be meant, in times of the largest machine: estimates are rough.
-const memoryTimes = 100
+// maxMachineMemories bounds an estimate of memory that can be meant, in times of the largest machine: estimates are rough.
+const maxMachineMemories = 100
 
-func memoryMost(s *policy.Settings) float64 {
+func maxMemoryMB(s *policy.Settings) float64 {
 	most := 0.0
 	for _, k := range s.Kinds {
 		most = max(most, k.MemoryMB)
@@ -105,11 +105,11 @@
 	if most == 0 {
 		return math.MaxInt32
 	}
-	return most * memoryTimes
+	return most * maxMachineMemories
 }
 
-// split takes the fields out of the comment that a statement starts with.
-func split(statement string) (map[string]string, string, error) {
+// splitComment takes the fields out of the comment that a statement starts with.
+func splitComment(statement string) (map[string]string, string, error) {
 	body, ok := strings.CutPrefix(strings.TrimLeft(statement, " \t\r\n"), "/*")
 	if !ok {
 		return nil, "", &BadFieldError{"comment", "", "/* name=value,... */ before the statement"}
@@ -122,7 +122,7 @@
 	for part := range strings.SplitSeq(inner, ",") {
 		name, value, ok := strings.Cut(part, "=")
 		name, value = strings.TrimSpace(name), strings.TrimSpace(value)
-		if _, twice := fields[name]; !ok || name == "" || twice || len(fields) == fieldsMost {
+		if _, twice := fields[name]; !ok || name == "" || twice || len(fields) == maxFields {
 			return nil, "", &BadFieldError{"comment", part, "name=value, each name once"}
 		}
 		fields[name] = value
@@ -130,7 +130,7 @@
 	return fields, strings.TrimLeft(text, " \t\r\n"), nil
 }
 
-func hex(s string, n int) bool {
+func isHex(s string, n int) bool {
 	if len(s) != n {
 		return false
 	}
@@ -142,7 +142,7 @@
 	return true
 }
 
-func index(field, name string, n int, of func(int) string) (int, error) {
+func parseName(field, name string, n int, of func(int) string) (int, error) {
 	var all []string
 	for i := range n {
 		if of(i) == name && name != "" {
@@ -153,8 +153,8 @@
 	return -1, &BadFieldError{field, name, strings.Join(all, ", ")}
 }
 
-// figure reads a plain decimal number; NaN, infinities, exponents and signs are none.
-func figure(field, s string, least, most float64) (float64, error) {
+// parseNumber reads a plain decimal number; NaN, infinities, exponents and signs are none.
+func parseNumber(field, s string, least, most float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || strings.Trim(s, "0123456789.") != "" || !(v >= least && v <= most) {
 		return 0, &BadFieldError{field, s, fmt.Sprintf("a number from %v to %v", least, most)}
@@ -163,6 +163,6 @@
 }
 
 // traits are what the module is told.
-func (a *asked) traits() *classify.Traits {
-	return &classify.Traits{Class: a.class, Tenant: a.tenant, Cost: a.weight, MemoryMB: a.needMB, Tables: group(a.text)}
+func (a *queryFields) traits() *classify.Traits {
+	return &classify.Traits{Class: a.class, Tenant: a.tenant, Cost: a.workEstimate, MemoryMB: a.memoryMB, Tables: tableGroup(a.text)}
 }
--- a/frontend/postgres/fields_test.go
+++ b/frontend/postgres/query_fields_test.go
@@ -19,16 +19,16 @@
 
 func TestFields(t *testing.T) {
 	s := testSettings()
-	a, err := read("/* route=load, trace=9B1F03aa5c7e2d41,patience=1500.5,customer=property,nonce=5c0f,weight=820.0,need_mb=96,new=1 */\n\tINSERT INTO sales_17.orders\r\nSELECT '/* x */' ", &s)
-	want := asked{trace: "9B1F03aa5c7e2d41", class: 1, tenant: 1, patience: 1500500 * time.Microsecond, nonce: "5c0f",
-		weight: 820 * time.Millisecond, needMB: 96, text: "INSERT INTO sales_17.orders\r\nSELECT '/* x */' "}
+	a, err := parseQuery("/* route=load, trace=9B1F03aa5c7e2d41,patience=1500.5,customer=property,nonce=5c0f,weight=820.0,need_mb=96,new=1 */\n\tINSERT INTO sales_17.orders\r\nSELECT '/* x */' ", &s)
+	want := queryFields{trace: "9B1F03aa5c7e2d41", class: 1, tenant: 1, clientTimeout: 1500500 * time.Microsecond, idempotencyKey: "5c0f",
+		workEstimate: 820 * time.Millisecond, memoryMB: 96, text: "INSERT INTO sales_17.orders\r\nSELECT '/* x */' "}
 	if err != nil || a != want {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if a, err = read(good, &s); err != nil || a.tenant != -1 || a.text != "SELECT 1" {
+	if a, err = parseQuery(good, &s); err != nil || a.tenant != -1 || a.text != "SELECT 1" {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if a, err = read(strings.Replace(good, "1500", "3016", 1), &s); err != nil || a.patience != 3016*time.Millisecond {
+	if a, err = parseQuery(strings.Replace(good, "1500", "3016", 1), &s); err != nil || a.clientTimeout != 3016*time.Millisecond {
 		t.Errorf("a little over the deadline of 3 s: %+v, %v", a, err)
 	}
 	// Each of these would void the run, or be served to somebody who must not be, if it went on to a node.
@@ -61,7 +61,7 @@
 		strings.Replace(good, "lookup", "load", 1):                       "nonce",
 		strings.Replace(good, "route=lookup", "route=load,nonce=a b", 1): "nonce",
 	} {
-		_, err := read(in, &s)
+		_, err := parseQuery(in, &s)
 		var bad *BadFieldError
 		if !errors.As(err, &bad) || bad.Field != field || bad.Allowed == "" {
 			t.Errorf("%q: %v, want a word on %s", in, err, field)
@@ -89,7 +89,7 @@
 		"SELECT * FROM sales_99999999999999999999.orders":                                             0,
 		"SELECT 'open FROM sales_1.a":                                                                 0,
 	} {
-		if got := group(in); got != want {
+		if got := tableGroup(in); got != want {
 			t.Errorf("%q: %d, want %d", in, got, want)
 		}
 	}
@@ -100,15 +100,15 @@
 	f.Add(good)
 	f.Add("/* route=load,trace=9b1f03aa5c7e2d41,patience=1,nonce=x */ INSERT INTO a_1.b SELECT $x$ ' $x$ -- \n/* /* */")
 	f.Fuzz(func(t *testing.T, in string) {
-		a, err := read(in, &s)
+		a, err := parseQuery(in, &s)
 		if err != nil {
 			return
 		}
-		if !strings.HasSuffix(in, a.text) || len(a.trace) != 16 || a.patience <= 0 || a.patience > 10*time.Second || a.weight < 0 || a.needMB < 0 {
+		if !strings.HasSuffix(in, a.text) || len(a.trace) != 16 || a.clientTimeout <= 0 || a.clientTimeout > 10*time.Second || a.workEstimate < 0 || a.memoryMB < 0 {
 			t.Errorf("%q: %+v", in, a)
 		}
-		if group(a.text) < 0 {
-			t.Errorf("%q: group %d", in, group(a.text))
+		if tableGroup(a.text) < 0 {
+			t.Errorf("%q: group %d", in, tableGroup(a.text))
 		}
 	})
 }
--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -41,39 +41,39 @@
 type phase uint8
 
 const (
-	starting phase = iota // no command has come yet
-	idle                  // nothing is owed
-	within                // a message has begun and is not whole: starting or idle, as others see it
-	working               // commands have been taken whose answers are not written; a worker runs
-	closing               // takes no command any more: what came before the close is refused, what comes after it dropped
+	starting  phase = iota // no command has come yet
+	idle                   // nothing is owed
+	receiving              // a message has begun and is not whole: starting or idle, as others see it
+	working                // commands have been taken whose answers are not written; a worker runs
+	closing                // takes no command any more: what came before the close is refused, what comes after it dropped
 )
 
 // session is one client connection. Its reader owns the connection's end; the worker writes answers, one after the other.
 type session struct {
-	f     *Front
-	conn  net.Conn
-	key   pgwire.Key
-	begun time.Time
-	full  bool // there was no room for it: it may call off another session's query, and is turned away
-	left  chan struct{}
-
-	mu        sync.Mutex
-	phase     phase
-	reading   bool      // a message has begun and is not whole
-	last      time.Time // of the last command or answer
-	asked     bool      // it has brought a query
-	parting   bool      // closes as soon as nothing is owed
-	gone      bool      // the client is; left is closed
-	cancelled time.Time // when its client called off and nothing was open
-	commands  []command // read ahead
-	size      int       // bytes of those
-	room      sync.Cond // signalled when commands get fewer
-	lingering bool      // the last word has been written; what still comes is read off
-	query     *frontend.PendingQuery
-	bad       int // commands in a row that could not be used
-
-	wmu  sync.Mutex
-	over bool // the last word has been written
+	front        *Front
+	conn         net.Conn
+	key          pgwire.Key
+	startedAt    time.Time
+	overCapacity bool // there was no room for it: it may call off another session's query, and is turned away
+	disconnected chan struct{}
+
+	mu                   sync.Mutex
+	phase                phase
+	receiving            bool      // a message has begun and is not whole
+	lastActivity         time.Time // of the last command or answer
+	queried              bool      // it has brought a query
+	closeWhenAnswered    bool      // closes as soon as nothing is owed
+	clientDisconnected   bool      // the client is; left is closed
+	cancelledAt          time.Time // when its client called off and nothing was open
+	commands             []command // read ahead
+	queuedBytes          int       // bytes of those
+	queueShrunk          sync.Cond // signalled when commands get fewer
+	lingering            bool      // the last word has been written; what still comes is read off
+	query                *frontend.PendingQuery
+	protocolErrorsInARow int // commands in a row that could not be used
+
+	writeMu  sync.Mutex
+	finished bool // the last word has been written
 
 	closeOnce sync.Once
 }
@@ -86,24 +86,24 @@
 
 // Bounds of what is read ahead on one session; beyond them its socket holds the rest.
 const (
-	aheadMost  = 128
-	aheadBytes = 32 << 10
+	maxPipelinedCommands = 128
+	maxPipelinedBytes    = 32 << 10
 )
 
 func newSession(f *Front, conn net.Conn, full bool) *session {
-	s := &session{f: f, conn: conn, begun: time.Now(), full: full, left: make(chan struct{})}
-	s.last, s.room.L = s.begun, &s.mu
+	s := &session{front: f, conn: conn, startedAt: time.Now(), overCapacity: full, disconnected: make(chan struct{})}
+	s.lastActivity, s.queueShrunk.L = s.startedAt, &s.mu
 	return s
 }
 
-// state tells where a session stands, whether it has brought a query, and when the last one or its answer came.
-func (s *session) state() (p phase, asked bool, last time.Time) {
+// snapshot tells where a session stands, whether it has brought a query, and when the last one or its answer came.
+func (s *session) snapshot() (p phase, asked bool, last time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p = s.phase; s.reading && (p == starting || p == idle) {
-		p = within
+	if p = s.phase; s.receiving && (p == starting || p == idle) {
+		p = receiving
 	}
-	return p, s.asked, s.last
+	return p, s.queried, s.lastActivity
 }
 
 // stage is how far the close of a session has come.
@@ -127,7 +127,7 @@
 		return onItsWay
 	case s.phase == closing:
 		return sweeping
-	case s.full:
+	case s.overCapacity:
 		return noRoom
 	}
 	return onItsWay
@@ -137,12 +137,12 @@
 func (s *session) setReading(reading bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading = reading
+	s.receiving = reading
 }
 
 // connection is what decides whether the session may be closed; ending: the dispatcher ends. s.mu is held.
 func (s *session) connection(ending bool) permit.Connection {
-	c := permit.Connection{Reading: s.reading, Ending: ending}
+	c := permit.Connection{Reading: s.receiving, Ending: ending}
 	if s.phase == working {
 		c.PendingAnswers = 1
 	}
@@ -153,7 +153,7 @@
 const readBuffer = 1 << 10
 
 func (s *session) run() {
-	defer s.f.forget(s)
+	defer s.front.forget(s)
 	defer s.conn.Close()
 	defer s.leave()
 	defer s.because(byClient)
@@ -179,7 +179,7 @@
 			s.part(r)
 			return
 		}
-		kind, body, err := pgwire.ReadMessage(r, buf, s.f.opt.MaxStatement)
+		kind, body, err := pgwire.ReadMessage(r, buf, s.front.options.MaxStatement)
 		if buf = body; cap(buf) > 4*readBuffer { // a long statement's room is not kept
 			buf = nil
 		}
@@ -202,7 +202,7 @@
 		case pgwire.Terminate:
 			return
 		default:
-			s.f.unreadable.Add(1)
+			s.front.protocolErrors.Add(1)
 			s.end(r, codeUnknown, fmt.Sprintf("message type %q; allowed are simple queries", kind))
 			return
 		}
@@ -213,11 +213,11 @@
 func (s *session) start(r *bufio.Reader) bool {
 	for range 3 {
 		_, err := r.Peek(1)
-		if isTimeout(err) && s.full {
+		if isTimeout(err) && s.overCapacity {
 			s.turnAway(r)
 			return false
 		}
-		if isTimeout(err) && s.rested() || err == nil && !s.begin(s.begun) { // a first query on its way may be brought elsewhere
+		if isTimeout(err) && s.rested() || err == nil && !s.begin(s.startedAt) { // a first query on its way may be brought elsewhere
 			s.part(r)
 			return false
 		}
@@ -228,12 +228,12 @@
 		}
 		switch {
 		case m.Kind == pgwire.StartCancel:
-			s.f.cancel(m.Key)
+			s.front.cancel(m.Key)
 			return false
 		case m.Kind == pgwire.StartTLS:
 			s.say([]byte{'N'}, false)
 			continue
-		case s.full:
+		case s.overCapacity:
 			s.turnAway(r)
 			return false
 		}
@@ -244,7 +244,7 @@
 }
 
 func (s *session) turnAway(r *bufio.Reader) {
-	s.f.turnedAway.Add(1)
+	s.front.rejected.Add(1)
 	s.because(byNoRoom)
 	s.end(r, codeFull, "too many connections; nothing was read")
 }
@@ -253,7 +253,7 @@
 func (s *session) await() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading = false
+	s.receiving = false
 	s.conn.SetReadDeadline(s.until())
 }
 
@@ -264,12 +264,12 @@
 		return time.Now().Add(sweep)
 	case s.phase == working: // its queries' own deadlines count
 		return time.Time{}
-	case s.full:
-		return s.begun.Add(usualBegin)
-	case !s.asked:
-		return s.begun.Add(s.f.opt.Begin)
+	case s.overCapacity:
+		return s.startedAt.Add(usualBegin)
+	case !s.queried:
+		return s.startedAt.Add(s.front.options.BeginTimeout)
 	}
-	return s.last.Add(s.f.opt.Idle)
+	return s.lastActivity.Add(s.front.options.Idle)
 }
 
 // rested begins the close of a session whose wait for a message is over; false where a command or an answer came first.
@@ -293,27 +293,27 @@
 	if s.phase == closing {
 		return false
 	}
-	s.reading = true
-	s.conn.SetReadDeadline(from.Add(s.f.opt.Begin))
+	s.receiving = true
+	s.conn.SetReadDeadline(from.Add(s.front.options.BeginTimeout))
 	return true
 }
 
-// take takes a command; false where the session closes. It waits while too much has been read ahead, and where the session closes behind
+// accept takes a command; false where the session closes. It waits while too much has been read ahead, and where the session closes behind
 // the answers that it owes.
 func (s *session) take(c command) bool {
-	s.f.came()
+	s.front.recordActivity()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.parting && s.phase == working || len(s.commands) >= aheadMost || len(s.commands) > 0 && s.size+len(c.text) > aheadBytes {
-		s.room.Wait()
+	for s.closeWhenAnswered && s.phase == working || len(s.commands) >= maxPipelinedCommands || len(s.commands) > 0 && s.queuedBytes+len(c.text) > maxPipelinedBytes {
+		s.queueShrunk.Wait()
 	}
 	if s.phase == closing {
 		return false
 	}
-	s.commands, s.size = append(s.commands, c), s.size+len(c.text)
+	s.commands, s.queuedBytes = append(s.commands, c), s.queuedBytes+len(c.text)
 	if s.phase != working {
 		s.phase = working
-		s.f.group.Go(func() error { s.work(); return nil })
+		s.front.group.Go(func() error { s.work(); return nil })
 	}
 	return true
 }
@@ -323,21 +323,21 @@
 	for {
 		s.mu.Lock()
 		if len(s.commands) == 0 {
-			s.phase, s.last, s.query, s.commands = idle, time.Now(), nil, nil
-			if s.parting {
+			s.phase, s.lastActivity, s.query, s.commands = idle, time.Now(), nil, nil
+			if s.closeWhenAnswered {
 				s.phase = closing
 				s.because(byEnd)
 			}
-			s.room.Signal()
-			if !s.reading {
+			s.queueShrunk.Signal()
+			if !s.receiving {
 				s.conn.SetReadDeadline(s.until())
 			}
 			s.mu.Unlock()
 			return
 		}
 		c := s.commands[0]
-		s.commands, s.size = s.commands[1:], s.size-len(c.text)
-		s.room.Signal()
+		s.commands, s.queuedBytes = s.commands[1:], s.queuedBytes-len(c.text)
+		s.queueShrunk.Signal()
 		s.mu.Unlock()
 		if !s.answer(c) {
 			s.because(byWrite)
@@ -347,12 +347,12 @@
 	}
 }
 
-// shut begins the close of a session that owes nothing; one that owes answers closes behind them where parting is set. It
+// close begins the close of a session that owes nothing; one that owes answers closes behind them where parting is set. It
 // tells whether it closes now.
 func (s *session) shut(parting bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.parting = s.parting || parting
+	s.closeWhenAnswered = s.closeWhenAnswered || parting
 	if s.phase == closing || s.connection(parting).Close() != permit.Permitted {
 		return false
 	}
@@ -362,7 +362,7 @@
 	} else {
 		s.because(byEviction)
 	}
-	if !s.reading { // else the message that has begun is read to its end, and refused
+	if !s.receiving { // else the message that has begun is read to its end, and refused
 		s.conn.SetReadDeadline(s.until())
 	}
 	return true
@@ -380,15 +380,15 @@
 // part ends a session that owes nothing. Queries that had come before are refused: nothing runs for them.
 func (s *session) part(r *bufio.Reader) {
 	defer s.setReading(false)
-	for until := time.Now().Add(sweepMost); !s.full && time.Now().Before(until); {
+	for until := time.Now().Add(sweepMost); !s.overCapacity && time.Now().Before(until); {
 		s.setReading(false)
 		s.conn.SetReadDeadline(time.Now().Add(sweep))
 		if _, err := r.Peek(1); err != nil {
 			break
 		}
 		s.setReading(true)
-		s.conn.SetReadDeadline(time.Now().Add(s.f.opt.Begin))
-		kind, _, err := pgwire.ReadMessage(r, nil, s.f.opt.MaxStatement)
+		s.conn.SetReadDeadline(time.Now().Add(s.front.options.BeginTimeout))
+		kind, _, err := pgwire.ReadMessage(r, nil, s.front.options.MaxStatement)
 		if err != nil || kind != pgwire.Query {
 			break
 		}
@@ -419,11 +419,11 @@
 	var form *pgwire.FormatError
 	switch {
 	case errors.As(err, &form):
-		s.f.unreadable.Add(1)
+		s.front.protocolErrors.Add(1)
 		s.end(r, codeProtocol, form.What)
 	case errors.Is(err, pgwire.ErrTooLong):
-		s.f.unreadable.Add(1)
-		s.end(r, codeTooLong, fmt.Sprintf("message too long; allowed are %d bytes", s.f.opt.MaxStatement))
+		s.front.protocolErrors.Add(1)
+		s.end(r, codeTooLong, fmt.Sprintf("message too long; allowed are %d bytes", s.front.options.MaxStatement))
 	case isTimeout(err):
 		s.end(r, codeProtocol, "no whole message came in time")
 	}
@@ -440,12 +440,12 @@
 // leave tells that the client is gone: nothing it asked for is of use any more.
 func (s *session) leave() {
 	s.mu.Lock()
-	if !s.gone {
-		s.gone = true
-		close(s.left)
+	if !s.clientDisconnected {
+		s.clientDisconnected = true
+		close(s.disconnected)
 	}
-	s.commands, s.size = nil, 0
-	s.room.Signal()
+	s.commands, s.queuedBytes = nil, 0
+	s.queueShrunk.Signal()
 	q := s.query
 	s.mu.Unlock()
 	if q != nil {
@@ -461,7 +461,7 @@
 	s.mu.Lock()
 	q := s.query
 	if q == nil && len(s.commands) == 0 {
-		s.cancelled = time.Now()
+		s.cancelledAt = time.Now()
 	}
 	for i := range s.commands { // read before the word came
 		s.commands[i].at = time.Time{}
@@ -478,94 +478,94 @@
 		s.used()
 		return s.say(pgwire.AppendReady(pgwire.AppendEmpty(nil)), false)
 	}
-	a, err := read(c.text, &s.f.opt.Settings)
+	a, err := parseQuery(c.text, &s.front.options.Settings)
 	if err != nil {
 		return s.wrong(codeBadField, err.Error())
 	}
-	left := a.patience - time.Since(c.at)
+	left := a.clientTimeout - time.Since(c.at)
 	if c.at.IsZero() || left <= 0 { // called off, or its time was up before its turn: nothing was sent
 		return s.say(pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error, codeOverload, "over before its turn; nothing was run")), false)
 	}
-	if !s.f.open(a.trace) {
+	if !s.front.registerTrace(a.trace) {
 		return s.wrong(codeOpen, fmt.Sprintf("trace %s: the id is open already; allowed is a new one for each request", a.trace))
 	}
-	work := &lineproto.Request{ID: a.trace, Class: s.f.opt.Settings.Classes[a.class].Name, Text: a.text, Priority: -1}
-	if s.f.opt.Settings.Classes[a.class].Effect == policy.IdempotentByKey {
-		work.Key = a.nonce
+	work := &lineproto.Request{ID: a.trace, Class: s.front.options.Settings.Classes[a.class].Name, Text: a.text, Priority: -1}
+	if s.front.options.Settings.Classes[a.class].Effect == policy.IdempotentByKey {
+		work.Key = a.idempotencyKey
 	}
 	query, err := s.ask(frontend.Call{Traits: a.traits(), Protocol: nodelist.Platform, Remaining: left, Work: work})
 	if err != nil {
-		s.f.shut(a.trace)
+		s.front.releaseTrace(a.trace)
 		return s.wrong(codeBadField, err.Error())
 	}
 	v := dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected}
 	if query != nil {
 		v = <-query.Done
 	}
-	s.f.shut(a.trace) // not open any more when the client reads the answer
+	s.front.releaseTrace(a.trace) // not open any more when the client reads the answer
 	s.mu.Lock()
 	s.query = nil
 	s.mu.Unlock()
 	return s.say(encode(v), false)
 }
 
-// ask hands a query over, unless its client has gone or called it off; nil then.
+// queryWithFields hands a query over, unless its client has gone or called it off; nil then.
 func (s *session) ask(c frontend.Call) (*frontend.PendingQuery, error) {
 	s.used()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	crossed := !s.cancelled.IsZero() && time.Since(s.cancelled) < crossing
-	if s.cancelled = (time.Time{}); s.gone || crossed {
+	crossed := !s.cancelledAt.IsZero() && time.Since(s.cancelledAt) < crossing
+	if s.cancelledAt = (time.Time{}); s.clientDisconnected || crossed {
 		return nil, nil
 	}
-	q, err := s.f.desk.Submit(c)
+	q, err := s.front.intake.Submit(c)
 	if s.query = q; err == nil {
-		s.bad = 0
+		s.protocolErrorsInARow = 0
 	}
 	return q, err
 }
 
 func (s *session) used() {
 	s.mu.Lock()
-	s.asked, s.last = true, time.Now()
+	s.queried, s.lastActivity = true, time.Now()
 	s.mu.Unlock()
 }
 
 // Bounds of the pause after messages that cannot be used; it doubles with each in a row.
 const (
-	wrongPause = 20 * time.Millisecond
-	wrongMost  = time.Second
+	protocolErrorPause    = 20 * time.Millisecond
+	maxProtocolErrorPause = time.Second
 )
 
 // wrong answers a query that cannot be used. Who sends the next one at once waits for its answer, ever longer: the time of a
 // dispatcher belongs to those who can be served.
 func (s *session) wrong(code, words string) bool {
-	s.f.unreadable.Add(1)
+	s.front.protocolErrors.Add(1)
 	s.mu.Lock()
-	s.bad++
-	bad := s.bad
+	s.protocolErrorsInARow++
+	bad := s.protocolErrorsInARow
 	s.mu.Unlock()
 	if !s.say(pgwire.AppendReady(pgwire.AppendError(nil, pgwire.Error, code, words)), false) {
 		return false
 	}
-	t := time.NewTimer(min(wrongPause<<min(bad-1, 10), wrongMost))
+	t := time.NewTimer(min(protocolErrorPause<<min(bad-1, 10), maxProtocolErrorPause))
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-s.left:
+	case <-s.disconnected:
 	}
 	return true
 }
 
 // say writes whole messages, and nothing after the last word; false where they could not be written.
 func (s *session) say(b []byte, last bool) bool {
-	s.wmu.Lock()
-	defer s.wmu.Unlock()
-	if s.over {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if s.finished {
 		return true
 	}
-	s.over = last
-	s.conn.SetWriteDeadline(time.Now().Add(s.f.opt.Write))
+	s.finished = last
+	s.conn.SetWriteDeadline(time.Now().Add(s.front.options.WriteTimeout))
 	_, err := s.conn.Write(b)
 	return err == nil
 }
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -21,16 +21,16 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk is what a front posts to: it answers, or keeps queries until a test does.
-type desk struct {
+// dispatcher is what a front posts to: it answers, or keeps queries until a test does.
+type testDispatcher struct {
 	answer func(q *dispatch.Query) (dispatch.Outcome, bool)
 
-	mu   sync.Mutex
-	open map[string]*dispatch.Query
-	left chan string
+	mu           sync.Mutex
+	open         map[string]*dispatch.Query
+	disconnected chan string
 }
 
-func (d *desk) Post(ev dispatch.Event) {
+func (d *testDispatcher) Post(ev dispatch.Event) {
 	switch ev := ev.(type) {
 	case dispatch.QueryReceived:
 		d.mu.Lock()
@@ -51,13 +51,13 @@
 		d.mu.Unlock()
 		if q != nil {
 			q.Client.Answer(dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected})
-			d.left <- q.Work.(*lineproto.Request).ID
+			d.disconnected <- q.Work.(*lineproto.Request).ID
 		}
 	}
 }
 
-// result is a served answer of so many rows.
-func result(rows int) dispatch.Outcome {
+// servedRows is a served answer of so many rows.
+func servedRows(rows int) dispatch.Outcome {
 	r := &lineproto.Result{}
 	a, err := lineproto.NewReader(strings.NewReader(fmt.Sprintf("a data total=1 %d\r\n%s\r\n", 6*rows, strings.Repeat("x\ty\tz\n", rows)))).Read()
 	if err != nil {
@@ -67,18 +67,18 @@
 	return dispatch.Outcome{Kind: dispatch.Served, Result: r}
 }
 
-type served struct {
-	t       *testing.T
-	front   *Front
-	desk    *desk
-	address string
-	gate    *gate
-	stop    func()
-	ending  func() // tells the front to end, without waiting for it
+type testServer struct {
+	t          *testing.T
+	front      *Front
+	dispatcher *testDispatcher
+	address    string
+	gate       *gatedListener
+	stop       func()
+	beginEnd   func() // tells the front to end, without waiting for it
 }
 
-// gate is a listener whose connections hold back what they have read while it is shut.
-type gate struct {
+// gatedListener is a listener whose connections hold back what they have read while it is shut.
+type gatedListener struct {
 	*net.TCPListener
 
 	mu      sync.Mutex
@@ -86,7 +86,7 @@
 	held    chan struct{} // gets a value for each read that is held back
 }
 
-func (g *gate) shut() (open func()) {
+func (g *gatedListener) close() (open func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	barrier := make(chan struct{})
@@ -99,24 +99,24 @@
 	}
 }
 
-func (g *gate) Accept() (net.Conn, error) {
+func (g *gatedListener) Accept() (net.Conn, error) {
 	c, err := g.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return gated{c.(*net.TCPConn), g}, nil
+	return gatedConn{c.(*net.TCPConn), g}, nil
 }
 
-type gated struct {
+type gatedConn struct {
 	*net.TCPConn
-	g *gate
+	gate *gatedListener
 }
 
-func (c gated) Read(b []byte) (int, error) {
+func (c gatedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.g.mu.Lock()
-	barrier, held := c.g.barrier, c.g.held
-	c.g.mu.Unlock()
+	c.gate.mu.Lock()
+	barrier, held := c.gate.barrier, c.gate.held
+	c.gate.mu.Unlock()
 	if barrier != nil && n > 0 {
 		held <- struct{}{}
 		<-barrier
@@ -124,21 +124,21 @@
 	return n, err
 }
 
-func serve(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool)) *served {
+func startServer(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool)) *testServer {
 	t.Helper()
-	d := &desk{answer: answer, open: map[string]*dispatch.Query{}, left: make(chan string, 100)}
+	d := &testDispatcher{answer: answer, open: map[string]*dispatch.Query{}, disconnected: make(chan string, 100)}
 	o.Settings = testSettings()
-	s := &served{t: t, desk: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
+	s := &testServer{t: t, dispatcher: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.address = l.Addr().String()
-	s.gate = &gate{TCPListener: l}
+	s.gate = &gatedListener{TCPListener: l}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.front.Serve(ctx, s.gate) }()
-	s.ending = cancel
+	s.beginEnd = cancel
 	var once sync.Once
 	s.stop = func() {
 		once.Do(func() {
@@ -169,7 +169,7 @@
 
 func query(text string) []byte { return message('Q', text+"\x00") }
 
-func (s *served) connect() *client {
+func (s *testServer) connect() *client {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
 	if err != nil {
@@ -181,7 +181,7 @@
 }
 
 // session connects and shakes hands.
-func (s *served) session() *client {
+func (s *testServer) session() *client {
 	s.t.Helper()
 	c := s.connect()
 	c.Write(startupMessage)
@@ -219,7 +219,7 @@
 	}
 }
 
-func ask(trace int, rest string) []byte {
+func queryWithFields(trace int, rest string) []byte {
 	return query(fmt.Sprintf("/* route=lookup,trace=%016x,patience=2000 */ %s", trace, rest))
 }
 
@@ -229,8 +229,8 @@
 		v    dispatch.Outcome
 		want string
 	}{
-		"served":        {result(3), "TDDDCZ"},
-		"no rows":       {result(0), "TCZ"},
+		"served":        {servedRows(3), "TDDDCZ"},
+		"no rows":       {servedRows(0), "TCZ"},
 		"refused":       {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonOverload, RetryAfter: 250700}, "E(53000)(pause 250)Z"},
 		"refused, full": {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonFull}, "E(53000)Z"},
 		"draining":      {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, "E(57P03)Z"},
@@ -241,10 +241,10 @@
 		"no result":     {dispatch.Outcome{Kind: dispatch.Served}, "E(XX000)Z"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, Options{}, func(*dispatch.Query) (dispatch.Outcome, bool) { return c.v, true })
+			s := startServer(t, Options{}, func(*dispatch.Query) (dispatch.Outcome, bool) { return c.v, true })
 			cl := s.session()
 			for i := range 2 {
-				cl.Write(ask(i, "SELECT 1"))
+				cl.Write(queryWithFields(i, "SELECT 1"))
 				if got := cl.until('Z'); got != c.want {
 					t.Errorf("%s, want %s", got, c.want)
 				}
@@ -256,13 +256,13 @@
 // The first query may come right behind the start-up message, and anything may come in pieces; ready is told by an answer to
 // the empty query.
 func TestQueriesInPieces(t *testing.T) {
-	s := serve(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+	s := startServer(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		if q.Work.(*lineproto.Request).Text != "SELECT 'ü'" || q.TableGroup != 0 || q.Deadline <= 0 {
 			return dispatch.Outcome{Kind: dispatch.Failed}, true
 		}
-		return result(1), true
+		return servedRows(1), true
 	})
-	whole := append(append([]byte{}, startupMessage...), ask(1, "SELECT 'ü'")...)
+	whole := append(append([]byte{}, startupMessage...), queryWithFields(1, "SELECT 'ü'")...)
 	for cut := 1; cut < len(whole); cut++ {
 		c := s.connect()
 		c.Write(whole[:cut])
@@ -294,11 +294,11 @@
 // Whatever cannot be used gets an error that promises nothing, or a close, and disturbs nobody.
 func TestBadClients(t *testing.T) {
 	const begin = 200 * time.Millisecond
-	s := serve(t, Options{Begin: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
-		return result(1), q.Work.(*lineproto.Request).Text != "SELECT held"
+	s := startServer(t, Options{BeginTimeout: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+		return servedRows(1), q.Work.(*lineproto.Request).Text != "SELECT held"
 	})
 	usual := s.session()
-	usual.Write(ask(77, "SELECT held"))
+	usual.Write(queryWithFields(77, "SELECT held"))
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -307,16 +307,16 @@
 		"silence":                    {nil, "."},
 		"half a start-up":            {startupMessage[:11], "E(08P01)."},
 		"silence after the start-up": {startupMessage, "."},
-		"half a query":               {append(startupMessage[:len(startupMessage):len(startupMessage)], ask(1, "SELECT 1")[:30]...), "E(08P01)."},
+		"half a query":               {append(startupMessage[:len(startupMessage):len(startupMessage)], queryWithFields(1, "SELECT 1")[:30]...), "E(08P01)."},
 		"no fields":                  {query("SELECT 1"), "E(22023)Z"},
 		"an unknown class":           {query("/* route=x,trace=9b1f03aa5c7e2d41,patience=15 */ SELECT 1"), "E(22023)Z"},
 		"no id":                      {query("/* route=lookup,patience=15 */ SELECT 1"), "E(22023)Z"},
-		"an id that is open":         {ask(77, "SELECT 2"), "E(55006)Z"},
+		"an id that is open":         {queryWithFields(77, "SELECT 2"), "E(55006)Z"},
 		"60 MB":                      {append([]byte{'Q', 3, 0x93, 0x87, 0}, make([]byte, 100000)...), "E(54000)."},
 		"a negative length":          {[]byte{'Q', 255, 255, 255, 240}, "E(08P01)."},
 		"an unknown type":            {message('P', "x"), "E(0A000)."},
 		"a statement without an end": {message('Q', "SELECT"), "E(08P01)."},
-		"one behind an open one":     {append(ask(4, "SELECT held"), 0), "E(08P01)."},
+		"one behind an open one":     {append(queryWithFields(4, "SELECT held"), 0), "E(08P01)."},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *client
@@ -339,13 +339,13 @@
 			}
 		})
 	}
-	s.desk.mu.Lock()
-	for _, q := range s.desk.open {
+	s.dispatcher.mu.Lock()
+	for _, q := range s.dispatcher.open {
 		if q.Work.(*lineproto.Request).ID == fmt.Sprintf("%016x", 77) {
-			q.Client.Answer(result(1))
+			q.Client.Answer(servedRows(1))
 		}
 	}
-	s.desk.mu.Unlock()
+	s.dispatcher.mu.Unlock()
 	if got := usual.until('Z'); got != "TDCZ" {
 		t.Errorf("the usual client got %s", got)
 	}
@@ -353,7 +353,7 @@
 
 // Clients that send much at once and go without reading disturb nobody, and nothing of theirs stays.
 func TestAFloodThatGoes(t *testing.T) {
-	s := serve(t, Options{MaxStatement: 4096}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
+	s := startServer(t, Options{MaxStatement: 4096}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 	usual := s.session()
 	var group sync.WaitGroup
 	for i := range 8 {
@@ -366,14 +366,14 @@
 				}
 				c.Write(startupMessage)
 				for k := range 50 {
-					c.Write(ask(1000*i+50*j+k, strings.Repeat("SELECT 1 ", 100*(k%7))))
+					c.Write(queryWithFields(1000*i+50*j+k, strings.Repeat("SELECT 1 ", 100*(k%7))))
 				}
 				c.Close()
 			}
 		})
 	}
 	for i := range 100 {
-		usual.Write(ask(1<<20+i, "SELECT 1"))
+		usual.Write(queryWithFields(1<<20+i, "SELECT 1"))
 		if got := usual.until('Z'); got != "TDCZ" {
 			t.Fatalf("the usual client got %s", got)
 		}
@@ -387,10 +387,10 @@
 
 // A client leaves by a cancel with its key, or by closing; another key does nothing. Its query is told as left, once.
 func TestClientsThatLeave(t *testing.T) {
-	s := serve(t, Options{}, nil)
+	s := startServer(t, Options{}, nil)
 	wait := func() string {
 		select {
-		case id := <-s.desk.left:
+		case id := <-s.dispatcher.disconnected:
 			return id[14:]
 		case <-time.After(5 * time.Second):
 			t.Fatal("nobody left")
@@ -406,8 +406,8 @@
 		}
 	}
 	a, b := s.session(), s.session()
-	a.Write(ask(1, "SELECT 1"))
-	b.Write(ask(2, "SELECT 1"))
+	a.Write(queryWithFields(1, "SELECT 1"))
+	b.Write(queryWithFields(2, "SELECT 1"))
 	s.opened(2)
 	cancel(pgwire.Key{Process: a.key.Process, Secret: a.key.Secret + 1})
 	cancel(a.key)
@@ -421,17 +421,17 @@
 	if id := wait(); id != "02" {
 		t.Errorf("%s left, want 02", id)
 	}
-	a.Write(ask(3, "SELECT 1")) // the session goes on
+	a.Write(queryWithFields(3, "SELECT 1")) // the session goes on
 	s.opened(1)
 }
 
 // opened waits until so many queries are open at the desk.
-func (s *served) opened(n int) {
+func (s *testServer) opened(n int) {
 	s.t.Helper()
 	for range 5000 {
-		s.desk.mu.Lock()
-		open := len(s.desk.open)
-		s.desk.mu.Unlock()
+		s.dispatcher.mu.Lock()
+		open := len(s.dispatcher.open)
+		s.dispatcher.mu.Unlock()
 		if open == n {
 			return
 		}
@@ -443,19 +443,19 @@
 // At the front's bound silent connections make room, those with an open query never; where all have one, the newcomer is
 // told that nothing was read.
 func TestTooManyConnections(t *testing.T) {
-	s := serve(t, Options{MostSessions: 4, Begin: time.Minute}, nil)
+	s := startServer(t, Options{MostSessions: 4, BeginTimeout: time.Minute}, nil)
 	busy := s.session()
-	busy.Write(ask(1, "SELECT 1"))
+	busy.Write(queryWithFields(1, "SELECT 1"))
 	s.opened(1)
 	for range 20 { // silent ones, by the dozen
 		s.connect()
 	}
 	other := s.session()
-	other.Write(ask(2, "SELECT 1"))
+	other.Write(queryWithFields(2, "SELECT 1"))
 	s.opened(2)
 	for i := range 2 {
 		c := s.session()
-		c.Write(ask(3+i, "SELECT 1"))
+		c.Write(queryWithFields(3+i, "SELECT 1"))
 		s.opened(3 + i)
 	}
 	if got := s.connect().until('Z'); got != "E(53300)." {
@@ -469,17 +469,17 @@
 // In a flood of clients that ask once and stay, and of some that bring half a query, who has just connected is not the one to go:
 // a query is on its way there, while an idle client only has to connect again.
 func TestNewcomersAreNotTheFirstToGo(t *testing.T) {
-	s := serve(t, Options{MostSessions: 8, Begin: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true })
+	s := startServer(t, Options{MostSessions: 8, BeginTimeout: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
 	for i := range 60 {
 		fresh := s.session()
 		for j := range 3 { // each asks once and stays
 			c := s.session()
-			c.Write(ask(10*i+j, "SELECT 1"))
+			c.Write(queryWithFields(10*i+j, "SELECT 1"))
 			if got := c.until('Z'); got != "TCZ" {
 				t.Fatalf("client %d.%d: %s", i, j, got)
 			}
 		}
-		fresh.Write(ask(10*i+9, "SELECT 1"))
+		fresh.Write(queryWithFields(10*i+9, "SELECT 1"))
 		if got := fresh.until('Z'); got != "TCZ" {
 			t.Fatalf("the newcomer %d: %s", i, got)
 		}
@@ -491,8 +491,8 @@
 func TestCommandsSentAtOnce(t *testing.T) {
 	var mu sync.Mutex
 	out, most, n := 0, 0, 0
-	var s *served
-	s = serve(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+	var s *testServer
+	s = startServer(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		mu.Lock()
 		defer mu.Unlock()
 		out, n = out+1, n+1
@@ -502,15 +502,15 @@
 			mu.Lock()
 			out--
 			mu.Unlock()
-			q.Client.Answer(result(rows))
+			q.Client.Answer(servedRows(rows))
 		}()
 		return dispatch.Outcome{}, false
 	})
 	c := s.connect()
-	const many = 3 * aheadMost
+	const many = 3 * maxPipelinedCommands
 	all := append([]byte{}, startupMessage...)
 	for i := range many {
-		all = append(all, ask(i, "SELECT 1")...)
+		all = append(all, queryWithFields(i, "SELECT 1")...)
 		if i == 5 {
 			all = append(all, query("")...)
 		}
@@ -534,15 +534,15 @@
 
 // A client that leaves takes with it all it had sent ahead: one of it was handed over, and is told as left; so does one that calls off.
 func TestWhoLeavesTakesAllAlong(t *testing.T) {
-	for name, leave := range map[string]func(s *served, c *client){
-		"close":     func(_ *served, c *client) { c.Close() },
-		"terminate": func(_ *served, c *client) { c.Write(message('X', "")) },
-		"cancel":    func(s *served, c *client) { s.front.cancel(c.key) },
+	for name, leave := range map[string]func(s *testServer, c *client){
+		"close":     func(_ *testServer, c *client) { c.Close() },
+		"terminate": func(_ *testServer, c *client) { c.Write(message('X', "")) },
+		"cancel":    func(s *testServer, c *client) { s.front.cancel(c.key) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, Options{}, nil)
+			s := startServer(t, Options{}, nil)
 			c := s.session()
-			c.Write(append(ask(1, "SELECT 1"), append(ask(2, "SELECT 1"), ask(3, "SELECT 1")...)...))
+			c.Write(append(queryWithFields(1, "SELECT 1"), append(queryWithFields(2, "SELECT 1"), queryWithFields(3, "SELECT 1")...)...))
 			s.opened(1)
 			for ahead := 0; ahead < 2; { // both were read ahead
 				s.front.mu.Lock()
@@ -554,7 +554,7 @@
 				s.front.mu.Unlock()
 			}
 			leave(s, c)
-			if id := <-s.desk.left; id[14:] != "01" {
+			if id := <-s.dispatcher.disconnected; id[14:] != "01" {
 				t.Errorf("%s left", id)
 			}
 			if name == "cancel" {
@@ -563,8 +563,8 @@
 				}
 			}
 			s.stop()
-			if len(s.desk.open) > 0 || len(s.desk.left) > 0 {
-				t.Errorf("%d handed over after the client left", len(s.desk.open)+len(s.desk.left))
+			if len(s.dispatcher.open) > 0 || len(s.dispatcher.disconnected) > 0 {
+				t.Errorf("%d handed over after the client left", len(s.dispatcher.open)+len(s.dispatcher.disconnected))
 			}
 		})
 	}
@@ -572,10 +572,10 @@
 
 // A call-off whose query has not been read yet: the query is not handed over when it comes.
 func TestCallOffBeforeItsQuery(t *testing.T) {
-	s := serve(t, Options{}, nil)
+	s := startServer(t, Options{}, nil)
 	c := s.session()
-	open := s.gate.shut()
-	c.Write(ask(1, "SELECT 1"))
+	open := s.gate.close()
+	c.Write(queryWithFields(1, "SELECT 1"))
 	<-s.gate.held
 	s.front.cancel(c.key)
 	open()
@@ -588,25 +588,25 @@
 // A query that has been read but not looked at when its session is made to close: it is taken as a whole or not at all. Here the close
 // comes first: the query is refused, since nothing runs for it, and never handed over.
 func TestCloseAgainstAQuery(t *testing.T) {
-	for name, shut := range map[string]func(s *served) bool{
-		"evicted":        func(s *served) bool { return s.front.evict(false) },
-		"end of a drain": func(s *served) bool { s.ending(); <-s.front.parted; return true },
+	for name, shut := range map[string]func(s *testServer) bool{
+		"evicted":        func(s *testServer) bool { return s.front.evict(false) },
+		"end of a drain": func(s *testServer) bool { s.beginEnd(); <-s.front.closesBegun; return true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := serve(t, Options{Quiet: time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
+			s := startServer(t, Options{DrainIdle: time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 			c := s.session()
-			c.Write(ask(1, "SELECT 1"))
+			c.Write(queryWithFields(1, "SELECT 1"))
 			c.until('Z')
 			for resting := false; !resting; { // the answer is read before its worker has ended
 				s.front.mu.Lock()
 				for _, o := range s.front.sessions {
-					phase, _, _ := o.state()
+					phase, _, _ := o.snapshot()
 					resting = phase == idle
 				}
 				s.front.mu.Unlock()
 			}
-			open := s.gate.shut()
-			c.Write(ask(2, "SELECT 1"))
+			open := s.gate.close()
+			c.Write(queryWithFields(2, "SELECT 1"))
 			<-s.gate.held
 			closed := shut(s)
 			open()
@@ -622,19 +622,19 @@
 
 // An answer that is being written when its session is to go is written whole, and is the only one.
 func TestNoCloseBeforeTheAnswer(t *testing.T) {
-	s := serve(t, Options{MostSessions: 1}, nil)
+	s := startServer(t, Options{MostSessions: 1}, nil)
 	c := s.session()
-	c.Write(ask(1, "SELECT 1"))
+	c.Write(queryWithFields(1, "SELECT 1"))
 	s.opened(1)
 	if s.front.evict(false) {
 		t.Fatal("a session with an open query was evicted")
 	}
-	s.ending()
-	s.desk.mu.Lock()
-	for _, q := range s.desk.open {
-		q.Client.Answer(result(1000))
+	s.beginEnd()
+	s.dispatcher.mu.Lock()
+	for _, q := range s.dispatcher.open {
+		q.Client.Answer(servedRows(1000))
 	}
-	s.desk.mu.Unlock()
+	s.dispatcher.mu.Unlock()
 	if got := c.until('.'); got != "T"+strings.Repeat("D", 1000)+"CZ." {
 		t.Errorf("%d bytes of an answer", len(got))
 	}
@@ -642,13 +642,13 @@
 
 // Where all sessions are busy a client can still call off its query, and a newcomer reads that nothing was read, whatever it had sent.
 func TestCallOffAtTheBound(t *testing.T) {
-	s := serve(t, Options{MostSessions: 1}, nil)
+	s := startServer(t, Options{MostSessions: 1}, nil)
 	busy := s.session()
-	busy.Write(ask(1, "SELECT 1"))
+	busy.Write(queryWithFields(1, "SELECT 1"))
 	s.opened(1)
 	for range 50 {
 		c := s.connect()
-		c.Write(append(append([]byte{}, startupMessage...), ask(2, "SELECT 1")...))
+		c.Write(append(append([]byte{}, startupMessage...), queryWithFields(2, "SELECT 1")...))
 		if got := c.until('Z'); got != "E(53300)." {
 			t.Fatalf("a newcomer got %s", got)
 		}
@@ -665,16 +665,16 @@
 // Resting sessions end without a reset.
 func TestLateComersAtTheEnd(t *testing.T) {
 	stopped := make(chan struct{})
-	s := serve(t, Options{Quiet: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) {
+	s := startServer(t, Options{DrainIdle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) {
 		<-stopped
 		return dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, true
 	})
 	resting := s.session()
 	late := s.connect()
-	late.Write(append(append([]byte{}, startupMessage...), ask(1, "SELECT 1")...))
-	s.ending()
+	late.Write(append(append([]byte{}, startupMessage...), queryWithFields(1, "SELECT 1")...))
+	s.beginEnd()
 	later := s.connect()
-	later.Write(append(append([]byte{}, startupMessage...), ask(2, "SELECT 1")...))
+	later.Write(append(append([]byte{}, startupMessage...), queryWithFields(2, "SELECT 1")...))
 	close(stopped)
 	for _, c := range []*client{late, later} {
 		if got := c.until('Z') + c.until('Z'); !strings.HasSuffix(got, "ZE(57P03)Z") {
@@ -689,8 +689,8 @@
 // A client that never stops sending does not hold up the end, neither while it is served nor when its session closes.
 func TestTheEndDoesNotWaitForAFlood(t *testing.T) {
 	var group sync.WaitGroup
-	var s *served
-	s = serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+	var s *testServer
+	s = startServer(t, Options{DrainIdle: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		group.Go(func() { // while more is read ahead, as long as any is
 			for i, ahead := 0, false; i < 100 && !ahead; i++ {
 				time.Sleep(time.Millisecond)
@@ -702,14 +702,14 @@
 				}
 				s.front.mu.Unlock()
 			}
-			q.Client.Answer(result(1))
+			q.Client.Answer(servedRows(1))
 		})
 		return dispatch.Outcome{}, false
 	})
 	c := s.session()
 	group.Go(func() { io.Copy(io.Discard, c.r) })
 	group.Go(func() {
-		batch := append(ask(1, "SELECT 1"), ask(2, "SELECT 1")...)
+		batch := append(queryWithFields(1, "SELECT 1"), queryWithFields(2, "SELECT 1")...)
 		for {
 			if _, err := c.Write(batch); err != nil {
 				return
@@ -727,14 +727,14 @@
 
 // What is open when the front stops gets its answer written before connections close.
 func TestAnswersAreWrittenBeforeTheEnd(t *testing.T) {
-	s := serve(t, Options{}, nil)
+	s := startServer(t, Options{}, nil)
 	c := s.session()
-	c.Write(ask(1, "SELECT 1"))
+	c.Write(queryWithFields(1, "SELECT 1"))
 	s.opened(1)
 	done := make(chan struct{})
 	go func() { s.stop(); close(done) }()
-	for _, q := range s.desk.open { // the loop has ended: nobody else reads it
-		q.Client.Answer(result(1000))
+	for _, q := range s.dispatcher.open { // the loop has ended: nobody else reads it
+		q.Client.Answer(servedRows(1000))
 	}
 	if got := c.until('Z'); strings.Count(got, "D") != 1000 {
 		t.Errorf("%d rows of 1000", strings.Count(got, "D"))
@@ -744,14 +744,14 @@
 
 // Who sends again as soon as it is turned away waits, ever longer.
 func TestBadQueriesInARowAreSlowed(t *testing.T) {
-	s := serve(t, Options{}, nil)
+	s := startServer(t, Options{}, nil)
 	c := s.session()
 	begun := time.Now()
 	for range 5 {
 		c.Write(query("SELECT 1"))
 		c.until('Z')
 	}
-	if took := time.Since(begun); took < 15*wrongPause { // 1 + 2 + 4 + 8, before the fifth answer
+	if took := time.Since(begun); took < 15*protocolErrorPause { // 1 + 2 + 4 + 8, before the fifth answer
 		t.Errorf("five bad queries in %v", took)
 	}
 }
--- a/frontend/postgres/state_test.go
+++ b/frontend/postgres/state_test.go
@@ -16,7 +16,7 @@
 func TestEveryQueryHasOneAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		taken := make(chan *dispatch.Query, 100)
-		s := serve(t, Options{Quiet: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+		s := startServer(t, Options{DrainIdle: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 			taken <- q
 			return dispatch.Outcome{}, false
 		})
@@ -25,12 +25,12 @@
 		sent, handed, crossed, closed := 0, 0, false, false
 		give := func(q *dispatch.Query) { // unless it was answered as left
 			handed++
-			s.desk.mu.Lock()
-			_, open := s.desk.open[q.ID]
-			delete(s.desk.open, q.ID)
-			s.desk.mu.Unlock()
+			s.dispatcher.mu.Lock()
+			_, open := s.dispatcher.open[q.ID]
+			delete(s.dispatcher.open, q.ID)
+			s.dispatcher.mu.Unlock()
 			if open {
-				q.Client.Answer(result(1))
+				q.Client.Answer(servedRows(1))
 			}
 		}
 		for _, op := range rapid.SliceOfN(rapid.SampledFrom([]string{"send", "send", "send", "two", "half", "answer", "answer", "cancel", "evict",
@@ -40,13 +40,13 @@
 			}
 			switch op {
 			case "send":
-				c.Write(ask(sent, "SELECT 1"))
+				c.Write(queryWithFields(sent, "SELECT 1"))
 				sent++
 			case "two":
-				c.Write(append(ask(sent, "SELECT 1"), ask(sent+1, "SELECT 1")...))
+				c.Write(append(queryWithFields(sent, "SELECT 1"), queryWithFields(sent+1, "SELECT 1")...))
 				sent += 2
 			case "half":
-				m := ask(sent, "SELECT 1")
+				m := queryWithFields(sent, "SELECT 1")
 				c.Write(m[:7])
 				c.Write(m[7:])
 				sent++
@@ -61,14 +61,14 @@
 			case "evict":
 				crossed = s.front.evict(false) || crossed
 			case "end":
-				s.ending()
+				s.beginEnd()
 				crossed = true
 			case "close":
 				c.Close()
 				closed = true
 			}
 		}
-		s.ending()
+		s.beginEnd()
 		done := make(chan struct{})
 		go func() { s.stop(); close(done) }()
 		read := make(chan string, 1)
@@ -99,20 +99,20 @@
 		if !closed && (answers < handed || answers > sent || !crossed && answers != sent) {
 			rt.Fatalf("%d queries sent, %d handed over, %d answers", sent, handed, answers)
 		}
-		s.desk.mu.Lock()
-		defer s.desk.mu.Unlock()
-		if len(s.desk.open) > 0 || len(s.front.sessions) > 0 || len(s.front.traces) > 0 {
-			rt.Fatalf("%d queries, %d sessions, %d ids left", len(s.desk.open), len(s.front.sessions), len(s.front.traces))
+		s.dispatcher.mu.Lock()
+		defer s.dispatcher.mu.Unlock()
+		if len(s.dispatcher.open) > 0 || len(s.front.sessions) > 0 || len(s.front.traces) > 0 {
+			rt.Fatalf("%d queries, %d sessions, %d ids left", len(s.dispatcher.open), len(s.front.sessions), len(s.front.traces))
 		}
 	})
 }
 
 // Thousands of sessions and ids: nothing is kept of them.
 func TestNothingIsKeptOfSessions(t *testing.T) {
-	s := serve(t, Options{MostSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(1), true })
+	s := startServer(t, Options{MostSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 	for i := range 2000 {
 		c := s.connect()
-		c.Write(append(append([]byte{}, startupMessage...), ask(i, "SELECT 1")...))
+		c.Write(append(append([]byte{}, startupMessage...), queryWithFields(i, "SELECT 1")...))
 		if got := c.until('Z') + c.until('Z'); !strings.HasSuffix(got, "TDCZ") && !strings.HasSuffix(got, "E(53300)..") {
 			t.Fatalf("session %d got %s", i, got)
 		}
@@ -123,7 +123,7 @@
 	s.front.mu.Lock()
 	sessions, traces := len(s.front.sessions), len(s.front.traces)
 	s.front.mu.Unlock()
-	if sessions > s.front.opt.MostSessions+s.front.opt.Spare || traces > 0 {
+	if sessions > s.front.options.MostSessions+s.front.options.MaxClosing || traces > 0 {
 		t.Errorf("%d sessions, %d ids", sessions, traces)
 	}
 	s.stop()
--- a/frontend/postgres/statement.go
+++ b/frontend/postgres/table_group.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// word is a piece of a statement: an identifier or keyword, or one character of punctuation.
-type word struct {
+// token is a piece of a statement: an identifier or keyword, or one character of punctuation.
+type token struct {
 	text   string
 	name   bool
 	quoted bool
 }
 
-// words yields the pieces of a statement that are neither strings nor comments.
-func words(s string, yield func(word) bool) {
+// tokens yields the pieces of a statement that are neither strings nor comments.
+func tokens(s string, yield func(token) bool) {
 	for i := 0; i < len(s); {
 		c := s[i]
 		switch {
@@ -31,7 +31,7 @@
 			i = skipDollar(s, i)
 		case c == '"':
 			name, end := quoted(s, i)
-			if i = end; !yield(word{name, true, true}) {
+			if i = end; !yield(token{name, true, true}) {
 				return
 			}
 		case isName(c):
@@ -39,14 +39,14 @@
 			for end < len(s) && (isName(s[end]) || s[end] == '$') {
 				end++
 			}
-			if !yield(word{s[i:end], true, false}) {
+			if !yield(token{s[i:end], true, false}) {
 				return
 			}
 			i = end
 		case c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v':
 			i++
 		default:
-			if !yield(word{s[i : i+1], false, false}) {
+			if !yield(token{s[i : i+1], false, false}) {
 				return
 			}
 			i++
@@ -126,23 +126,23 @@
 // stagingSchema is where loads read from; its tables belong to no group.
 const stagingSchema = "staging"
 
-// tableWords are the keywords that a table's name follows.
-var tableWords = map[string]bool{"from": true, "join": true, "into": true, "update": true, "table": true, "using": true}
+// tableKeywords are the keywords that a table's name follows.
+var tableKeywords = map[string]bool{"from": true, "join": true, "into": true, "update": true, "table": true, "using": true}
 
-// clauseWords end a list of tables, in which a comma stands before the next one.
-var clauseWords = map[string]bool{"select": true, "where": true, "group": true, "order": true, "having": true, "on": true, "set": true,
+// clauseKeywords end a list of tables, in which a comma stands before the next one.
+var clauseKeywords = map[string]bool{"select": true, "where": true, "group": true, "order": true, "having": true, "on": true, "set": true,
 	"limit": true, "union": true, "values": true, "returning": true}
 
-// group is the group of tables that a statement reads or writes: the number after the underscore in its schema's name; 0
+// tableGroup is the group of tables that a statement reads or writes: the number after the underscore in its schema's name; 0
 // where none has one. A name where a table must stand goes before any other, which may be an alias.
-func group(statement string) int64 {
-	var before, schema word
+func tableGroup(statement string) int64 {
+	var before, schema token
 	list, table, first, any := false, false, int64(0), int64(0)
 	state := 0 // 1: after a name, 2: after its dot
-	words(statement, func(w word) bool {
+	tokens(statement, func(w token) bool {
 		switch {
 		case state == 2 && w.name:
-			if n := number(schema.text); n > 0 && table && first == 0 {
+			if n := schemaNumber(schema.text); n > 0 && table && first == 0 {
 				first = n
 			} else if n > 0 && any == 0 {
 				any = n
@@ -153,14 +153,14 @@
 		case w.name:
 			if before.name && !before.quoted {
 				key := strings.ToLower(before.text)
-				list = tableWords[key] || list && !clauseWords[key]
-				table = tableWords[key]
+				list = tableKeywords[key] || list && !clauseKeywords[key]
+				table = tableKeywords[key]
 			} else {
 				table = list && before.text == ","
 			}
 			schema, state = w, 1
 		default:
-			if state = 0; before.name && !before.quoted && clauseWords[strings.ToLower(before.text)] {
+			if state = 0; before.name && !before.quoted && clauseKeywords[strings.ToLower(before.text)] {
 				list = false
 			}
 		}
@@ -173,8 +173,8 @@
 	return any
 }
 
-// number is the one after the last underscore of a schema's name; 0 where there is none.
-func number(schema string) int64 {
+// schemaNumber is the one after the last underscore of a schema's name; 0 where there is none.
+func schemaNumber(schema string) int64 {
 	at := strings.LastIndexByte(schema, '_')
 	if at < 0 || schema == stagingSchema {
 		return 0
