--- a/frontend/postgres/query_fields.go
+++ b/frontend/postgres/query_fields.go
@@ -13,19 +13,19 @@
 	"embershunt/policy"
 )
 
-// queryFields is what a client says of its query in the comment before it.
+// queryFields are what a client states of its query, in the comment before the statement.
 type queryFields struct {
-	trace          string
-	class          int
-	tenant         int // -1: none was named
-	clientTimeout  time.Duration
-	idempotencyKey string
-	workEstimate   time.Duration // 0: none was given
-	memoryMB       float64       // 0: none was given
-	text           string        // the statement less the comment
+	trace          string        // the query's id, "trace"
+	class          int           // "route"
+	tenant         int           // "customer"; -1: none was named
+	clientTimeout  time.Duration // how long the client waits, "patience"
+	idempotencyKey string        // "nonce"; "": none
+	workEstimate   time.Duration // CPU time, "weight"; 0: none was stated
+	memoryMB       float64       // "need_mb"; 0: none was stated
+	text           string        // the statement without the comment
 }
 
-// BadFieldError tells that a field of a query's comment cannot be used.
+// BadFieldError means that a field of a query's comment cannot be used.
 type BadFieldError struct{ Field, Found, Allowed string }
 
 func (e *BadFieldError) Error() string {
@@ -35,134 +35,146 @@
 	return fmt.Sprintf("%s: found %.40q; allowed: %s", e.Field, e.Found, e.Allowed)
 }
 
-// maxWorkMillis bounds an estimate of work that can be meant, in milliseconds: eleven days on one core.
-const maxWorkMillis = 1e9
-
-// maxClassDeadlines bounds the time that a client can mean to wait, in times of its class's deadline: it may count from a little
-// earlier than that does, so that the deadline itself is no bound.
-const maxClassDeadlines = 2
-
-// maxFields bounds the fields of a comment.
-const maxFields = 32
+const (
+	// maxWorkMillis bounds a work estimate that can be meant: eleven days on one core.
+	maxWorkMillis = 1e9
+	// maxClassDeadlines bounds a client timeout that can be meant, in times of the class's deadline: a client may start to count a little
+	// earlier than that does, so that the deadline itself is no bound.
+	maxClassDeadlines = 2
+	// maxMachineMemories bounds a memory estimate that can be meant, in times of the largest machine's memory: estimates are rough.
+	maxMachineMemories = 100
+	// maxFields bounds the fields of a comment.
+	maxFields = 32
+	// traceDigits is the length of a query's id, in hexadecimal digits.
+	traceDigits = 16
+)
 
-// parseQuery takes a statement apart. The error is a *BadFieldError.
+// parseQuery parses the comment of a statement. The error is a *BadFieldError.
 func parseQuery(statement string, s *policy.Settings) (queryFields, error) {
-	a := queryFields{tenant: -1}
+	q := queryFields{tenant: -1}
 	fields, text, err := splitComment(statement)
 	if err != nil {
-		return a, err
+		return q, err
 	}
-	if a.text = text; strings.TrimLeft(text, " \t\r\n;") == "" {
-		return a, &BadFieldError{"statement", "", "a statement after the comment"}
+	if q.text = text; strings.TrimLeft(text, " \t\r\n;") == "" {
+		return q, &BadFieldError{"statement", "", "a statement after the comment"}
 	}
 	if !utf8.ValidString(text) {
-		return a, &BadFieldError{"statement", "bytes that are not UTF-8", "text in UTF-8"}
+		return q, &BadFieldError{"statement", "bytes that are not UTF-8", "text in UTF-8"}
+	}
+	if q.trace = fields["trace"]; !isHex(q.trace, traceDigits) {
+		return q, &BadFieldError{"trace", q.trace, "16 hex digits"}
+	}
+	if err := q.parseNames(fields, s); err != nil {
+		return q, err
 	}
-	if a.trace = fields["trace"]; !isHex(a.trace, 16) {
-		return a, &BadFieldError{"trace", a.trace, "16 hex digits"}
+	class := &s.Classes[q.class]
+	if err := q.parseNumbers(fields, class, s); err != nil {
+		return q, err
 	}
-	if a.class, err = parseName("route", fields["route"], len(s.Classes), func(i int) string { return s.Classes[i].Name }); err != nil {
-		return a, err
+	q.idempotencyKey = fields["nonce"]
+	if q.idempotencyKey != "" && !lineproto.Token(q.idempotencyKey) || q.idempotencyKey == "" && class.Effect == policy.IdempotentByKey {
+		return q, &BadFieldError{"nonce", q.idempotencyKey, "a key of 1 to 64 letters and digits, in keyed classes"}
+	}
+	return q, nil
+}
+
+// parseNames parses the fields that name something of the settings.
+func (q *queryFields) parseNames(fields map[string]string, s *policy.Settings) (err error) {
+	q.class, err = parseName("route", fields["route"], len(s.Classes), func(i int) string { return s.Classes[i].Name })
+	if err != nil {
+		return err
 	}
 	if name, ok := fields["customer"]; ok {
-		if a.tenant, err = parseName("customer", name, len(s.Tenants), func(i int) string { return s.Tenants[i].Name }); err != nil {
-			return a, err
-		}
+		q.tenant, err = parseName("customer", name, len(s.Tenants), func(i int) string { return s.Tenants[i].Name })
 	}
-	class := &s.Classes[a.class]
-	patience, err := parseNumber("patience", fields["patience"], 1, maxClassDeadlines*float64(class.Deadline)/1e3)
+	return err
+}
+
+// parseNumbers parses the fields that are numbers.
+func (q *queryFields) parseNumbers(fields map[string]string, class *policy.Class, s *policy.Settings) error {
+	deadlineMillis := float64(class.Deadline) / 1e3
+	timeoutMillis, err := parseNumber("patience", fields["patience"], 1, maxClassDeadlines*deadlineMillis)
 	if err != nil {
-		return a, err
+		return err
 	}
-	a.clientTimeout = time.Duration(patience * float64(time.Millisecond))
+	q.clientTimeout = time.Duration(timeoutMillis * float64(time.Millisecond))
 	if v, ok := fields["weight"]; ok {
-		ms, err := parseNumber("weight", v, 0, maxWorkMillis)
+		workMillis, err := parseNumber("weight", v, 0, maxWorkMillis)
 		if err != nil {
-			return a, err
+			return err
 		}
-		a.workEstimate = time.Duration(ms * float64(time.Millisecond))
+		q.workEstimate = time.Duration(workMillis * float64(time.Millisecond))
 	}
 	if v, ok := fields["need_mb"]; ok {
-		if a.memoryMB, err = parseNumber("need_mb", v, 0, maxMemoryMB(s)); err != nil {
-			return a, err
+		if q.memoryMB, err = parseNumber("need_mb", v, 0, maxMemoryMB(s)); err != nil {
+			return err
 		}
 	}
-	a.idempotencyKey = fields["nonce"]
-	if a.idempotencyKey != "" && !lineproto.Token(a.idempotencyKey) || a.idempotencyKey == "" && class.Effect == policy.IdempotentByKey {
-		return a, &BadFieldError{"nonce", a.idempotencyKey, "a key of 1 to 64 letters and digits, in keyed classes"}
-	}
-	return a, nil
+	return nil
 }
 
-// maxMachineMemories bounds an estimate of memory that can be meant, in times of the largest machine: estimates are rough.
-const maxMachineMemories = 100
-
+// maxMemoryMB bounds a memory estimate.
 func maxMemoryMB(s *policy.Settings) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, k := range s.Kinds {
-		most = max(most, k.MemoryMB)
+		largest = max(largest, k.MemoryMB)
 	}
-	if most == 0 {
+	if largest == 0 {
 		return math.MaxInt32
 	}
-	return most * maxMachineMemories
+	return largest * maxMachineMemories
 }
 
-// splitComment takes the fields out of the comment that a statement starts with.
-func splitComment(statement string) (map[string]string, string, error) {
+// splitComment splits a statement into the fields of the comment that it starts with, and its text.
+func splitComment(statement string) (fields map[string]string, text string, err error) {
 	body, ok := strings.CutPrefix(strings.TrimLeft(statement, " \t\r\n"), "/*")
 	if !ok {
 		return nil, "", &BadFieldError{"comment", "", "/* name=value,... */ before the statement"}
 	}
-	inner, text, ok := strings.Cut(body, "*/")
+	comment, text, ok := strings.Cut(body, "*/")
 	if !ok {
 		return nil, "", &BadFieldError{"comment", "", "a comment that ends"}
 	}
-	fields := map[string]string{}
-	for part := range strings.SplitSeq(inner, ",") {
-		name, value, ok := strings.Cut(part, "=")
+	fields = map[string]string{}
+	for field := range strings.SplitSeq(comment, ",") {
+		name, value, ok := strings.Cut(field, "=")
 		name, value = strings.TrimSpace(name), strings.TrimSpace(value)
 		if _, twice := fields[name]; !ok || name == "" || twice || len(fields) == maxFields {
-			return nil, "", &BadFieldError{"comment", part, "name=value, each name once"}
+			return nil, "", &BadFieldError{"comment", field, "name=value, each name once"}
 		}
 		fields[name] = value
 	}
 	return fields, strings.TrimLeft(text, " \t\r\n"), nil
 }
 
+// isHex reports whether a text is n hexadecimal digits.
 func isHex(s string, n int) bool {
-	if len(s) != n {
-		return false
-	}
-	for i := range n {
-		if c := s[i]; !(c >= '0' && c <= '9' || c >= 'a' && c <= 'f' || c >= 'A' && c <= 'F') {
-			return false
-		}
-	}
-	return true
+	return len(s) == n && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-func parseName(field, name string, n int, of func(int) string) (int, error) {
-	var all []string
+// parseName finds a name among n names and returns its index.
+func parseName(field, name string, n int, nameOf func(int) string) (int, error) {
+	var allowed []string
 	for i := range n {
-		if of(i) == name && name != "" {
+		if nameOf(i) == name && name != "" {
 			return i, nil
 		}
-		all = append(all, of(i))
+		allowed = append(allowed, nameOf(i))
 	}
-	return -1, &BadFieldError{field, name, strings.Join(all, ", ")}
+	return -1, &BadFieldError{field, name, strings.Join(allowed, ", ")}
 }
 
-// parseNumber reads a plain decimal number; NaN, infinities, exponents and signs are none.
-func parseNumber(field, s string, least, most float64) (float64, error) {
+// parseNumber parses a plain decimal number between bounds; NaN, infinities, exponents and signs are not allowed.
+func parseNumber(field, s string, minimum, maximum float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || strings.Trim(s, "0123456789.") != "" || !(v >= least && v <= most) {
-		return 0, &BadFieldError{field, s, fmt.Sprintf("a number from %v to %v", least, most)}
+	if err != nil || strings.Trim(s, "0123456789.") != "" || !(v >= minimum && v <= maximum) {
+		return 0, &BadFieldError{field, s, fmt.Sprintf("a number from %v to %v", minimum, maximum)}
 	}
 	return v, nil
 }
 
-// traits are what the module is told.
-func (a *queryFields) traits() *classify.Traits {
-	return &classify.Traits{Class: a.class, Tenant: a.tenant, Cost: a.workEstimate, MemoryMB: a.memoryMB, Tables: tableGroup(a.text)}
+// traits are the query's traits for the policy.
+func (q *queryFields) traits() *classify.Traits {
+	return &classify.Traits{Class: q.class, Tenant: q.tenant, Cost: q.workEstimate, MemoryMB: q.memoryMB, Tables: tableGroup(q.text)}
 }
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -548,7 +548,7 @@
 				s.front.mu.Lock()
 				for _, o := range s.front.sessions {
 					o.mu.Lock()
-					ahead = len(o.commands)
+					ahead = len(o.state.commands)
 					o.mu.Unlock()
 				}
 				s.front.mu.Unlock()
@@ -697,7 +697,7 @@
 				s.front.mu.Lock()
 				for _, o := range s.front.sessions {
 					o.mu.Lock()
-					ahead = len(o.commands) > 0
+					ahead = len(o.state.commands) > 0
 					o.mu.Unlock()
 				}
 				s.front.mu.Unlock()
