--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -1,7 +1,6 @@
 package postgres
 
 import (
-	"context"
 	"net"
 	"os"
 	"sync"
@@ -10,17 +9,16 @@
 	"time"
 
 	"embershunt/dispatch"
-	"embershunt/frontend"
 )
 
-// faultyListener is a listener whose accept fails some times before it gives a connection.
+// faultyListener is a listener whose Accept fails some times before it returns a connection.
 type faultyListener struct {
 	*net.TCPListener
 
 	mu          sync.Mutex
 	errno       syscall.Errno
 	times       int
-	allReturned chan struct{} // closed when the last error has been given
+	allReturned chan struct{} // closed when the last error was returned
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -36,7 +34,7 @@
 	return l.TCPListener.Accept()
 }
 
-// fail has the next accepts fail.
+// fail makes the next calls of Accept fail.
 func (l *faultyListener) fail(errno syscall.Errno, times int) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,33 +42,40 @@
 	return l.allReturned
 }
 
-// An error of accept that is not this process's lack of descriptors closes nobody's connection; a lack of them closes idle ones.
+// An error of accept(2) closes no other connection, unless this process lacks descriptors: then idle ones are closed.
 func TestAcceptErrorsCloseNobodyElse(t *testing.T) {
 	for errno, closes := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.EINTR: false, syscall.ENFILE: false,
 		syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EMFILE: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			s := startServerOn(t, func(l *net.TCPListener) Listener { return &faultyListener{TCPListener: l} })
+			var listener *faultyListener
+			answer := func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true }
+			s := startServerOn(t, Options{}, answer, func(l *net.TCPListener) Listener {
+				listener = &faultyListener{TCPListener: l}
+				return listener
+			})
 			idle := s.session()
-			idle.Write(queryWithFields(1, "SELECT 1"))
+			send(idle, queryWithFields(1, "SELECT 1"))
 			if got := idle.until('Z'); got != "TCZ" {
 				t.Fatal(got)
 			}
-			given := s.listener.(*faultyListener).fail(errno, 20)
-			s.session() // the accept that waits already; the errors come after it
-			<-given
+			allReturned := listener.fail(errno, 20)
+			s.session() // ends the Accept that waits already; the errors come after it
+			<-allReturned
 			after := s.session()
-			after.Write(queryWithFields(2, "SELECT 1"))
+			send(after, queryWithFields(2, "SELECT 1"))
 			if got := after.until('Z'); got != "TCZ" {
 				t.Fatal(got)
 			}
-			idle.SetDeadline(time.Now().Add(5 * time.Second))
+			if err := idle.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
 			if closes {
 				if got := idle.until(0); got != "." {
 					t.Errorf("the idle one got %q", got)
 				}
 				return
 			}
-			idle.Write(queryWithFields(3, "SELECT 1"))
+			send(idle, queryWithFields(3, "SELECT 1"))
 			if got := idle.until('Z'); got != "TCZ" {
 				t.Errorf("the idle one got %q", got)
 			}
@@ -78,42 +83,13 @@
 	}
 }
 
-// faultyServer is a front on a listener of a test's own.
-type faultyServer struct {
-	*testServer
-	listener Listener
-}
-
-func startServerOn(t *testing.T, wrap func(*net.TCPListener) Listener) *faultyServer {
-	t.Helper()
-	d := &testDispatcher{answer: func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true }, open: map[string]*dispatch.Query{},
-		disconnected: make(chan string, 100)}
-	s := &testServer{t: t, dispatcher: d, front: New(Options{Settings: testSettings()}, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
-	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.address = l.Addr().String()
-	out := &faultyServer{s, wrap(l)}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- s.front.Serve(ctx, out.listener) }()
-	t.Cleanup(func() {
-		cancel()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-	})
-	return out
-}
-
-// Why sessions ended is counted, once each.
+// The reason for which a session ended is counted, once each.
 func TestClosuresAreCounted(t *testing.T) {
 	s := startServer(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
-	s.session().Close()
-	s.session().Write([]byte{0xff, 0xff, 0xff, 0xff, 0xff})
+	closeConn(t, s.session())
+	send(s.session(), []byte{0xff, 0xff, 0xff, 0xff, 0xff})
 	idle := s.session()
-	idle.Write(queryWithFields(1, "SELECT 1"))
+	send(idle, queryWithFields(1, "SELECT 1"))
 	if got := idle.until(0); got != "TCZ." {
 		t.Fatal(got)
 	}
--- /dev/null
+++ b/frontend/postgres/cancel_test.go
@@ -0,0 +1,102 @@
+package postgres
+
+import (
+	"testing"
+	"time"
+
+	"embershunt/internal/pgwire"
+)
+
+// A client gives its query up by a cancel with its key, or by closing the connection; another key does nothing. The dispatcher is notified
+// once.
+func TestClientsThatDisconnect(t *testing.T) {
+	s := startServer(t, Options{}, nil)
+	wait := func() string {
+		select {
+		case id := <-s.dispatcher.disconnected:
+			return id[14:]
+		case <-time.After(5 * time.Second):
+			t.Fatal("no client was reported as disconnected")
+			return ""
+		}
+	}
+	cancel := func(k pgwire.Key) {
+		c := s.connect()
+		send(c, cancelRequest(k))
+		if _, err := c.r.ReadByte(); err == nil {
+			t.Error("a cancel was answered")
+		}
+	}
+	a, b := s.session(), s.session()
+	send(a, queryWithFields(1, "SELECT 1"))
+	send(b, queryWithFields(2, "SELECT 1"))
+	s.waitForOpen(2)
+	cancel(pgwire.Key{Process: a.key.Process, Secret: a.key.Secret + 1})
+	cancel(a.key)
+	if id := wait(); id != "01" {
+		t.Errorf("%s disconnected, want 01", id)
+	}
+	if got := a.until('Z'); got != "E(57014)Z" {
+		t.Errorf("%s", got)
+	}
+	closeConn(t, b)
+	if id := wait(); id != "02" {
+		t.Errorf("%s disconnected, want 02", id)
+	}
+	send(a, queryWithFields(3, "SELECT 1")) // the session goes on
+	s.waitForOpen(1)
+}
+
+// A client that disconnects or cancels gives up all commands that it has pipelined: one of them was submitted, and is reported as
+// disconnected; the others are never submitted.
+func TestDisconnectCancelsPipelinedCommands(t *testing.T) {
+	for name, disconnect := range map[string]func(s *testServer, c *client){
+		"close":     func(_ *testServer, c *client) { closeConn(c.t, c) },
+		"terminate": func(_ *testServer, c *client) { send(c, message('X', "")) },
+		"cancel":    func(s *testServer, c *client) { s.front.cancel(c.key) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := startServer(t, Options{}, nil)
+			c := s.session()
+			send(c, append(queryWithFields(1, "SELECT 1"), append(queryWithFields(2, "SELECT 1"), queryWithFields(3, "SELECT 1")...)...))
+			s.waitForOpen(1)
+			for pipelined := 0; pipelined < 2; { // both were read
+				s.front.mu.Lock()
+				for _, o := range s.front.sessions {
+					o.mu.Lock()
+					pipelined = len(o.state.commands)
+					o.mu.Unlock()
+				}
+				s.front.mu.Unlock()
+			}
+			disconnect(s, c)
+			if id := <-s.dispatcher.disconnected; id[14:] != "01" {
+				t.Errorf("%s disconnected", id)
+			}
+			if name == "cancel" {
+				if got := c.until('Z') + c.until('Z') + c.until('Z'); got != "E(57014)ZE(53000)ZE(53000)Z" {
+					t.Errorf("answers %s", got)
+				}
+			}
+			s.stop()
+			if len(s.dispatcher.open) > 0 || len(s.dispatcher.disconnected) > 0 {
+				t.Errorf("%d submitted after the client had disconnected", len(s.dispatcher.open)+len(s.dispatcher.disconnected))
+			}
+		})
+	}
+}
+
+// A cancel whose query has not been read yet: the query is not submitted when it is read.
+func TestCancelBeforeItsQuery(t *testing.T) {
+	s := startServer(t, Options{}, nil)
+	c := s.session()
+	open := s.gate.close()
+	send(c, queryWithFields(1, "SELECT 1"))
+	<-s.gate.held
+	s.front.cancel(c.key)
+	open()
+	if got := c.until('Z'); got != "E(57014)Z" {
+		t.Errorf("%s", got)
+	}
+	s.waitForOpen(0)
+}
--- /dev/null
+++ b/frontend/postgres/server_test.go
@@ -0,0 +1,284 @@
+package postgres
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+
+	"embershunt/dispatch"
+	"embershunt/frontend"
+	"embershunt/internal/lineproto"
+	"embershunt/internal/pgwire"
+)
+
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// testDispatcher is what a frontend posts to: it answers queries, or leaves them open until a test does.
+type testDispatcher struct {
+	answer func(q *dispatch.Query) (dispatch.Outcome, bool)
+
+	mu           sync.Mutex
+	open         map[string]*dispatch.Query
+	disconnected chan string // ids of the queries whose client disconnected
+}
+
+func (d *testDispatcher) Post(ev dispatch.Event) {
+	switch ev := ev.(type) {
+	case dispatch.QueryReceived:
+		d.mu.Lock()
+		d.open[ev.Query.ID] = ev.Query
+		d.mu.Unlock()
+		if d.answer != nil {
+			if v, ok := d.answer(ev.Query); ok {
+				d.mu.Lock()
+				delete(d.open, ev.Query.ID)
+				d.mu.Unlock()
+				ev.Query.Client.Answer(v)
+			}
+		}
+	case dispatch.ClientDisconnected:
+		d.mu.Lock()
+		q := d.open[ev.ID]
+		delete(d.open, ev.ID)
+		d.mu.Unlock()
+		if q != nil {
+			q.Client.Answer(dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected})
+			d.disconnected <- q.Work.(*lineproto.Request).ID
+		}
+	}
+}
+
+// servedRows is a served answer of so many rows.
+func servedRows(rows int) dispatch.Outcome {
+	r := &lineproto.Result{}
+	a, err := lineproto.NewReader(strings.NewReader(fmt.Sprintf("a data total=1 %d\r\n%s\r\n", 6*rows, strings.Repeat("x\ty\tz\n", rows)))).Read()
+	if err != nil {
+		panic(err)
+	}
+	if _, err := r.Add(&a); err != nil {
+		panic(err)
+	}
+	return dispatch.Outcome{Kind: dispatch.Served, Result: r}
+}
+
+// testServer is a frontend that serves, with its dispatcher.
+type testServer struct {
+	t          *testing.T
+	front      *Front
+	dispatcher *testDispatcher
+	address    string
+	gate       *gatedListener
+	stop       func()
+	beginEnd   func() // ends the frontend without waiting for it
+}
+
+// gatedListener is a listener whose connections hold back what they have read while the gate is closed.
+type gatedListener struct {
+	*net.TCPListener
+
+	mu      sync.Mutex
+	barrier chan struct{} // nil: open
+	held    chan struct{} // gets a value for each read that is held back
+}
+
+// close closes the gate until open is called.
+func (g *gatedListener) close() (open func()) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	barrier := make(chan struct{})
+	g.barrier, g.held = barrier, make(chan struct{}, 100)
+	return func() {
+		g.mu.Lock()
+		g.barrier = nil
+		g.mu.Unlock()
+		close(barrier)
+	}
+}
+
+func (g *gatedListener) Accept() (net.Conn, error) {
+	c, err := g.TCPListener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return gatedConn{c.(*net.TCPConn), g}, nil
+}
+
+// gatedConn is a connection of a gatedListener.
+type gatedConn struct {
+	*net.TCPConn
+	gate *gatedListener
+}
+
+func (c gatedConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	c.gate.mu.Lock()
+	barrier, held := c.gate.barrier, c.gate.held
+	c.gate.mu.Unlock()
+	if barrier != nil && n > 0 {
+		held <- struct{}{}
+		<-barrier
+	}
+	return n, err
+}
+
+// startServer starts a frontend whose queries answer answers, as far as it returns true; nil: it answers none.
+func startServer(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool)) *testServer {
+	t.Helper()
+	gate := &gatedListener{}
+	s := startServerOn(t, o, answer, func(l *net.TCPListener) Listener {
+		gate.TCPListener = l
+		return gate
+	})
+	s.gate = gate
+	return s
+}
+
+// startServerOn starts a frontend on a listener that wrap makes of a real one.
+func startServerOn(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool),
+	wrap func(*net.TCPListener) Listener) *testServer {
+	t.Helper()
+	d := &testDispatcher{answer: answer, open: map[string]*dispatch.Query{}, disconnected: make(chan string, 100)}
+	o.Settings = testSettings()
+	s := &testServer{t: t, dispatcher: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
+	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.address = l.Addr().String()
+	listener := wrap(l)
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.front.Serve(ctx, listener) }()
+	s.beginEnd = cancel
+	var once sync.Once
+	s.stop = func() {
+		once.Do(func() {
+			cancel()
+			if err := <-done; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	t.Cleanup(s.stop)
+	return s
+}
+
+// client is one connection to a frontend.
+type client struct {
+	t *testing.T
+	net.Conn
+	r   *bufio.Reader
+	key pgwire.Key
+}
+
+// startupMessage is what a client sends first.
+var startupMessage = append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...)
+
+// message is a client's message.
+func message(kind byte, body string) []byte {
+	n := len(body) + 4
+	return append([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, body...)
+}
+
+// query is the message of a simple query.
+func query(text string) []byte { return message('Q', text+"\x00") }
+
+// connect opens a connection.
+func (s *testServer) connect() *client {
+	s.t.Helper()
+	conn, err := net.Dial("tcp", s.address)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	if err := conn.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
+	return &client{t: s.t, Conn: conn, r: bufio.NewReader(conn)}
+}
+
+// session opens a connection and starts a session.
+func (s *testServer) session() *client {
+	s.t.Helper()
+	c := s.connect()
+	send(c, startupMessage)
+	if got := c.until('Z'); !strings.HasPrefix(got, "R") {
+		s.t.Fatalf("start-up answered with %s", got)
+	}
+	return c
+}
+
+// until reads messages up to one of a kind, or to the end, and returns their kinds; an error's SQLSTATE follows its kind.
+func (c *client) until(last byte) (kinds string) {
+	for {
+		kind, body, err := pgwire.ReadMessage(c.r, nil, 1<<20)
+		if err != nil {
+			return kinds + "."
+		}
+		kinds += string(kind)
+		if kind == 'K' {
+			c.key = pgwire.Key{Process: binary.BigEndian.Uint32(body[:4]), Secret: binary.BigEndian.Uint32(body[4:])}
+		}
+		if kind == 'E' {
+			for f := range strings.SplitSeq(string(body), "\x00") {
+				if strings.HasPrefix(f, "C") {
+					kinds += "(" + f[1:] + ")"
+				}
+				if _, ms, ok := strings.Cut(f, "pause="); ok && f[0] == 'M' {
+					kinds += "(pause " + ms + ")"
+				}
+			}
+		}
+		if kind == last {
+			return kinds
+		}
+	}
+}
+
+// queryWithFields is a query with the fields that it needs.
+func queryWithFields(trace int, rest string) []byte {
+	return query(fmt.Sprintf("/* route=lookup,trace=%016x,patience=2000 */ %s", trace, rest))
+}
+
+// waitForOpen waits until so many queries are open at the dispatcher.
+func (s *testServer) waitForOpen(n int) {
+	s.t.Helper()
+	for range 5000 {
+		s.dispatcher.mu.Lock()
+		open := len(s.dispatcher.open)
+		s.dispatcher.mu.Unlock()
+		if open == n {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+	s.t.Fatalf("not %d open", n)
+}
+
+// cancelRequest is what a connection sends to cancel a session's query.
+func cancelRequest(k pgwire.Key) []byte {
+	b := []byte{0, 0, 0, 16, 4, 210, 22, 46}
+	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, k.Process), k.Secret)
+}
+
+// send writes what a client sends; the frontend may have closed the connection, which the test sees by what it reads.
+func send(c io.Writer, messages []byte) { _, _ = c.Write(messages) }
+
+// closeConn closes a client's connection.
+func closeConn(t *testing.T, c io.Closer) {
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// The gate must not hide that connections can close their sending side alone.
+var _ halfCloser = gatedConn{}
--- /dev/null
+++ b/frontend/postgres/session_close_test.go
@@ -0,0 +1,147 @@
+package postgres
+
+import (
+	"io"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"embershunt/dispatch"
+)
+
+// A query that has arrived but was not handled when its session begins to close is accepted as a whole or not at all. Here the close
+// comes first: the query is refused, since nothing runs for it, and never submitted.
+func TestCloseAgainstAQuery(t *testing.T) {
+	for name, beginClose := range map[string]func(s *testServer) bool{
+		"evicted":        func(s *testServer) bool { return s.front.evict(false) },
+		"end of a drain": func(s *testServer) bool { s.beginEnd(); <-s.front.closesBegun; return true },
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := startServer(t, Options{DrainIdle: time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
+			c := s.session()
+			send(c, queryWithFields(1, "SELECT 1"))
+			c.until('Z')
+			for isIdle := false; !isIdle; { // the answer is read before its worker has ended
+				s.front.mu.Lock()
+				for _, o := range s.front.sessions {
+					phase, _, _ := o.snapshot()
+					isIdle = phase == idle
+				}
+				s.front.mu.Unlock()
+			}
+			open := s.gate.close()
+			send(c, queryWithFields(2, "SELECT 1"))
+			<-s.gate.held
+			closed := beginClose(s)
+			open()
+			if !closed {
+				t.Fatal("not closed")
+			}
+			if got := c.until('.'); got != "E(57P03)Z." {
+				t.Errorf("%s", got)
+			}
+		})
+	}
+}
+
+// An answer that is being written when its session is to close is written completely, and is the only one.
+func TestNoCloseBeforeTheAnswer(t *testing.T) {
+	s := startServer(t, Options{MostSessions: 1}, nil)
+	c := s.session()
+	send(c, queryWithFields(1, "SELECT 1"))
+	s.waitForOpen(1)
+	if s.front.evict(false) {
+		t.Fatal("a session with an open query was evicted")
+	}
+	s.beginEnd()
+	s.dispatcher.mu.Lock()
+	for _, q := range s.dispatcher.open {
+		q.Client.Answer(servedRows(1000))
+	}
+	s.dispatcher.mu.Unlock()
+	if got := c.until('.'); got != "T"+strings.Repeat("D", 1000)+"CZ." {
+		t.Errorf("%d bytes of an answer", len(got))
+	}
+}
+
+// Connections that arrive while the frontend ends, and were not accepted yet, are answered: the frontend goes on until nothing has arrived
+// for a while. Idle sessions end without a reset.
+func TestLateConnectionsAtTheEnd(t *testing.T) {
+	stopped := make(chan struct{})
+	s := startServer(t, Options{DrainIdle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) {
+		<-stopped
+		return dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, true
+	})
+	idleClient := s.session()
+	late := s.connect()
+	send(late, append(append([]byte{}, startupMessage...), queryWithFields(1, "SELECT 1")...))
+	s.beginEnd()
+	later := s.connect()
+	send(later, append(append([]byte{}, startupMessage...), queryWithFields(2, "SELECT 1")...))
+	close(stopped)
+	for _, c := range []*client{late, later} {
+		if got := c.until('Z') + c.until('Z'); !strings.HasSuffix(got, "ZE(57P03)Z") {
+			t.Errorf("a late connection got %s", got)
+		}
+	}
+	if _, err := idleClient.r.ReadByte(); err != io.EOF {
+		t.Errorf("an idle session ends with %v", err)
+	}
+}
+
+// A client that never stops sending does not hold up the end, neither while it is served nor when its session closes.
+func TestTheEndDoesNotWaitForAFlood(t *testing.T) {
+	var group sync.WaitGroup
+	var s *testServer
+	s = startServer(t, Options{DrainIdle: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
+		group.Go(func() { // answers when another command is queued, or after 100 ms
+			for i, queued := 0, false; i < 100 && !queued; i++ {
+				time.Sleep(time.Millisecond)
+				s.front.mu.Lock()
+				for _, o := range s.front.sessions {
+					o.mu.Lock()
+					queued = len(o.state.commands) > 0
+					o.mu.Unlock()
+				}
+				s.front.mu.Unlock()
+			}
+			q.Client.Answer(servedRows(1))
+		})
+		return dispatch.Outcome{}, false
+	})
+	c := s.session()
+	group.Go(func() { _, _ = io.Copy(io.Discard, c.r) }) // ends with the connection
+	group.Go(func() {
+		batch := append(queryWithFields(1, "SELECT 1"), queryWithFields(2, "SELECT 1")...)
+		for {
+			if _, err := c.Write(batch); err != nil {
+				return
+			}
+		}
+	})
+	begun := time.Now()
+	s.stop()
+	if took := time.Since(begun); took > 5*time.Second { // far longer than DrainIdle, draining the input and lingering; the flood has no end
+		t.Errorf("the end took %v", took)
+	}
+	closeConn(t, c)
+	group.Wait()
+}
+
+// Queries that are open when the frontend stops are answered before connections close.
+func TestAnswersAreWrittenBeforeTheEnd(t *testing.T) {
+	s := startServer(t, Options{}, nil)
+	c := s.session()
+	send(c, queryWithFields(1, "SELECT 1"))
+	s.waitForOpen(1)
+	done := make(chan struct{})
+	go func() { s.stop(); close(done) }()
+	for _, q := range s.dispatcher.open { // the loop has ended: nobody else reads it
+		q.Client.Answer(servedRows(1000))
+	}
+	if got := c.until('Z'); strings.Count(got, "D") != 1000 {
+		t.Errorf("%d rows of 1000", strings.Count(got, "D"))
+	}
+	<-done
+}
