--- a/backend/flight_session.go
+++ b/backend/flight_session.go
@@ -17,7 +17,7 @@
 const releaseTimeout = 2 * time.Second
 
 // Release implements frontend.Releaser: it asks a node to end what it holds of a session: its transaction where the node's handle
-// of that is known, else all that came under the session's name. done is told whether the node did; it is not called when the
+// of that is known, else all that it holds under the session's name. done is told whether the node did; it is not called when the
 // fleet closes.
 func (f *Fleet) Release(node, session string, handle []byte, done func(ok bool)) {
 	if f.dropSession(session) {
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -14,70 +14,89 @@
 	"embershunt/simulated"
 )
 
-// The outcome of every way in which a node may end an attempt in the platform's protocol: conservative about what may have run.
-func TestPlatformAttemptOutcomes(t *testing.T) {
-	answer := func(word, fields, body string) func(net.Conn, simulated.LineCommand) {
-		return func(c net.Conn, cmd simulated.LineCommand) {
-			if cmd.Verb == "GET" {
-				reply(c, simulated.LineAnswer(cmd.ID, word, fields, body))
-			}
+// nodeBehavior is how a node handles a command.
+type nodeBehavior func(net.Conn, simulated.LineCommand)
+
+// answering answers each request with one answer.
+func answering(kind, fields, body string) nodeBehavior {
+	return func(c net.Conn, cmd simulated.LineCommand) {
+		if cmd.Verb == "GET" {
+			reply(c, simulated.LineAnswer(cmd.ID, kind, fields, body))
 		}
 	}
-	raw := func(text string) func(net.Conn, simulated.LineCommand) {
-		return func(c net.Conn, cmd simulated.LineCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
-	}
-	paged := func(answerPage func(n int) string) func(net.Conn, simulated.LineCommand) {
-		return func(c net.Conn, cmd simulated.LineCommand) {
-			switch cmd.Verb {
-			case "GET":
-				reply(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
-			case "PAGE":
-				reply(c, answerPage(cmd.N))
-			}
+}
+
+// writing answers each command with a text, in which ID stands for the request's id.
+func writing(text string) nodeBehavior {
+	return func(c net.Conn, cmd simulated.LineCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
+}
+
+// paging answers with the first of three pages, and with answerPage where a further one is requested.
+func paging(answerPage func(n int) string) nodeBehavior {
+	return func(c net.Conn, cmd simulated.LineCommand) {
+		switch cmd.Verb {
+		case "GET":
+			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
+		case "PAGE":
+			reply(c, answerPage(cmd.N))
 		}
 	}
-	page := func(n int) string {
-		return simulated.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
+}
+
+// page is a further page of the request "id".
+func page(n int) string {
+	return simulated.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
+}
+
+// duplicatePages answers with the further pages in another order, each twice.
+func duplicatePages(c net.Conn, cmd simulated.LineCommand) {
+	if cmd.Verb == "GET" {
+		paging(nil)(c, cmd)
+	} else if cmd.Verb == "PAGE" && cmd.N == 2 {
+		reply(c, page(2)+page(2)+page(1)+page(1))
+	}
+}
+
+// truncating closes the connection within an answer.
+func truncating(t *testing.T) nodeBehavior {
+	return func(c net.Conn, cmd simulated.LineCommand) {
+		reply(c, cmd.ID+" data total=1 6\r\na\tb")
+		closeConn(t, c)
 	}
+}
+
+// The outcome of every way in which a node may end an attempt in the platform's protocol: conservative about what may have run.
+func TestPlatformAttemptOutcomes(t *testing.T) {
 	cases := []struct {
 		name  string
-		serve func(net.Conn, simulated.LineCommand)
+		serve nodeBehavior
 		code  policy.Code
 		rows  string
 	}{
-		{"one page", answer("data", "total=1", "a\tb\tc\nd\te\tf\n"), policy.OK, "a|b|c;d|e|f;"},
-		{"no rows", answer("data", "total=1", ""), policy.OK, ""},
-		{"three pages", paged(page), policy.OK, "a|b|c;p|1|;p|2|;"},
-		{"pages in another order, each twice", func(c net.Conn, cmd simulated.LineCommand) {
-			if cmd.Verb == "GET" {
-				paged(nil)(c, cmd)
-			} else if cmd.Verb == "PAGE" && cmd.N == 2 {
-				reply(c, page(2)+page(2)+page(1)+page(1))
-			}
-		}, policy.OK, "a|b|c;p|1|;p|2|;"},
-		{"a duplicate, and an answer to an unknown request before it", raw(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
+		{"one page", answering("data", "total=1", "a\tb\tc\nd\te\tf\n"), policy.OK, "a|b|c;d|e|f;"},
+		{"no rows", answering("data", "total=1", ""), policy.OK, ""},
+		{"three pages", paging(page), policy.OK, "a|b|c;p|1|;p|2|;"},
+		{"pages in another order, each twice", duplicatePages, policy.OK, "a|b|c;p|1|;p|2|;"},
+		{"a duplicate, and an answer to an unknown request before it", writing(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
 			simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
-		{"full", answer("full", "", ""), policy.Rejected, ""},
-		{"expired", answer("moot", "", ""), policy.NeverSent, ""},
-		{"failed", answer("failed", "", "what went wrong"), policy.Failed, ""},
-		{"a page that its node has lost", paged(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
-		{"a page beyond the last", paged(func(int) string { return page(7) }), policy.Failed, ""},
-		{"a page within a row", answer("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
-		{"a row of two columns", answer("data", "total=1", "a\tb\n"), policy.Failed, ""},
-		{"noise in a row", answer("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
-		{"noise", raw("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
-		{"an endless line", raw(strings.Repeat("x", 100000)), policy.Failed, ""},
-		{"3 GB", raw("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
-		{"a negative length", raw("ID data total=1 -5\r\nabc\r\n"), policy.Failed, ""},
-		{"a length that does not fit", raw("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
-		{"no total", answer("data", "", "a\tb\tc\n"), policy.Failed, ""},
-		{"truncated", func(c net.Conn, cmd simulated.LineCommand) {
-			reply(c, cmd.ID+" data total=1 6\r\na\tb")
-			closeConn(t, c)
-		}, policy.ConnectionReset, ""},
+		{"full", answering("full", "", ""), policy.Rejected, ""},
+		{"expired", answering("moot", "", ""), policy.NeverSent, ""},
+		{"failed", answering("failed", "", "what went wrong"), policy.Failed, ""},
+		{"a page that its node has lost", paging(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
+		{"a page beyond the last", paging(func(int) string { return page(7) }), policy.Failed, ""},
+		{"a page within a row", answering("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
+		{"a row of two columns", answering("data", "total=1", "a\tb\n"), policy.Failed, ""},
+		{"noise in a row", answering("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
+		{"noise", writing("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
+		{"an endless line", writing(strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"3 GB", writing("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"a negative length", writing("ID data total=1 -5\r\nabc\r\n"), policy.Failed, ""},
+		{"a length that does not fit", writing("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
+		{"no total", answering("data", "", "a\tb\tc\n"), policy.Failed, ""},
+		{"truncated", truncating(t), policy.ConnectionReset, ""},
 		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
 		{"no answer", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
-		{"a complete page and then nothing", paged(func(int) string { return "" }), policy.TimedOut, ""},
+		{"a complete page and then nothing", paging(func(int) string { return "" }), policy.TimedOut, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/frontend/postgres/session_close.go
+++ b/frontend/postgres/session_close.go
@@ -96,7 +96,7 @@
 	s.linger(r)
 }
 
-// disconnect records that the client is gone, or as good as gone: its queries are cancelled.
+// disconnect records that the client is gone, or cannot be read or written any more: its queries are cancelled.
 func (s *session) disconnect() {
 	s.mu.Lock()
 	if !s.state.disconnected {
--- a/frontend/postgres/session_state.go
+++ b/frontend/postgres/session_state.go
@@ -29,9 +29,9 @@
 	queueEmptied                    // the worker has written the last answer
 	waitTimedOut                    // the wait for a message is over
 	evicted                         // the connection is needed for another client
-	dispatcherEnds                  // the front closes all sessions
+	dispatcherEnds                  // the frontend closes all sessions
 	sendingEnded                    // the last message was written; what still arrives is discarded
-	clientDisconnected              // the client is gone, or as good as gone
+	clientDisconnected              // the client is gone, or is treated as such: it cannot be read or written any more
 )
 
 // sessionState is the state machine of one session. It does no I/O and has no clock or lock: session.mu protects it.
@@ -60,7 +60,7 @@
 	lastActivity      time.Time // of the last command or answer
 	queried           bool      // it has sent a query
 	closeWhenAnswered bool      // it closes as soon as no answer is pending
-	disconnected      bool      // the client is
+	disconnected      bool      // its client is gone, or treated as such
 	lingering         bool      // the last message was written; what still arrives is discarded
 	cancelledAt       time.Time // when the client cancelled while nothing was pending; zero: it did not
 
@@ -157,7 +157,7 @@
 	lingering                       // the last message was written; what still arrives is discarded
 )
 
-// closeStage tells how far the session's close has come.
+// closeStage is the stage of the session's close.
 func (s *sessionState) closeStage() closeStage {
 	switch {
 	case s.lingering:
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// Commands sent at once are answered one after the other, whole and in order, however many there are; nothing is submitted before
+// Commands sent at once are answered one after the other, completely and in order, however many there are; nothing is submitted before
 // its turn.
 func TestCommandsSentAtOnce(t *testing.T) {
 	var mu sync.Mutex
