--- a/backend/dial_other.go
+++ b/backend/dial_other.go
@@ -1,11 +1,11 @@
 //go:build !linux
 
-package fleet
+package backend
 
 import (
 	"syscall"
 	"time"
 )
 
-// limitUnacknowledged does nothing here: the system's own limit holds.
+// limitUnacknowledged does nothing on this system: its own retransmission limit holds.
 func limitUnacknowledged(syscall.RawConn, time.Duration) error { return nil }
--- a/backend/drain.go
+++ b/backend/drain.go
@@ -5,56 +5,65 @@
 	"time"
 )
 
-// drains measures how long after a drain notice a node was still sent new work.
-type drains struct {
-	mu    sync.Mutex
-	since map[string]time.Time // when the notice came, of nodes that drain or are gone
-	most  time.Duration
+// drainDelays measures for how long after a drain notice a node was still sent new work.
+type drainDelays struct {
+	mu           sync.Mutex
+	notifiedAt   map[string]time.Time // by node, of those that drain or were removed
+	longestDelay time.Duration
 }
 
-// drainKept is how long a notice is remembered, drainsKept how many are.
+// Bounds of the drain notices that are remembered.
 const (
-	drainKept  = time.Hour
-	drainsKept = 256
+	drainNoticeLifetime = time.Hour
+	maxDrainNotices     = 256
 )
 
-func (d *drains) notice(node string, draining bool) {
+// record records that a node drains, or that it does not drain any more. A repeated notice does not restart the measurement.
+func (d *drainDelays) record(node string, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !draining {
-		delete(d.since, node)
+		delete(d.notifiedAt, node)
 		return
 	}
-	if d.since == nil {
-		d.since = map[string]time.Time{}
+	if d.notifiedAt == nil {
+		d.notifiedAt = map[string]time.Time{}
 	}
 	now := time.Now()
+	d.expire(now)
+	if _, ok := d.notifiedAt[node]; !ok {
+		d.notifiedAt[node] = now
+	}
+}
+
+// expire drops notices that are too old and makes room for one more, so that memory stays bounded while node names change; d.mu is
+// held.
+func (d *drainDelays) expire(now time.Time) {
 	oldest := ""
-	for id, at := range d.since { // names that come and go do not pile up
-		if now.Sub(at) > drainKept {
-			delete(d.since, id)
-		} else if oldest == "" || at.Before(d.since[oldest]) {
+	for id, at := range d.notifiedAt {
+		if now.Sub(at) > drainNoticeLifetime {
+			delete(d.notifiedAt, id)
+		} else if oldest == "" || at.Before(d.notifiedAt[oldest]) {
 			oldest = id
 		}
 	}
-	if len(d.since) >= drainsKept {
-		delete(d.since, oldest)
-	}
-	if _, ok := d.since[node]; !ok {
-		d.since[node] = now
+	if len(d.notifiedAt) >= maxDrainNotices {
+		delete(d.notifiedAt, oldest)
 	}
 }
 
-func (d *drains) sent(node string) {
+// recordSend records that an attempt is sent to a node.
+func (d *drainDelays) recordSend(node string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at, ok := d.since[node]; ok {
-		d.most = max(d.most, time.Since(at))
+	if at, ok := d.notifiedAt[node]; ok {
+		d.longestDelay = max(d.longestDelay, time.Since(at))
 	}
 }
 
-func (d *drains) longest() time.Duration {
+// longest is the longest delay seen so far.
+func (d *drainDelays) longest() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.most
+	return d.longestDelay
 }
--- /dev/null
+++ b/backend/platform_load_report.go
@@ -0,0 +1,68 @@
+package backend
+
+import (
+	"strconv"
+	"strings"
+
+	"embershunt/policy"
+)
+
+// platformLoad reads a load report: name:value pairs separated by semicolons, with the names of the platform's settings or of its
+// protocol. A report that does not parse counts as none.
+func platformLoad(report string) *policy.Load {
+	if report == "" {
+		return nil
+	}
+	l := policy.Load{Util: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported, Disk: loadNotReported}
+	for pair := range strings.SplitSeq(report, ";") {
+		name, value, _ := strings.Cut(pair, ":")
+		v, ok := parseFigure(value)
+		if !ok {
+			return nil
+		}
+		switch name {
+		case "util", "busy":
+			l.Util = v
+		case "inflight", "rif":
+			l.InFlight = v
+		case "queue", "q":
+			l.Queue = v
+		case "x0":
+			l.Memory = v
+		case "x1":
+			l.Disk = v
+		}
+	}
+	return &l
+}
+
+// maxFigure bounds the figures of a report that can be meant.
+const maxFigure = 1e9
+
+// parseFigure reads a figure of a report; NaN, negative and excessive ones are none.
+func parseFigure(s string) (v float64, ok bool) {
+	v, err := strconv.ParseFloat(s, 64)
+	return v, err == nil && v >= 0 && v < maxFigure
+}
+
+// platformProgress reads a progress report of an attempt in flight; ok is false where it does not parse.
+func platformProgress(why, datum string) (p policy.Progress, ok bool) {
+	const waitingForTables = 2 // the datum of a wait for tables; any other is a wait for memory
+	if p.Value, ok = parseFigure(datum); !ok {
+		return policy.Progress{}, false
+	}
+	switch why {
+	case "p":
+		p.Kind = policy.FractionDone
+	case "s":
+		p.Kind = policy.MemorySpilled
+	case "w":
+		p.Kind = policy.WaitingForMemory
+		if p.Value == waitingForTables {
+			p.Kind = policy.WaitingForTables
+		}
+	default:
+		return policy.Progress{}, false
+	}
+	return p, true
+}
--- /dev/null
+++ b/backend/platform_pool.go
@@ -0,0 +1,206 @@
+package backend
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"sync"
+)
+
+// platformPool is the connections to one node in the platform's protocol. As long as descriptors last each attempt has a connection
+// of its own: what cannot be parsed ends all attempts on its connection.
+//
+// Locks are taken in the order Fleet.mu, platformPool.mu, platformConn.mu.
+type platformPool struct {
+	address string // "": the node does not speak this protocol
+
+	mu     sync.Mutex
+	idle   []*platformConn // the most recently used last
+	busy   []*platformConn
+	closed bool
+}
+
+// acquirePlatformConn finds a connection for an attempt and adds the attempt to it: an idle one, a new one, or a busy one where
+// descriptors have run out.
+func (n *node) acquirePlatformConn(ctx context.Context, t *platformAttempt) (*platformConn, error) {
+	f, p := t.fleet, &n.platform
+	if c := p.takeIdle(t); c != nil {
+		return c, nil
+	}
+	if !f.reservePlatformConn() {
+		if c := p.shareBusy(t, f.options.MaxAttemptsPerConn); c != nil {
+			return c, nil
+		}
+		return nil, errPoolExhausted
+	}
+	conn, err := p.dialReserved(ctx, f)
+	if err != nil {
+		return nil, err
+	}
+	c := &platformConn{fleet: f, pool: p, conn: conn, attempts: map[string]*platformAttempt{t.call.ID: t}}
+	if !p.addBusy(c) {
+		_ = conn.Close() // nothing was sent on it
+		f.platformConns.Add(-1)
+		return nil, errNotConnected
+	}
+	if !f.spawn(c.readAnswers) {
+		c.close(net.ErrClosed)
+		return nil, errNotConnected
+	}
+	return c, nil
+}
+
+// dialReserved establishes a reserved connection within the connect timeout; where that fails the reservation is given back.
+func (p *platformPool) dialReserved(ctx context.Context, f *Fleet) (net.Conn, error) {
+	dialCtx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
+	defer cancel()
+	conn, err := f.dialPlatform(dialCtx, p.address)
+	if err == nil {
+		return conn, nil
+	}
+	f.platformConns.Add(-1)
+	switch {
+	case ctx.Err() != nil: // the attempt is over: that says nothing about the node
+		return nil, errNeverSent
+	case isLocalDialError(err):
+		return nil, errors.Join(errLocalDial, err)
+	}
+	if dialCtx.Err() != nil { // a node that does not answer a connect is not alive on older connections either
+		p.closeIdle()
+	}
+	return nil, errors.Join(errNotConnected, err)
+}
+
+// reservePlatformConn counts one more connection against the bound; an idle connection, to whatever node, is closed to make room.
+// false: the bound is reached and no connection is idle.
+func (f *Fleet) reservePlatformConn() bool {
+	for range 2 {
+		if f.platformConns.Add(1) <= int64(f.options.MaxPlatformConns) {
+			return true
+		}
+		f.platformConns.Add(-1)
+		idle := f.takeAnyIdlePlatformConn()
+		if idle == nil {
+			return false
+		}
+		idle.close(net.ErrClosed)
+	}
+	return false
+}
+
+// takeAnyIdlePlatformConn takes an idle connection out of any node's pool; nil if there is none.
+func (f *Fleet) takeAnyIdlePlatformConn() *platformConn {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, n := range f.nodes { // any will do: the order does not matter
+		if c := n.platform.takeOldestIdle(); c != nil {
+			return c
+		}
+	}
+	return nil
+}
+
+// PlatformConns counts the connections to nodes in the platform's protocol.
+func (f *Fleet) PlatformConns() int64 { return f.platformConns.Load() }
+
+// takeIdle adds an attempt to the most recently used idle connection that takes it; nil if there is none.
+func (p *platformPool) takeIdle(t *platformAttempt) *platformConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for i := len(p.idle) - 1; i >= 0; i-- {
+		if c := p.idle[i]; c.addAttempt(t) {
+			p.idle = append(p.idle[:i], p.idle[i+1:]...)
+			p.busy = append(p.busy, c)
+			return c
+		}
+	}
+	return nil
+}
+
+// takeOldestIdle takes the least recently used idle connection out of the pool; nil if there is none.
+func (p *platformPool) takeOldestIdle() *platformConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.idle) == 0 {
+		return nil
+	}
+	c := p.idle[0]
+	p.idle = p.idle[1:]
+	return c
+}
+
+// shareBusy adds an attempt to the busy connection with the fewest attempts; nil where all have maxAttempts.
+func (p *platformPool) shareBusy(t *platformAttempt, maxAttempts int) *platformConn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var best *platformConn
+	fewest := maxAttempts
+	for _, c := range p.busy {
+		if n := c.attemptCount(); n < fewest {
+			best, fewest = c, n
+		}
+	}
+	if best == nil || !best.addAttempt(t) {
+		return nil
+	}
+	return best
+}
+
+// addBusy adds a new connection that has an attempt; false where the pool is closed.
+func (p *platformPool) addBusy(c *platformConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
+		return false
+	}
+	p.busy = append(p.busy, c)
+	return true
+}
+
+// release moves a connection without attempts to the idle ones; false where the pool is closed.
+func (p *platformPool) release(c *platformConn) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.attemptCount() > 0 { // a new attempt shares it since
+		return true
+	}
+	if others := withoutConn(p.busy, c); len(others) < len(p.busy) {
+		p.busy, p.idle = others, append(p.idle, c)
+	}
+	return !p.closed
+}
+
+// remove takes a closed connection out of the pool.
+func (p *platformPool) remove(c *platformConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idle, p.busy = withoutConn(p.idle, c), withoutConn(p.busy, c)
+}
+
+func withoutConn(list []*platformConn, c *platformConn) []*platformConn {
+	return slices.DeleteFunc(list, func(o *platformConn) bool { return o == c })
+}
+
+// closeIdle closes the idle connections.
+func (p *platformPool) closeIdle() {
+	p.mu.Lock()
+	idle := p.idle
+	p.idle = nil
+	p.mu.Unlock()
+	for _, c := range idle {
+		c.close(net.ErrClosed)
+	}
+}
+
+// close closes all connections; the pool takes no new ones.
+func (p *platformPool) close() {
+	p.mu.Lock()
+	p.closed = true
+	all := slices.Concat(p.idle, p.busy)
+	p.idle, p.busy = nil, nil
+	p.mu.Unlock()
+	for _, c := range all {
+		c.close(net.ErrClosed)
+	}
+}
--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -1,7 +1,6 @@
 package postgres
 
 import (
-	"context"
 	"net"
 	"os"
 	"sync"
@@ -10,24 +9,23 @@
 	"time"
 
 	"embershunt/dispatch"
-	"embershunt/frontend"
 )
 
-// faulty is a listener whose accept fails some times before it gives a connection.
-type faulty struct {
+// faultyListener is a listener whose Accept fails some times before it returns a connection.
+type faultyListener struct {
 	*net.TCPListener
 
-	mu    sync.Mutex
-	errno syscall.Errno
-	times int
-	given chan struct{} // closed when the last error has been given
+	mu          sync.Mutex
+	errno       syscall.Errno
+	times       int
+	allReturned chan struct{} // closed when the last error was returned
 }
 
-func (l *faulty) Accept() (net.Conn, error) {
+func (l *faultyListener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	if l.times > 0 {
 		if l.times--; l.times == 0 {
-			close(l.given)
+			close(l.allReturned)
 		}
 		l.mu.Unlock()
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", l.errno)}
@@ -36,41 +34,48 @@
 	return l.TCPListener.Accept()
 }
 
-// fail has the next accepts fail.
-func (l *faulty) fail(errno syscall.Errno, times int) <-chan struct{} {
+// fail makes the next calls of Accept fail.
+func (l *faultyListener) fail(errno syscall.Errno, times int) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.errno, l.times, l.given = errno, times, make(chan struct{})
-	return l.given
+	l.errno, l.times, l.allReturned = errno, times, make(chan struct{})
+	return l.allReturned
 }
 
-// An error of accept that is not this process's lack of descriptors closes nobody's connection; a lack of them closes idle ones.
+// An error of accept(2) closes no other connection, unless this process lacks descriptors: then idle ones are closed.
 func TestAcceptErrorsCloseNobodyElse(t *testing.T) {
 	for errno, closes := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.EINTR: false, syscall.ENFILE: false,
 		syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EMFILE: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			s := serveOn(t, func(l *net.TCPListener) Listener { return &faulty{TCPListener: l} })
+			var listener *faultyListener
+			answer := func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true }
+			s := startServerOn(t, Options{}, answer, func(l *net.TCPListener) Listener {
+				listener = &faultyListener{TCPListener: l}
+				return listener
+			})
 			idle := s.session()
-			idle.Write(ask(1, "SELECT 1"))
+			send(idle, queryWithFields(1, "SELECT 1"))
 			if got := idle.until('Z'); got != "TCZ" {
 				t.Fatal(got)
 			}
-			given := s.listener.(*faulty).fail(errno, 20)
-			s.session() // the accept that waits already; the errors come after it
-			<-given
+			allReturned := listener.fail(errno, 20)
+			s.session() // ends the Accept that waits already; the errors come after it
+			<-allReturned
 			after := s.session()
-			after.Write(ask(2, "SELECT 1"))
+			send(after, queryWithFields(2, "SELECT 1"))
 			if got := after.until('Z'); got != "TCZ" {
 				t.Fatal(got)
 			}
-			idle.SetDeadline(time.Now().Add(5 * time.Second))
+			if err := idle.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+				t.Fatal(err)
+			}
 			if closes {
 				if got := idle.until(0); got != "." {
 					t.Errorf("the idle one got %q", got)
 				}
 				return
 			}
-			idle.Write(ask(3, "SELECT 1"))
+			send(idle, queryWithFields(3, "SELECT 1"))
 			if got := idle.until('Z'); got != "TCZ" {
 				t.Errorf("the idle one got %q", got)
 			}
@@ -78,42 +83,13 @@
 	}
 }
 
-// acceptServed is a front on a listener of a test's own.
-type acceptServed struct {
-	*served
-	listener Listener
-}
-
-func serveOn(t *testing.T, wrap func(*net.TCPListener) Listener) *acceptServed {
-	t.Helper()
-	d := &desk{answer: func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true }, open: map[string]*dispatch.Query{},
-		left: make(chan string, 100)}
-	s := &served{t: t, desk: d, front: New(Options{Settings: testSettings()}, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
-	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
-	if err != nil {
-		t.Fatal(err)
-	}
-	s.address = l.Addr().String()
-	out := &acceptServed{s, wrap(l)}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- s.front.Serve(ctx, out.listener) }()
-	t.Cleanup(func() {
-		cancel()
-		if err := <-done; err != nil {
-			t.Error(err)
-		}
-	})
-	return out
-}
-
-// Why sessions ended is counted, once each.
+// The reason for which a session ended is counted, once each.
 func TestClosuresAreCounted(t *testing.T) {
-	s := serve(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return result(0), true })
-	s.session().Close()
-	s.session().Write([]byte{0xff, 0xff, 0xff, 0xff, 0xff})
+	s := startServer(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
+	closeConn(t, s.session())
+	send(s.session(), []byte{0xff, 0xff, 0xff, 0xff, 0xff})
 	idle := s.session()
-	idle.Write(ask(1, "SELECT 1"))
+	send(idle, queryWithFields(1, "SELECT 1"))
 	if got := idle.until(0); got != "TCZ." {
 		t.Fatal(got)
 	}
