--- a/dispatch/warm_test.go
+++ b/dispatch/learned_state_test.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-func TestWhatIsCarriedOver(t *testing.T) {
+func TestLearnedStateUsable(t *testing.T) {
 	at := time.Unix(1e9, 0)
 	for name, c := range map[string]struct {
 		change         func(*LearnedState)
@@ -18,16 +18,16 @@
 		"minutes old":     {nil, 5 * time.Minute, true, false},
 		"days old":        {nil, 48 * time.Hour, false, false},
 		"from the future": {nil, -time.Hour, false, false},
-		"another build":   {func(w *LearnedState) { w.Build = "x" }, 0, false, false},
-		"another format":  {func(w *LearnedState) { w.Format = 9 }, 0, false, false},
-		"another version": {func(w *LearnedState) { w.Learned.Version = 9 }, 0, false, false},
+		"another build":   {func(s *LearnedState) { s.Build = "x" }, 0, false, false},
+		"another format":  {func(s *LearnedState) { s.Format = 9 }, 0, false, false},
+		"another version": {func(s *LearnedState) { s.Learned.Version = 9 }, 0, false, false},
 	} {
-		w := &LearnedState{Format: LearnedFormat, Build: "b", At: at, Learned: policy.Learned{Version: policy.LearnedVersion}}
+		s := &LearnedState{Format: LearnedFormat, Build: "b", At: at, Learned: policy.Learned{Version: policy.LearnedVersion}}
 		if c.change != nil {
-			c.change(w)
+			c.change(s)
 		}
-		if classes, fleet, why := w.Usable(at.Add(c.age), "b"); classes != c.classes || fleet != c.fleet || why == "" {
-			t.Errorf("%s: classes %v, fleet %v (%s)", name, classes, fleet, why)
+		if classes, fleet, reason := s.Usable(at.Add(c.age), "b"); classes != c.classes || fleet != c.fleet || reason == "" {
+			t.Errorf("%s: classes %v, fleet %v (%s)", name, classes, fleet, reason)
 		}
 	}
 }
--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -2,155 +2,133 @@
 
 import (
 	"context"
-	"errors"
 	"slices"
 	"sync"
 	"time"
 )
 
-// Clock is the time a Loop lives in.
-type Clock interface {
-	// Now is monotonic and above 0.
-	Now() Micros
-	// Timer returns a channel that gets a value at a time or after it, and a function that lets go of it.
-	Timer(at Micros) (<-chan time.Time, func() bool)
-}
-
-// clockStart is where the clock begins: far enough from 0 that the start of a node, which lies in the past, is a
-// time of its own too. Nodes that started longer ago than this count as old.
-const clockStart = Micros(3600 * 1e6)
-
-// wallClock is monotonic real time.
-type wallClock struct{ start time.Time }
-
-// NewClock returns a clock of monotonic real time.
-func NewClock() Clock { return wallClock{time.Now()} }
-
-func (c wallClock) Now() Micros { return clockStart + time.Since(c.start).Microseconds() }
-
-func (c wallClock) Timer(at Micros) (<-chan time.Time, func() bool) {
-	t := time.NewTimer(time.Duration(at-c.Now()) * time.Microsecond)
-	return t.C, t.Stop
-}
-
-// ErrStopped tells that the loop takes no queries any more.
-var ErrStopped = errors.New("dispatch: the loop has ended")
-
-// Loop owns a Core: one goroutine steps it with all that has come in since the last step.
+// Loop owns a Core: one goroutine steps it with all events that have come in since the last step.
 type Loop struct {
 	core  *Core
 	clock Clock
 
-	mu      sync.Mutex
-	pending []Event
-	takes   int // queries among pending
-	most    int // of them
-	stopped bool
-	drain   bool
-	signal  chan struct{} // holds one token while pending is not empty or a drain was asked for
-	spare   []Event       // the loop's own
+	mu                sync.Mutex
+	pending           []Event
+	pendingQueries    int // QueryReceived events among pending
+	maxPendingQueries int
+	stopped           bool
+	draining          bool
+
+	wake  chan struct{} // holds one token while pending is not empty or draining was set
+	spare []Event       // buffer that becomes pending next; used by the loop's goroutine alone
 }
 
-// intakeMost bounds the queries that wait for the next step where settings do not bound those held.
-const intakeMost = 1 << 16
+// defaultMaxPendingQueries bounds the queries that wait for the next step where settings do not bound the pending ones.
+const defaultMaxPendingQueries = 1 << 16
 
 // NewLoop returns a loop; nothing happens before Run.
 func NewLoop(core *Core, clock Clock) *Loop {
-	most := core.most
-	if most == 0 {
-		most = intakeMost
+	limit := core.maxInFlight
+	if limit == 0 {
+		limit = defaultMaxPendingQueries
 	}
-	return &Loop{core: core, clock: clock, most: most, signal: make(chan struct{}, 1)}
+	return &Loop{core: core, clock: clock, maxPendingQueries: limit, wake: make(chan struct{}, 1)}
 }
 
-// Post hands an event over. It does not block. A query that finds the intake full or the loop ended is
-// refused at once; other events are never turned away while the loop runs.
+// Post passes an event to the loop. It does not block. A query is rejected at once when too many wait for the next step or the
+// loop has ended; other events are dropped only after its end.
 func (l *Loop) Post(ev Event) {
-	taken, isTaken := ev.(QueryReceived)
+	received, isQuery := ev.(QueryReceived)
 	l.mu.Lock()
-	if l.stopped || isTaken && l.takes >= l.most {
-		why := ReasonFull
+	if l.stopped || isQuery && l.pendingQueries >= l.maxPendingQueries {
+		reason := ReasonFull
 		if l.stopped {
-			why = ReasonDraining
+			reason = ReasonDraining
 		}
 		l.mu.Unlock()
-		if isTaken {
-			taken.Query.Client.Answer(Outcome{Kind: Shed, Reason: why})
+		if isQuery {
+			received.Query.Client.Answer(Outcome{Kind: Shed, Reason: reason})
 		}
 		return
 	}
-	if isTaken {
-		l.takes++
+	if isQuery {
+		l.pendingQueries++
 	}
 	l.pending = append(l.pending, ev)
 	l.mu.Unlock()
-	l.ring()
+	l.notify()
 }
 
-func (l *Loop) ring() {
+// notify wakes the loop.
+func (l *Loop) notify() {
 	select {
-	case l.signal <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Drain makes the loop refuse new queries and end once every query on the books has its answer and its attempts have
-// ended.
+// Drain makes the loop reject new queries and end once every query has its answer and its attempts have ended.
 func (l *Loop) Drain() {
 	l.mu.Lock()
-	l.drain = true
+	l.draining = true
 	l.mu.Unlock()
-	l.ring()
+	l.notify()
 }
 
-// Run steps the core until it has drained, the context ends or the module panics (a *PanicError). What is held when
-// the context ends is failed at once.
+// Run steps the core until it has drained, the context ends or the gateway panics (a *PanicError). When the context ends, the
+// pending queries are failed at once.
 func (l *Loop) Run(ctx context.Context) error {
-	err := l.run(ctx)
+	err := l.stepUntilDone(ctx)
 	l.mu.Lock()
 	l.stopped = true
 	rest := l.pending
 	l.pending = nil
 	l.mu.Unlock()
 	for _, ev := range rest {
-		if t, ok := ev.(QueryReceived); ok {
-			t.Query.Client.Answer(Outcome{Kind: Shed, Reason: ReasonDraining})
+		if received, ok := ev.(QueryReceived); ok {
+			received.Query.Client.Answer(Outcome{Kind: Shed, Reason: ReasonDraining})
 		}
 	}
 	return err
 }
 
-func (l *Loop) run(ctx context.Context) error {
+// stepUntilDone is the loop itself; it ends for the reasons that Run states.
+func (l *Loop) stepUntilDone(ctx context.Context) error {
 	if err := l.core.Step(l.clock.Now(), nil); err != nil {
 		return err
 	}
 	for {
 		at, ok := l.core.Next()
-		if !l.waitFor(ctx, at, ok) {
+		if !l.wait(ctx, at, ok) {
 			l.core.FailAll(l.clock.Now(), ReasonStopped)
 			return ctx.Err()
 		}
-		events, drain := l.collect()
-		if drain {
+		events, draining := l.collect()
+		if draining {
 			l.core.Drain()
 		}
 		begin := l.clock.Now()
 		if err := l.core.Step(begin, events); err != nil {
 			return err
 		}
-		if slices.ContainsFunc(events, func(ev Event) bool { _, ok := ev.(Change); return ok }) {
-			l.core.observe.Paused(l.clock.Now() - begin)
+		if slices.ContainsFunc(events, isChange) {
+			l.core.observer.Paused(l.clock.Now() - begin)
 		}
 		clear(events)
 		l.spare = events[:0]
-		if drain && l.core.Tracked() == 0 && !l.waiting() {
+		if draining && l.core.Tracked() == 0 && !l.hasPending() {
 			return nil
 		}
 	}
 }
 
-// waitFor waits for something to do; false where the context ended first.
-func (l *Loop) waitFor(ctx context.Context, at Micros, timed bool) bool {
+func isChange(ev Event) bool {
+	_, ok := ev.(Change)
+	return ok
+}
+
+// wait waits for an event or, where timed, for the time at; false where the context ended first.
+func (l *Loop) wait(ctx context.Context, at Micros, timed bool) bool {
 	var due <-chan time.Time
 	if timed && at <= l.clock.Now() {
 		return ctx.Err() == nil
@@ -163,21 +141,22 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-l.signal:
+	case <-l.wake:
 	case <-due:
 	}
 	return ctx.Err() == nil
 }
 
+// collect takes the events that came in since the last step and says whether the loop is draining.
 func (l *Loop) collect() ([]Event, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events := l.pending
-	l.pending, l.takes = l.spare, 0
-	return events, l.drain
+	l.pending, l.pendingQueries = l.spare, 0
+	return events, l.draining
 }
 
-func (l *Loop) waiting() bool {
+func (l *Loop) hasPending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.pending) > 0
