--- a/frontend/sessions.go
+++ b/frontend/sessions.go
@@ -22,9 +22,9 @@
 	release Releaser
 
 	mu      sync.Mutex
-	module  *session.Module
+	module  *session.Machine
 	serial  uint64
-	running map[uint64]chan session.Stop // statements that run
+	running map[uint64]chan session.Cancel // statements that run
 	handles map[string][]byte            // what nodes call the transactions, by session
 	nodes   map[string]time.Time         // starts of those listed
 	wake    chan struct{}                // holds a token when the next Tick may have moved
@@ -38,7 +38,7 @@
 
 // NewSessions returns sessions with their limits.
 func NewSessions(d *Intake, clock dispatch.Clock, l session.Limits, r Releaser) *Sessions {
-	return &Sessions{desk: d, clock: clock, release: r, module: session.New(l), running: map[uint64]chan session.Stop{},
+	return &Sessions{desk: d, clock: clock, release: r, module: session.New(l), running: map[uint64]chan session.Cancel{},
 		handles: map[string][]byte{}, nodes: map[string]time.Time{}, wake: make(chan struct{}, 1)}
 }
 
@@ -112,7 +112,7 @@
 	if t := u.Token; t != nil {
 		tenant = t.Tenant
 		if since := s.clock.Now() - time.Since(t.Since).Microseconds(); s.known(id) == session.Free {
-			s.step(session.Resumed{ID: id, Tenant: t.Tenant, Node: t.Node, Started: t.Started, Since: since, Tx: true})
+			s.step(session.Resumed{ID: id, Tenant: t.Tenant, Node: t.Node, Started: t.Started, Since: since, InTransaction: true})
 		}
 		if s.known(id) == session.Sticky && s.handles[id] == nil {
 			s.handles[id] = t.Handle
@@ -132,7 +132,7 @@
 			}
 		}
 	}
-	stop := make(chan session.Stop, 1)
+	stop := make(chan session.Cancel, 1)
 	s.running[serial] = stop
 	s.mu.Unlock()
 	if run.DrainsIn > 0 && u.OnDraining != nil {
@@ -142,7 +142,7 @@
 		c.StickyTo = u.Token.Node // never elsewhere, whatever the books say
 	}
 	asked, err := s.desk.Submit(c)
-	var stopped *session.Stop
+	var stopped *session.Cancel
 	if err == nil {
 		select {
 		case v = <-asked.Done:
@@ -200,7 +200,7 @@
 func (s *Sessions) Close(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.step(session.Closed{ID: id})
+	s.step(session.ClientClosed{ID: id})
 }
 
 // SetNodes takes the node list in force.
@@ -208,7 +208,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.nodes)
-	var ev session.Listed
+	var ev session.NodeListUpdated
 	for _, n := range list {
 		if n.State == policy.Removed {
 			continue
@@ -249,7 +249,7 @@
 	acts := s.module.Step(s.clock.Now(), ev)
 	for _, a := range acts {
 		switch a := a.(type) {
-		case session.Stop:
+		case session.Cancel:
 			if stop := s.running[a.Serial]; stop != nil {
 				stop <- a // there is room: a statement is stopped once
 			}
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -114,8 +114,8 @@
 	r := &f.Front
 	d.desk = frontend.NewIntake(d.loop, d.clock, tables(cfg, 0))
 	e := &f.Sessions
-	d.sessions = frontend.NewSessions(d.desk, d.clock, session.Limits{All: e.Max, PerTenant: e.PerTenant, PerNode: e.PerNode,
-		Idle: e.Idle.D().Microseconds(), Age: e.Age.D().Microseconds(), RetrySpread: e.RetrySpread.D().Microseconds(), Retention: e.Retention.D().Microseconds(),
+	d.sessions = frontend.NewSessions(d.desk, d.clock, session.Limits{MaxSessions: e.Max, MaxPerTenant: e.PerTenant, MaxPerNode: e.PerNode,
+		IdleTimeout: e.Idle.D().Microseconds(), MaxAge: e.Age.D().Microseconds(), RetrySpread: e.RetrySpread.D().Microseconds(), Retention: e.Retention.D().Microseconds(),
 		DrainGrace: max(f.Limits.DrainGrace.D()-sessionMargin, 0).Microseconds()}, d.fleet)
 	d.fleet.OnNodes(d.sessions.SetNodes)
 	d.front = flightsql.New(flightsql.Options{Sessions: d.sessions, Idle: e.Idle.D(), Age: e.Age.D(), Log: d.log, Auth: auth, Seal: sealer, SchemaLife: r.SchemaLife.D(),
--- a/session/memory_test.go
+++ b/session/memory_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BenchmarkIdleSessions reports what one idle pinned session costs in memory, out of 100,000 on 76 nodes, and the time of a
+// BenchmarkIdleSessions reports what one idle sticky session costs in memory, out of 100,000 on 76 nodes, and the time of a
 // list that takes one of these nodes away.
 func BenchmarkIdleSessions(b *testing.B) {
 	const sessions, nodes = 100000, 76
@@ -19,8 +19,8 @@
 	}
 	for b.Loop() {
 		before := heap()
-		m := New(Limits{Idle: 300 * sec, Age: 3600 * sec, DrainGrace: 2 * sec, Retention: 60 * sec, RetrySpread: 5 * sec})
-		var all Listed
+		m := New(Limits{IdleTimeout: 300 * sec, MaxAge: 3600 * sec, DrainGrace: 2 * sec, Retention: 60 * sec, RetrySpread: 5 * sec})
+		var all NodeListUpdated
 		for i := range nodes {
 			all.Nodes = append(all.Nodes, Node{ID: fmt.Sprintf("node-%d", i), Started: time.Unix(int64(i), 0)})
 		}
@@ -33,10 +33,10 @@
 		}
 		b.ReportMetric(float64(heap()-before)/sessions, "B/session")
 		begin := time.Now()
-		acts := m.Step(sec, Listed{Nodes: all.Nodes[1:]})
+		acts := m.Step(sec, NodeListUpdated{Nodes: all.Nodes[1:]})
 		b.ReportMetric(float64(time.Since(begin).Microseconds()), "us/lost-node")
 		if n := m.WithState(); n != sessions-(sessions+nodes-1)/nodes {
-			b.Fatalf("%d held, %d actions", n, len(acts))
+			b.Fatalf("%d with state, %d actions", n, len(acts))
 		}
 		runtime.KeepAlive(m)
 	}
--- /dev/null
+++ b/session/release.go
@@ -0,0 +1,42 @@
+package session
+
+// A node is asked up to maxReleaseAttempts times to release the state of a session, with releaseRetryInterval between a failed
+// request and the next; a request without an answer counts as failed after releaseTimeout.
+const (
+	maxReleaseAttempts   = 5
+	releaseRetryInterval = Micros(1e6)
+	releaseTimeout       = Micros(5e6)
+)
+
+// releaseState asks the node of an ending session to roll back and drop its state. A session without state, or whose node has
+// none of it any more, has ended at once.
+func (m *Machine) releaseState(s *clientSession) {
+	if s.hasState() && m.nodeHoldsState(s) {
+		s.releaseAttempts++
+		m.emit(Release{ID: s.id, Node: s.node})
+		m.reschedule(s, m.now+releaseTimeout)
+		return
+	}
+	m.retainEnded(s)
+}
+
+// releaseEnded completes the end of a session, or schedules another request. State that the node does not release is left to the
+// node's own timeout.
+func (m *Machine) releaseEnded(ev Released) {
+	s := m.sessions[ev.ID]
+	if s == nil || s.state != Ending || s.running != nil || s.releaseAttempts == 0 {
+		return
+	}
+	if !ev.OK && s.releaseAttempts < maxReleaseAttempts && m.nodeHoldsState(s) {
+		s.timerAt = 0
+		m.reschedule(s, m.now+releaseRetryInterval)
+		return
+	}
+	m.retainEnded(s)
+}
+
+// nodeHoldsState says whether the session's node is listed and in the incarnation that holds the state.
+func (m *Machine) nodeHoldsState(s *clientSession) bool {
+	n := m.nodes[s.node]
+	return s.node != "" && n != nil && n.listed && n.started.Equal(s.nodeStarted)
+}
