--- a/frontend/cache.go
+++ b/frontend/cache.go
@@ -8,74 +8,75 @@
 	"github.com/zeebo/blake3"
 )
 
-// Cache keeps what nodes said of statements: bounded in count, each for a stated life, the least used goes first.
-// Keys are hashed, so a statement of megabytes costs no more than a short one.
+// Cache holds answers of nodes about statements: a bounded number, each for the same lifetime, evicting the least recently used.
+// Keys are hashed, so that a statement of megabytes takes no more memory than a short one. It is safe for concurrent use.
 type Cache struct {
-	mu    sync.Mutex
-	most  int
-	life  time.Duration
-	order *list.List // of *cached, the latest used first
-	by    map[[32]byte]*list.Element
+	maxEntries int
+	lifetime   time.Duration
+
+	mu      sync.Mutex
+	order   *list.List // of *cacheEntry, the most recently used first
+	entries map[[32]byte]*list.Element
 }
 
-type cached struct {
+type cacheEntry struct {
 	key    [32]byte
 	value  []byte
 	expiry time.Time
 }
 
-// cachedLargest is the largest answer that is kept, in bytes.
-const cachedLargest = 64 << 10
+// maxCachedBytes is the size of the largest answer that is cached.
+const maxCachedBytes = 64 << 10
 
-// NewCache returns a cache of so many answers, each of which is kept for its life.
-func NewCache(most int, life time.Duration) *Cache {
-	return &Cache{most: most, life: life, order: list.New(), by: map[[32]byte]*list.Element{}}
+// NewCache returns an empty cache.
+func NewCache(maxEntries int, lifetime time.Duration) *Cache {
+	return &Cache{maxEntries: maxEntries, lifetime: lifetime, order: list.New(), entries: map[[32]byte]*list.Element{}}
 }
 
-// Get returns what is kept for a key.
+// Get returns the cached answer of a key; the caller must not change it.
 func (c *Cache) Get(key string, now time.Time) ([]byte, bool) {
-	h := blake3.Sum256([]byte(key))
+	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.by[h]
+	e := c.entries[hash]
 	if e == nil {
 		return nil, false
 	}
-	s := e.Value.(*cached)
-	if now.After(s.expiry) {
+	entry := e.Value.(*cacheEntry)
+	if now.After(entry.expiry) {
 		c.order.Remove(e)
-		delete(c.by, h)
+		delete(c.entries, hash)
 		return nil, false
 	}
 	c.order.MoveToFront(e)
-	return s.value, true
+	return entry.value, true
 }
 
-// Put keeps an answer, unless it is too large.
+// Put caches an answer, unless it is too large.
 func (c *Cache) Put(key string, value []byte, now time.Time) {
-	if len(value) > cachedLargest {
+	if len(value) > maxCachedBytes {
 		return
 	}
-	h := blake3.Sum256([]byte(key))
+	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.by[h]; e != nil {
+	if e := c.entries[hash]; e != nil {
 		c.order.Remove(e)
 	}
-	c.by[h] = c.order.PushFront(&cached{h, value, now.Add(c.life)})
-	for c.order.Len() > c.most {
+	c.entries[hash] = c.order.PushFront(&cacheEntry{hash, value, now.Add(c.lifetime)})
+	for c.order.Len() > c.maxEntries {
 		last := c.order.Back()
-		delete(c.by, c.order.Remove(last).(*cached).key)
+		delete(c.entries, c.order.Remove(last).(*cacheEntry).key)
 	}
 }
 
-// Drop forgets what is kept for a key.
+// Drop removes the cached answer of a key.
 func (c *Cache) Drop(key string) {
-	h := blake3.Sum256([]byte(key))
+	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if e := c.by[h]; e != nil {
+	if e := c.entries[hash]; e != nil {
 		c.order.Remove(e)
-		delete(c.by, h)
+		delete(c.entries, hash)
 	}
 }
