--- a/server/admin.go
+++ b/server/admin.go
@@ -7,18 +7,13 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net"
 	"net/http"
-	"os"
 	"strconv"
-	"time"
 
 	"embershunt/control"
-	"embershunt/dispatch"
 )
 
-// Admin is the operators' side of a dispatcher: HTTP with JSON on a Unix socket that only its owner may open.
-// cmd/dispatcherctl speaks it.
+// The admin interface is HTTP with JSON on a Unix socket that only its owner may open; cmd/dispatcherctl is its client.
 
 // ConfigState is the answer of GET /config.
 type ConfigState struct {
@@ -28,105 +23,110 @@
 	Effective  json.RawMessage `json:"effective"`
 }
 
-// OverrideMessage is what an operator signs to let a version pass the checks for harm at one dispatcher.
+// OverrideMessage is the message that an operator signs to let a version pass the checks for harm at one dispatcher.
 func OverrideMessage(dispatcher string, number uint64) []byte {
 	return fmt.Appendf(nil, "embershunt override %s %d", dispatcher, number)
 }
 
-// listenAdmin opens the socket, in place of one left behind by a dispatcher that was killed.
-func listenAdmin(path string) (net.Listener, error) {
-	if path == "" {
-		return nil, nil
+// AdminHandler is the handler of the admin socket: what operators ask and order.
+func (d *Dispatcher) AdminHandler() http.Handler {
+	mux := http.NewServeMux()
+	for pattern, answer := range map[string]func(*http.Request) (any, error){
+		"GET /config":           func(*http.Request) (any, error) { return d.configState() },
+		"GET /config/{number}":  d.storedConfig,
+		"POST /config/pin":      d.pin,
+		"POST /config/override": d.override,
+		"POST /config/rollback": d.rollBack,
+	} {
+		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
+			body, err := answer(r)
+			writeJSON(w, body, err)
+		})
 	}
-	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		c.Close()
-		return nil, fmt.Errorf("admin socket %s: another dispatcher serves it", path)
+	return mux
+}
+
+// writeJSON writes an answer or the error in its place.
+func writeJSON(w http.ResponseWriter, body any, err error) {
+	w.Header().Set("content-type", "application/json")
+	if err != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		body = map[string]string{"error": err.Error()}
 	}
-	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
+	_ = json.NewEncoder(w).Encode(body) // the client disconnected: nobody reads an error
+}
+
+// storedConfig answers with the effective configuration of a set in the store.
+func (d *Dispatcher) storedConfig(r *http.Request) (any, error) {
+	n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
+	if err != nil {
+		return nil, fmt.Errorf("%q is no number of a set", r.PathValue("number"))
+	}
+	set, err := d.storedSet(n)
+	if err != nil {
 		return nil, err
 	}
-	l, err := net.Listen("unix", path)
+	cfg, err := control.Merge(d.controller.local, set)
 	if err != nil {
 		return nil, err
 	}
-	return l, os.Chmod(path, 0o600)
+	text, err := cfg.Effective()
+	return json.RawMessage(text), err
 }
 
-// AdminHandler answers what operators ask and order, as the admin socket does.
-func (d *Dispatcher) AdminHandler() http.Handler {
-	mux := http.NewServeMux()
-	handle := func(pattern string, run func(r *http.Request) (any, error)) {
-		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			answer, err := run(r)
-			w.Header().Set("content-type", "application/json")
-			if err != nil {
-				w.WriteHeader(http.StatusBadRequest)
-				answer = map[string]string{"error": err.Error()}
-			}
-			json.NewEncoder(w).Encode(answer)
-		})
+// pin keeps the version in force, or lets versions change again.
+func (d *Dispatcher) pin(r *http.Request) (any, error) {
+	on, err := strconv.ParseBool(r.FormValue("on"))
+	if err != nil {
+		return nil, fmt.Errorf("on=%q: allowed are true and false", r.FormValue("on"))
 	}
-	handle("GET /config", func(*http.Request) (any, error) { return d.configState() })
-	handle("GET /config/{number}", func(r *http.Request) (any, error) {
-		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
-		if err != nil {
-			return nil, fmt.Errorf("%q is no number of a set", r.PathValue("number"))
-		}
-		set, err := d.stored(n)
-		if err != nil {
-			return nil, err
-		}
-		cfg, err := control.Merge(d.control.local, set)
-		if err != nil {
-			return nil, err
-		}
-		text, err := cfg.Effective()
-		return json.RawMessage(text), err
-	})
-	handle("POST /config/pin", func(r *http.Request) (any, error) {
-		on, err := strconv.ParseBool(r.FormValue("on"))
-		if err != nil {
-			return nil, fmt.Errorf("on=%q: allowed are true and false", r.FormValue("on"))
-		}
-		return d.admin(r.Context(), control.Pin{On: on})
-	})
-	handle("POST /config/override", func(r *http.Request) (any, error) {
-		n, err := strconv.ParseUint(r.FormValue("number"), 10, 64)
-		if err != nil {
-			return nil, fmt.Errorf("number=%q is no number of a set", r.FormValue("number"))
-		}
-		if err := d.signed(n, r.FormValue("signature")); err != nil {
-			return nil, err
-		}
-		d.log.Warn("override by an operator", "set", n)
-		return d.admin(r.Context(), control.Override{Number: n})
-	})
-	handle("POST /config/rollback", func(r *http.Request) (any, error) {
-		n, err := strconv.ParseUint(r.FormValue("number"), 10, 64)
-		if err != nil {
-			return nil, fmt.Errorf("number=%q is no number of a set", r.FormValue("number"))
-		}
-		set, err := d.stored(n)
-		if err != nil {
-			return nil, err
-		}
-		known := make(chan control.LiveState, 1)
-		d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) { known <- knownOf(core) }})
-		select {
-		case k := <-known:
-			return d.admin(r.Context(), control.RollBack{Set: set, Live: k})
-		case <-r.Context().Done():
-			return nil, r.Context().Err()
-		}
-	})
-	return mux
+	return d.applyOperatorEvent(r.Context(), control.Pin{On: on})
+}
+
+// override lets a version pass the checks for harm, with the operator's signature.
+func (d *Dispatcher) override(r *http.Request) (any, error) {
+	n, err := formNumber(r)
+	if err != nil {
+		return nil, err
+	}
+	if err := d.checkSignature(n, r.FormValue("signature")); err != nil {
+		return nil, err
+	}
+	d.log.Warn("override by an operator", "set", n)
+	return d.applyOperatorEvent(r.Context(), control.Override{Number: n})
+}
+
+// rollBack puts a stored version in force again.
+func (d *Dispatcher) rollBack(r *http.Request) (any, error) {
+	n, err := formNumber(r)
+	if err != nil {
+		return nil, err
+	}
+	set, err := d.storedSet(n)
+	if err != nil {
+		return nil, err
+	}
+	live, err := d.liveState(r.Context())
+	if err != nil {
+		return nil, err
+	}
+	return d.applyOperatorEvent(r.Context(), control.RollBack{Set: set, Live: live})
+}
+
+// formNumber is the form value number, of a set.
+func formNumber(r *http.Request) (uint64, error) {
+	n, err := strconv.ParseUint(r.FormValue("number"), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("number=%q is no number of a set", r.FormValue("number"))
+	}
+	return n, nil
 }
 
 var errNothingStreamed = errors.New("this dispatcher streams no settings: its file has no control block")
 
-// admin plays an operator's event and answers with the state after it.
-func (d *Dispatcher) admin(ctx context.Context, ev control.Event) (any, error) {
-	if d.control == nil {
+// applyOperatorEvent steps the control module with an operator's event and answers with the state after it.
+func (d *Dispatcher) applyOperatorEvent(ctx context.Context, ev control.Event) (any, error) {
+	if d.controller == nil {
 		return nil, errNothingStreamed
 	}
 	done := make(chan struct{})
@@ -134,9 +134,11 @@
 		defer close(done)
 		return m.Step(d.clock.Now(), ev)
 	}
-	for _, wait := range []func(*control.Module) []control.Action{step, func(*control.Module) []control.Action { return nil }} {
-		select { // the second one sees to it that the state after the first is there
-		case d.control.events <- wait:
+	// The second step, which does nothing, is accepted only after the state of the first one has been published.
+	nothing := func(*control.Module) []control.Action { return nil }
+	for _, next := range []func(*control.Module) []control.Action{step, nothing} {
+		select {
+		case d.controller.steps <- next:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -149,39 +151,41 @@
 	}
 }
 
+// configState is the answer of GET /config.
 func (d *Dispatcher) configState() (any, error) {
-	s, _ := d.ControlStatus()
-	out := ConfigState{Dispatcher: d.cfg.File.Name, Status: s}
+	status, _ := d.ControlStatus()
+	state := ConfigState{Dispatcher: d.cfg.File.Name, Status: status}
 	cfg := d.cfg
-	if d.control != nil && d.control.store != nil {
-		all, err := d.control.store.All()
+	if d.controller != nil && d.controller.store != nil {
+		sets, err := d.controller.store.All()
 		if err != nil {
 			return nil, err
 		}
-		for _, set := range all {
-			out.History = append(out.History, set.Number)
-			if set.Number == s.Number {
-				if cfg, err = control.Merge(d.control.local, set); err != nil {
+		for _, set := range sets {
+			state.History = append(state.History, set.Number)
+			if set.Number == status.Number {
+				if cfg, err = control.Merge(d.controller.local, set); err != nil {
 					return nil, err
 				}
 			}
 		}
 	}
 	text, err := cfg.Effective()
-	out.Effective = text
-	return out, err
+	state.Effective = text
+	return state, err
 }
 
-func (d *Dispatcher) stored(number uint64) (control.Set, error) {
-	if d.control == nil || d.control.store == nil {
+// storedSet reads a set out of the store.
+func (d *Dispatcher) storedSet(number uint64) (control.Set, error) {
+	if d.controller == nil || d.controller.store == nil {
 		return control.Set{}, errNothingStreamed
 	}
-	return d.control.store.Get(number)
+	return d.controller.store.Get(number)
 }
 
-// signed checks an operator's signature (Ed25519).
-func (d *Dispatcher) signed(number uint64, signature string) error {
-	if d.control == nil || d.cfg.File.Control == nil {
+// checkSignature checks an operator's signature (Ed25519) of an override.
+func (d *Dispatcher) checkSignature(number uint64, signature string) error {
+	if d.controller == nil || d.cfg.File.Control == nil {
 		return errNothingStreamed
 	}
 	key, err := hex.DecodeString(d.cfg.File.Control.OperatorKey)
--- a/server/controller.go
+++ b/server/controller.go
@@ -7,6 +7,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"time"
 
 	"golang.org/x/sync/errgroup"
 
@@ -17,94 +18,147 @@
 	"embershunt/store"
 )
 
-// controller carries out what the control module decides: one goroutine owns the module, the stream and the store are
-// its hands. It decides nothing.
+const (
+	// controllerQueue is the number of steps of the control module that may wait for its goroutine.
+	controllerQueue = 256
+	// maxReconnectBackoff bounds the backoff of the stream where the file has no control block to say.
+	maxReconnectBackoff = 5 * time.Second
+)
+
+// controller carries out what the control module decides: one goroutine owns the module, and the stream, the store and the loop do
+// the work. It decides nothing.
 type controller struct {
-	d      *Dispatcher
-	log    *slog.Logger
-	local  config.File // without what is streamed
-	module *control.Module
-	stream *stream.Stream
-	store  *store.Store // nil: versions do not outlive the process
-	events chan func(*control.Module) []control.Action
-	status atomic.Pointer[control.Status]
-	mu     sync.Mutex
-	news   chan struct{} // closed at each change of the status
-	group  *errgroup.Group
-	serial uint64 // of changes of the settings, for the loop
-}
-
-// newController reads the last good version out of the store, if there is one, and returns the configuration to start
-// with. A damaged version is passed over in favour of the one before it.
+	dispatcher *Dispatcher
+	log        *slog.Logger
+	local      config.File // without what is streamed
+	module     *control.Module
+	stream     *stream.Stream
+	store      *store.Store // nil: versions do not outlive the process
+	steps      chan func(*control.Module) []control.Action
+	group      *errgroup.Group
+	changes    uint64 // of settings; the version of the latest one for the loop
+
+	status  atomic.Pointer[control.Status]
+	mu      sync.Mutex
+	updated chan struct{} // closed, and replaced, at each change of the status
+}
+
+// newController opens the store, if there is one, and returns the configuration to start with: that of the file, or the last
+// version in the store.
 func newController(cfg *config.Config, log *slog.Logger) (*controller, *config.Config, error) {
-	c := &controller{log: log, events: make(chan func(*control.Module) []control.Action, 256), news: make(chan struct{})}
-	k := cfg.File.Control
-	bounds, force, local := control.DefaultBounds(), control.Set{}, cfg.File
-	c.local = local
-	if k == nil {
-		c.module = control.New(bounds, local, force)
+	c := &controller{log: log, local: cfg.File, steps: make(chan func(*control.Module) []control.Action, controllerQueue),
+		updated: make(chan struct{})}
+	bounds := control.DefaultBounds()
+	settings := cfg.File.Control
+	if settings == nil { // the node list alone is streamed
+		c.module = control.New(bounds, c.local, control.Set{})
 		return c, cfg, nil
 	}
-	bounds.Floor, bounds.FloorCount, bounds.NoShorter = k.Floor, k.FloorCount, !k.Shorter
-	bounds.RelistAfter = k.RelistAfter.D().Microseconds()
-	if k.Store != "" {
-		s, err := store.Open(k.Store, k.KeepVersions)
-		if err != nil {
+	bounds.Floor, bounds.FloorCount, bounds.NoShorter = settings.Floor, settings.FloorCount, !settings.Shorter
+	bounds.RelistAfter = settings.RelistAfter.D().Microseconds()
+	inForce, set := cfg, control.Set{}
+	if settings.Store != "" {
+		var err error
+		if c.store, err = store.Open(settings.Store, settings.KeepVersions); err != nil {
 			return nil, nil, err
 		}
-		c.store = s
-		set, damaged, err := s.Last()
-		for _, one := range damaged {
-			log.Error("a stored version is damaged and passed over", "error", one)
-		}
-		switch {
-		case errors.Is(err, store.ErrNone):
-		case err != nil:
-			s.Close()
-			return nil, nil, err
-		default:
-			started, err := control.Merge(cfg.File, set)
-			if err != nil {
-				log.Error("the last version does not fit the file any more; starting from the file", "set", set.Number, "error", err)
-				break
-			}
-			log.Info("starting from the last good version", "set", set.Number)
-			cfg, force = started, set
+		if inForce, set, err = c.lastVersion(cfg); err != nil {
+			return nil, nil, errors.Join(err, c.store.Close())
 		}
 	}
-	c.module = control.New(bounds, local, force)
+	c.module = control.New(bounds, c.local, set)
 	c.publish()
-	return c, cfg, nil
+	return c, inForce, nil
 }
 
-// publish shows where the module stands, and wakes those that await it.
+// lastVersion is the configuration of the last version in the store, and its set. A damaged version is passed over in favour of the
+// one before it. Where no version fits, it is the configuration of the file.
+func (c *controller) lastVersion(cfg *config.Config) (*config.Config, control.Set, error) {
+	set, damaged, err := c.store.Last()
+	for _, one := range damaged {
+		c.log.Error("a stored version is damaged and passed over", "error", one)
+	}
+	if errors.Is(err, store.ErrNone) {
+		return cfg, control.Set{}, nil
+	}
+	if err != nil {
+		return nil, control.Set{}, err
+	}
+	merged, err := control.Merge(cfg.File, set)
+	if err != nil {
+		c.log.Error("the last version does not fit the file any more; starting from the file", "set", set.Number, "error", err)
+		return cfg, control.Set{}, nil
+	}
+	c.log.Info("starting from the last good version", "set", set.Number)
+	return merged, set, nil
+}
+
+// startController runs the controller and its stream to the control service until ctx ends.
+func (d *Dispatcher) startController(ctx context.Context, group *errgroup.Group) {
+	d.controller.stream = stream.New(streamOptions(d.cfg), streamHandler{d.controller, ctx})
+	d.fleet.OnFetch(d.controller.stream.Again)
+	group.Go(func() error { return d.controller.run(ctx) })
+}
+
+func streamOptions(cfg *config.Config) stream.Options {
+	f := &cfg.File
+	o := stream.Options{Node: f.Name, Names: cfg.Names(), Most: maxReconnectBackoff}
+	if f.Control != nil {
+		o.Address, o.Cluster, o.Settings, o.Delta = f.Control.Address, f.Control.Cluster, true, f.Control.Delta
+		o.Most = f.Control.Reconnect.D()
+	} else {
+		o.Address, o.Cluster = f.Nodes.EDS.Address, f.Nodes.EDS.Cluster
+	}
+	return o
+}
+
+// AwaitControl returns when the state of streamed versions satisfies a condition, or with the context's error.
+func (d *Dispatcher) AwaitControl(ctx context.Context, satisfied func(control.Status) bool) error {
+	if d.controller == nil {
+		return errNothingStreamed
+	}
+	return d.controller.await(ctx, satisfied)
+}
+
+// ControlStatus is the state of streamed versions; ok is false where nothing is streamed.
+func (d *Dispatcher) ControlStatus() (status control.Status, ok bool) {
+	if d.controller == nil {
+		return control.Status{}, false
+	}
+	if s := d.controller.status.Load(); s != nil {
+		return *s, true
+	}
+	return control.Status{}, true
+}
+
+// publish publishes the module's state and wakes those that await it.
 func (c *controller) publish() {
 	s := c.module.Status()
 	c.status.Store(&s)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	close(c.news)
-	c.news = make(chan struct{})
+	close(c.updated)
+	c.updated = make(chan struct{})
 }
 
-// await returns when the status satisfies good, or with the context's error.
-func (c *controller) await(ctx context.Context, good func(control.Status) bool) error {
+// await returns when the status satisfies a condition, or with the context's error.
+func (c *controller) await(ctx context.Context, satisfied func(control.Status) bool) error {
 	for {
 		c.mu.Lock()
-		news := c.news
+		updated := c.updated
 		c.mu.Unlock()
-		if s := c.status.Load(); s != nil && good(*s) {
+		if s := c.status.Load(); s != nil && satisfied(*s) {
 			return nil
 		}
 		select {
-		case <-news:
+		case <-updated:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// run owns the module until ctx ends.
+// run owns the module until ctx ends, and closes the store then.
 func (c *controller) run(ctx context.Context) error {
 	c.group, ctx = errgroup.WithContext(ctx)
 	c.group.Go(func() error { return c.stream.Run(ctx) })
@@ -113,11 +167,11 @@
 			select {
 			case <-ctx.Done():
 				return nil
-			case ev := <-c.events:
-				actions := ev(c.module)
-				c.publish() // before anybody hears of it
+			case step := <-c.steps:
+				actions := step(c.module)
+				c.publish() // before the actions have an effect
 				for _, a := range actions {
-					c.carry(ctx, a)
+					c.execute(ctx, a)
 				}
 			}
 		}
@@ -129,17 +183,17 @@
 	return err
 }
 
-// tell hands an event to the module's goroutine.
-func (c *controller) tell(ctx context.Context, ev control.Event) {
-	step := func(m *control.Module) []control.Action { return m.Step(c.d.clock.Now(), ev) }
+// post hands an event to the module's goroutine.
+func (c *controller) post(ctx context.Context, ev control.Event) {
+	step := func(m *control.Module) []control.Action { return m.Step(c.dispatcher.clock.Now(), ev) }
 	select {
-	case c.events <- step:
+	case c.steps <- step:
 	case <-ctx.Done():
 	}
 }
 
-// carry does one action. What takes time is done beside and told as an event.
-func (c *controller) carry(ctx context.Context, a control.Action) {
+// execute carries out one action. What takes time has a goroutine of its own, whose result comes back as an event.
+func (c *controller) execute(ctx context.Context, a control.Action) {
 	switch a := a.(type) {
 	case control.Ack:
 		c.stream.Reply(stream.Reply{Kind: a.Kind, Version: a.Version, Nonce: a.Nonce})
@@ -151,7 +205,7 @@
 			if c.store != nil {
 				err = c.store.Put(a.Set)
 			}
-			c.tell(ctx, control.Stored{Number: a.Set.Number, Err: err})
+			c.post(ctx, control.Stored{Number: a.Set.Number, Err: err})
 			return nil
 		})
 	case control.Forget:
@@ -161,13 +215,13 @@
 			}
 		}
 	case control.Apply:
-		c.apply(ctx, a)
+		c.applySettings(ctx, a)
 	case control.List:
-		if err := c.d.fleet.SetNodes(a.Nodes); err != nil {
+		if err := c.dispatcher.fleet.SetNodes(a.Nodes); err != nil {
 			c.log.Error("node list", "error", err)
 		}
 	case control.ListRefused:
-		c.d.fleet.ListFailed(errors.New(strings.Join(a.Reasons, "; ")))
+		c.dispatcher.fleet.ListFailed(errors.New(strings.Join(a.Reasons, "; ")))
 	case control.Renew:
 		c.stream.Renew()
 	case control.Log:
@@ -175,61 +229,67 @@
 	}
 }
 
-// apply puts a set in force between two steps of the loop; calls that come later are classified by it.
-func (c *controller) apply(ctx context.Context, a control.Apply) {
-	c.serial++
-	version := c.serial
+// applySettings puts a set in force between two steps of the loop; later calls are classified by it.
+func (c *controller) applySettings(ctx context.Context, a control.Apply) {
+	c.changes++
+	version := c.changes
 	done := make(chan error, 1)
-	c.d.loop.Post(dispatch.Change{Version: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
+	c.dispatcher.loop.Post(dispatch.Change{Version: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
 	c.group.Go(func() error {
 		select {
 		case err := <-done:
 			if err == nil {
-				c.d.desk.SetTables(tables(a.Config, version))
+				c.dispatcher.intake.SetTables(frontendTables(a.Config, version))
 			}
-			c.tell(ctx, control.Applied{Number: a.Set.Number, Err: err})
-		case <-ctx.Done(): // the loop may have ended before it
+			c.post(ctx, control.Applied{Number: a.Set.Number, Err: err})
+		case <-ctx.Done(): // the loop may have ended before the change
 		}
 		return nil
 	})
 }
 
-// handler is the stream's side of a controller.
-type handler struct {
-	c   *controller
-	ctx context.Context
+// streamHandler receives the events of a stream for a controller.
+type streamHandler struct {
+	controller *controller
+	ctx        context.Context
 }
 
-func knownOf(core *dispatch.Core) control.LiveState {
-	k := control.LiveState{InFlight: core.InFlight()}
-	k.Retries, k.Received, k.OrderKeyResting = core.Outstanding()
-	return k
-}
+var _ stream.Handler = streamHandler{}
 
-// Offered implements stream.Handler. What is out is asked of the loop first: the checks for harm need it.
-func (h handler) Offered(ev control.Offered) {
+// Offered implements stream.Handler. The live state is read from the loop first: the checks for harm need it.
+func (h streamHandler) Offered(ev control.Offered) {
 	if ev.Kind != control.Nodes {
-		known := make(chan control.LiveState, 1)
-		h.c.d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
-			known <- knownOf(core)
-		}})
-		select {
-		case ev.Live = <-known:
-		case <-h.ctx.Done():
-			return
+		var err error
+		if ev.Live, err = h.controller.dispatcher.liveState(h.ctx); err != nil {
+			return // the dispatcher ends
 		}
 	}
-	h.c.tell(h.ctx, ev)
+	h.controller.post(h.ctx, ev)
+}
+
+// liveState reads from the loop what the checks for harm compare settings with. The error is the context's.
+func (d *Dispatcher) liveState(ctx context.Context) (control.LiveState, error) {
+	result := make(chan control.LiveState, 1)
+	d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
+		live := control.LiveState{InFlight: core.InFlight()}
+		live.Retries, live.Received, live.OrderKeyResting = core.Outstanding()
+		result <- live
+	}})
+	select {
+	case live := <-result:
+		return live, nil
+	case <-ctx.Done():
+		return control.LiveState{}, ctx.Err()
+	}
 }
 
 // Lost implements stream.Handler.
-func (h handler) Lost(err error) {
+func (h streamHandler) Lost(err error) {
 	if !errors.Is(err, stream.ErrRenewed) {
-		h.c.d.fleet.ListFailed(err)
+		h.controller.dispatcher.fleet.ListFailed(err)
 	}
-	h.c.tell(h.ctx, control.Lost{})
+	h.controller.post(h.ctx, control.Lost{})
 }
 
-// BreakStore closes the store under a running dispatcher, so that every write to it fails: for tests of full and read-only
-// disks.
-func (d *Dispatcher) BreakStore() error { return d.control.store.Close() }
+// BreakStore closes the store of a running dispatcher, so that every write to it fails, for tests of full and read-only disks.
+func (d *Dispatcher) BreakStore() error { return d.controller.store.Close() }
--- a/server/platform.go
+++ b/server/platform.go
@@ -23,78 +23,73 @@
 	"embershunt/policy"
 )
 
-// Platform is a dispatcher on the platform's protocol. Every other front, listener, recording and store is off in it. Run it
+// Platform is a dispatcher on the platform's protocol alone: it has no other frontend, no admin socket, recording or store. Run it
 // once.
 type Platform struct {
 	log      *slog.Logger
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
 	fleet    *backend.Fleet
-	front    *postgres.Front
+	frontend *postgres.Front
 	listener *net.TCPListener
 	peers    *peers.Peers // nil: the settings allow none
 	resolver *resolver.Resolver
-	tally    *tally
-	nodes    []nodelist.Node // in force; the resolver's goroutine's own
-	drain    chan struct{}
+	metrics  *platformMetrics
+	nodes    []nodelist.Node // in force; used by the resolver's goroutine alone
+	draining chan struct{}   // closed by Drain
 }
 
-// Shares of the descriptors: what the process itself holds, and of the rest what connections to nodes may take.
+// How the process's file descriptors are divided.
 const (
-	ownSockets = 24
-	nodesPart  = 0.4
-	// clientsPart: clients keep to one descriptor in so many, and each asks one query at a time. More are never held.
-	clientsPart = 3
+	reservedDescriptors = 24  // listeners, peers, name service, files and the like
+	nodeDescriptorShare = 0.4 // of the others: connections to nodes; the rest are clients'
+	// descriptorsPerQuery bounds the queries in flight: no more than one for so many descriptors.
+	descriptorsPerQuery = 3
 )
 
-// Parts of the memory limit: where the collector works harder, and what is never given back between two collections.
+// How the process uses its memory.
 const (
-	memoryPart = 0.6
-	growth     = 50 // percent that the heap may grow between two collections
+	memoryLimitShare  = 0.6 // of the memory allowed: above it the garbage collector works harder
+	heapGrowthPercent = 50  // between two collections
 )
 
-// Limit fits the runtime to the processors and the memory that the configuration allows.
+// The name service is polled several times within the grace of a drain, so that a drain is noticed early in it.
+const (
+	pollsPerDrainGrace = 5
+	minPollInterval    = 50 * time.Millisecond
+	maxPollInterval    = 250 * time.Millisecond
+)
+
+// drainDelay is how long after the order to stop clients may still send queries, as the platform says: they are served.
+const drainDelay = 700 * time.Millisecond
+
+// Limit fits the Go runtime to the processors and the memory that the configuration allows.
 func Limit(cfg *config.Platform) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
-	debug.SetGCPercent(growth)
-	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryPart * (1 << 20)))
+	debug.SetGCPercent(heapGrowthPercent)
+	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// askParts is how often the name service is asked within the grace of a drain; asking costs it little.
-const (
-	askParts = 5
-	askMost  = 250 * time.Millisecond
-	askLeast = 50 * time.Millisecond
-)
-
-// NewPlatform listens; nothing is served before Run.
+// NewPlatform builds a dispatcher and listens; nothing is served before Run.
 func NewPlatform(cfg *config.Platform, log *slog.Logger) (*Platform, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	p := &Platform{log: log.With("dispatcher", cfg.Name), clock: dispatch.NewClock(), drain: make(chan struct{}),
-		tally: newTally(log)}
-	span := func(us policy.Micros) time.Duration { return time.Duration(us) * time.Microsecond }
-	nodes := int(float64(cfg.Sockets-ownSockets) * nodesPart)
-	p.fleet = backend.New(backend.Options{Log: p.log, Clock: p.clock, ConnectTimeout: span(cfg.SocketLimits.ConnectTimeout),
-		MaxPlatformConns: nodes, MaxAttemptsPerConn: cfg.SocketLimits.StreamsPerConn, PlatformIdleTimeout: span(cfg.SocketLimits.ConnIdle) / 2,
-		DrainGrace: span(cfg.Settings.DrainGrace)})
-	settings := cfg.Settings
-	if most := cfg.Sockets / clientsPart; settings.MaxInFlight == 0 || settings.MaxInFlight > most {
-		settings.MaxInFlight = most
-	}
-	core, err := dispatch.NewCore(cfg.Seed, settings, p.fleet, p.tally)
+	p := &Platform{log: log.With("dispatcher", cfg.Name), clock: dispatch.NewClock(), draining: make(chan struct{}),
+		metrics: newPlatformMetrics(log)}
+	nodeDescriptors := int(float64(cfg.Sockets-reservedDescriptors) * nodeDescriptorShare)
+	p.fleet = newPlatformFleet(cfg, p.log, p.clock, nodeDescriptors)
+	core, err := dispatch.NewCore(cfg.Seed, platformSettings(cfg), p.fleet, p.metrics)
 	if err != nil {
 		return nil, err
 	}
 	p.loop = dispatch.NewLoop(core, p.clock)
 	p.fleet.Bind(p.loop)
-	desk := frontend.NewIntake(p.loop, p.clock, frontend.Tables{})
-	p.front = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings, MostSessions: cfg.Sockets - ownSockets - nodes,
-		Idle: span(cfg.SocketLimits.ConnIdle)}, desk)
-	every := min(max(span(cfg.Settings.DrainGrace)/askParts, askLeast), askMost)
-	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial, Interval: every,
-		Apply: p.setNodes})
+	p.frontend = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings,
+		MostSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, Idle: duration(cfg.SocketLimits.ConnIdle)},
+		frontend.NewIntake(p.loop, p.clock, frontend.Tables{}))
+	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial,
+		Interval: pollInterval(cfg), Apply: p.setNodes})
 	if cfg.Settings.CanGossip {
 		if p.peers, err = peers.Listen(cfg.PeerListen, cfg.Peers, cfg.Settings.PeerIndex); err != nil {
 			return nil, err
@@ -109,13 +104,42 @@
 	if err != nil {
 		return nil, err
 	}
-	p.listener = l.(*net.TCPListener) // what Listen gives for "tcp"
+	p.listener = l.(*net.TCPListener) // the type that Listen documents for "tcp"
 	return p, nil
 }
 
+func newPlatformFleet(cfg *config.Platform, log *slog.Logger, clock dispatch.Clock, maxConnections int) *backend.Fleet {
+	limits := &cfg.SocketLimits
+	return backend.New(backend.Options{
+		Log:                 log,
+		Clock:               clock,
+		ConnectTimeout:      duration(limits.ConnectTimeout),
+		MaxPlatformConns:    maxConnections,
+		MaxAttemptsPerConn:  limits.StreamsPerConn,
+		PlatformIdleTimeout: duration(limits.ConnIdle) / 2,
+		DrainGrace:          duration(cfg.Settings.DrainGrace),
+	})
+}
+
+// platformSettings are the settings with a bound on the queries in flight that the descriptors allow.
+func platformSettings(cfg *config.Platform) policy.Settings {
+	settings := cfg.Settings
+	if limit := cfg.Sockets / descriptorsPerQuery; settings.MaxInFlight == 0 || settings.MaxInFlight > limit {
+		settings.MaxInFlight = limit
+	}
+	return settings
+}
+
+func pollInterval(cfg *config.Platform) time.Duration {
+	return min(max(duration(cfg.Settings.DrainGrace)/pollsPerDrainGrace, minPollInterval), maxPollInterval)
+}
+
+func duration(micros policy.Micros) time.Duration { return time.Duration(micros) * time.Microsecond }
+
 // Address is where clients are served.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
+// setNodes puts a node list of the resolver in force.
 func (p *Platform) setNodes(nodes []nodelist.Node) {
 	if err := p.fleet.SetNodes(nodes); err != nil {
 		p.log.Warn("a node list was not taken", "error", err)
@@ -125,8 +149,8 @@
 	p.nodes = nodes
 }
 
-// Reload takes the file anew, as a whole or not at all: the name service may have moved. What else it holds is for the next
-// start.
+// Reload reads the configuration again and follows the address of the name service, unless the file has an error. Other changes
+// need a restart.
 func (p *Platform) Reload(path string) {
 	cfg, err := config.LoadPlatform(path)
 	if err != nil {
@@ -137,51 +161,51 @@
 	p.resolver.Move(cfg.Resolver)
 }
 
-// takesOn is how long after an order to stop clients still come, as the platform says: they are served.
-const takesOn = 700 * time.Millisecond
-
-// Drain has the dispatcher stop: it takes queries for a moment more, refuses what comes later, and ends when all that it has
-// taken has its answer. It must be called once at most.
-func (p *Platform) Drain() { close(p.drain) }
+// Drain begins a graceful shutdown: queries are accepted for drainDelay more, later ones are rejected, and Run returns when all have
+// their answers. It must be called once at most.
+func (p *Platform) Drain() { close(p.draining) }
 
 // Run serves until the dispatcher has drained (nil), ctx ends, or something fails.
 func (p *Platform) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	during, over := context.WithCancel(context.WithoutCancel(ctx)) // ends with the loop, whatever ends that
+	whileLoop, loopEnded := context.WithCancel(context.WithoutCancel(ctx)) // ends with the loop, whatever ends that
 	group.Go(func() error {
-		defer over()
+		defer loopEnded()
 		return p.loop.Run(ctx)
 	})
-	group.Go(func() error { return p.front.Serve(during, p.listener) })
+	group.Go(func() error { return p.frontend.Serve(whileLoop, p.listener) })
 	p.fleet.Go(p.resolver.Run)
 	if p.peers != nil {
-		group.Go(func() error { return p.peers.Run(during, toLoop{p.loop}) })
+		group.Go(func() error { return p.peers.Run(whileLoop, policyEventPoster{p.loop}) })
 	}
-	group.Go(func() error { p.tally.run(during, p); return nil })
-	group.Go(func() error {
-		select {
-		case <-during.Done():
-			return nil
-		case <-p.drain:
-		}
-		p.log.Info("draining: queries are taken for a moment more, then refused", "moment", takesOn)
-		t := time.NewTimer(takesOn)
-		defer t.Stop()
-		select {
-		case <-during.Done():
-		case <-t.C:
-			p.loop.Drain()
-		}
-		return nil
-	})
+	group.Go(func() error { p.metrics.run(whileLoop, p); return nil })
+	group.Go(func() error { p.awaitDrain(whileLoop); return nil })
 	group.Go(func() error {
-		<-during.Done()
+		<-whileLoop.Done()
 		return p.fleet.Close()
 	})
 	return group.Wait()
 }
 
-// toLoop passes on what needs no ledger.
-type toLoop struct{ *dispatch.Loop }
+// awaitDrain drains the loop drainDelay after Drain, unless ctx ends before.
+func (p *Platform) awaitDrain(ctx context.Context) {
+	select {
+	case <-ctx.Done():
+		return
+	case <-p.draining:
+	}
+	p.log.Info("draining: queries are taken for a moment more, then refused", "moment", drainDelay)
+	t := time.NewTimer(drainDelay)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+		p.loop.Drain()
+	}
+}
+
+// policyEventPoster passes gossip to the loop.
+type policyEventPoster struct{ *dispatch.Loop }
 
-func (l toLoop) Notify(ev policy.Event) { l.Post(dispatch.PolicyEvent{Event: ev}) }
+// Notify posts an event that does not concern the ledger.
+func (l policyEventPoster) Notify(ev policy.Event) { l.Post(dispatch.PolicyEvent{Event: ev}) }
--- a/server/recording.go
+++ b/server/recording.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"os"
-	"runtime/debug"
 
 	"github.com/prometheus/client_golang/prometheus"
 
@@ -14,15 +13,15 @@
 	"embershunt/trace"
 )
 
-// recording writes down what the module was told and what it decided.
+// recording writes the inputs and the decisions of the policy into a file.
 type recording struct {
 	recorder *trace.Recorder
 	writer   *trace.Writer
 	file     *os.File
-	most     int64
+	maxBytes int64
 }
 
-// newRecording opens the file; one that is there already is kept as NAME.old. nil where nothing is to be recorded.
+// newRecording opens the file, after renaming an older one to NAME.old, and starts to record; nil where there is no file to write.
 func newRecording(f *config.File, core *dispatch.Core, clock dispatch.Clock, r *prometheus.Registry) (*recording, error) {
 	name := f.Log.Decisions
 	if name == "" {
@@ -37,14 +36,10 @@
 	}
 	w, err := trace.NewWriter(file)
 	if err != nil {
-		file.Close()
+		_ = file.Close() // the error that matters is the first one
 		return nil, fmt.Errorf("log.decisions: %w", err)
 	}
-	build := ""
-	if b, ok := debug.ReadBuildInfo(); ok {
-		build = b.Main.Version
-	}
-	rec := &recording{recorder: trace.NewRecorder(f.Name, build), writer: w, file: file, most: int64(f.Log.MaxDecisionBytes)}
+	rec := &recording{recorder: trace.NewRecorder(f.Name, buildVersion()), writer: w, file: file, maxBytes: int64(f.Log.MaxDecisionBytes)}
 	core.Record(clock.Now(), rec.recorder)
 	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "decisions_not_recorded_total",
 		Help: "Steps of the module that the recording lost because it could not keep up, or had reached its bound."},
@@ -52,9 +47,9 @@
 	return rec, nil
 }
 
-// run writes until the loop has ended. A recording that fails is no reason to stop serving.
+// run writes until the loop has ended. A recording that fails is logged and does not stop the dispatcher.
 func (r *recording) run(stop <-chan struct{}, log *slog.Logger) error {
-	err := errors.Join(r.recorder.Run(stop, r.writer, r.most), r.writer.Flush(), r.file.Close())
+	err := errors.Join(r.recorder.Run(stop, r.writer, r.maxBytes), r.writer.Flush(), r.file.Close())
 	if err != nil {
 		log.Error("decisions are not recorded any more", "error", err)
 	}
