--- a/server/service_test.go
+++ b/server/control_service_test.go
@@ -42,7 +42,7 @@
 	h.address = l.Addr().String()
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(l) }()
-	t.Cleanup(func() { s.Stop(); <-done })
+	t.Cleanup(func() { s.Stop(); _ = awaitEnd(done) })
 	return h
 }
 
--- a/server/store_test.go
+++ b/server/control_store_test.go
@@ -32,7 +32,9 @@
 	c, r, _ := storing(t)
 	c.Put(stream.SettingsName, settings(t, 1, nil)...)
 	r.until("set 1 in force", func(s control.Status) bool { return s.Number == 1 })
-	r.d.BreakStore()
+	if err := r.d.BreakStore(); err != nil {
+		t.Fatal(err)
+	}
 	c.Put(stream.SettingsName, settings(t, 2, nil)...)
 	until(t, c, "set 2 refused", func() bool { return len(c.Nacks()) > 0 })
 	if n := c.Nacks()[0]; !strings.Contains(n, "store: ") {
--- a/server/bench_test.go
+++ b/server/flight_bench_test.go
@@ -44,10 +44,10 @@
 			} else if err != nil {
 				return err
 			}
-			c.SendMsg(&f)
+			_ = c.SendMsg(&f) // RecvMsg has the error
 			f.Free()
 		}
-		c.CloseSend()
+		_ = c.CloseSend() // RecvMsg has the error
 		for {
 			if err := c.RecvMsg(&f); errors.Is(err, io.EOF) {
 				return nil
@@ -65,8 +65,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go server.Serve(l)
-	b.Cleanup(func() { server.Stop(); conn.Close() })
+	go func() { _ = server.Serve(l) }() // it ends with Stop
+	b.Cleanup(func() { server.Stop(); closeQuietly(conn) })
 	return l.Addr().String()
 }
 
@@ -81,7 +81,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.Cleanup(func() { c.Close() })
+		b.Cleanup(func() { closeQuietly(c) })
 		out[name] = c
 	}
 	return out
--- a/server/clients_test.go
+++ b/server/flight_clients_test.go
@@ -47,7 +47,7 @@
 		away func(r *rig, cancel func())
 	}{
 		{"cancels", func(_ *rig, cancel func()) { cancel() }},
-		{"vanishes", func(r *rig, _ func()) { r.client.Close() }},
+		{"vanishes", func(r *rig, _ func()) { closeQuietly(r.client) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 			if err := r.nodes[0].Await(ctx, anyCancelled); err != nil {
 				t.Error("the node was not told: ", err)
 			}
-			<-done
+			_ = awaitEnd(done) // the client has gone: only its end counts
 		})
 	}
 	t.Run("calls it off with CancelFlightInfo", func(t *testing.T) {
@@ -146,7 +146,7 @@
 			break
 		}
 	}
-	s.CloseSend()
+	_ = s.CloseSend() // RecvMsg has the error
 	for {
 		var f flightwire.Frame
 		if err := s.RecvMsg(&f); err != nil {
@@ -167,7 +167,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeQuietly(conn)
 	info, err := r.client.Execute(t.Context(), "SELECT 1")
 	if err != nil {
 		t.Fatal(err)
@@ -305,7 +305,7 @@
 		return db
 	}
 	db := open("geheim")
-	defer db.Close()
+	defer closeQuietly(db)
 	rows, err := db.QueryContext(t.Context(), "SELECT * FROM policy /* rows=4 */")
 	if err != nil {
 		t.Fatal(err)
@@ -323,7 +323,7 @@
 		t.Errorf("%d rows, %v", n, rows.Err())
 	}
 	wrong := open("falsch")
-	defer wrong.Close()
+	defer closeQuietly(wrong)
 	if _, err := wrong.QueryContext(t.Context(), "SELECT 1"); err == nil || !strings.Contains(err.Error(), "password is wrong") {
 		t.Errorf("a wrong password: %v", err)
 	}
@@ -359,23 +359,20 @@
 		}
 		return rows
 	}
-	if n := count(r.client.GetSqlInfo(ctx, []flightsql.SqlInfo{flightsql.SqlInfoFlightSqlServerName})); n != 1 {
-		t.Errorf("GetSqlInfo: %d rows", n)
-	}
-	if n := count(r.client.GetCatalogs(ctx)); n != 1 {
-		t.Errorf("GetCatalogs: %d rows", n)
-	}
-	if n := count(r.client.GetTableTypes(ctx)); n != 1 {
-		t.Errorf("GetTableTypes: %d rows", n)
-	}
-	if n := count(r.client.GetDBSchemas(ctx, &flightsql.GetDBSchemasOpts{})); n != 1 {
-		t.Errorf("GetDBSchemas: %d rows", n)
-	}
-	if n := count(r.client.GetTables(ctx, &flightsql.GetTablesOpts{})); n != 1 {
-		t.Errorf("GetTables: %d rows", n)
-	}
-	if n := count(r.client.GetXdbcTypeInfo(ctx, nil)); n != 1 {
-		t.Errorf("GetXdbcTypeInfo: %d rows", n)
+	metadataCalls := map[string]func() (*flight.FlightInfo, error){
+		"GetSqlInfo": func() (*flight.FlightInfo, error) {
+			return r.client.GetSqlInfo(ctx, []flightsql.SqlInfo{flightsql.SqlInfoFlightSqlServerName})
+		},
+		"GetCatalogs":     func() (*flight.FlightInfo, error) { return r.client.GetCatalogs(ctx) },
+		"GetTableTypes":   func() (*flight.FlightInfo, error) { return r.client.GetTableTypes(ctx) },
+		"GetDBSchemas":    func() (*flight.FlightInfo, error) { return r.client.GetDBSchemas(ctx, &flightsql.GetDBSchemasOpts{}) },
+		"GetTables":       func() (*flight.FlightInfo, error) { return r.client.GetTables(ctx, &flightsql.GetTablesOpts{}) },
+		"GetXdbcTypeInfo": func() (*flight.FlightInfo, error) { return r.client.GetXdbcTypeInfo(ctx, nil) },
+	}
+	for name, call := range metadataCalls {
+		if n := count(call()); n != 1 {
+			t.Errorf("%s: %d rows", name, n)
+		}
 	}
 	s, err := r.client.GetExecuteSchema(ctx, "SELECT 1 /* row_bytes=9 */")
 	if err != nil {
@@ -386,6 +383,12 @@
 		arrow.Field{Name: "payload", Type: arrow.BinaryTypes.Binary}), nil)) {
 		t.Errorf("schema %v, %v", schema, err)
 	}
+	checkSessionOptions(ctx, t, r)
+}
+
+// checkSessionOptions sets, reads and drops the options of a session.
+func checkSessionOptions(ctx context.Context, t *testing.T, r *rig) {
+	t.Helper()
 	// Session options live in the cookie; any dispatcher with the key reads them. The cookie is carried by hand: the client library's own
 	// keeper takes cookies up beside the call's return, and now and then not at all.
 	set, err := flight.NewSessionOptionValue("heavy")
@@ -444,7 +447,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer closeQuietly(conn)
 	watch, err := healthpb.NewHealthClient(conn).Watch(ctx, &healthpb.HealthCheckRequest{})
 	if err != nil {
 		t.Fatal(err)
@@ -491,8 +494,8 @@
 	address := r.d.Address()
 	r.d.Kill()
 	r.cancel()
-	<-r.ended
-	r.ended <- nil // for the clean-up
+	_ = awaitEnd(r.ended) // killed: its error does not count
+	r.ended <- nil        // for the clean-up
 	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool {
 		for _, x := range s {
 			if !x.Cancelled && !x.Ran {
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"database/sql"
 	"errors"
 	"fmt"
 	"io"
@@ -15,6 +16,7 @@
 	"github.com/ClickHouse/ch-go"
 	"github.com/ClickHouse/ch-go/proto"
 	clickhouse "github.com/ClickHouse/clickhouse-go/v2"
+	"github.com/ClickHouse/clickhouse-go/v2/lib/driver"
 
 	"embershunt/internal/native"
 	"embershunt/simulated"
@@ -56,7 +58,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
+			defer closeQuietly(c)
 			for range 2 {
 				if err := insertNative(t.Context(), c, "INSERT INTO events (id, name) VALUES", 5, 700); err != nil {
 					t.Fatal(err)
@@ -74,7 +76,7 @@
 			if brought != 7000 || samples != 1 {
 				t.Errorf("nodes took %d rows, want 7000; asked for columns %d times, want 1", brought, samples)
 			}
-			c.Close()
+			closeQuietly(c)
 			if b := r.stillHeld(); b != 0 {
 				t.Errorf("%d bytes are still held", b)
 			}
@@ -82,9 +84,9 @@
 	}
 }
 
-// comeBackMost is how often a refused query comes back when told to: on a machine that is busy with other things the nodes, whose work
+// maxComeBacks is how often a refused query comes back when told to: on a machine that is busy with other things the nodes, whose work
 // takes real time, may be full once more.
-const comeBackMost = 5
+const maxComeBacks = 5
 
 // clickhouse-go's batches, its database/sql form and a pool of 50 connections; parameters; an external table.
 func TestNativeClientsOfAllKinds(t *testing.T) {
@@ -93,64 +95,89 @@
 		return &clickhouse.Options{Addr: []string{r.d.NativeAddress()}, MaxOpenConns: 50, MaxIdleConns: 50,
 			Compression: &clickhouse.Compression{Method: m}, Settings: clickhouse.Settings{"max_execution_time": 10}}
 	}
-	var came atomic.Int32
+	var retries atomic.Int32
 	for _, m := range []clickhouse.CompressionMethod{clickhouse.CompressionNone, clickhouse.CompressionLZ4, clickhouse.CompressionZSTD} {
 		conn, err := clickhouse.Open(options(m))
 		if err != nil {
 			t.Fatal(err)
 		}
-		batch, err := conn.PrepareBatch(t.Context(), "INSERT INTO events (id, name)")
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i := range 2500 {
-			if err := batch.Append(uint64(i), "a name"); err != nil {
-				t.Fatal(err)
-			}
-		}
-		if err := batch.Send(); err != nil {
-			t.Fatal(err)
-		}
+		insertBatch(t, conn)
 		var group sync.WaitGroup
 		for range 50 {
 			group.Add(1)
 			go func() {
 				defer group.Done()
 				for range 4 {
-					rows, err := conn.Query(clickhouse.Context(t.Context(), clickhouse.WithParameters(clickhouse.Parameters{"n": "7"})),
-						"SELECT node, row FROM policy WHERE id = {n:UInt64} /* rows=20 work_ms=2 cost_ms=2 */")
-					var refused *clickhouse.Exception
-					for times := 0; errors.As(err, &refused) && refused.Code == 202 && times < comeBackMost; times++ { // it comes back when it was told to
-						came.Add(1)
-						_, ms, _ := strings.Cut(refused.Message, "come back in ")
-						wait, bad := time.ParseDuration(strings.Replace(ms, " ms", "ms", 1))
-						if bad != nil || wait <= 0 || !strings.Contains(refused.Message, "0 attempts") {
-							t.Errorf("refused with %q", refused.Message)
-							return
-						}
-						<-time.After(wait)
-						rows, err = conn.Query(t.Context(), "SELECT node, row FROM policy /* rows=20 work_ms=2 cost_ms=2 */")
-					}
-					if err != nil {
-						t.Error(err)
-						return
-					}
-					n := 0
-					for rows.Next() {
-						n++
-					}
-					if rows.Close(); n != 20 || rows.Err() != nil {
-						t.Errorf("%d rows, %v", n, rows.Err())
-					}
+					queryUntilServed(t, conn, &retries)
 				}
 			}()
 		}
 		group.Wait()
-		conn.Close()
+		closeQuietly(conn)
 	}
-	t.Logf("%d refusals of 600 queries, all served when they came back as told", came.Load())
+	t.Logf("%d refusals of 600 queries, all served when they came back as told", retries.Load())
 	db := clickhouse.OpenDB(options(clickhouse.CompressionLZ4))
-	defer db.Close()
+	defer closeQuietly(db)
+	insertInTransaction(t, db)
+	brought := 0
+	for _, s := range r.seen("INSERT INTO events (id, name) FORMAT Native") {
+		brought += s.Rows
+	}
+	if brought != 3*2500+100 {
+		t.Errorf("nodes took %d rows, want %d", brought, 3*2500+100)
+	}
+	joinExternalTable(t, r)
+}
+
+// insertBatch inserts 2500 rows.
+func insertBatch(t *testing.T, conn driver.Conn) {
+	t.Helper()
+	batch, err := conn.PrepareBatch(t.Context(), "INSERT INTO events (id, name)")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 2500 {
+		if err := batch.Append(uint64(i), "a name"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := batch.Send(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// queryUntilServed queries with a parameter; a refusal must say when to come back, and is followed.
+func queryUntilServed(t *testing.T, conn driver.Conn, retries *atomic.Int32) {
+	rows, err := conn.Query(clickhouse.Context(t.Context(), clickhouse.WithParameters(clickhouse.Parameters{"n": "7"})),
+		"SELECT node, row FROM policy WHERE id = {n:UInt64} /* rows=20 work_ms=2 cost_ms=2 */")
+	var refused *clickhouse.Exception
+	for times := 0; errors.As(err, &refused) && refused.Code == 202 && times < maxComeBacks; times++ {
+		retries.Add(1)
+		_, ms, _ := strings.Cut(refused.Message, "come back in ")
+		wait, bad := time.ParseDuration(strings.Replace(ms, " ms", "ms", 1))
+		if bad != nil || wait <= 0 || !strings.Contains(refused.Message, "0 attempts") {
+			t.Errorf("refused with %q", refused.Message)
+			return
+		}
+		<-time.After(wait)
+		rows, err = conn.Query(t.Context(), "SELECT node, row FROM policy /* rows=20 work_ms=2 cost_ms=2 */")
+	}
+	if err != nil {
+		t.Error(err)
+		return
+	}
+	n := 0
+	for rows.Next() {
+		n++
+	}
+	if closeQuietly(rows); n != 20 || rows.Err() != nil {
+		t.Errorf("%d rows, %v", n, rows.Err())
+	}
+}
+
+// insertInTransaction inserts 100 rows through database/sql.
+func insertInTransaction(t *testing.T, db *sql.DB) {
+	t.Helper()
 	tx, err := db.Begin()
 	if err != nil {
 		t.Fatal(err)
@@ -167,15 +194,13 @@
 	if err := tx.Commit(); err != nil {
 		t.Fatal(err)
 	}
-	brought := 0
-	for _, s := range r.seen("INSERT INTO events (id, name) FORMAT Native") {
-		brought += s.Rows
-	}
-	if brought != 3*2500+100 {
-		t.Errorf("nodes took %d rows, want %d", brought, 3*2500+100)
-	}
+}
+
+// joinExternalTable queries with a table of 30 rows that the client sends along.
+func joinExternalTable(t *testing.T, r *rig) {
+	t.Helper()
 	c := r.native(t, "u")
-	defer c.Close()
+	defer closeQuietly(c)
 	var ids proto.ColUInt64
 	for i := range 30 {
 		ids.Append(uint64(i))
@@ -217,7 +242,7 @@
 				n.Share(tokens)
 			}
 			client := r.native(t, "u")
-			defer client.Close()
+			defer closeQuietly(client)
 			if err := insertNative(t.Context(), client, statement, 1, 1); err != nil { // the columns are cached from now on
 				t.Fatal(err)
 			}
@@ -235,7 +260,7 @@
 				}
 				conn := r.native(t, "u")
 				err := insertNative(t.Context(), conn, statement, 3, 10, settings...)
-				conn.Close()
+				closeQuietly(conn)
 				after := r.nodes[0].Seen()[before[0]:]
 				if len(after) == 0 {
 					continue
@@ -244,14 +269,7 @@
 				if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 					t.Fatalf("%v, want %q", err, c.want)
 				}
-				ran, got := 0, 0
-				for i, n := range r.nodes {
-					for _, s := range n.Seen()[before[i]:] {
-						if got++; s.Ran {
-							ran++
-						}
-					}
-				}
+				got, ran := r.attemptsSince(before[:])
 				if ran != 1 || c.nodes == 2 && got < 2 || c.want != "" && got != 1 {
 					t.Errorf("it ran %d times, %d attempts", ran, got)
 				}
@@ -264,6 +282,18 @@
 	}
 }
 
+// attemptsSince counts the attempts that the nodes have seen since they had seen so many each, and those that ran.
+func (r *rig) attemptsSince(before []int) (seen, ran int) {
+	for i, n := range r.nodes {
+		for _, s := range n.Seen()[before[i]:] {
+			if seen++; s.Ran {
+				ran++
+			}
+		}
+	}
+	return seen, ran
+}
+
 // An update of a class that is keyed goes to another node of its group when its answer was lost, over Flight SQL too, and
 // runs once; beyond the group it is not sent again.
 func TestKeyedUpdatesOverFlightSQL(t *testing.T) {
@@ -336,29 +366,34 @@
 	r *native.Reader
 }
 
-func (r *rig) rawNative(t testing.TB, revision int) *rawNative {
+func (r *rig) rawNative(t testing.TB) *rawNative {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.d.NativeAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { closeQuietly(conn) })
 	c := &rawNative{t, conn, native.NewReader(conn, 1<<20)}
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	c.Write(native.Hello{Name: "raw", Major: 1, Revision: revision, User: "u"}.Encode())
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
+	c.send(native.Hello{Name: "raw", Major: 1, Revision: native.Newest, User: "u"}.Encode())
 	s, err := c.r.ReadServerHello()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if min(s.Revision, revision) >= native.AddendumFrom {
-		c.Write(native.PutText(nil, ""))
+	if s.Revision >= native.AddendumFrom {
+		c.send(native.PutText(nil, ""))
 	}
 	return c
 }
 
+// send writes to the dispatcher, which may have closed the connection: what it answered is what a test checks.
+func (c *rawNative) send(data []byte) { _, _ = c.Write(data) }
+
 func (c *rawNative) ask(statement string, settings ...native.Setting) {
 	q := native.Query{ID: "q", Info: []byte{0}, Stage: 2, Text: statement, Settings: settings}
-	c.Write(append(q.Encode(native.Newest), native.EndOfData()...))
+	c.send(append(q.Encode(native.Newest), native.EndOfData()...))
 }
 
 // until reads packets up to one of a kind, or to an Exception or the end.
@@ -398,15 +433,15 @@
 	const statement = "INSERT INTO events (id, name) VALUES"
 	cases := []struct {
 		name string
-		play func(c *rawNative, r *rig)
+		play func(c *rawNative)
 		code int32 // of the Exception; 0: none is due
 		says string
 	}{
-		{"stalled half-way", func(c *rawNative, r *rig) { c.Write(block(c.t, 5, 10)) }, 159, "CLIENT_STALLED"},
-		{"gone half-way", func(c *rawNative, r *rig) { c.Write(block(c.t, 5, 10)[:40]); c.Close() }, 0, ""},
-		{"called off half-way", func(c *rawNative, r *rig) {
-			c.Write(block(c.t, 5, 10))
-			c.Write([]byte{native.ClientCancel})
+		{"stalled half-way", func(c *rawNative) { c.send(block(c.t, 5, 10)) }, 159, "CLIENT_STALLED"},
+		{"gone half-way", func(c *rawNative) { c.send(block(c.t, 5, 10)[:40]); closeQuietly(c) }, 0, ""},
+		{"called off half-way", func(c *rawNative) {
+			c.send(block(c.t, 5, 10))
+			c.send([]byte{native.ClientCancel})
 			if p := c.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
 				c.t.Errorf("packet %d, %v", p.Code, p.Exception)
 			}
@@ -415,31 +450,31 @@
 				c.t.Errorf("the next query: packet %d, %v", p.Code, p.Exception)
 			}
 		}, 0, ""},
-		{"more than allowed", func(c *rawNative, r *rig) {
+		{"more than allowed", func(c *rawNative) {
 			for range 30 {
-				c.Write(block(c.t, 10, 1000))
+				c.send(block(c.t, 10, 1000))
 			}
 		}, 241, "QUERY_TOO_LARGE"},
-		{"a broken block", func(c *rawNative, r *rig) { c.Write([]byte{native.ClientData, 0, 9, 9}) }, 101, "field of block info"},
-		{"a query among the rows", func(c *rawNative, r *rig) { c.ask("SELECT 1") }, 101, "among the rows"},
+		{"a broken block", func(c *rawNative) { c.send([]byte{native.ClientData, 0, 9, 9}) }, 101, "field of block info"},
+		{"a query among the rows", func(c *rawNative) { c.ask("SELECT 1") }, 101, "among the rows"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 1, `, "front": {"max_insert_bytes": 100000, "held_insert_bytes": 1000000}`)
-			raw := r.rawNative(t, native.Newest)
+			raw := r.rawNative(t)
 			raw.ask(statement, native.Setting{Name: "max_execution_time", Value: "0.4"})
 			if p := raw.until(native.ServerData); p.Block.Columns != 2 || p.Block.Rows != 0 {
 				t.Fatalf("the columns: %+v, %v", p.Block, p.Exception)
 			}
-			c.play(raw, r)
+			c.play(raw)
 			if c.code != 0 {
 				if p := raw.until(native.ServerException); p.Exception == nil || p.Exception.Code != c.code || !strings.Contains(p.Exception.Message, c.says) {
 					t.Errorf("%v, want %d with %q", p.Exception, c.code, c.says)
 				}
 			}
-			raw.Close()
+			closeQuietly(raw)
 			next := r.native(t, "u")
-			defer next.Close()
+			defer closeQuietly(next)
 			if err := insertNative(t.Context(), next, statement, 1, 3); err != nil {
 				t.Error("the next client: ", err)
 			}
@@ -449,7 +484,7 @@
 					ran++
 				}
 			}
-			next.Close()
+			closeQuietly(next)
 			if b := r.stillHeld(); ran != 1 || b != 0 {
 				t.Errorf("%d inserts ran, want that of the next client; %d bytes are held", ran, b)
 			}
@@ -461,21 +496,21 @@
 func TestNoRoomForRows(t *testing.T) {
 	r := newRig(t, 1, `, "front": {"max_insert_bytes": 60000, "held_insert_bytes": 80000}`)
 	const statement = "INSERT INTO events (id, name) VALUES"
-	first, second := r.rawNative(t, native.Newest), r.rawNative(t, native.Newest)
+	first, second := r.rawNative(t), r.rawNative(t)
 	for _, c := range []*rawNative{first, second} {
 		c.ask(statement)
 		c.until(native.ServerData)
 	}
-	first.Write(block(t, 50, 1000))
-	first.Write([]byte{native.ClientPing})
+	first.send(block(t, 50, 1000))
+	first.send([]byte{native.ClientPing})
 	if p := first.until(native.ServerPong); p.Code != native.ServerPong { // its rows are held now
 		t.Fatal(p.Code, p.Exception)
 	}
-	second.Write(block(t, 30, 1000))
+	second.send(block(t, 30, 1000))
 	if p := second.until(native.ServerException); p.Exception == nil || p.Exception.Code != 202 || !strings.Contains(p.Exception.Message, "come back in") {
 		t.Errorf("the newcomer: %v", p.Exception)
 	}
-	first.Write(native.EndOfData())
+	first.send(native.EndOfData())
 	if p := first.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
 		t.Errorf("the one under way: %v", p.Exception)
 	}
--- a/server/warm_test.go
+++ b/server/learned_state_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer closeQuietly(f)
 	src, err := trace.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,9 @@
 	if err != nil || rep.Differ != 0 || rep.Damage != nil || !warm {
 		t.Errorf("%+v, %v, started warm: %v", rep, err, warm)
 	}
-	os.WriteFile(kept, []byte("{"), 0o600)
+	if err := os.WriteFile(kept, []byte("{"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	r.restart()
 	if _, err := r.query(t.Context(), "SELECT 1"); err != nil {
 		t.Error(err)
--- a/server/nativebench_test.go
+++ b/server/native_bench_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { l.Close() })
+	b.Cleanup(func() { closeQuietly(l) })
 	go func() {
 		for {
 			client, err := l.Accept()
@@ -25,14 +25,14 @@
 				return
 			}
 			go func() {
-				defer client.Close()
+				defer closeQuietly(client)
 				server, err := net.Dial("tcp", node)
 				if err != nil {
 					return
 				}
-				defer server.Close()
-				go func() { io.Copy(onlyWriter{server}, client); server.Close() }()
-				io.Copy(onlyWriter{client}, server)
+				defer closeQuietly(server)
+				go func() { _, _ = io.Copy(onlyWriter{server}, client); closeQuietly(server) }()
+				_, _ = io.Copy(onlyWriter{client}, server) // a relay ends with either side
 			}()
 		}
 	}()
@@ -53,7 +53,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.Cleanup(func() { c.Close() })
+			b.Cleanup(func() { closeQuietly(c) })
 			out[name] = append(out[name], c)
 		}
 	}
--- a/server/rawnode_test.go
+++ b/server/native_connections_test.go
@@ -48,7 +48,7 @@
 	n := &rawNode{address: l.Addr().String()}
 	var group sync.WaitGroup
 	over := make(chan struct{})
-	t.Cleanup(func() { l.Close(); close(over); group.Wait() })
+	t.Cleanup(func() { closeQuietly(l); close(over); group.Wait() })
 	group.Add(1)
 	go func() {
 		defer group.Done()
@@ -60,7 +60,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				defer conn.Close()
+				defer closeQuietly(conn)
 				n.mu.Lock()
 				n.opened++
 				n.mu.Unlock()
@@ -69,7 +69,7 @@
 				if err != nil {
 					return
 				}
-				conn.Write(native.Server{Name: "raw", Revision: revision, Timezone: "UTC"}.Encode())
+				_, _ = conn.Write(native.Server{Name: "raw", Revision: revision, Timezone: "UTC"}.Encode())
 				revision := min(revision, h.Revision)
 				if r.ReadAddendum(revision) != nil {
 					return
@@ -77,7 +77,7 @@
 				for {
 					code, err := r.ReadClient()
 					if err == nil && code == native.ClientPing {
-						conn.Write([]byte{native.ServerPong})
+						_, _ = conn.Write([]byte{native.ServerPong})
 						continue
 					}
 					if err != nil || code != native.ClientQuery {
@@ -86,13 +86,13 @@
 					if _, err := r.ReadQuery(revision); err != nil {
 						return
 					}
-					r.ReadClient()
-					r.ReadClientData(revision)
+					_, _ = r.ReadClient() // the end of the query's data, whatever it is
+					_, _, _ = r.ReadClientData(revision)
 					n.mu.Lock()
 					n.asked++
 					n.mu.Unlock()
 					if answer(conn); hold {
-						io.Copy(io.Discard, conn)
+						_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes
 					}
 					return
 				}
@@ -137,7 +137,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			raw := startRawNode(t, native.Newest, func(w io.Writer) { w.Write(c.answer) }, c.hold)
+			raw := startRawNode(t, native.Newest, func(w io.Writer) { _, _ = w.Write(c.answer) }, c.hold)
 			good := simulated.NewNode("good", simulated.Model{}, 1)
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
@@ -147,10 +147,11 @@
 				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`, raw.address, good.Native)
 			}, "")
 			for range 30 { // until the raw node was asked
-				client := r.rawNative(t, native.Newest)
+				client := r.rawNative(t)
 				client.ask("SELECT node, row /* rows=3 class=report */", native.Setting{Name: "max_execution_time", Value: "8"})
-				p, got := native.Packet{}, 0
-				for p = client.until(native.ServerData); p.Code == native.ServerData; p = client.until(native.ServerData) {
+				got := 0
+				p := client.until(native.ServerData)
+				for ; p.Code == native.ServerData; p = client.until(native.ServerData) {
 					got += p.Block.Rows
 				}
 				if raw.queries() == 0 {
@@ -189,8 +190,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
-			io.WriteString(conn, c.sent)
+			defer closeQuietly(conn)
+			if _, err := io.WriteString(conn, c.sent); err != nil {
+				t.Fatal(err)
+			}
 			in := native.NewReader(conn, 1<<20)
 			_, err = in.ReadServerHello()
 			if err == nil {
@@ -208,7 +211,7 @@
 		})
 	}
 	c := r.native(t, "u")
-	defer c.Close()
+	defer closeQuietly(c)
 	if n, err := selectNative(t.Context(), c, "SELECT 1 /* rows=2 */"); err != nil || n != 2 {
 		t.Errorf("after them: %d, %v", n, err)
 	}
@@ -240,7 +243,7 @@
 				}
 				var n int
 				n, err = selectNative(t.Context(), client, "SELECT 1 /* rows=2000 */")
-				client.Close()
+				closeQuietly(client)
 				if err == nil && n != 2000 {
 					t.Errorf("%d rows", n)
 				}
@@ -273,10 +276,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer closeQuietly(c)
 	}
 	fmt.Println("all up")
-	io.Copy(io.Discard, os.Stdin)
+	_, _ = io.Copy(io.Discard, os.Stdin) // until the test closes it
 }
 
 // Many idle connections, of another process, cost little; queries beside them are answered; they are gone when their
@@ -316,12 +319,12 @@
 	}
 	t.Logf("%d idle connections take %d bytes each", n, (heap()-before)/int64(n))
 	c := r.native(t, "u")
-	defer c.Close()
+	defer closeQuietly(c)
 	if rows, err := selectNative(t.Context(), c, "SELECT 1 /* rows=2 */"); err != nil || rows != 2 {
 		t.Errorf("%d, %v", rows, err)
 	}
-	in.Close()
-	io.Copy(io.Discard, out)
+	closeQuietly(in)
+	_, _ = io.Copy(io.Discard, out) // Wait has the error
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -336,15 +339,16 @@
 // is whole packets, and the node is told.
 func TestCancelledInTheMiddleOfAnAnswer(t *testing.T) {
 	r := newRig(t, 1, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t)
 	for range 3 {
 		c.ask("SELECT 1 /* rows=40000 row_bytes=500 */")
 		if p := c.until(native.ServerData); p.Code != native.ServerData {
 			t.Fatal(p.Code, p.Exception)
 		}
-		c.Write([]byte{native.ClientCancel})
-		p, rows := native.Packet{}, 0
-		for p = c.until(native.ServerData); p.Code == native.ServerData; p = c.until(native.ServerData) {
+		c.send([]byte{native.ClientCancel})
+		rows := 0
+		p := c.until(native.ServerData)
+		for ; p.Code == native.ServerData; p = c.until(native.ServerData) {
 			rows += p.Block.Rows
 		}
 		if p.Code != native.ServerEndOfStream || rows >= 40000 {
@@ -365,7 +369,7 @@
 // are closed.
 func TestDrainWithPooledConnections(t *testing.T) {
 	r := newRig(t, 2, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t)
 	ask := func() {
 		t.Helper()
 		c.ask("SELECT 1 /* rows=1 */")
--- a/server/native_test.go
+++ b/server/native_test.go
@@ -36,7 +36,7 @@
 func TestNativeClients(t *testing.T) {
 	r := newRig(t, 2, "")
 	c := r.native(t, "default")
-	defer c.Close()
+	defer closeQuietly(c)
 	for range 3 {
 		if n, err := selectNative(t.Context(), c, "SELECT * FROM policy /* rows=3000 */"); err != nil || n != 3000 {
 			t.Fatalf("ch-go: %d rows, %v", n, err)
@@ -53,7 +53,7 @@
 		t.Errorf("the node's own word: %v", err)
 	}
 	db := clickhouse.OpenDB(&clickhouse.Options{Addr: []string{r.d.NativeAddress()}, Settings: clickhouse.Settings{"max_execution_time": 5}})
-	defer db.Close()
+	defer closeQuietly(db)
 	var node string
 	var row int64
 	if err := db.QueryRowContext(t.Context(), "SELECT node, row FROM policy /* rows=1 */").Scan(&node, &row); err != nil || !strings.HasPrefix(node, "node-") {
@@ -100,7 +100,7 @@
 					Result:   proto.Results{{Name: "node", Data: &node}, {Name: "row", Data: &row}, {Name: "payload", Data: &payload}},
 					OnResult: func(context.Context, proto.Block) error { return nil }})
 				cancel()
-				client.Close()
+				closeQuietly(client)
 				if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) && c.want != "") {
 					if c.want == "failed (ATTEMPT_FAILED" && err != nil && strings.Contains(err.Error(), "refused (OVERLOADED") {
 						continue // nobody else to ask, and it only reads: that may be said too
@@ -118,7 +118,7 @@
 func TestNativeClientsThatGoAway(t *testing.T) {
 	r := newRig(t, 1, "")
 	c := r.native(t, "u")
-	defer c.Close()
+	defer closeQuietly(c)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() {
@@ -132,9 +132,9 @@
 	if err := r.nodes[0].Await(t.Context(), anyCancelled); err != nil {
 		t.Error(err)
 	}
-	<-done
+	_ = awaitEnd(done) // the client has gone: only its end counts
 	next := r.native(t, "u")
-	defer next.Close()
+	defer closeQuietly(next)
 	if n, err := selectNative(t.Context(), next, "SELECT 1 /* rows=2 */"); err != nil || n != 2 {
 		t.Errorf("the next client: %d, %v", n, err)
 	}
@@ -145,14 +145,18 @@
 	r := newRigWith(t, 3, func(rows string) string {
 		parts := strings.Split(rows, "},")
 		parts[0] = strings.Replace(parts[0], `"native"`, `"state": "", "started"`, 1)
-		parts[0] = parts[0][:strings.Index(parts[0], `, "state"`)] // speaks Flight SQL alone
+		flightAlone, _, found := strings.Cut(parts[0], `, "state"`)
+		if !found {
+			t.Fatalf("no native address in %s", rows)
+		}
+		parts[0] = flightAlone
 		parts[1] = strings.Replace(parts[1], `"address"`, `"address": "", "hall": "", "x"`, 1)
 		at, to := strings.Index(parts[1], `, "x"`), strings.Index(parts[1], `, "native"`)
 		parts[1] = parts[1][:at] + parts[1][to:] // speaks the native protocol alone
 		return `{"list": [` + strings.Join(parts, "},") + `]}`
 	}, "")
 	c := r.native(t, "u")
-	defer c.Close()
+	defer closeQuietly(c)
 	for range 20 {
 		if _, err := selectNative(t.Context(), c, "SELECT 1 /* rows=1 */ -- native"); err != nil {
 			t.Fatal(err)
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -69,7 +70,10 @@
 	t.Cleanup(func() {
 		cancel()
 		select {
-		case <-p.ended:
+		case err := <-p.ended:
+			if err != nil && !errors.Is(err, context.Canceled) {
+				t.Error(err)
+			}
 		case <-time.After(10 * time.Second):
 			t.Error("the dispatcher does not end")
 		}
@@ -102,8 +106,11 @@
 	if err != nil {
 		return nil, err
 	}
-	conn.SetDeadline(time.Now().Add(20 * time.Second))
-	conn.Write(append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...))
+	if err := conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
+		return nil, err
+	}
+	startup := append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...)
+	_, _ = conn.Write(startup) // the dispatcher may have closed: until has the error
 	c := &pgClient{conn, bufio.NewReader(conn)}
 	_, err = c.until()
 	return c, err
@@ -147,7 +154,7 @@
 	traces.Unlock()
 	q := fmt.Sprintf("/* route=%s,trace=%016x,patience=2000,nonce=n%d */ %s\x00", class, trace, trace, text)
 	n := len(q) + 4
-	c.Write(append([]byte{'Q', byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, q...))
+	_, _ = c.Write(append([]byte{'Q', byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, q...)) // until has the error
 	return c.until()
 }
 
@@ -157,9 +164,9 @@
 	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
 		switch cmd.Verb {
 		case "GET":
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
 		case "PAGE":
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
 		}
 	})
 	if err != nil {
@@ -177,7 +184,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeQuietly(c)
 	text := "INSERT INTO sales_17.orders SELECT 'ü /* x */ -- y' FROM staging.b\r\n"
 	if got, err := c.ask("load", text); got != "Ts-1;end;C" || err != nil {
 		t.Fatalf("%q, %v", got, err)
@@ -214,7 +221,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeQuietly(c)
 	answeredBy := func(want string) {
 		t.Helper()
 		for range 200 {
@@ -235,7 +242,7 @@
 	answeredBy("s-2;")
 	before := len(node1.Commands())
 	for range 20 {
-		c.ask("lookup", "SELECT 1")
+		_, _ = c.ask("lookup", "SELECT 1") // where it went is what counts
 	}
 	if len(node1.Commands()) != before {
 		t.Error("a node that drains got something new")
@@ -269,7 +276,7 @@
 			if strings.Contains(cmd.Text, "slow") {
 				<-release
 			}
-			fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
 		}
 	})
 	if err != nil {
@@ -281,14 +288,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer slow.Close()
+	defer closeQuietly(slow)
 	said := make(chan string, 1)
 	go func() { got, _ := slow.ask("lookup", "SELECT slow"); said <- got }()
 	c, err := p.connect()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer closeQuietly(c)
 	for len(node.Commands()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -298,7 +305,7 @@
 		if fresh, err := p.connect(); err != nil {
 			t.Fatalf("a new connection while it drains: %v", err)
 		} else {
-			fresh.Close()
+			closeQuietly(fresh)
 		}
 		switch got, err := c.ask("lookup", "SELECT 1"); {
 		case got == "Ts-1;C" && err == nil:
@@ -350,7 +357,7 @@
 						t.Error(err)
 						return
 					}
-					defer c.Close()
+					defer closeQuietly(c)
 					for range 10 {
 						if _, err := c.ask("lookup", "SELECT 1"); err != nil {
 							t.Error(err)
--- a/server/recording_test.go
+++ b/server/recording_test.go
@@ -23,7 +23,7 @@
 		go func() {
 			defer group.Done()
 			for range 20 {
-				r.query(t.Context(), "SELECT 1 /* rows=2 work_ms=3 cost_ms=3 */")
+				_, _ = r.query(t.Context(), "SELECT 1 /* rows=2 work_ms=3 cost_ms=3 */") // some may be refused: the decisions count
 			}
 		}()
 	}
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer closeQuietly(f)
 	src, err := trace.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/server/rig_test.go
@@ -0,0 +1,187 @@
+package server_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
+	"golang.org/x/crypto/bcrypt"
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/status"
+
+	"embershunt/config"
+	"embershunt/nodelist"
+	"embershunt/server"
+	"embershunt/simulated"
+)
+
+// rig is a dispatcher with stand-in nodes on loopback.
+type rig struct {
+	t      testing.TB
+	cfg    *config.Config
+	d      *server.Dispatcher
+	nodes  []*simulated.Node
+	client *flightsql.Client
+	ended  chan error
+	cancel context.CancelFunc
+}
+
+const rigConfig = `{
+  "listen": {"flightsql": "127.0.0.1:0", "native": "127.0.0.1:0"},
+  "classes": [%s
+    {"name": "lookup", "aim": "750ms", "aim_stretch": 1.5, "deadline": "4s", "window": "1m"},
+    {"name": "report", "worth": 10, "aim": "2s", "deadline": "15s", "threads": 4, "late_worth": 0.4}
+  ],
+  "sending": {"grants": true, "priorities": true, "probes": true},
+  "nodes": %s %s
+}`
+
+// newRig starts everything; more is put into the configuration.
+func newRig(t testing.TB, nodes int, more string) *rig {
+	t.Helper()
+	return newRigWith(t, nodes, func(rows string) string { return `{"list": [` + rows + `]}` }, more)
+}
+
+// newRigWith has its node list from where source says, given the rows of a list.
+func newRigWith(t testing.TB, nodes int, source func(rows string) string, more string, classes ...string) *rig {
+	t.Helper()
+	r := &rig{t: t, ended: make(chan error, 1)}
+	cores := 8
+	if strings.Contains(more, `"large"`) {
+		cores = 64
+	}
+	var rows []string
+	for i := range nodes {
+		n := simulated.NewNode(fmt.Sprintf("node-%d", i), simulated.Model{Cores: cores}, uint64(i))
+		if err := n.Start("127.0.0.1:0", false); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(n.Die)
+		r.nodes = append(r.nodes, n)
+		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.Native))
+	}
+	more += fmt.Sprintf(`, "kinds": [{"name": "standin", "cores": %d, "memory_mb": 16384}]`, cores)
+	if !strings.Contains(more, `"users"`) {
+		more += `, "any_user": true`
+	}
+	cfg, err := config.Parse("rig", fmt.Appendf(nil, rigConfig, strings.Join(classes, ""), source(strings.Join(rows, ",")), more))
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.cfg = cfg
+	r.start("")
+	r.client = r.connect()
+	t.Cleanup(func() {
+		closeQuietly(r.client)
+		r.cancel()
+		_ = awaitEnd(r.ended) // its context has ended
+	})
+	return r
+}
+
+// start runs a dispatcher, at an address if one is given.
+func (r *rig) start(address string) {
+	r.t.Helper()
+	if address != "" {
+		r.cfg.File.Listen.FlightSQL = address
+		_ = awaitEnd(r.ended) // of the one before
+	}
+	var err error
+	if r.d, err = server.New(r.cfg, server.Options{Seed: 7}); err != nil {
+		r.t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(r.t.Context())
+	r.cancel = cancel
+	go func() { r.ended <- r.d.Run(ctx) }()
+}
+
+// closeQuietly closes what a test is done with, or breaks on purpose: the error says nothing about what it checks.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// awaitEnd waits for the end of what a test has stopped and returns its error, which most tests ignore.
+func awaitEnd(ended <-chan error) error { return <-ended }
+
+func hashOf(t testing.TB, password string) string {
+	h, err := bcrypt.GenerateFromPassword([]byte(password), bcrypt.MinCost)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(h)
+}
+
+func (r *rig) connect() *flightsql.Client {
+	// A dispatcher that was started again is waited for: a call that finds it down would fail at once.
+	c, err := flightsql.NewClient(r.d.Address(), nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: backoff.Config{BaseDelay: 10 * time.Millisecond,
+			Multiplier: 1.5, MaxDelay: 100 * time.Millisecond}}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20), grpc.WaitForReady(true)))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	return c
+}
+
+// list sets the node list as the nodes are now; change may alter a row.
+func (r *rig) list(change func(i int, n *nodelist.Node)) {
+	rows := make([]nodelist.Node, len(r.nodes))
+	for i, n := range r.nodes {
+		rows[i] = nodelist.Node{ID: n.Name, Address: n.Address}
+		if change != nil {
+			change(i, &rows[i])
+		}
+	}
+	if err := r.d.Fleet().SetNodes(rows); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// query runs one statement and counts its rows.
+func (r *rig) query(ctx context.Context, statement string) (rows int64, err error) {
+	info, err := r.client.Execute(ctx, statement)
+	if err != nil {
+		return 0, err
+	}
+	reader, err := r.client.DoGet(ctx, info.Endpoint[0].Ticket)
+	if err != nil {
+		return 0, err
+	}
+	defer reader.Release()
+	for reader.Next() {
+		rows += reader.RecordBatch().NumRows()
+	}
+	return rows, reader.Err()
+}
+
+// final tells how an answer is marked: final and reason of its ErrorInfo.
+func final(err error) string {
+	if err == nil {
+		return "served"
+	}
+	var s interface{ GRPCStatus() *status.Status }
+	if !errors.As(err, &s) {
+		return err.Error()
+	}
+	for _, d := range s.GRPCStatus().Details() {
+		if i, ok := d.(*errdetails.ErrorInfo); ok {
+			return i.GetMetadata()["final"] + " " + i.GetReason()
+		}
+	}
+	return s.GRPCStatus().Code().String()
+}
+
+func hasComeBack(err error) bool {
+	for _, d := range status.Convert(err).Details() {
+		if r, ok := d.(*errdetails.RetryInfo); ok {
+			return r.GetRetryDelay().AsDuration() > 0
+		}
+	}
+	return false
+}
--- a/server/temporary_test.go
+++ b/server/temporary_table_test.go
@@ -36,7 +36,7 @@
 // connections, and nothing on nodes when the client is gone.
 func TestTemporaryTables(t *testing.T) {
 	r := newRig(t, 3, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t)
 	for range 5 {
 		for _, s := range []string{"CREATE TEMPORARY TABLE tmp_a (id UInt64)", "INSERT INTO tmp_a SELECT 1", "SELECT * FROM tmp_a /* rows=2 */",
 			"CREATE TEMPORARY TABLE tmp_b (id UInt64)", "SELECT * FROM tmp_b", "DROP TABLE tmp_a", "SELECT * FROM tmp_b", "DROP TEMPORARY TABLE tmp_b", "SELECT 1"} {
@@ -49,18 +49,20 @@
 	if _, held, _ := r.d.Sessions().Status(); held != 0 {
 		t.Errorf("%d sessions are held", held)
 	}
-	c.run("CREATE TEMPORARY TABLE tmp_c (id UInt64)")
-	if e := r.rawNative(t, native.Newest).run("SELECT * FROM tmp_c"); e == nil || e.Code != 60 {
+	if e := c.run("CREATE TEMPORARY TABLE tmp_c (id UInt64)"); e != nil {
+		t.Fatal(e)
+	}
+	if e := r.rawNative(t).run("SELECT * FROM tmp_c"); e == nil || e.Code != 60 {
 		t.Errorf("another client sees the table: %v", e)
 	}
-	c.Close()
+	closeQuietly(c)
 	r.freed()
 	// Rows into a temporary table, with an unmodified client.
 	client, err := ch.Dial(t.Context(), ch.Options{Address: r.d.NativeAddress(), User: "u", Compression: ch.CompressionLZ4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer client.Close()
+	defer closeQuietly(client)
 	if err := client.Do(t.Context(), ch.Query{Body: "CREATE TEMPORARY TABLE tmp_d (id UInt64, name String)"}); err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +77,7 @@
 // What concerns the connection alone is answered here: options are replayed on every node, what cannot be is refused.
 func TestOptionsOfAConnection(t *testing.T) {
 	r := newRig(t, 2, "")
-	c := r.rawNative(t, native.Newest)
+	c := r.rawNative(t)
 	for s, says := range map[string]string{"SET max_execution_time = 0.2": "", "SET ROLE admin": "can neither be replayed", "BEGIN TRANSACTION": "can neither be replayed", "USE other": ""} {
 		if e := c.run(s); says == "" && e != nil || says != "" && (e == nil || !strings.Contains(e.Message, says)) {
 			t.Errorf("%s: %v, want %q", s, e, says)
@@ -85,7 +87,7 @@
 	if e := c.run("SELECT 1 /* work_ms=3000 cost_ms=1 */"); e == nil || time.Since(begin) > time.Second {
 		t.Errorf("the option that was set does not hold: %v after %v", e, time.Since(begin))
 	}
-	other := r.rawNative(t, native.Newest)
+	other := r.rawNative(t)
 	if e := other.run("SELECT 1 /* work_ms=400 */"); e != nil {
 		t.Errorf("another client has the option: %v", e)
 	}
@@ -108,7 +110,9 @@
 				}
 				rows = append(rows, row)
 			}
-			r.d.Fleet().SetNodes(rows)
+			if err := r.d.Fleet().SetNodes(rows); err != nil {
+				r.t.Error(err)
+			}
 			r.freed()
 		}, "failed (NODE_DRAINED)"},
 		{"its connection breaks", "", func(r *rig, at int) {
@@ -117,12 +121,12 @@
 				r.t.Fatal(err)
 			}
 		}, "failed (STATE_GONE)"},
-		{"idle for too long", `, "sessions": {"idle": "150ms"}`, func(r *rig, at int) { r.freed() }, "failed (SESSION_IDLE)"},
+		{"idle for too long", `, "sessions": {"idle": "150ms"}`, func(r *rig, _ int) { r.freed() }, "failed (SESSION_IDLE)"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 3, c.more)
-			client := r.rawNative(t, native.Newest)
+			client := r.rawNative(t)
 			if e := client.run("CREATE TEMPORARY TABLE tmp_a (id UInt64)"); e != nil {
 				t.Fatal(e)
 			}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"runtime"
@@ -29,6 +30,9 @@
 	"embershunt/simulated"
 )
 
+// sharedKey seals tokens, so that another dispatcher can read them.
+const sharedKey = `, "keys": ["000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"]`
+
 // told is what a session's failure says: reason, and whether a commit is known not to have run.
 func told(err error) (reason, commit string) {
 	for _, d := range status.Convert(err).Details() {
@@ -68,6 +72,14 @@
 	}
 }
 
+// awaitRollback waits until a node has no transaction open.
+func (r *rig) awaitRollback(ctx context.Context, node int) {
+	r.t.Helper()
+	if err := r.nodes[node].Await(ctx, func([]simulated.Seen) bool { return r.nodes[node].Transactions() == 0 }); err != nil {
+		r.t.Errorf("%s has not rolled back: %v", r.nodes[node].Name, err)
+	}
+}
+
 func (r *rig) committed() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Committed...)
@@ -141,26 +153,12 @@
 
 // What goes wrong in the middle of a transaction: one clear failure, never a move, no commit twice, nothing left behind.
 func TestTransactionsThatAreLost(t *testing.T) {
-	drains := func(r *rig, who int) func(i int, n *nodelist.Node) {
-		return func(i int, n *nodelist.Node) {
-			if i == who {
+	drain := func(node int) func(i int, n *nodelist.Node) bool {
+		return func(i int, n *nodelist.Node) bool {
+			if i == node {
 				n.State = policy.Draining
 			}
-		}
-	}
-	list := func(r *rig, drop int, started map[int]time.Time, change func(i int, n *nodelist.Node)) {
-		var rows []nodelist.Node
-		for i, n := range r.nodes {
-			row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, Started: started[i]}
-			if change != nil {
-				change(i, &row)
-			}
-			if i != drop {
-				rows = append(rows, row)
-			}
-		}
-		if err := r.d.Fleet().SetNodes(rows); err != nil {
-			t.Error(err)
+			return true
 		}
 	}
 	cases := []struct {
@@ -172,17 +170,17 @@
 		effect int // statements committed in the end
 	}{
 		{"a drain between statements, past the grace", `, "limits": {"drain_grace": "400ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
-			list(r, -1, nil, drains(r, at))
+			r.listNodes(drain(at))
 			if _, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (2)"); err != nil {
 				return fmt.Errorf("within the grace: %w", err)
 			}
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.nodes[at].Await(ctx, func([]simulated.Seen) bool { return r.nodes[at].Transactions() == 0 }) // it is rolled back
+			r.awaitRollback(ctx, at)
 			return tx.Commit(r.t.Context())
 		}, "NODE_DRAINED", "known not to have run", 0},
 		{"a drain, and a commit within the grace", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			list(r, -1, nil, drains(r, at))
+			r.listNodes(drain(at))
 			return tx.Commit(r.t.Context())
 		}, "", "", 1},
 		{"the node restarts within a heartbeat", "", func(r *rig, tx *flightsql.Txn, at int) error {
@@ -190,11 +188,16 @@
 			if err := r.nodes[at].Start("", false); err != nil {
 				return err
 			}
-			list(r, -1, map[int]time.Time{at: r.nodes[at].Started()}, nil)
+			r.listNodes(func(i int, n *nodelist.Node) bool {
+				if i == at {
+					n.Started = r.nodes[at].Started()
+				}
+				return true
+			})
 			return tx.Commit(r.t.Context())
 		}, "NODE_RESTARTED", "known not to have run", 0},
 		{"the node leaves the list", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			list(r, at, nil, nil)
+			r.listNodes(func(i int, _ *nodelist.Node) bool { return i != at })
 			_, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (2)")
 			r.nodes[at].Die()
 			return err
@@ -221,10 +224,10 @@
 		{"idle for too long", `, "sessions": {"idle": "200ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.nodes[at].Await(ctx, func([]simulated.Seen) bool { return r.nodes[at].Transactions() == 0 })
+			r.awaitRollback(ctx, at)
 			return tx.Commit(r.t.Context())
 		}, "SESSION_IDLE", "known not to have run", 0},
-		{"committed twice by its client", "", func(r *rig, tx *flightsql.Txn, at int) error {
+		{"committed twice by its client", "", func(r *rig, tx *flightsql.Txn, _ int) error {
 			id := tx.ID()
 			if err := tx.Commit(r.t.Context()); err != nil {
 				return err
@@ -233,20 +236,14 @@
 			if err != nil {
 				return err
 			}
-			defer other.Rollback(r.t.Context())
+			defer func() { _ = other.Rollback(r.t.Context()) }() // its answer is not the case's
 			return actionError(r, id)
 		}, "TRANSACTION_DONE", "known not to have run", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 3, c.more)
-			tx, err := r.client.BeginTransaction(t.Context())
-			if err != nil {
-				t.Fatal(err)
-			}
-			if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (1)"); err != nil {
-				t.Fatal(err)
-			}
+			tx := r.beginWithInsert()
 			reason, commit := "", ""
 			if err := c.play(r, tx, r.holder()); err != nil {
 				reason, commit = told(err)
@@ -257,20 +254,40 @@
 			if n := len(r.committed()); n != c.effect {
 				t.Errorf("%d statements were committed, want %d", n, c.effect)
 			}
-			for _, n := range r.nodes {
-				n.Set(simulated.Faults{})
-			}
-			r.settled()
-			if m := r.misplaced(); len(m) > 0 {
-				t.Errorf("ran where the state was not: %q", m)
-			}
-			if _, err := r.query(t.Context(), "SELECT 1 /* rows=1 */"); err != nil {
-				t.Error("without a session: ", err)
-			}
+			r.nothingLeft()
 		})
 	}
 }
 
+// beginWithInsert begins a transaction and executes one update in it.
+func (r *rig) beginWithInsert() *flightsql.Txn {
+	r.t.Helper()
+	tx, err := r.client.BeginTransaction(r.t.Context())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	if _, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (1)"); err != nil {
+		r.t.Fatal(err)
+	}
+	return tx
+}
+
+// nothingLeft ends all faults and checks that no state is left, that no statement ran where the state was not, and that queries without
+// a session are served.
+func (r *rig) nothingLeft() {
+	r.t.Helper()
+	for _, n := range r.nodes {
+		n.Set(simulated.Faults{})
+	}
+	r.settled()
+	if m := r.misplaced(); len(m) > 0 {
+		r.t.Errorf("ran where the state was not: %q", m)
+	}
+	if _, err := r.query(r.t.Context(), "SELECT 1 /* rows=1 */"); err != nil {
+		r.t.Error("without a session: ", err)
+	}
+}
+
 func (r *rig) misplaced() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Misplaced...)
@@ -280,8 +297,7 @@
 
 // A session used by two calls at once, a flood of begins that never end, and another dispatcher that takes one over.
 func TestTransactionsOfManyHands(t *testing.T) {
-	const key = `, "keys": ["000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"]`
-	r := newRig(t, 2, key+`, "sessions": {"most": 20, "idle": "30s"}`)
+	r := newRig(t, 2, sharedKey+`, "sessions": {"most": 20, "idle": "30s"}`)
 	tx, err := r.client.BeginTransaction(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -364,7 +380,7 @@
 	}
 	for {
 		if _, err = s.Recv(); err != nil {
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				return nil
 			}
 			return err
@@ -381,200 +397,223 @@
 // announced; a tenant that has as many as it may; and a node that dies with all sessions: those are told one after another
 // when to come back.
 func TestTransactionsOnBadDays(t *testing.T) {
-	const key = `, "keys": ["000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"]`
-	rows := func(r *rig, change func(i int, n *nodelist.Node) bool) {
-		var out []nodelist.Node
-		for i, n := range r.nodes {
-			row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
-			if change(i, &row) {
-				out = append(out, row)
-			}
-		}
-		if err := r.d.Fleet().SetNodes(out); err != nil {
-			r.t.Fatal(err)
+	t.Run("a drain while BEGIN is out", drainDuringBegin)
+	t.Run("the client vanishes", clientVanishes)
+	t.Run("another dispatcher goes on", anotherDispatcherContinues)
+	t.Run("a drain that is announced", announcedDrain)
+	t.Run("its class ends in the settings", classRemoved)
+	t.Run("a tenant that has its share", tenantAtItsLimit)
+	t.Run("all on one node when it dies", nodeDiesWithAllSessions)
+}
+
+// listNodes puts a node list in force with the rows for which change returns true.
+func (r *rig) listNodes(change func(i int, n *nodelist.Node) bool) {
+	r.t.Helper()
+	var rows []nodelist.Node
+	for i, n := range r.nodes {
+		row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
+		if change(i, &row) {
+			rows = append(rows, row)
 		}
 	}
-	t.Run("a drain while BEGIN is out", func(t *testing.T) {
-		r := newRig(t, 1, `, "limits": {"drain_grace": "300ms"}`)
-		r.nodes[0].Set(simulated.Faults{Hang: true})
-		done := make(chan error, 1)
-		ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
-		defer cancel()
-		go func() {
-			_, err := r.client.BeginTransaction(ctx)
-			done <- err
-		}()
-		for _, held, _ := r.d.Sessions().Status(); held == 0 && len(done) == 0; _, held, _ = r.d.Sessions().Status() {
-			runtime.Gosched()
-		}
-		rows(r, func(_ int, n *nodelist.Node) bool { n.State = policy.Draining; return true })
-		if err := <-done; err == nil {
-			t.Error("begun")
-		}
-		r.nodes[0].Set(simulated.Faults{})
-		r.settled()
-	})
-	t.Run("the client vanishes", func(t *testing.T) {
-		r := newRig(t, 2, `, "sessions": {"idle": "300ms"}`)
-		other := r.connect()
-		if _, err := other.BeginTransaction(t.Context()); err != nil {
-			t.Fatal(err)
-		}
-		other.Close()
-		r.settled()
-	})
-	t.Run("another dispatcher goes on", func(t *testing.T) {
-		r := newRig(t, 2, key)
-		tx, err := r.client.BeginTransaction(t.Context())
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (1)"); err != nil {
-			t.Fatal(err)
-		}
-		d, err := server.New(r.cfg, server.Options{Seed: 8})
+	if err := r.d.Fleet().SetNodes(rows); err != nil {
+		r.t.Fatal(err)
+	}
+}
+
+// drainDuringBegin drains a node while it is asked to begin a transaction: nothing is begun, and nothing stays there.
+func drainDuringBegin(t *testing.T) {
+	r := newRig(t, 1, `, "limits": {"drain_grace": "300ms"}`)
+	r.nodes[0].Set(simulated.Faults{Hang: true})
+	done := make(chan error, 1)
+	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
+	defer cancel()
+	go func() {
+		_, err := r.client.BeginTransaction(ctx)
+		done <- err
+	}()
+	for _, held, _ := r.d.Sessions().Status(); held == 0 && len(done) == 0; _, held, _ = r.d.Sessions().Status() {
+		runtime.Gosched()
+	}
+	r.listNodes(func(_ int, n *nodelist.Node) bool { n.State = policy.Draining; return true })
+	if err := <-done; err == nil {
+		t.Error("begun")
+	}
+	r.nodes[0].Set(simulated.Faults{})
+	r.settled()
+}
+
+// clientVanishes disconnects a client within its transaction: the idle timeout rolls it back.
+func clientVanishes(t *testing.T) {
+	r := newRig(t, 2, `, "sessions": {"idle": "300ms"}`)
+	other := r.connect()
+	if _, err := other.BeginTransaction(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+	closeQuietly(other)
+	r.settled()
+}
+
+// anotherDispatcherContinues commits a transaction through another dispatcher, by its token.
+func anotherDispatcherContinues(t *testing.T) {
+	r := newRig(t, 2, sharedKey)
+	tx, err := r.client.BeginTransaction(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (1)"); err != nil {
+		t.Fatal(err)
+	}
+	d, err := server.New(r.cfg, server.Options{Seed: 8})
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- d.Run(ctx) }()
+	defer func() { cancel(); _ = awaitEnd(ended) }()
+	second := *r
+	second.d = d
+	second.client = second.connect()
+	defer closeQuietly(second.client)
+	if err := actionError(&second, tx.ID()); err != nil { // a commit
+		t.Error(err)
+	}
+	if n := len(r.committed()); n != 1 {
+		t.Errorf("%d statements were committed, want 1", n)
+	}
+	r.settled()
+}
+
+// announcedDrain checks that a client is told when its node is to drain.
+func announcedDrain(t *testing.T) {
+	r := newRig(t, 1, "")
+	tx, err := r.client.BeginTransaction(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	r.listNodes(func(_ int, n *nodelist.Node) bool { n.DrainAt = time.Now().Add(time.Minute); return true })
+	var header metadata.MD
+	info, err := tx.Execute(t.Context(), "SELECT 1 /* rows=1 */")
+	if err != nil {
+		t.Fatal(err)
+	}
+	reader, err := r.client.DoGet(t.Context(), info.Endpoint[0].Ticket, grpc.Header(&header))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for reader.Next() {
+	}
+	reader.Release()
+	ms := 0
+	if v := header.Get(flightwire.HeaderDrainsIn); len(v) == 1 {
+		ms, _ = strconv.Atoi(v[0])
+	}
+	if ms < 55000 || ms > 62000 {
+		t.Errorf("told %v, want about 62000 ms with the grace", header)
+	}
+	if err := tx.Commit(t.Context()); err != nil {
+		t.Error(err)
+	}
+}
+
+// classRemoved removes the class of a transaction from the settings: statements of that class are rejected, others go on.
+func classRemoved(t *testing.T) {
+	c := simulated.NewControl("nodes")
+	if err := c.Start(); err != nil {
+		t.Fatal(err)
+	}
+	defer c.Stop()
+	r := controlled(t, c, 2, "")
+	c.Set(listed(r), "")
+	with := func(n uint64, audit bool) {
+		t.Helper()
+		c.Put(stream.SettingsName, settings(t, n, func(s *control.Set) {
+			if audit {
+				s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
+			}
+		})...)
+		r.until("a set in force", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
+	}
+	with(1, true)
+	ctx := metadata.AppendToOutgoingContext(t.Context(), "embershunt-class", "audit")
+	tx, err := r.client.BeginTransaction(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (1)"); err != nil {
+		t.Fatal(err)
+	}
+	with(2, false)
+	if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)"); status.Code(err) != codes.InvalidArgument {
+		t.Errorf("a class that ended: %v", err)
+	}
+	if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (3)"); err != nil {
+		t.Error(err)
+	}
+	if err := tx.Commit(t.Context()); err != nil {
+		t.Error(err)
+	}
+	if n := len(r.committed()); n != 2 {
+		t.Errorf("%d statements were committed, want 2", n)
+	}
+}
+
+// tenantAtItsLimit checks that a tenant's limit holds for it alone.
+func tenantAtItsLimit(t *testing.T) {
+	r := newRig(t, 2, `, "tenants": [{"name": "motor", "per_second": 100}, {"name": "travel", "per_second": 100}], "sessions": {"per_tenant": 2},
+		"rules": [{"name": "m", "user": "^m$", "tenant": "motor"}, {"name": "t", "user": "^t$", "tenant": "travel"}]`)
+	begin := func(user string) string {
+		ctx, err := r.client.Client.AuthenticateBasicToken(t.Context(), user, "x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithCancel(t.Context())
-		ended := make(chan error, 1)
-		go func() { ended <- d.Run(ctx) }()
-		defer func() { cancel(); <-ended }()
-		second := *r
-		second.d = d
-		second.client = second.connect()
-		defer second.client.Close()
-		if err := actionError(&second, tx.ID()); err != nil { // a commit
-			t.Error(err)
-		}
-		if n := len(r.committed()); n != 1 {
-			t.Errorf("%d statements were committed, want 1", n)
+		_, err = r.client.BeginTransaction(ctx)
+		reason, _ := told(err)
+		return reason
+	}
+	for i, want := range []string{"", "", "TOO_MANY_SESSIONS"} {
+		if got := begin("m"); got != want && (want != "" || got != "<nil>") {
+			t.Errorf("motor %d: %q, want %q", i, got, want)
 		}
-		r.settled()
-	})
-	t.Run("a drain that is announced", func(t *testing.T) {
-		r := newRig(t, 1, "")
+	}
+	if got := begin("t"); got != "<nil>" {
+		t.Errorf("travel: %q", got)
+	}
+}
+
+// nodeDiesWithAllSessions checks that clients of a lost node are told to retry at different times.
+func nodeDiesWithAllSessions(t *testing.T) {
+	r := newRig(t, 1, `, "sessions": {"spread": "4s"}`)
+	var all []*flightsql.Txn
+	for range 40 {
 		tx, err := r.client.BeginTransaction(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		rows(r, func(_ int, n *nodelist.Node) bool { n.DrainAt = time.Now().Add(time.Minute); return true })
-		var header metadata.MD
-		info, err := tx.Execute(t.Context(), "SELECT 1 /* rows=1 */")
-		if err != nil {
-			t.Fatal(err)
-		}
-		reader, err := r.client.DoGet(t.Context(), info.Endpoint[0].Ticket, grpc.Header(&header))
-		if err != nil {
-			t.Fatal(err)
-		}
-		for reader.Next() {
-		}
-		reader.Release()
-		ms := 0
-		if v := header.Get(flightwire.HeaderDrainsIn); len(v) == 1 {
-			ms, _ = strconv.Atoi(v[0])
-		}
-		if ms < 55000 || ms > 62000 {
-			t.Errorf("told %v, want about 62000 ms with the grace", header)
-		}
-		if err := tx.Commit(t.Context()); err != nil {
-			t.Error(err)
-		}
-	})
-	t.Run("its class ends in the settings", func(t *testing.T) {
-		c := simulated.NewControl("nodes")
-		if err := c.Start(); err != nil {
-			t.Fatal(err)
-		}
-		defer c.Stop()
-		r := controlled(t, c, 2, "")
-		c.Set(listed(r), "")
-		with := func(n uint64, audit bool) {
-			t.Helper()
-			c.Put(stream.SettingsName, settings(t, n, func(s *control.Set) {
-				if audit {
-					s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
-				}
-			})...)
-			r.until("a set in force", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
-		}
-		with(1, true)
-		ctx := metadata.AppendToOutgoingContext(t.Context(), "embershunt-class", "audit")
-		tx, err := r.client.BeginTransaction(ctx)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (1)"); err != nil {
-			t.Fatal(err)
-		}
-		with(2, false)
-		if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)"); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("a class that ended: %v", err)
-		}
-		if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (3)"); err != nil {
-			t.Error(err)
-		}
-		if err := tx.Commit(t.Context()); err != nil {
-			t.Error(err)
-		}
-		if n := len(r.committed()); n != 2 {
-			t.Errorf("%d statements were committed, want 2", n)
-		}
-	})
-	t.Run("a tenant that has its share", func(t *testing.T) {
-		r := newRig(t, 2, `, "tenants": [{"name": "motor", "per_second": 100}, {"name": "travel", "per_second": 100}], "sessions": {"per_tenant": 2},
-			"rules": [{"name": "m", "user": "^m$", "tenant": "motor"}, {"name": "t", "user": "^t$", "tenant": "travel"}]`)
-		begin := func(user string) string {
-			ctx, err := r.client.Client.AuthenticateBasicToken(t.Context(), user, "x")
-			if err != nil {
-				t.Fatal(err)
-			}
-			_, err = r.client.BeginTransaction(ctx)
-			reason, _ := told(err)
-			return reason
-		}
-		for i, want := range []string{"", "", "TOO_MANY_SESSIONS"} {
-			if got := begin("m"); got != want && !(want == "" && got == "<nil>") {
-				t.Errorf("motor %d: %q, want %q", i, got, want)
-			}
-		}
-		if got := begin("t"); got != "<nil>" {
-			t.Errorf("travel: %q", got)
-		}
-	})
-	t.Run("all on one node when it dies", func(t *testing.T) {
-		r := newRig(t, 1, `, "sessions": {"spread": "4s"}`)
-		var all []*flightsql.Txn
-		for range 40 {
-			tx, err := r.client.BeginTransaction(t.Context())
-			if err != nil {
-				t.Fatal(err)
-			}
-			all = append(all, tx)
-		}
-		r.nodes[0].Die()
-		rows(r, func(int, *nodelist.Node) bool { return false })
-		back := map[int64]int{}
-		for _, tx := range all {
-			begin := time.Now()
-			err := tx.Commit(t.Context())
-			if reason, commit := told(err); reason != "NODE_GONE" || commit != "known not to have run" || time.Since(begin) > time.Second {
-				t.Fatalf("%v after %v", err, time.Since(begin))
-			}
-			for _, d := range status.Convert(err).Details() {
-				if i, ok := d.(*errdetails.RetryInfo); ok {
-					back[i.GetRetryDelay().AsDuration().Milliseconds()/400]++
-				}
-			}
+		all = append(all, tx)
+	}
+	r.nodes[0].Die()
+	r.listNodes(func(int, *nodelist.Node) bool { return false })
+	back := map[int64]int{}
+	for _, tx := range all {
+		begin := time.Now()
+		err := tx.Commit(t.Context())
+		if reason, commit := told(err); reason != "NODE_GONE" || commit != "known not to have run" || time.Since(begin) > time.Second {
+			t.Fatalf("%v after %v", err, time.Since(begin))
 		}
-		for at, n := range back {
-			if n > 5 || at > 10 {
-				t.Errorf("%d come back within 400 ms, at %d ms", n, at*400)
+		for _, d := range status.Convert(err).Details() {
+			if i, ok := d.(*errdetails.RetryInfo); ok {
+				back[i.GetRetryDelay().AsDuration().Milliseconds()/400]++
 			}
 		}
-		if len(back) < 9 {
-			t.Errorf("come-back times %v", back)
+	}
+	for at, n := range back {
+		if n > 5 || at > 10 {
+			t.Errorf("%d come back within 400 ms, at %d ms", n, at*400)
 		}
-	})
+	}
+	if len(back) < 9 {
+		t.Errorf("come-back times %v", back)
+	}
 }
