--- a/server/control_service_test.go
+++ b/server/control_service_test.go
@@ -21,18 +21,18 @@
 	"embershunt/simulated"
 )
 
-// byHand is a control service that a test plays response by response.
-type byHand struct {
+// scriptedControl is a control service that a test plays response by response.
+type scriptedControl struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
-	t       testing.TB
-	address string
-	asked   chan *discoveryv3.DiscoveryRequest
-	send    chan *discoveryv3.DiscoveryResponse
-	serial  int
+	t        testing.TB
+	address  string
+	requests chan *discoveryv3.DiscoveryRequest
+	send     chan *discoveryv3.DiscoveryResponse
+	serial   int
 }
 
-func playByHand(t testing.TB) *byHand {
-	h := &byHand{t: t, asked: make(chan *discoveryv3.DiscoveryRequest, 100), send: make(chan *discoveryv3.DiscoveryResponse)}
+func newScriptedControl(t testing.TB) *scriptedControl {
+	h := &scriptedControl{t: t, requests: make(chan *discoveryv3.DiscoveryRequest, 100), send: make(chan *discoveryv3.DiscoveryResponse)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,14 +47,14 @@
 }
 
 // StreamAggregatedResources implements the service.
-func (h *byHand) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (h *scriptedControl) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	go func() {
 		for {
 			r, err := s.Recv()
 			if err != nil {
 				return
 			}
-			h.asked <- r
+			h.requests <- r
 		}
 	}()
 	for {
@@ -69,20 +69,20 @@
 	}
 }
 
-// asks waits until the node list and all settings were asked for.
-func (h *byHand) asks() {
+// awaitRequests waits until the node list and all settings were asked for.
+func (h *scriptedControl) awaitRequests() {
 	h.t.Helper()
 	for range 6 {
-		if r := h.next(); r.GetResponseNonce() != "" {
+		if r := h.nextRequest(); r.GetResponseNonce() != "" {
 			h.t.Fatalf("a reply to %s before a response", r.GetResponseNonce())
 		}
 	}
 }
 
-func (h *byHand) next() *discoveryv3.DiscoveryRequest {
+func (h *scriptedControl) nextRequest() *discoveryv3.DiscoveryRequest {
 	h.t.Helper()
 	select {
-	case r := <-h.asked:
+	case r := <-h.requests:
 		return r
 	case <-time.After(5 * time.Second):
 		h.t.Fatal("no request in 5 s")
@@ -91,40 +91,40 @@
 }
 
 // offer sends a response with a fresh nonce.
-func (h *byHand) offer(url, version string, resources ...*anypb.Any) (nonce string) {
+func (h *scriptedControl) offer(url, version string, resources ...*anypb.Any) (nonce string) {
 	h.serial++
 	nonce = fmt.Sprintf("n%d", h.serial)
 	h.repeat(url, version, nonce, resources...)
 	return nonce
 }
 
-func (h *byHand) repeat(url, version, nonce string, resources ...*anypb.Any) {
+func (h *scriptedControl) repeat(url, version, nonce string, resources ...*anypb.Any) {
 	h.send <- &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: url, Resources: resources}
 }
 
-// set offers a whole set.
-func (h *byHand) set(resources []*anypb.Any) {
+// offerAll offers a whole set.
+func (h *scriptedControl) offerAll(resources []*anypb.Any) {
 	for _, a := range resources {
 		h.offer(a.GetTypeUrl(), "v", a)
 	}
 }
 
-// replies waits for so many replies that all take, or all refuse for the reason.
-func (h *byHand) replies(n int, reason string) {
+// awaitReplies waits for so many replies that all take, or all refuse for the reason.
+func (h *scriptedControl) awaitReplies(n int, reason string) {
 	h.t.Helper()
 	for range n {
-		r := h.next()
+		r := h.nextRequest()
 		if got := r.GetErrorDetail().GetMessage(); r.GetResponseNonce() == "" || (reason == "") != (got == "") || !strings.Contains(got, reason) {
 			h.t.Fatalf("reply to %q of %s: %q, want %q", r.GetResponseNonce(), r.GetTypeUrl(), got, reason)
 		}
 	}
 }
 
-// quiet tells that no reply is on its way: one to a response that is sent now comes first.
-func (h *byHand) quiet(nodes *anypb.Any) {
+// checkNoReply checks that no reply is on its way: the next one is to a response that is sent now.
+func (h *scriptedControl) checkNoReply(nodes *anypb.Any) {
 	h.t.Helper()
 	nonce := h.offer(stream.TypeURL(control.Nodes), "quiet", nodes)
-	if r := h.next(); r.GetResponseNonce() != nonce {
+	if r := h.nextRequest(); r.GetResponseNonce() != nonce {
 		h.t.Fatalf("a reply to %q, want none before that to %q", r.GetResponseNonce(), nonce)
 	}
 }
@@ -134,7 +134,7 @@
 	url := stream.TypeURL(control.Nodes)
 	type place struct {
 		*testing.T
-		*byHand
+		*scriptedControl
 		r     *rig
 		relay *simulated.Relay
 		nodes func(draining string) *anypb.Any // the list, with one node draining
@@ -145,69 +145,69 @@
 	}{
 		{"a nonce is repeated", func(p place) {
 			whole := settings(p.T, 1, nil)
-			p.set(whole)
-			p.replies(5, "")
+			p.offerAll(whole)
+			p.awaitReplies(5, "")
 			p.repeat(whole[0].GetTypeUrl(), "v", "n2", whole[0])
-			p.replies(1, "") // taken as what it is: in force
+			p.awaitReplies(1, "") // taken as what it is: in force
 			p.repeat(url, "v", "n1", p.nodes(""))
-			p.replies(1, "")
+			p.awaitReplies(1, "")
 		}},
 		{"a type that nobody asked for", func(p place) {
 			p.offer("type.googleapis.com/envoy.config.cluster.v3.Cluster", "1", &anypb.Any{TypeUrl: "x", Value: []byte{1}})
-			p.quiet(p.nodes(""))
+			p.checkNoReply(p.nodes(""))
 		}},
 		{"a resource is missing", func(p place) {
 			p.offer(stream.TypeURL(control.Limits), "1")
-			p.replies(1, "0 resources")
+			p.awaitReplies(1, "0 resources")
 			p.offer(url, "2")
-			p.replies(1, `cluster "nodes" is not in the response`)
+			p.awaitReplies(1, `cluster "nodes" is not in the response`)
 		}},
 		{"a good and a bad resource in one response", func(p place) {
 			p.offer(url, "2", p.nodes("node-0"), &anypb.Any{TypeUrl: url, Value: []byte{0xff}})
-			p.replies(1, "resource 1")
+			p.awaitReplies(1, "resource 1")
 			good := settings(p.T, 1, nil)
 			p.offer(good[0].GetTypeUrl(), "2", good[0], good[1])
-			p.replies(1, "2 resources")
+			p.awaitReplies(1, "2 resources")
 		}},
 		{"a resource of another type than the response", func(p place) {
 			p.offer(url, "2", settings(p.T, 1, nil)[0])
-			p.replies(1, "resource 0")
+			p.awaitReplies(1, "resource 0")
 		}},
 		{"a wrong number", func(p place) {
-			p.set(settings(p.T, 5, nil))
-			p.replies(5, "")
-			p.set(settings(p.T, 4, nil))
-			p.replies(5, "older than 5")
+			p.offerAll(settings(p.T, 5, nil))
+			p.awaitReplies(5, "")
+			p.offerAll(settings(p.T, 4, nil))
+			p.awaitReplies(5, "older than 5")
 			p.offer(stream.TypeURL(control.Tenants), "v", settings(p.T, 0, nil)[1])
-			p.replies(1, "set is 0")
+			p.awaitReplies(1, "set is 0")
 		}},
 		{"two services disagree on a set", func(p place) {
-			p.set(settings(p.T, 1, nil))
-			p.replies(5, "")
-			other := playByHand(p.T)
+			p.offerAll(settings(p.T, 1, nil))
+			p.awaitReplies(5, "")
+			other := newScriptedControl(p.T)
 			p.relay.Redirect(other.address)
-			other.asks()
-			other.set(settings(p.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
-			other.replies(2, "") // the same in both
-			other.replies(1, "two services disagree")
-			other.replies(2, "")
+			other.awaitRequests()
+			other.offerAll(settings(p.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
+			other.awaitReplies(2, "") // the same in both
+			other.awaitReplies(1, "two services disagree")
+			other.awaitReplies(2, "")
 		}},
 		{"two services disagree on a node", func(p place) {
 			p.offer(url, "2", p.nodes("node-0"))
-			p.replies(1, "")
-			other := playByHand(p.T)
+			p.awaitReplies(1, "")
+			other := newScriptedControl(p.T)
 			p.relay.Redirect(other.address)
-			other.asks()
+			other.awaitRequests()
 			other.offer(url, "9", p.nodes(""))
-			other.replies(1, "relisted")
+			other.awaitReplies(1, "relisted")
 			other.offer(url, "10", p.nodes("node-1"))
-			other.replies(1, "relisted") // and its word on a drain is believed all the same
+			other.awaitReplies(1, "relisted") // and its word on a drain is believed all the same
 		}},
 		{"a drain races with an older list", func(p place) {
 			p.offer(url, "2", p.nodes("node-0"))
 			p.offer(url, "1", p.nodes(""))
-			p.replies(1, "")
-			p.replies(1, "relisted")
+			p.awaitReplies(1, "")
+			p.awaitReplies(1, "relisted")
 			before := len(p.r.nodes[0].Seen())
 			for range 20 {
 				if _, err := p.r.query(p.Context(), "SELECT 1 /* rows=1 */"); err != nil {
@@ -219,15 +219,15 @@
 			}
 		}},
 		{"let go by an operator", func(p place) {
-			p.set(settings(p.T, 1, nil))
-			p.replies(5, "")
+			p.offerAll(settings(p.T, 1, nil))
+			p.awaitReplies(5, "")
 			p.r.operate("/config/pin?on=true")
-			p.set(settings(p.T, 2, nil))
-			p.replies(5, "pinned")
+			p.offerAll(settings(p.T, 2, nil))
+			p.awaitReplies(5, "pinned")
 			p.r.operate("/config/pin?on=false")
-			p.asks() // on a new stream, at once, so that set 2 is offered again
-			p.set(settings(p.T, 2, nil))
-			p.replies(5, "")
+			p.awaitRequests() // on a new stream, at once, so that set 2 is offered again
+			p.offerAll(settings(p.T, 2, nil))
+			p.awaitReplies(5, "")
 		}},
 		{"lost in the middle of a response", func(p place) {
 			spent := p.relay.CutAfter(40 << 10)
@@ -239,15 +239,15 @@
 			if s, _ := p.r.d.ControlStatus(); s.Number != 0 {
 				p.Errorf("set %d is in force", s.Number)
 			}
-			p.asks()
-			p.set(set)
-			p.replies(5, "")
+			p.awaitRequests()
+			p.offerAll(set)
+			p.awaitReplies(5, "")
 		}},
 		{"a response that trickles in", func(p place) {
 			spent := p.relay.HoldAfter(40 << 10)
 			set := settings(p.T, 1, func(s *control.Set) { manyRules(s, 200) })
 			sent := make(chan struct{})
-			go func() { p.set(set); close(sent) }()
+			go func() { p.offerAll(set); close(sent) }()
 			<-spent
 			for range 5 {
 				if _, err := p.r.query(p.Context(), "SELECT 1 /* rows=1 */"); err != nil {
@@ -259,12 +259,12 @@
 			}
 			p.relay.Release()
 			<-sent
-			p.replies(5, "")
+			p.awaitReplies(5, "")
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := playByHand(t)
+			h := newScriptedControl(t)
 			relay, err := simulated.NewRelay(h.address)
 			if err != nil {
 				t.Fatal(err)
@@ -283,9 +283,9 @@
 				}
 				return a
 			}
-			h.asks()
+			h.awaitRequests()
 			h.offer(url, "1", nodes(""))
-			h.replies(1, "")
+			h.awaitReplies(1, "")
 			c.play(place{t, h, r, relay, nodes})
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
--- a/server/control_store_test.go
+++ b/server/control_store_test.go
@@ -13,15 +13,15 @@
 	"embershunt/simulated"
 )
 
-// storing is a dispatcher of one node that keeps the sets it takes in a file.
-func storing(t *testing.T) (c *simulated.Control, r *rig, file string) {
+// newStoringRig is a dispatcher of one node that keeps the sets it takes in a file.
+func newStoringRig(t *testing.T) (c *simulated.Control, r *rig, file string) {
 	c = simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(c.Stop)
 	file = filepath.Join(t.TempDir(), "versions.db")
-	r = controlled(t, c, 1, `, "store": "`+file+`"`)
+	r = newControlledRig(t, c, 1, `, "store": "`+file+`"`)
 	c.Set(listed(r), "")
 	return c, r, file
 }
@@ -29,7 +29,7 @@
 // The store fails under a running dispatcher: the version is refused with the reason, the one before stays in force, and
 // queries go on.
 func TestAStoreThatFailsWhileRunning(t *testing.T) {
-	c, r, _ := storing(t)
+	c, r, _ := newStoringRig(t)
 	c.Put(stream.SettingsName, settings(t, 1, nil)...)
 	r.until("set 1 in force", func(s control.Status) bool { return s.Number == 1 })
 	if err := r.d.BreakStore(); err != nil {
@@ -50,9 +50,9 @@
 	}
 }
 
-// A store that was damaged on the disk is told at the start, and nothing is made of it.
+// A store that was damaged on the disk is reported at the start, and nothing of it is used.
 func TestADamagedStoreFile(t *testing.T) {
-	c, r, file := storing(t)
+	c, r, file := newStoringRig(t)
 	for n := uint64(1); n <= 2; n++ {
 		c.Put(stream.SettingsName, settings(t, n, nil)...)
 		r.until("a set in force", func(s control.Status) bool { return s.Number == n })
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func controlled(t testing.TB, c *simulated.Control, nodes int, more string) *rig {
+func newControlledRig(t testing.TB, c *simulated.Control, nodes int, more string) *rig {
 	return newRigWith(t, nodes, func(string) string { return "{}" }, fmt.Sprintf(`, "control": {"address": %q, "cluster": "nodes",
 		"reconnect_most": "300ms" %s}`, c.Address(), more))
 }
@@ -105,7 +105,7 @@
 			}
 			defer c.Stop()
 			file := filepath.Join(t.TempDir(), "versions.db")
-			r := controlled(t, c, 2, fmt.Sprintf(`, "delta": %s, "store": %q`, variant, file))
+			r := newControlledRig(t, c, 2, fmt.Sprintf(`, "delta": %s, "store": %q`, variant, file))
 			c.Set(listed(r), "")
 			served := func(statement string) {
 				t.Helper()
--- a/server/flight_bench_test.go
+++ b/server/flight_bench_test.go
@@ -209,7 +209,7 @@
 		b.Fatal(err)
 	}
 	defer c.Stop()
-	r := controlled(b, c, 2, "")
+	r := newControlledRig(b, c, 2, "")
 	c.Set(listed(r), "")
 	r.until("the node list", func(s control.Status) bool { return s.Versions["nodes"] != "" })
 	number := uint64(0)
--- a/server/flight_clients_test.go
+++ b/server/flight_clients_test.go
@@ -94,7 +94,7 @@
 		if err != nil || res.GetStatus() != flight.CancelStatusCancelling {
 			t.Errorf("%v, %v", res, err)
 		}
-		if got := final(<-done); got != "failed CLIENT_GONE" {
+		if got := outcomeOf(<-done); got != "failed CLIENT_GONE" {
 			t.Errorf("final answer %q", got)
 		}
 	})
@@ -135,8 +135,8 @@
 	})
 }
 
-// raw makes a call with bytes of one's own.
-func raw(ctx context.Context, conn *grpc.ClientConn, method string, messages ...[]byte) error {
+// callRaw makes a call with bytes of one's own.
+func callRaw(ctx context.Context, conn *grpc.ClientConn, method string, messages ...[]byte) error {
 	s, err := conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}, method)
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			err := raw(ctx, conn, c.method, c.message)
+			err := callRaw(ctx, conn, c.method, c.message)
 			if status.Code(err) != c.code || !strings.Contains(err.Error(), c.says) {
 				t.Errorf("got %v, want %v with %q", err, c.code, c.says)
 			}
@@ -222,7 +222,7 @@
 	t.Run("oversized headers", func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), "x", strings.Repeat("h", 100<<10)), 5*time.Second)
 		defer cancel()
-		if err := raw(ctx, conn, flightwire.MethodGetInfo, query("CommandStatementQuery", "SELECT 1")); err == nil {
+		if err := callRaw(ctx, conn, flightwire.MethodGetInfo, query("CommandStatementQuery", "SELECT 1")); err == nil {
 			t.Error("headers of 100 KiB were taken")
 		}
 		if _, err := r.query(t.Context(), "SELECT 1"); err != nil {
@@ -438,7 +438,7 @@
 	done := make(chan string, 1)
 	go func() {
 		_, err := r.query(ctx, "SELECT 1 /* work_ms=400 */")
-		done <- final(err)
+		done <- outcomeOf(err)
 	}()
 	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
@@ -459,7 +459,7 @@
 	if s, err := watch.Recv(); err != nil || s.GetStatus() != healthpb.HealthCheckResponse_NOT_SERVING {
 		t.Errorf("health while draining: %v, %v", s, err)
 	}
-	if _, err := r.query(ctx, "SELECT 2"); final(err) != "refused DISPATCHER_STOPS" {
+	if _, err := r.query(ctx, "SELECT 2"); outcomeOf(err) != "refused DISPATCHER_STOPS" {
 		t.Errorf("a new query: %v", err)
 	}
 	if got := <-done; got != "served" {
@@ -485,9 +485,9 @@
 	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) >= 5 }); err != nil {
 		t.Fatal(err)
 	}
-	for r.heldQueries() < 10 { // one that has not come yet would wait for the next dispatcher: these clients wait for a connection
+	for r.pendingQueries() < 10 { // one that has not come yet would wait for the next dispatcher: these clients wait for a connection
 		if ctx.Err() != nil {
-			t.Fatalf("%v queries held", r.heldQueries())
+			t.Fatalf("%v queries held", r.pendingQueries())
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -517,8 +517,8 @@
 	}
 }
 
-// heldQueries is the metric of queries without an answer.
-func (r *rig) heldQueries() float64 {
+// pendingQueries is the metric of queries without an answer.
+func (r *rig) pendingQueries() float64 {
 	r.t.Helper()
 	families, err := r.d.Registry().Gather()
 	if err != nil {
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -77,16 +77,16 @@
 				t.Errorf("nodes took %d rows, want 7000; asked for columns %d times, want 1", brought, samples)
 			}
 			closeQuietly(c)
-			if b := r.stillHeld(); b != 0 {
+			if b := r.bufferedInsertBytes(); b != 0 {
 				t.Errorf("%d bytes are still held", b)
 			}
 		})
 	}
 }
 
-// maxComeBacks is how often a refused query comes back when told to: on a machine that is busy with other things the nodes, whose work
+// maxRetries is how often a rejected query is retried as its answer says: on a machine that is busy with other things the nodes, whose work
 // takes real time, may be full once more.
-const maxComeBacks = 5
+const maxRetries = 5
 
 // clickhouse-go's batches, its database/sql form and a pool of 50 connections; parameters; an external table.
 func TestNativeClientsOfAllKinds(t *testing.T) {
@@ -146,12 +146,12 @@
 	}
 }
 
-// queryUntilServed queries with a parameter; a refusal must say when to come back, and is followed.
+// queryUntilServed queries with a parameter; a rejection must say when to retry, and is followed.
 func queryUntilServed(t *testing.T, conn driver.Conn, retries *atomic.Int32) {
 	rows, err := conn.Query(clickhouse.Context(t.Context(), clickhouse.WithParameters(clickhouse.Parameters{"n": "7"})),
 		"SELECT node, row FROM policy WHERE id = {n:UInt64} /* rows=20 work_ms=2 cost_ms=2 */")
 	var refused *clickhouse.Exception
-	for times := 0; errors.As(err, &refused) && refused.Code == 202 && times < maxComeBacks; times++ {
+	for times := 0; errors.As(err, &refused) && refused.Code == 202 && times < maxRetries; times++ {
 		retries.Add(1)
 		_, ms, _ := strings.Cut(refused.Message, "come back in ")
 		wait, bad := time.ParseDuration(strings.Replace(ms, " ms", "ms", 1))
@@ -347,8 +347,8 @@
 	}
 }
 
-// stillHeld is what is held of clients' rows when all of them are gone.
-func (r *rig) stillHeld() int64 {
+// bufferedInsertBytes is the number of bytes of clients' rows that are buffered once all clients have disconnected.
+func (r *rig) bufferedInsertBytes() int64 {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
@@ -428,7 +428,7 @@
 	return b.Buf
 }
 
-// Clients whose INSERT goes wrong on their side: nothing is sent for it, and nothing stays held.
+// Clients whose INSERT goes wrong on their side: nothing is sent for it, and nothing stays buffered.
 func TestInsertsThatClientsSpoil(t *testing.T) {
 	const statement = "INSERT INTO events (id, name) VALUES"
 	cases := []struct {
@@ -485,14 +485,14 @@
 				}
 			}
 			closeQuietly(next)
-			if b := r.stillHeld(); ran != 1 || b != 0 {
+			if b := r.bufferedInsertBytes(); ran != 1 || b != 0 {
 				t.Errorf("%d inserts ran, want that of the next client; %d bytes are held", ran, b)
 			}
 		})
 	}
 }
 
-// Without room for more rows newcomers are turned away with a come-back time, and those that have begun end.
+// Without capacity for more rows new queries are rejected with a time to retry, and those that have begun complete.
 func TestNoRoomForRows(t *testing.T) {
 	r := newRig(t, 1, `, "front": {"max_insert_bytes": 60000, "held_insert_bytes": 80000}`)
 	const statement = "INSERT INTO events (id, name) VALUES"
@@ -503,7 +503,7 @@
 	}
 	first.send(block(t, 50, 1000))
 	first.send([]byte{native.ClientPing})
-	if p := first.until(native.ServerPong); p.Code != native.ServerPong { // its rows are held now
+	if p := first.until(native.ServerPong); p.Code != native.ServerPong { // its rows are buffered now
 		t.Fatal(p.Code, p.Exception)
 	}
 	second.send(block(t, 30, 1000))
--- a/server/learned_state_test.go
+++ b/server/learned_state_test.go
@@ -64,7 +64,7 @@
 	warm := false
 	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) {
 		g, err := policy.New(seed, s)
-		return &recalls{g, &warm}, err
+		return &restoreRecorder{g, &warm}, err
 	})
 	if err != nil || rep.Differ != 0 || rep.Damage != nil || !warm {
 		t.Errorf("%+v, %v, started warm: %v", rep, err, warm)
@@ -78,14 +78,14 @@
 	}
 }
 
-// recalls tells that something was recalled.
-type recalls struct {
+// restoreRecorder records that something was restored.
+type restoreRecorder struct {
 	*policy.Gateway
 	done *bool
 }
 
 // Recall implements what a replay asks for.
-func (g *recalls) Restore(l policy.Learned, fresh bool) error {
+func (g *restoreRecorder) Restore(l policy.Learned, fresh bool) error {
 	*g.done = len(l.Classes) > 0 && l.Classes[0].Fit[0] > 0 && fresh
 	return g.Gateway.Restore(l, fresh)
 }
--- a/server/many_dispatchers_test.go
+++ b/server/many_dispatchers_test.go
@@ -118,7 +118,7 @@
 	return all, ended
 }
 
-// replies counts the ACKs, or the NACKs, of settings by dispatcher.
+// awaitReplies counts the ACKs, or the NACKs, of settings by dispatcher.
 func (m *manyDispatchers) replies(refused bool) map[string]int {
 	out := map[string]int{}
 	for _, r := range m.control.Replies() {
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -26,17 +26,17 @@
 
 // rawNode is a node of the native protocol that a test plays byte by byte.
 type rawNode struct {
-	address string
-	mu      sync.Mutex
-	asked   int // queries
-	opened  int // connections
+	address         string
+	mu              sync.Mutex
+	queryCount      int // queries
+	connectionCount int // connections
 }
 
-// queries counts what it was asked.
+// queries counts the queries it got.
 func (n *rawNode) queries() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.asked
+	return n.queryCount
 }
 
 // startRawNode answers each query with what answer writes; the connection is kept up after it where hold says so.
@@ -62,7 +62,7 @@
 				defer group.Done()
 				defer closeQuietly(conn)
 				n.mu.Lock()
-				n.opened++
+				n.connectionCount++
 				n.mu.Unlock()
 				r := native.NewReader(conn, 1<<20)
 				h, err := r.ReadHello()
@@ -89,7 +89,7 @@
 					_, _ = r.ReadClient() // the end of the query's data, whatever it is
 					_, _, _ = r.ReadClientData(revision)
 					n.mu.Lock()
-					n.asked++
+					n.queryCount++
 					n.mu.Unlock()
 					if answer(conn); hold {
 						_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes
@@ -176,7 +176,7 @@
 	}
 }
 
-// What is no native client at all, or a broken one, is told so and disturbs nobody.
+// What is no native client at all, or a broken one, gets an error and disturbs nobody.
 func TestWhatIsNoNativeClient(t *testing.T) {
 	r := newRig(t, 1, "")
 	for name, c := range map[string]struct{ sent, says string }{
@@ -336,7 +336,7 @@
 }
 
 // A client calls a large answer off in the middle of its blocks and uses the connection again: what it reads up to the end
-// is whole packets, and the node is told.
+// is complete packets, and the node gets the cancellation.
 func TestCancelledInTheMiddleOfAnAnswer(t *testing.T) {
 	r := newRig(t, 1, "")
 	c := r.rawNative(t)
--- a/server/node_faults_test.go
+++ b/server/node_faults_test.go
@@ -84,7 +84,7 @@
 				}
 				took := time.Since(begin)
 				cancel()
-				if got := final(err); !slices.Contains(c.want, got) {
+				if got := outcomeOf(err); !slices.Contains(c.want, got) {
 					t.Fatalf("final answer %q (%v), want one of %q", got, err, c.want)
 				}
 				if took > c.within {
@@ -115,14 +115,14 @@
 					ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 					defer cancel()
 					_, err := r.query(ctx, "SELECT 1 /* work_ms=800 cost_ms=800 */")
-					done <- final(err)
+					done <- outcomeOf(err)
 				}()
 			}
 			if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) >= 4 }); err != nil {
 				t.Fatal(err)
 			}
 			told := time.Now()
-			r.list(func(_ int, n *nodelist.Node) { n.State = policy.Draining })
+			r.listAllNodes(func(_ int, n *nodelist.Node) { n.State = policy.Draining })
 			finals := map[string]int{}
 			for range n {
 				finals[<-done]++
@@ -145,8 +145,8 @@
 		r := newRigWith(t, 1, func(string) string { return `{"eds": {"address": "127.0.0.1:1", "cluster": "nodes"}}` }, "")
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		if _, err := r.query(ctx, "SELECT 1"); final(err) != "refused OVERLOADED" {
-			t.Errorf("final answer %q", final(err))
+		if _, err := r.query(ctx, "SELECT 1"); outcomeOf(err) != "refused OVERLOADED" {
+			t.Errorf("final answer %q", outcomeOf(err))
 		}
 	})
 	t.Run("later, then malformed, then back", func(t *testing.T) {
@@ -237,11 +237,11 @@
 		go func() {
 			begin := time.Now()
 			_, err := r.query(ctx, "SELECT 1 /* work_ms=40 cost_ms=40 */")
-			if status.Code(err) == codes.ResourceExhausted && !hasComeBack(err) {
+			if status.Code(err) == codes.ResourceExhausted && !hasRetryDelay(err) {
 				done <- end{"refused without a come-back time", 0}
 				return
 			}
-			done <- end{final(err), time.Since(begin)}
+			done <- end{outcomeOf(err), time.Since(begin)}
 		}()
 	}
 	finals := map[string]int{}
@@ -280,7 +280,7 @@
 				} else {
 					_, err = r.client.ExecuteUpdate(ctx, c.statement)
 				}
-				done <- final(err)
+				done <- outcomeOf(err)
 			}()
 			r.seenBy(c.statement).Die()
 			if got := <-done; got != c.want {
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -268,7 +268,7 @@
 }
 
 // An order to stop: clients are served for a moment, later ones refused at once with word that they may try elsewhere, what
-// was taken gets its answer, and the dispatcher ends.
+// was accepted gets its answer, and the dispatcher ends.
 func TestPlatformDrains(t *testing.T) {
 	release := make(chan struct{})
 	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -129,8 +129,8 @@
 	return c
 }
 
-// list sets the node list as the nodes are now; change may alter a row.
-func (r *rig) list(change func(i int, n *nodelist.Node)) {
+// listAllNodes sets the node list as the nodes are now; change may alter a row.
+func (r *rig) listAllNodes(change func(i int, n *nodelist.Node)) {
 	rows := make([]nodelist.Node, len(r.nodes))
 	for i, n := range r.nodes {
 		rows[i] = nodelist.Node{ID: n.Name, Address: n.Address}
@@ -160,8 +160,8 @@
 	return rows, reader.Err()
 }
 
-// final tells how an answer is marked: final and reason of its ErrorInfo.
-func final(err error) string {
+// outcomeOf is the mark of an answer: final and reason of its ErrorInfo.
+func outcomeOf(err error) string {
 	if err == nil {
 		return "served"
 	}
@@ -177,7 +177,7 @@
 	return s.GRPCStatus().Code().String()
 }
 
-func hasComeBack(err error) bool {
+func hasRetryDelay(err error) bool {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
 			return r.GetRetryDelay().AsDuration() > 0
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -21,7 +21,7 @@
 	return c.until(native.ServerEndOfStream).Exception
 }
 
-func (r *rig) freed() {
+func (r *rig) awaitNoTables() {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
@@ -45,7 +45,7 @@
 			}
 		}
 	}
-	r.freed()
+	r.awaitNoTables()
 	if _, held, _ := r.d.Sessions().Status(); held != 0 {
 		t.Errorf("%d sessions are held", held)
 	}
@@ -56,7 +56,7 @@
 		t.Errorf("another client sees the table: %v", e)
 	}
 	closeQuietly(c)
-	r.freed()
+	r.awaitNoTables()
 	// Rows into a temporary table, with an unmodified client.
 	client, err := ch.Dial(t.Context(), ch.Options{Address: r.d.NativeAddress(), User: "u", Compression: ch.CompressionLZ4})
 	if err != nil {
@@ -113,7 +113,7 @@
 			if err := r.d.Fleet().SetNodes(rows); err != nil {
 				r.t.Error(err)
 			}
-			r.freed()
+			r.awaitNoTables()
 		}, "failed (NODE_DRAINED)"},
 		{"its connection breaks", "", func(r *rig, at int) {
 			r.nodes[at].Die()
@@ -121,7 +121,7 @@
 				r.t.Fatal(err)
 			}
 		}, "failed (STATE_GONE)"},
-		{"idle for too long", `, "sessions": {"idle": "150ms"}`, func(r *rig, _ int) { r.freed() }, "failed (SESSION_IDLE)"},
+		{"idle for too long", `, "sessions": {"idle": "150ms"}`, func(r *rig, _ int) { r.awaitNoTables() }, "failed (SESSION_IDLE)"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -33,8 +33,8 @@
 // sharedKey seals tokens, so that another dispatcher can read them.
 const sharedKey = `, "keys": ["000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"]`
 
-// told is what a session's failure says: reason, and whether a commit is known not to have run.
-func told(err error) (reason, commit string) {
+// sessionFailure is what a session's failure says: reason, and whether a commit is known not to have run.
+func sessionFailure(err error) (reason, commit string) {
 	for _, d := range status.Convert(err).Details() {
 		if i, ok := d.(*errdetails.ErrorInfo); ok {
 			return i.GetReason(), i.GetMetadata()["commit"]
@@ -43,8 +43,8 @@
 	return fmt.Sprint(err), ""
 }
 
-// holder is the node that has a transaction open.
-func (r *rig) holder() int {
+// nodeWithTransaction is the node that has a transaction open.
+func (r *rig) nodeWithTransaction() int {
 	r.t.Helper()
 	for i, n := range r.nodes {
 		if n.Transactions() > 0 {
@@ -55,8 +55,8 @@
 	return -1
 }
 
-// settled waits until no node holds anything of a session, and checks what reached them.
-func (r *rig) settled() {
+// awaitNoState waits until no node holds anything of a session, and checks what reached them.
+func (r *rig) awaitNoState() {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
@@ -80,7 +80,7 @@
 	}
 }
 
-func (r *rig) committed() (all []string) {
+func (r *rig) committedStatements() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Committed...)
 	}
@@ -96,7 +96,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := r.nodes[r.holder()]
+		at := r.nodes[r.nodeWithTransaction()]
 		before := len(at.Seen())
 		for k := range 3 {
 			if _, err := tx.ExecuteUpdate(t.Context(), fmt.Sprintf("INSERT INTO t VALUES (%d) /* tx=%d */", k, i)); err != nil {
@@ -142,10 +142,10 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(r.committed()); n != 15 {
-		t.Errorf("%d statements were committed, want 15: %q", n, r.committed())
+	if n := len(r.committedStatements()); n != 15 {
+		t.Errorf("%d statements were committed, want 15: %q", n, r.committedStatements())
 	}
-	r.settled()
+	r.awaitNoState()
 	if _, held, _ := r.d.Sessions().Status(); held != 0 {
 		t.Errorf("%d sessions are held", held)
 	}
@@ -208,7 +208,7 @@
 			defer cancel()
 			id := tx.ID()
 			err := tx.Commit(ctx)
-			if reason, _ := told(actionError(r, id)); reason != "COMMIT_UNKNOWN" {
+			if reason, _ := sessionFailure(actionError(r, id)); reason != "COMMIT_UNKNOWN" {
 				r.t.Errorf("afterwards: %s", reason)
 			}
 			return err
@@ -245,16 +245,16 @@
 			r := newRig(t, 3, c.more)
 			tx := r.beginWithInsert()
 			reason, commit := "", ""
-			if err := c.play(r, tx, r.holder()); err != nil {
-				reason, commit = told(err)
+			if err := c.play(r, tx, r.nodeWithTransaction()); err != nil {
+				reason, commit = sessionFailure(err)
 			}
 			if reason != c.reason || commit != c.commit {
 				t.Errorf("told %q, commit %q, want %q, %q", reason, commit, c.reason, c.commit)
 			}
-			if n := len(r.committed()); n != c.effect {
+			if n := len(r.committedStatements()); n != c.effect {
 				t.Errorf("%d statements were committed, want %d", n, c.effect)
 			}
-			r.nothingLeft()
+			r.checkNothingLeft()
 		})
 	}
 }
@@ -272,15 +272,15 @@
 	return tx
 }
 
-// nothingLeft ends all faults and checks that no state is left, that no statement ran where the state was not, and that queries without
+// checkNothingLeft ends all faults and checks that no state is left, that no statement ran where the state was not, and that queries without
 // a session are served.
-func (r *rig) nothingLeft() {
+func (r *rig) checkNothingLeft() {
 	r.t.Helper()
 	for _, n := range r.nodes {
 		n.Set(simulated.Faults{})
 	}
-	r.settled()
-	if m := r.misplaced(); len(m) > 0 {
+	r.awaitNoState()
+	if m := r.misplacedStatements(); len(m) > 0 {
 		r.t.Errorf("ran where the state was not: %q", m)
 	}
 	if _, err := r.query(r.t.Context(), "SELECT 1 /* rows=1 */"); err != nil {
@@ -288,7 +288,7 @@
 	}
 }
 
-func (r *rig) misplaced() (all []string) {
+func (r *rig) misplacedStatements() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Misplaced...)
 	}
@@ -310,7 +310,7 @@
 	}()
 	r.seenBy(slow)
 	_, err = tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (2)")
-	if reason, _ := told(err); reason != "SESSION_BUSY" {
+	if reason, _ := sessionFailure(err); reason != "SESSION_BUSY" {
 		t.Errorf("the second call: %v", err)
 	}
 	if err := <-done; err != nil {
@@ -327,7 +327,7 @@
 	if err := tx.Commit(ctx); err != nil {
 		t.Error("after a restart: ", err)
 	}
-	if n := len(r.committed()); n != 1 {
+	if n := len(r.committedStatements()); n != 1 {
 		t.Errorf("%d statements were committed, want 1", n)
 	}
 	var open []*flightsql.Txn
@@ -345,7 +345,7 @@
 				open = append(open, tx)
 				return
 			}
-			if reason, _ := told(err); reason != "TOO_MANY_SESSIONS" || !hasComeBack(err) {
+			if reason, _ := sessionFailure(err); reason != "TOO_MANY_SESSIONS" || !hasRetryDelay(err) {
 				t.Errorf("turned away with %v", err)
 			}
 			turned++
@@ -363,7 +363,7 @@
 			t.Error(err)
 		}
 	}
-	r.settled()
+	r.awaitNoState()
 	// Forged and foreign tokens.
 	for name, token := range map[string]string{"forged": strings.Repeat("x", 60), "another purpose": string(id)[:20]} {
 		if err := actionError(r, []byte(token)); err == nil {
@@ -372,7 +372,7 @@
 	}
 }
 
-// actionError ends a transaction by hand and tells what came of it.
+// actionError ends a transaction by hand and returns the error of that.
 func actionError(r *rig, token []byte) error {
 	s, err := r.client.Client.DoAction(r.t.Context(), endAction(token, 1))
 	if err != nil {
@@ -394,8 +394,8 @@
 }
 
 // A drain while BEGIN is out; a client that vanishes; a dispatcher that takes a transaction over from another; a drain that is
-// announced; a tenant that has as many as it may; and a node that dies with all sessions: those are told one after another
-// when to come back.
+// announced; a tenant at its limit; and a node that dies with all sessions, whose clients are told to retry one after
+// another.
 func TestTransactionsOnBadDays(t *testing.T) {
 	t.Run("a drain while BEGIN is out", drainDuringBegin)
 	t.Run("the client vanishes", clientVanishes)
@@ -440,7 +440,7 @@
 		t.Error("begun")
 	}
 	r.nodes[0].Set(simulated.Faults{})
-	r.settled()
+	r.awaitNoState()
 }
 
 // clientVanishes disconnects a client within its transaction: the idle timeout rolls it back.
@@ -451,7 +451,7 @@
 		t.Fatal(err)
 	}
 	closeQuietly(other)
-	r.settled()
+	r.awaitNoState()
 }
 
 // anotherDispatcherContinues commits a transaction through another dispatcher, by its token.
@@ -479,10 +479,10 @@
 	if err := actionError(&second, tx.ID()); err != nil { // a commit
 		t.Error(err)
 	}
-	if n := len(r.committed()); n != 1 {
+	if n := len(r.committedStatements()); n != 1 {
 		t.Errorf("%d statements were committed, want 1", n)
 	}
-	r.settled()
+	r.awaitNoState()
 }
 
 // announcedDrain checks that a client is told when its node is to drain.
@@ -524,7 +524,7 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	r := controlled(t, c, 2, "")
+	r := newControlledRig(t, c, 2, "")
 	c.Set(listed(r), "")
 	with := func(n uint64, audit bool) {
 		t.Helper()
@@ -554,7 +554,7 @@
 	if err := tx.Commit(t.Context()); err != nil {
 		t.Error(err)
 	}
-	if n := len(r.committed()); n != 2 {
+	if n := len(r.committedStatements()); n != 2 {
 		t.Errorf("%d statements were committed, want 2", n)
 	}
 }
@@ -569,7 +569,7 @@
 			t.Fatal(err)
 		}
 		_, err = r.client.BeginTransaction(ctx)
-		reason, _ := told(err)
+		reason, _ := sessionFailure(err)
 		return reason
 	}
 	for i, want := range []string{"", "", "TOO_MANY_SESSIONS"} {
@@ -599,7 +599,7 @@
 	for _, tx := range all {
 		begin := time.Now()
 		err := tx.Commit(t.Context())
-		if reason, commit := told(err); reason != "NODE_GONE" || commit != "known not to have run" || time.Since(begin) > time.Second {
+		if reason, commit := sessionFailure(err); reason != "NODE_GONE" || commit != "known not to have run" || time.Since(begin) > time.Second {
 			t.Fatalf("%v after %v", err, time.Since(begin))
 		}
 		for _, d := range status.Convert(err).Details() {
