--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -99,7 +99,7 @@
 	}
 	for {
 		at, ok := l.core.Next()
-		if !l.wait(ctx, at, ok) {
+		if !l.waitForEvent(ctx, at, ok) {
 			l.core.FailAll(l.clock.Now(), ReasonStopped)
 			return ctx.Err()
 		}
@@ -127,8 +127,8 @@
 	return ok
 }
 
-// wait waits for an event or, where timed, for the time at; false where the context ended first.
-func (l *Loop) wait(ctx context.Context, at Micros, timed bool) bool {
+// waitForEvent waits for an event or, where timed, for the time at; false where the context ended first.
+func (l *Loop) waitForEvent(ctx context.Context, at Micros, timed bool) bool {
 	var due <-chan time.Time
 	if timed && at <= l.clock.Now() {
 		return ctx.Err() == nil
--- a/session/admission.go
+++ b/session/admission.go
@@ -21,7 +21,7 @@
 func (m *Machine) firstStatement(ev StatementReceived) {
 	rejected := Reject{ID: ev.ID, Serial: ev.Serial}
 	switch {
-	case ev.HasToken && !m.nodesKnown:
+	case ev.HasToken && !m.hasNodeList:
 		rejected.Reason, rejected.RetryAfter = ReasonNodesUnknown, nodeListRetryAfter
 	case ev.HasToken || ev.Kind == Commit || ev.Kind == Rollback || ev.Kind == DropState:
 		rejected.Reason = ReasonNoTransaction
--- a/session/drain.go
+++ b/session/drain.go
@@ -12,8 +12,8 @@
 	return max(n.drainAt+m.limits.DrainGrace-m.now, 1)
 }
 
-// drainGraceOver says whether the session's node accepts no statement any more.
-func (m *Machine) drainGraceOver(s *clientSession) bool {
+// drainGraceExpired says whether the session's node accepts no statement any more.
+func (m *Machine) drainGraceExpired(s *clientSession) bool {
 	n := m.nodes[s.node]
 	return n != nil && n.drainingSince > 0 && m.now >= n.drainingSince+m.limits.DrainGrace
 }
--- a/session/machine.go
+++ b/session/machine.go
@@ -42,15 +42,15 @@
 
 // Machine holds the sessions of one dispatcher. It is not safe for concurrent use.
 type Machine struct {
-	limits     Limits
-	now        Micros   // of the step under way
-	actions    []Action // of the step under way
-	sessions   map[string]*clientSession
-	nodes      map[string]*node
-	nodesKnown bool           // a node list has come
-	reserved   int            // sessions with state, and those whose first statement may create it
-	tenants    map[string]int // those of reserved, by tenant
-	timers     timerQueue
+	limits      Limits
+	now         Micros   // of the step under way
+	actions     []Action // of the step under way
+	sessions    map[string]*clientSession
+	nodes       map[string]*node
+	hasNodeList bool           // a node list has come
+	reserved    int            // sessions with state, and those whose first statement may create it
+	tenants     map[string]int // those of reserved, by tenant
+	timers      timerQueue
 }
 
 // New returns a machine without sessions.
@@ -154,7 +154,7 @@
 		return
 	}
 	if ev.Outcome != OK {
-		m.keepOrForget(s)
+		m.forgetWithoutState(s)
 		return
 	}
 	first := s.node == ""
@@ -198,11 +198,12 @@
 	case statement.Kind == DropState && ev.Outcome == OK:
 		delete(s.tables, statement.Name)
 	}
-	m.keepOrForget(s)
+	m.forgetWithoutState(s)
 }
 
-// keepOrForget keeps a session that has state; any other is forgotten, or expires where its client must be told.
-func (m *Machine) keepOrForget(s *clientSession) {
+// forgetWithoutState forgets a session that has no state any more, or lets it expire where its client must be told; any other
+// stays sticky.
+func (m *Machine) forgetWithoutState(s *clientSession) {
 	if s.hasState() {
 		s.state = Sticky
 		m.scheduleTimeout(s)
@@ -229,7 +230,7 @@
 
 // resume adopts a session whose state was created through another dispatcher, or before a restart of this one.
 func (m *Machine) resume(ev Resumed) {
-	if m.sessions[ev.ID] != nil || !m.nodesKnown {
+	if m.sessions[ev.ID] != nil || !m.hasNodeList {
 		return
 	}
 	s := m.reserve(ev.ID, ev.Tenant)
--- a/session/nodes.go
+++ b/session/nodes.go
@@ -67,7 +67,7 @@
 
 // nodeListUpdated applies a node list: drains begin, and the sessions of restarted and removed nodes end.
 func (m *Machine) nodeListUpdated(ev NodeListUpdated) {
-	m.nodesKnown = true
+	m.hasNodeList = true
 	listed := map[string]bool{}
 	for _, row := range ev.Nodes {
 		listed[row.ID] = true
--- a/session/timers.go
+++ b/session/timers.go
@@ -133,7 +133,7 @@
 		return
 	}
 	switch {
-	case m.drainGraceOver(s):
+	case m.drainGraceExpired(s):
 		if s.running == nil {
 			m.end(s, Lost, ReasonNodeDrained)
 		}
