--- a/server/warm_test.go
+++ b/server/learned_state_test.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer closeQuietly(f)
 	src, err := trace.NewReader(f)
 	if err != nil {
 		t.Fatal(err)
@@ -64,26 +64,28 @@
 	warm := false
 	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) {
 		g, err := policy.New(seed, s)
-		return &recalls{g, &warm}, err
+		return &restoreRecorder{g, &warm}, err
 	})
 	if err != nil || rep.Differ != 0 || rep.Damage != nil || !warm {
 		t.Errorf("%+v, %v, started warm: %v", rep, err, warm)
 	}
-	os.WriteFile(kept, []byte("{"), 0o600)
+	if err := os.WriteFile(kept, []byte("{"), 0o600); err != nil {
+		t.Fatal(err)
+	}
 	r.restart()
 	if _, err := r.query(t.Context(), "SELECT 1"); err != nil {
 		t.Error(err)
 	}
 }
 
-// recalls tells that something was recalled.
-type recalls struct {
+// restoreRecorder records that something was restored.
+type restoreRecorder struct {
 	*policy.Gateway
 	done *bool
 }
 
 // Recall implements what a replay asks for.
-func (g *recalls) Restore(l policy.Learned, fresh bool) error {
+func (g *restoreRecorder) Restore(l policy.Learned, fresh bool) error {
 	*g.done = len(l.Classes) > 0 && l.Classes[0].Fit[0] > 0 && fresh
 	return g.Gateway.Restore(l, fresh)
 }
