--- a/backend/attempt.go
+++ b/backend/attempt.go
@@ -143,7 +143,7 @@
 	result, err := t.runOnNode(ctx)
 	ended := dispatch.AttemptEnded{ID: t.spec.Query.ID, Number: t.spec.Number, Latency: time.Since(t.startedAt).Microseconds(),
 		Load: t.load, WorkMicros: t.workMicros, NeededMB: t.neededMB, Result: result, Err: err}
-	ended.Code, ended.Rejected = t.classifyOutcome(ctx, err)
+	ended.Code, ended.StatementRejected = t.classifyOutcome(ctx, err)
 	return ended
 }
 
--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -28,9 +28,9 @@
 	Log                 *slog.Logger
 	Clock               dispatch.Clock
 	ConnectTimeout      time.Duration     // a connection that is not established by then counts as refused; default 250 ms
-	ProbeTimeout        time.Duration     // of a health check; default 500 ms
+	HealthCheckTimeout  time.Duration     // of a health check; default 500 ms
 	MaxFrame            int               // bytes of one message from a node; default 16 MiB
-	Dial                []grpc.DialOption // credentials; default: plain text
+	DialOptions         []grpc.DialOption // credentials; default: plain text
 	NativeUser          string            // for the native protocol
 	NativePassword      string
 	Headers             []string      // keys and values in turn, sent with every gRPC call
@@ -43,7 +43,7 @@
 // setDefaults replaces zero values.
 func (o *Options) setDefaults() {
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, 250*time.Millisecond)
-	o.ProbeTimeout = cmp.Or(o.ProbeTimeout, 500*time.Millisecond)
+	o.HealthCheckTimeout = cmp.Or(o.HealthCheckTimeout, 500*time.Millisecond)
 	o.MaxPlatformConns = cmp.Or(o.MaxPlatformConns, 256)
 	o.MaxAttemptsPerConn = cmp.Or(o.MaxAttemptsPerConn, 100)
 	o.PlatformIdleTimeout = cmp.Or(o.PlatformIdleTimeout, 10*time.Second)
@@ -134,9 +134,9 @@
 	}
 }
 
-// LastSendAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Only the
+// MaxSendDelayAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Only the
 // policy keeps new work away from nodes that drain: this measures it.
-func (f *Fleet) LastSendAfterDrain() time.Duration { return f.drainDelays.longest() }
+func (f *Fleet) MaxSendDelayAfterDrain() time.Duration { return f.drainDelays.longest() }
 
 // Audit counts attempts that were not permitted at the moment at which they would have started, and those that started against a
 // rule.
--- a/backend/flight_attempt.go
+++ b/backend/flight_attempt.go
@@ -90,7 +90,7 @@
 	if t.preparedHandle == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(t.fleet.ctx, t.fleet.options.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(t.fleet.ctx, t.fleet.options.HealthCheckTimeout)
 	defer cancel()
 	callDiscardingAnswer(ctx, t.conn, flightwire.MethodDoAction, flightwire.Action{Type: "ClosePreparedStatement",
 		Body: flightwire.StatementCommand("ActionClosePreparedStatementRequest", t.preparedHandle)}.Encode())
--- a/backend/flight_connection.go
+++ b/backend/flight_connection.go
@@ -35,10 +35,10 @@
 		grpc.WithContextDialer(dialTCP),
 		grpc.WithConnectParams(flightBackoff),
 	}
-	if len(o.Dial) == 0 {
+	if len(o.DialOptions) == 0 {
 		options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	}
-	conn, err := grpc.NewClient("passthrough:///"+n.flightAddress, append(options, o.Dial...)...)
+	conn, err := grpc.NewClient("passthrough:///"+n.flightAddress, append(options, o.DialOptions...)...)
 	if err != nil {
 		return nil, err
 	}
--- a/backend/flight_load_report.go
+++ b/backend/flight_load_report.go
@@ -32,7 +32,7 @@
 		}
 		return loadNotReported
 	}
-	l := &policy.Load{Util: r.CpuUtilization, InFlight: get(r.NamedMetrics, "inflight"),
+	l := &policy.Load{Utilization: r.CpuUtilization, InFlight: get(r.NamedMetrics, "inflight"),
 		Queue: get(r.NamedMetrics, "queue"), Memory: get(r.Utilization, "memory"), Disk: get(r.Utilization, "disk")}
 	if l.Memory < 0 && r.MemUtilization > 0 {
 		l.Memory = r.MemUtilization
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -26,7 +26,7 @@
 		return policy.ConnectionRefused, nil
 	}
 	defer f.release(n)
-	ctx, cancel := context.WithTimeout(f.ctx, f.options.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(f.ctx, f.options.HealthCheckTimeout)
 	defer cancel()
 	switch {
 	case n.platform.address != "":
--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -103,8 +103,8 @@
 					t.Errorf("reported after %d us", end.Latency)
 				}
 			}
-			if end.Code != c.code || end.Rejected != c.rejected {
-				t.Errorf("code %d, rejected %v, want %d, %v (%v)", end.Code, end.Rejected, c.code, c.rejected, end.Err)
+			if end.Code != c.code || end.StatementRejected != c.rejected {
+				t.Errorf("code %d, rejected %v, want %d, %v (%v)", end.Code, end.StatementRejected, c.code, c.rejected, end.Err)
 			}
 		})
 	}
--- a/backend/permission_audit.go
+++ b/backend/permission_audit.go
@@ -8,10 +8,10 @@
 
 // checkSendPermitted decides, at the moment at which an attempt would start on a node, whether it may.
 func (t *attempt) checkSendPermitted(ctx context.Context, n *node) permit.Reason {
-	return t.fleet.audit.Withhold(permit.Sending{
+	return t.fleet.audit.Check(permit.Sending{
 		Now: t.fleet.clock.Now(), Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore,
 		ClientDisconnected: ctx.Err() != nil,
-		Notified:           n.drainNotifiedAt.Load(),
+		DrainNotifiedAt:    n.drainNotifiedAt.Load(),
 		Sticky:             t.spec.Query.StickyTo != "",
 		Grace:              t.fleet.options.DrainGrace.Microseconds(),
 	}.Send())
@@ -22,9 +22,9 @@
 func (t *attempt) auditStart(n *node) {
 	at := t.fleet.clock.Now()
 	sent := permit.Sent{At: at, Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore, DisconnectedAt: t.cancelledAt.Load(),
-		Notified: n.drainNotifiedAt.Load(), Grace: t.fleet.options.DrainGrace.Microseconds()}
+		DrainNotifiedAt: n.drainNotifiedAt.Load(), Grace: t.fleet.options.DrainGrace.Microseconds()}
 	if why := sent.Violation(); t.fleet.audit.Violate(why) {
 		t.fleet.log.Error("rule violated", "rule", why.String(), "query", t.spec.Query.ID, "attempt", t.spec.Number, "node", t.spec.Node,
-			"notified_ms_ago", (at-sent.Notified)/1000)
+			"notified_ms_ago", (at-sent.DrainNotifiedAt)/1000)
 	}
 }
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -111,7 +111,7 @@
 			if end.Code != c.code || rowsOf(end.Result) != c.rows {
 				t.Errorf("code %d (%v), rows %q; want %d, %q", end.Code, end.Err, rowsOf(end.Result), c.code, c.rows)
 			}
-			if strings.Contains(c.name, "pages") && c.code == policy.OK && (end.Load == nil || end.Load.Util != 0.5 || end.Load.InFlight != 7) {
+			if strings.Contains(c.name, "pages") && c.code == policy.OK && (end.Load == nil || end.Load.Utilization != 0.5 || end.Load.InFlight != 7) {
 				t.Errorf("load %+v", end.Load)
 			}
 		})
--- a/backend/platform_load_report.go
+++ b/backend/platform_load_report.go
@@ -13,7 +13,7 @@
 	if report == "" {
 		return nil
 	}
-	l := policy.Load{Util: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported, Disk: loadNotReported}
+	l := policy.Load{Utilization: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported, Disk: loadNotReported}
 	for pair := range strings.SplitSeq(report, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		v, ok := parseFigure(value)
@@ -22,7 +22,7 @@
 		}
 		switch name {
 		case "util", "busy":
-			l.Util = v
+			l.Utilization = v
 		case "inflight", "rif":
 			l.InFlight = v
 		case "queue", "q":
--- a/backend/resources.go
+++ b/backend/resources.go
@@ -30,7 +30,7 @@
 
 // sendResources sends a node the action that changes a query's resources.
 func (f *Fleet) sendResources(node string, request []byte) {
-	ctx, cancel := context.WithTimeout(f.ctx, f.options.ProbeTimeout)
+	ctx, cancel := context.WithTimeout(f.ctx, f.options.HealthCheckTimeout)
 	defer cancel()
 	n := f.acquire(node)
 	if n == nil {
--- a/cmd/decisionreplay/main.go
+++ b/cmd/decisionreplay/main.go
@@ -49,7 +49,7 @@
 		fmt.Fprintln(os.Stderr, "decisionreplay:", err)
 		return 2
 	}
-	fmt.Printf("%d steps, %d events, %d actions, %d starts, replayed in %v\n", rep.Steps, rep.Events, rep.Actions, rep.Begins,
+	fmt.Printf("%d steps, %d events, %d actions, %d starts, replayed in %v\n", rep.Steps, rep.Events, rep.Actions, rep.Starts,
 		time.Since(begin).Round(time.Millisecond))
 	if rep.Dropped > 0 {
 		fmt.Printf("the recording lost %d steps; nothing can be said of %d that follow a gap\n", rep.Dropped, rep.Skipped)
@@ -60,7 +60,7 @@
 	if rep.First == nil {
 		fmt.Println("the same decisions")
 	} else {
-		fmt.Printf("%d steps were decided differently, the first is step %d at %v:\n  was %s\n  now %s\n", rep.Differ, rep.First.Step,
+		fmt.Printf("%d steps were decided differently, the first is step %d at %v:\n  was %s\n  now %s\n", rep.Different, rep.First.Step,
 			time.Duration(rep.First.At)*time.Microsecond, rep.First.Was, rep.First.Now)
 		for _, k := range slices.Sorted(maps.Keys(rep.ByKind)) {
 			fmt.Printf("  %s %d\n", k, rep.ByKind[k])
--- a/cmd/dispatcherctl/main.go
+++ b/cmd/dispatcherctl/main.go
@@ -94,13 +94,13 @@
 		fmt.Print(", pinned")
 	}
 	fmt.Println()
-	if s.Status.Moving > 0 {
-		fmt.Printf("on its way: set %d\n", s.Status.Moving)
+	if s.Status.Updating > 0 {
+		fmt.Printf("on its way: set %d\n", s.Status.Updating)
 	}
-	if len(s.Status.Waiting) > 0 {
-		fmt.Printf("waiting for the rest of a set: %s\n", strings.Join(s.Status.Waiting, ", "))
+	if len(s.Status.Incomplete) > 0 {
+		fmt.Printf("waiting for the rest of a set: %s\n", strings.Join(s.Status.Incomplete, ", "))
 	}
-	for _, r := range s.Status.Refused {
+	for _, r := range s.Status.Rejected {
 		fmt.Println("refused last:", r)
 	}
 }
--- a/control/events.go
+++ b/control/events.go
@@ -41,8 +41,8 @@
 		Number uint64
 		Err    error
 	}
-	// Lost is the end of the stream: responses without a reply will be sent again on the next one.
-	Lost struct{}
+	// StreamLost is the end of the stream: responses without a reply will be sent again on the next one.
+	StreamLost struct{}
 	// Override exempts one set number from the safety checks, once. The caller has authenticated the operator.
 	Override struct{ Number uint64 }
 	// Pin holds the settings at the active set until it is switched off.
@@ -54,13 +54,13 @@
 	}
 )
 
-func (Offered) isEvent()  {}
-func (Stored) isEvent()   {}
-func (Applied) isEvent()  {}
-func (Lost) isEvent()     {}
-func (Override) isEvent() {}
-func (Pin) isEvent()      {}
-func (RollBack) isEvent() {}
+func (Offered) isEvent()    {}
+func (Stored) isEvent()     {}
+func (Applied) isEvent()    {}
+func (StreamLost) isEvent() {}
+func (Override) isEvent()   {}
+func (Pin) isEvent()        {}
+func (RollBack) isEvent()   {}
 
 // Action is an output of the module: something that the caller carries out.
 type Action interface{ isAction() }
@@ -85,12 +85,12 @@
 		Set    Set
 		Config *config.Config
 	}
-	// Forget deletes a stored set that could not be activated.
-	Forget struct{ Number uint64 }
-	// List activates a node list.
-	List struct{ Nodes []nodelist.Node }
-	// ListRefused reports to the decision module that a node list was rejected.
-	ListRefused struct{ Reasons []string }
+	// DeleteSet deletes a stored set that could not be activated.
+	DeleteSet struct{ Number uint64 }
+	// ApplyNodeList activates a node list.
+	ApplyNodeList struct{ Nodes []nodelist.Node }
+	// NodeListRejected reports to the decision module that a node list was rejected.
+	NodeListRejected struct{ Reasons []string }
 	// Renew opens a new stream: a response that was rejected may be accepted now, and a service sends a version only
 	// once a stream.
 	Renew struct{}
@@ -98,12 +98,12 @@
 	Log struct{ Text string }
 )
 
-func (Ack) isAction()         {}
-func (Nack) isAction()        {}
-func (Store) isAction()       {}
-func (Apply) isAction()       {}
-func (Forget) isAction()      {}
-func (List) isAction()        {}
-func (ListRefused) isAction() {}
-func (Renew) isAction()       {}
-func (Log) isAction()         {}
+func (Ack) isAction()              {}
+func (Nack) isAction()             {}
+func (Store) isAction()            {}
+func (Apply) isAction()            {}
+func (DeleteSet) isAction()        {}
+func (ApplyNodeList) isAction()    {}
+func (NodeListRejected) isAction() {}
+func (Renew) isAction()            {}
+func (Log) isAction()              {}
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -117,7 +117,7 @@
 			case 4:
 				m.completeApply(rapid.Bool().Draw(r, "fails"))
 			case 5:
-				m.step(Lost{})
+				m.step(StreamLost{})
 			}
 			if m.module.active.Number != m.active {
 				r.Fatalf("active is %d, the model has %d", m.module.active.Number, m.active)
--- a/control/module.go
+++ b/control/module.go
@@ -48,22 +48,22 @@
 
 // Status is the module's state as operators see it.
 type Status struct {
-	Number   uint64            `json:"Number"`  // of the active set; 0: from the file
-	Moving   uint64            `json:"Moving"`  // of the set that is being stored or activated; 0: none
-	Phase    Phase             `json:"Phase"`   // of that set
-	Waiting  []string          `json:"Waiting"` // kinds received that wait for the rest of their set
-	Pinned   bool              `json:"Pinned"`
-	Versions map[string]string `json:"Versions"` // last version acknowledged, by kind
-	Refused  []string          `json:"Refused"`  // reasons of the last rejection; nil: nothing was rejected since the last activation
+	Number     uint64            `json:"Number"`  // of the active set; 0: from the file
+	Updating   uint64            `json:"Moving"`  // of the set that is being stored or activated; 0: none
+	Phase      Phase             `json:"Phase"`   // of that set
+	Incomplete []string          `json:"Waiting"` // kinds received that wait for the rest of their set
+	Pinned     bool              `json:"Pinned"`
+	Versions   map[string]string `json:"Versions"` // last version acknowledged, by kind
+	Rejected   []string          `json:"Refused"`  // reasons of the last rejection; nil: nothing was rejected since the last activation
 }
 
 // Status returns the module's state.
 func (m *Module) Status() Status {
-	s := Status{Number: m.active.Number, Moving: m.update.set.Number, Phase: m.update.phase, Pinned: m.pinned,
-		Versions: map[string]string{}, Refused: m.rejected}
+	s := Status{Number: m.active.Number, Updating: m.update.set.Number, Phase: m.update.phase, Pinned: m.pinned,
+		Versions: map[string]string{}, Rejected: m.rejected}
 	for k, r := range m.received {
 		if r != nil {
-			s.Waiting = append(s.Waiting, Kind(k).String())
+			s.Incomplete = append(s.Incomplete, Kind(k).String())
 		}
 	}
 	for k, v := range m.accepted {
@@ -74,8 +74,8 @@
 	return s
 }
 
-// InForce is the active set.
-func (m *Module) InForce() Set { return m.active }
+// Active is the active set.
+func (m *Module) Active() Set { return m.active }
 
 // Step processes one event and returns the actions that follow from it.
 func (m *Module) Step(now Micros, ev Event) []Action {
@@ -91,7 +91,7 @@
 		m.handleStored(ev)
 	case Applied:
 		m.handleApplied(ev)
-	case Lost:
+	case StreamLost:
 		m.handleLost()
 	case Override:
 		m.handleOverride(ev)
--- a/control/nodecheck.go
+++ b/control/nodecheck.go
@@ -15,15 +15,15 @@
 	reasons := m.validateNodeList(ev)
 	if len(reasons) > 0 {
 		m.reject(Nodes, ev.Version, ev.Nonce, reasons)
-		m.emit(ListRefused{reasons})
+		m.emit(NodeListRejected{reasons})
 		if m.nodes.acceptDrains(m.now, ev.Nodes) {
-			m.emit(List{m.nodes.listed()})
+			m.emit(ApplyNodeList{m.nodes.listed()})
 		}
 		return
 	}
 	m.accepted[Nodes] = ev.Version
 	m.nodes.accept(m.now, ev.Nodes)
-	m.emit(List{m.nodes.listed()})
+	m.emit(ApplyNodeList{m.nodes.listed()})
 	m.emit(Ack{Nodes, ev.Version, ev.Nonce})
 }
 
--- a/control/stream/stream.go
+++ b/control/stream/stream.go
@@ -32,10 +32,10 @@
 	Settings bool // the settings are streamed too, not the node list alone
 	Delta    bool // the incremental variant of xDS
 	Dial     []grpc.DialOption
-	// Least and Most bound the backoff before a new stream: it is drawn between nothing and a limit that doubles from
+	// MinBackoff and Most bound the backoff before a new stream: it is drawn between nothing and a limit that doubles from
 	// Least to Most (full jitter), so that many dispatchers do not reconnect together. Zero values mean 200 ms and 30 s.
-	Least, Most time.Duration
-	Random      func() float64 // in [0, 1); nil: math/rand's
+	MinBackoff, MaxBackoff time.Duration
+	Random                 func() float64 // in [0, 1); nil: math/rand's
 }
 
 // Handler receives the events of a stream. Both methods are called from one goroutine at a time and may block briefly.
@@ -67,11 +67,11 @@
 
 // New returns a stream; Run opens it.
 func New(o Options, h Handler) *Stream {
-	if o.Least == 0 {
-		o.Least = defaultMinBackoff
+	if o.MinBackoff == 0 {
+		o.MinBackoff = defaultMinBackoff
 	}
-	if o.Most == 0 {
-		o.Most = defaultMaxBackoff
+	if o.MaxBackoff == 0 {
+		o.MaxBackoff = defaultMaxBackoff
 	}
 	if o.Random == nil {
 		o.Random = rand.Float64
@@ -111,7 +111,7 @@
 		return err
 	}
 	defer func() { _ = conn.Close() }() // nothing is pending on it
-	limit := s.options.Least
+	limit := s.options.MinBackoff
 	for ctx.Err() == nil {
 		responded, err := s.runOnce(ctx, conn)
 		if ctx.Err() != nil {
@@ -122,10 +122,10 @@
 			continue
 		}
 		if responded {
-			limit = s.options.Least
+			limit = s.options.MinBackoff
 		}
 		s.backOff(ctx, limit)
-		limit = min(2*limit, s.options.Most)
+		limit = min(2*limit, s.options.MaxBackoff)
 		conn.ResetConnectBackoff()
 	}
 	return nil
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -95,7 +95,7 @@
 		t.Run(fmt.Sprintf("delta=%v", delta), func(t *testing.T) {
 			c := service(t)
 			h := start(t, Options{Address: c.Address(), Cluster: "nodes", Node: "d", Settings: true, Delta: delta,
-				Least: time.Millisecond, Most: 20 * time.Millisecond})
+				MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond})
 			await(t, c, "a stream", func() bool { return len(c.Streams()) == 1 })
 			// It hangs: nothing is received, and the stream stays.
 			if o, l := h.count(); o != 0 || l != 0 {
@@ -135,8 +135,8 @@
 	peak := func(random func() float64) int {
 		c := service(t)
 		for i := range n {
-			start(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), Least: 400 * time.Millisecond,
-				Most: 400 * time.Millisecond, Random: random})
+			start(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), MinBackoff: 400 * time.Millisecond,
+				MaxBackoff: 400 * time.Millisecond, Random: random})
 		}
 		await(t, c, "all streams", func() bool { return len(c.Streams()) == n })
 		c.Stop()
--- a/control/update.go
+++ b/control/update.go
@@ -127,7 +127,7 @@
 		return
 	}
 	if ev.Err != nil {
-		m.emit(Forget{m.update.set.Number})
+		m.emit(DeleteSet{m.update.set.Number})
 		m.abortUpdate("apply: " + ev.Err.Error())
 		return
 	}
--- a/control/update_test.go
+++ b/control/update_test.go
@@ -57,11 +57,11 @@
 			out = append(out, fmt.Sprint("store ", a.Set.Number))
 		case Apply:
 			out = append(out, fmt.Sprint("apply ", a.Set.Number))
-		case Forget:
+		case DeleteSet:
 			out = append(out, fmt.Sprint("forget ", a.Number))
-		case List:
+		case ApplyNodeList:
 			out = append(out, fmt.Sprint("list ", len(a.Nodes)))
-		case ListRefused:
+		case NodeListRejected:
 			out = append(out, "list refused")
 		}
 	}
@@ -118,7 +118,7 @@
 	}
 	// The stream is lost during an update: no reply is due; received again, the set is active.
 	offerSet(m, 12, version(6, nil), LiveState{})
-	m.Step(13, Lost{})
+	m.Step(13, StreamLost{})
 	m.Step(14, Stored{Number: 6})
 	if got := summarize(m.Step(15, Applied{Number: 6})); got != "" || m.active.Number != 6 {
 		t.Errorf("after the loss of the stream: %s, set %d", got, m.active.Number)
@@ -173,7 +173,7 @@
 			if !strings.Contains(strings.Join(m.rejected, "; "), c.reason) {
 				t.Errorf("reasons %q, want one with %q", m.rejected, c.reason)
 			}
-			if m.active.Number != 1 || m.Status().Refused == nil {
+			if m.active.Number != 1 || m.Status().Rejected == nil {
 				t.Errorf("status %+v", m.Status())
 			}
 			m.Step(now, Override{2})
--- a/dispatch/core_bench_test.go
+++ b/dispatch/core_bench_test.go
@@ -33,7 +33,7 @@
 				now += 100
 				step(b, core, now, ResponseReady{id, 0})
 				now += 100
-				step(b, core, now, AttemptEnded{ID: id, Code: policy.OK, Latency: 200, Load: &policy.Load{Util: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}})
+				step(b, core, now, AttemptEnded{ID: id, Code: policy.OK, Latency: 200, Load: &policy.Load{Utilization: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}})
 				now += 800
 			}
 			if log.served != b.N {
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -20,16 +20,16 @@
 	}
 	// AttemptEnded is the end of an attempt.
 	AttemptEnded struct {
-		ID         string
-		Number     int
-		Code       policy.Code
-		Rejected   bool // the node reports an error of the statement: an answer, no fault of the node
-		Latency    Micros
-		Load       *policy.Load
-		WorkMicros Micros  // processor time of all threads; 0: the node does not report it
-		NeededMB   float64 // peak memory; 0: the node does not report it
-		Result     any
-		Err        error
+		ID                string
+		Number            int
+		Code              policy.Code
+		StatementRejected bool // the node reports an error of the statement: an answer, no fault of the node
+		Latency           Micros
+		Load              *policy.Load
+		WorkMicros        Micros  // processor time of all threads; 0: the node does not report it
+		NeededMB          float64 // peak memory; 0: the node does not report it
+		Result            any
+		Err               error
 	}
 	// PolicyEvent passes an event to the gateway that does not concern the ledger, such as policy.EndpointUpdate.
 	PolicyEvent struct{ Event policy.Event }
--- a/dispatch/learned_state_golden_test.go
+++ b/dispatch/learned_state_golden_test.go
@@ -36,7 +36,7 @@
 		lookup.Dispersion != 0.1278793493089433 || lookup.Received != 178 || lookup.Fit[0] != 156 {
 		t.Errorf("class lookup: %+v", lookup)
 	}
-	if learned.Fleet.Rate != 34.769253542181175 || learned.Fleet.Capacity != 1.5 || learned.Endpoints[1].Slow != -0.41304050641078605 {
+	if learned.Fleet.Rate != 34.769253542181175 || learned.Fleet.Capacity != 1.5 || learned.Endpoints[1].Inflation != -0.41304050641078605 {
 		t.Errorf("fleet %+v, second node %+v", learned.Fleet, learned.Endpoints[1])
 	}
 }
--- a/dispatch/ledger_test.go
+++ b/dispatch/ledger_test.go
@@ -68,7 +68,7 @@
 			{5, []Event{ResponseReady{"q", 0}}, nil}, {100 * ms, nil, nil}},
 			"send q/0 n1; open q/0; answer q failed DEADLINE; cancel q/0", nil},
 		{"a statement that a node turns down is over", []scriptedStep{{0, nil, []policy.Action{send}},
-			{5, []Event{AttemptEnded{ID: "q", Code: policy.Failed, Rejected: true}}, nil}},
+			{5, []Event{AttemptEnded{ID: "q", Code: policy.Failed, StatementRejected: true}}, nil}},
 			"send q/0 n1; answer q failed STATEMENT", nil},
 		{"a client that left", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ClientDisconnected{"q"}}, nil}},
 			"send q/0 n1; answer q failed CLIENT_GONE; cancel q/0", nil},
--- a/dispatch/query_events.go
+++ b/dispatch/query_events.go
@@ -111,7 +111,7 @@
 	c.observer.AttemptEnded(e.query, node, ev)
 	broken := e.forwarded == ev.Number && ev.Code != policy.OK
 	code := ev.Code
-	if ev.Rejected { // a statement error is no fault of the endpoint: the gateway learns nothing from it
+	if ev.StatementRejected { // a statement error is no fault of the endpoint: the gateway learns nothing from it
 		code = policy.Cancelled
 	}
 	c.policyEvents = append(c.policyEvents, policy.AttemptResult{
@@ -134,14 +134,14 @@
 
 // endsQuery says whether no further attempt can follow this end; broken: a part of its response has been forwarded.
 func endsQuery(ev AttemptEnded, broken bool) bool {
-	return ev.Code == policy.OK || ev.Rejected || broken
+	return ev.Code == policy.OK || ev.StatementRejected || broken
 }
 
 // finalOutcome is the answer of a query that ends with this attempt.
 func finalOutcome(ev AttemptEnded, broken bool) Outcome {
 	outcome := Outcome{Kind: Served, Result: ev.Result, Cause: ev.Err}
 	switch {
-	case ev.Rejected:
+	case ev.StatementRejected:
 		outcome.Kind, outcome.Reason = Failed, ReasonStatement
 	case broken:
 		outcome.Kind, outcome.Reason = Failed, ReasonBroken
--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -85,7 +85,7 @@
 
 // The reason for which a session ended is counted, once each.
 func TestClosuresAreCounted(t *testing.T) {
-	s := startServer(t, Options{Idle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
+	s := startServer(t, Options{IdleTimeout: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
 	closeConn(t, s.session())
 	send(s.session(), []byte{0xff, 0xff, 0xff, 0xff, 0xff})
 	idle := s.session()
@@ -95,7 +95,7 @@
 	}
 	s.session()
 	s.stop()
-	names, counts := s.front.Closures()
+	names, counts := s.front.CloseCounts()
 	total := int64(0)
 	for i, name := range names {
 		total += counts[i]
--- a/frontend/postgres/close_reason.go
+++ b/frontend/postgres/close_reason.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// Closures is how many sessions have ended for each reason, by name and in a fixed order.
-func (f *Front) Closures() (names []string, counts []int64) {
+// CloseCounts is how many sessions have ended for each reason, by name and in a fixed order.
+func (f *Front) CloseCounts() (names []string, counts []int64) {
 	for i, name := range closeReasonNames {
 		names, counts = append(names, name), append(counts, f.closeCounts[i].Load())
 	}
--- a/frontend/postgres/eviction_test.go
+++ b/frontend/postgres/eviction_test.go
@@ -10,7 +10,7 @@
 // At the bound on sessions silent connections are evicted, those with an open query never; where all have one, a new connection is rejected
 // with the message that nothing was read.
 func TestTooManyConnections(t *testing.T) {
-	s := startServer(t, Options{MostSessions: 4, BeginTimeout: time.Minute}, nil)
+	s := startServer(t, Options{MaxSessions: 4, BeginTimeout: time.Minute}, nil)
 	busy := s.session()
 	send(busy, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
@@ -36,7 +36,7 @@
 // In a flood of clients that send one query and stay, a client that has just connected is not the one to be evicted: its query is on its
 // way, while an idle client only has to connect again.
 func TestNewSessionsAreNotEvictedFirst(t *testing.T) {
-	s := startServer(t, Options{MostSessions: 8, BeginTimeout: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
+	s := startServer(t, Options{MaxSessions: 8, BeginTimeout: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
 	for i := range 60 {
 		fresh := s.session()
 		for j := range 3 { // each sends one query and stays
@@ -56,7 +56,7 @@
 // Where all sessions are busy a client can still cancel its query, and a new connection is rejected with the message that nothing was
 // read, whatever it has sent.
 func TestCancelAtTheBound(t *testing.T) {
-	s := startServer(t, Options{MostSessions: 1}, nil)
+	s := startServer(t, Options{MaxSessions: 1}, nil)
 	busy := s.session()
 	send(busy, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
--- a/frontend/postgres/front.go
+++ b/frontend/postgres/front.go
@@ -28,20 +28,20 @@
 type Options struct {
 	Log          *slog.Logger
 	Settings     policy.Settings // names of classes and tenants, deadlines, memory of machines
-	MostSessions int             // open connections; default 256
+	MaxSessions  int             // open connections; default 256
 	MaxStatement int             // bytes of one message; default 64 KiB
-	Idle         time.Duration   // a session without a query for so long is closed; default 30 s
+	IdleTimeout  time.Duration   // a session without a query for so long is closed; default 30 s
 	BeginTimeout time.Duration   // from the connect to the first query, and from a message's first byte to its last; default 2 s
 	WriteTimeout time.Duration   // for the client to take an answer; default 5 s
 	DrainIdle    time.Duration   // the drain at the end is over after so long without a connection or a query; default 200 ms
-	MaxClosing   int             // connections beyond MostSessions that are closing; default 8
+	MaxClosing   int             // connections beyond MaxSessions that are closing; default 8
 }
 
 // setDefaults replaces zero values.
 func (o *Options) setDefaults() {
-	o.MostSessions = cmp.Or(o.MostSessions, 256)
+	o.MaxSessions = cmp.Or(o.MaxSessions, 256)
 	o.MaxStatement = cmp.Or(o.MaxStatement, 64<<10)
-	o.Idle = cmp.Or(o.Idle, 30*time.Second)
+	o.IdleTimeout = cmp.Or(o.IdleTimeout, 30*time.Second)
 	o.BeginTimeout = cmp.Or(o.BeginTimeout, 2*time.Second)
 	o.WriteTimeout = cmp.Or(o.WriteTimeout, 5*time.Second)
 	o.DrainIdle = cmp.Or(o.DrainIdle, 200*time.Millisecond)
@@ -189,12 +189,12 @@
 // query, or is rejected.
 func (f *Front) accept(conn net.Conn) {
 	f.mu.Lock()
-	atBound := len(f.sessions) >= f.options.MostSessions && f.openSessions() >= f.options.MostSessions
+	atBound := len(f.sessions) >= f.options.MaxSessions && f.openSessions() >= f.options.MaxSessions
 	f.mu.Unlock()
 	overCapacity := atBound && !f.evict(false)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.sessions) >= f.options.MostSessions+f.options.MaxClosing && !f.disconnectClosing() {
+	if len(f.sessions) >= f.options.MaxSessions+f.options.MaxClosing && !f.disconnectClosing() {
 		f.rejected.Add(1)
 		_ = conn.Close() // nothing was read from it
 		return
--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -36,7 +36,7 @@
 func newSession(f *Front, conn net.Conn, overCapacity bool) *session {
 	now := time.Now()
 	s := &session{front: f, conn: conn, disconnected: make(chan struct{}), state: sessionState{overCapacity: overCapacity,
-		startedAt: now, lastActivity: now, limits: waitLimits{begin: f.options.BeginTimeout, idle: f.options.Idle}}}
+		startedAt: now, lastActivity: now, limits: waitLimits{begin: f.options.BeginTimeout, idle: f.options.IdleTimeout}}}
 	s.queueShrunk.L = &s.mu
 	return s
 }
--- a/frontend/postgres/session_answers_test.go
+++ b/frontend/postgres/session_answers_test.go
@@ -145,7 +145,7 @@
 
 // Thousands of sessions and ids: nothing is left of them.
 func TestNothingIsLeftOfSessions(t *testing.T) {
-	s := startServer(t, Options{MostSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
+	s := startServer(t, Options{MaxSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 	for i := range 2000 {
 		c := s.connect()
 		send(c, append(append([]byte{}, startupMessage...), queryWithFields(i, "SELECT 1")...))
@@ -159,7 +159,7 @@
 	s.front.mu.Lock()
 	sessions, traces := len(s.front.sessions), len(s.front.traces)
 	s.front.mu.Unlock()
-	if sessions > s.front.options.MostSessions+s.front.options.MaxClosing || traces > 0 {
+	if sessions > s.front.options.MaxSessions+s.front.options.MaxClosing || traces > 0 {
 		t.Errorf("%d sessions, %d ids", sessions, traces)
 	}
 	s.stop()
--- a/frontend/postgres/session_close_test.go
+++ b/frontend/postgres/session_close_test.go
@@ -47,7 +47,7 @@
 
 // An answer that is being written when its session is to close is written completely, and is the only one.
 func TestNoCloseBeforeTheAnswer(t *testing.T) {
-	s := startServer(t, Options{MostSessions: 1}, nil)
+	s := startServer(t, Options{MaxSessions: 1}, nil)
 	c := s.session()
 	send(c, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
--- a/frontend/postgres/session_state.go
+++ b/frontend/postgres/session_state.go
@@ -132,7 +132,7 @@
 
 // mayClose reports whether the session may be closed now; ending: the dispatcher ends.
 func (s *sessionState) mayClose(ending bool) bool {
-	c := permit.Connection{Reading: s.receiving, Ending: ending}
+	c := permit.Connection{Receiving: s.receiving, DispatcherEnds: ending}
 	if s.phase == working {
 		c.PendingAnswers = 1
 	}
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -101,7 +101,7 @@
 		}
 		return -1
 	}
-	return &policy.Load{Util: get("busy"), InFlight: get("rif"), Queue: get("q"),
+	return &policy.Load{Utilization: get("busy"), InFlight: get("rif"), Queue: get("q"),
 		Memory: get("x0"), Disk: get("x1")}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -95,7 +95,7 @@
 		policy.Request{ID: id, Cost: 12000, TableGroup: 11, MemoryMB: 384.5, ClientRetry: true, Deadline: 8652250,
 			OrderKey: 4569004829183723, HasOrderKey: true},
 		policy.AttemptResult{ID: id, Endpoint: "node.a", Code: policy.OK, Final: true, Latency: 18500, WorkMicros: 17000, NeededMB: 96 * 4,
-			Load: &policy.Load{Util: 0.62, InFlight: -1, Queue: 3, Memory: -1, Disk: 1.25}},
+			Load: &policy.Load{Utilization: 0.62, InFlight: -1, Queue: 3, Memory: -1, Disk: 1.25}},
 		policy.Progress{ID: id, Endpoint: "node.a", Kind: policy.WaitingForTables, Value: 2},
 		policy.HealthCheckResult{Endpoint: "node.a", Code: policy.TimedOut, Latency: 5},
 		policy.GossipReceived{From: 1, Data: []byte("hi 7")},
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -67,8 +67,8 @@
 	return r
 }
 
-// Move changes the address of the name service; version numbers continue.
-func (r *Resolver) Move(address string) {
+// SetAddress changes the address of the name service; version numbers continue.
+func (r *Resolver) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.address == address {
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -124,16 +124,16 @@
 		t.Errorf("%d failures counted, want 4 and more", r.Failures())
 	}
 	a.Spoil(nil)
-	if s := r.Stats(); s.Version != 8 || s.Answers == 0 || s.Questions < s.Answers || s.Unusable != r.Failures() || s.Sockets == 0 {
+	if s := r.Stats(); s.Version != 8 || s.Responses == 0 || s.Queries < s.Responses || s.Unusable != r.Failures() || s.Sockets == 0 {
 		t.Errorf("stats %+v", s)
 	}
 	b.Set(8, nodes("eight"))
-	r.Move(b.Address())
+	r.SetAddress(b.Address())
 	awaitQueries(t, b, 2)
 	b.Set(9, nodes("nine"))
 	expect(t, applied, "nine")
-	r.Move(a.Address()) // twice in a row: the last one counts
-	r.Move(b.Address())
+	r.SetAddress(a.Address()) // twice in a row: the last one counts
+	r.SetAddress(b.Address())
 	b.Set(10, nodes("ten"))
 	expect(t, applied, "ten")
 	b.Mute() // the present sockets get no response any more
@@ -142,7 +142,7 @@
 	b.Close() // nobody listens: it polls on, and continues when somebody does
 	failures := r.Failures()
 	await(t, "failures", func() bool { return r.Failures() >= failures+3 })
-	r.Move(a.Address())
+	r.SetAddress(a.Address())
 	a.Set(12, nodes("twelve"))
 	expect(t, applied, "twelve")
 	cancel()
@@ -257,10 +257,10 @@
 	run(t, r)
 	s.Set(1, nodes("a"))
 	s.Delay(50 * interval)
-	await(t, "slow responses", func() bool { return r.Stats().AnswerIn >= 40*interval })
+	await(t, "slow responses", func() bool { return r.Stats().ResponseTime >= 40*interval })
 	s.Delay(0)
-	responses := r.Stats().Answers
-	await(t, "fast responses", func() bool { return r.Stats().Answers >= responses+8 })
+	responses := r.Stats().Responses
+	await(t, "fast responses", func() bool { return r.Stats().Responses >= responses+8 })
 	s.Mute() // the slow responses are still received
 	drained := nodes("a")
 	drained[0].State = policy.Draining
--- a/permit/audit.go
+++ b/permit/audit.go
@@ -8,8 +8,8 @@
 	violated [reasonCount]atomic.Int64
 }
 
-// Withhold counts an act that did not happen because it was not permitted, and returns the reason. Permitted counts nothing.
-func (a *Audit) Withhold(r Reason) Reason {
+// Check counts an act that did not happen because it was not permitted, and returns the reason. Permitted counts nothing.
+func (a *Audit) Check(r Reason) Reason {
 	if r != Permitted {
 		a.withheld[r].Add(1)
 	}
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -57,13 +57,13 @@
 	Deadline           policy.Micros // the query's deadline, or the attempt's
 	StartBefore        policy.Micros // the end of the deduplication window of its key; 0: none
 	ClientDisconnected bool
-	Notified           policy.Micros // when the server was reported as draining or removed; 0: it is healthy
+	DrainNotifiedAt    policy.Micros // when the server was reported as draining or removed; 0: it is healthy
 	Sticky             bool          // the server has the state of the query's session
 	Grace              policy.Micros // for sticky queries, after Notified
 }
 
 // inGrace tells whether the server still serves the session while it drains.
-func (s Sending) inGrace() bool { return s.Sticky && s.Now < s.Notified+s.Grace }
+func (s Sending) inGrace() bool { return s.Sticky && s.Now < s.DrainNotifiedAt+s.Grace }
 
 // Send decides whether an attempt may begin.
 func (s Sending) Send() Reason {
@@ -74,7 +74,7 @@
 		return Deadline
 	case s.StartBefore > 0 && s.Now >= s.StartBefore:
 		return DedupWindow
-	case s.Notified > 0 && !s.inGrace():
+	case s.DrainNotifiedAt > 0 && !s.inGrace():
 		return Draining
 	}
 	return Permitted
@@ -88,18 +88,18 @@
 
 // Sent is the state of an attempt whose first byte has been sent.
 type Sent struct {
-	At             policy.Micros // when the first byte had been sent, at the latest
-	Deadline       policy.Micros
-	StartBefore    policy.Micros
-	DisconnectedAt policy.Micros // when the client disconnected; 0: it is connected
-	Notified       policy.Micros // as in Sending
-	Grace          policy.Micros
+	At              policy.Micros // when the first byte had been sent, at the latest
+	Deadline        policy.Micros
+	StartBefore     policy.Micros
+	DisconnectedAt  policy.Micros // when the client disconnected; 0: it is connected
+	DrainNotifiedAt policy.Micros // as in Sending
+	Grace           policy.Micros
 }
 
 // Violation is the rule that an attempt has violated; Permitted where it is none.
 func (s Sent) Violation() Reason {
 	switch {
-	case s.Notified > 0 && s.At > s.Notified+s.Grace:
+	case s.DrainNotifiedAt > 0 && s.At > s.DrainNotifiedAt+s.Grace:
 		return Draining
 	case s.DisconnectedAt > 0 && s.At > s.DisconnectedAt+disconnectSlack:
 		return ClientDisconnected
@@ -158,8 +158,8 @@
 // Connection is the state of a client's connection that is to be closed.
 type Connection struct {
 	PendingAnswers int  // requests without an answer
-	Reading        bool // a request has been received in part
-	Ending         bool // the dispatcher ends: a request received in part would be rejected
+	Receiving      bool // a request has been received in part
+	DispatcherEnds bool // the dispatcher ends: a request received in part would be rejected
 }
 
 // Close decides whether a connection may be closed now.
@@ -167,7 +167,7 @@
 	switch {
 	case c.PendingAnswers > 0:
 		return AnswersPending
-	case c.Reading && !c.Ending:
+	case c.Receiving && !c.DispatcherEnds:
 		return Reading
 	}
 	return Permitted
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -18,10 +18,10 @@
 		"the client has disconnected": {Sending{Now: 5, Deadline: 9, ClientDisconnected: true}, ClientDisconnected},
 		"the window is over":          {Sending{Now: 5, Deadline: 9, StartBefore: 5}, DedupWindow},
 		"the window is open":          {Sending{Now: 5, Deadline: 9, StartBefore: 6}, Permitted},
-		"it drains":                   {Sending{Now: 5, Deadline: 9, Notified: 5, Grace: 3}, Draining},
-		"sticky, in the grace":        {Sending{Now: 5, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Permitted},
-		"sticky, past the grace":      {Sending{Now: 7, Deadline: 9, Notified: 4, Grace: 3, Sticky: true}, Draining},
-		"sticky, no grace":            {Sending{Now: 5, Deadline: 9, Notified: 5, Sticky: true}, Draining},
+		"it drains":                   {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 5, Grace: 3}, Draining},
+		"sticky, in the grace":        {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Permitted},
+		"sticky, past the grace":      {Sending{Now: 7, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Draining},
+		"sticky, no grace":            {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 5, Sticky: true}, Draining},
 	} {
 		if got := c.s.Send(); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -35,8 +35,8 @@
 		s    Sent
 		want Reason
 	}{
-		"in the grace":              {Sent{At: 900 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Permitted},
-		"past the grace":            {Sent{At: 1101 * ms, Deadline: 9000 * ms, Notified: 100 * ms, Grace: 1000 * ms}, Draining},
+		"in the grace":              {Sent{At: 900 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Permitted},
+		"past the grace":            {Sent{At: 1101 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Draining},
 		"just after the disconnect": {Sent{At: 150 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, Permitted},
 		"long after the disconnect": {Sent{At: 201 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, ClientDisconnected},
 		"after the deadline":        {Sent{At: 151 * ms, Deadline: 100 * ms}, Deadline},
@@ -81,9 +81,9 @@
 		{Intake{InFlight: 2, MaxInFlight: 2}.Start(), Full},
 		{Intake{InFlight: 1, MaxInFlight: 2}.Start(), Permitted},
 		{Connection{}.Close(), Permitted},
-		{Connection{PendingAnswers: 1, Ending: true}.Close(), AnswersPending},
-		{Connection{Reading: true}.Close(), Reading},
-		{Connection{Reading: true, Ending: true}.Close(), Permitted},
+		{Connection{PendingAnswers: 1, DispatcherEnds: true}.Close(), AnswersPending},
+		{Connection{Receiving: true}.Close(), Reading},
+		{Connection{Receiving: true, DispatcherEnds: true}.Close(), Permitted},
 	} {
 		if c.got != c.want {
 			t.Errorf("%v, want %v", c.got, c.want)
@@ -93,10 +93,10 @@
 
 func TestAudit(t *testing.T) {
 	var a Audit
-	if a.Withhold(Permitted) != Permitted || a.Violate(Permitted) || len(a.Counts()) != 0 {
+	if a.Check(Permitted) != Permitted || a.Violate(Permitted) || len(a.Counts()) != 0 {
 		t.Error("what is permitted is counted")
 	}
-	a.Withhold(Draining)
+	a.Check(Draining)
 	a.Violate(Draining)
 	a.Violate(DedupWindow)
 	got := a.Counts()
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -41,7 +41,7 @@
 				b.g.classes[i].meanWork.value = 0.1
 			}
 			for _, e := range b.g.endpoints.list {
-				e.load, e.loadAt = Load{Util: tt.util, InFlight: -1}, b.now
+				e.load, e.loadAt = Load{Utilization: tt.util, InFlight: -1}, b.now
 			}
 			b.g.threads[0] = tt.own
 			q := b.request(tt.class)
@@ -73,7 +73,7 @@
 		}
 		b.g.queries.work.value, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
 		for _, e := range b.g.endpoints.list {
-			b.g.recordLoad(e, Load{Util: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+			b.g.recordLoad(e, Load{Utilization: 1, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		b.g.threads[0] = 50
 		r := actionsOf[Shed](b.step(b.request(0)))
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -33,7 +33,7 @@
 	b := newHarness(t, set, 1)
 	q := b.request(0)
 	s := actionsOf[Send](b.step(q))[0]
-	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000, Load: &Load{Util: 0.2, InFlight: 40}})
+	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000, Load: &Load{Utilization: 0.2, InFlight: 40}})
 	b.now += 1000
 	if n := len(actionsOf[Send](b.step(b.request(1), b.request(1)))); n > 1 {
 		t.Fatalf("%d heavy queries sent to an endpoint that holds 40", n)
@@ -54,7 +54,7 @@
 	for range 60 {
 		b.now += sec / 4
 		for _, e := range b.g.endpoints.list {
-			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+			b.g.recordLoad(e, Load{Utilization: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(actionsOf[Send](b.step(b.request(0))))
 	}
--- a/policy/events.go
+++ b/policy/events.go
@@ -60,7 +60,7 @@
 }
 
 // Load is an endpoint's load report; a negative value was not reported.
-type Load struct{ Util, InFlight, Queue, Memory, Disk float64 }
+type Load struct{ Utilization, InFlight, Queue, Memory, Disk float64 }
 
 // Code says how an attempt or a health check ended.
 type Code int
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -104,7 +104,7 @@
 			case 4:
 				b.step(Progress{ID: id, Attempt: int(x/8) % 2, Kind: ProgressKind(x / 8 % 4), Value: float64(x) / 100})
 			case 5:
-				b.step(HealthCheckResult{Endpoint: e, Code: Code(x / 8 % 2), Load: &Load{Util: float64(x) / 100, InFlight: -1, Memory: -1}})
+				b.step(HealthCheckResult{Endpoint: e, Code: Code(x / 8 % 2), Load: &Load{Utilization: float64(x) / 100, InFlight: -1, Memory: -1}})
 			case 6:
 				b.step(EndpointUpdate{Complete: x > 128, Endpoints: []Endpoint{{ID: e, Started: b.now, State: EndpointState(x / 8 % 3)}}})
 			default:
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -66,7 +66,7 @@
 			inflation: e.lastInflation, fault: e.lastWasFault, threads: e.threads,
 			grantedShare: e.grantedMB / max(e.memoryMB, 1), lockedGroup: g.sampleLockedGroup(e)}
 		if e.loadAt > 0 {
-			r.utilization, r.inFlight, r.memory = e.load.Util, e.load.InFlight, e.load.Memory
+			r.utilization, r.inFlight, r.memory = e.load.Utilization, e.load.InFlight, e.load.Memory
 		}
 		rows = append(rows, r)
 	}
@@ -100,7 +100,7 @@
 		e.tableLocks[r.lockedGroup] = max(at, e.tableLocks[r.lockedGroup])
 	}
 	if r.utilization >= 0 && at > e.loadAt {
-		load := Load{Util: r.utilization, InFlight: r.inFlight, Queue: -1, Memory: r.memory, Disk: -1}
+		load := Load{Utilization: r.utilization, InFlight: r.inFlight, Queue: -1, Memory: r.memory, Disk: -1}
 		g.recordLoad(e, load, at)
 	}
 	if at <= e.lastResponse || at <= e.slowStartSince {
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -24,15 +24,15 @@
 // LearnedClass is what was learned of one class.
 type LearnedClass struct {
 	Name            string                  `json:"Name"`
-	Mean            Running                 `json:"Mean"`
+	MeanWork        Running                 `json:"Mean"`
 	UsualWork       Running                 `json:"Heft"`
 	EstimateMedian  Running                 `json:"Asked"`
-	Ratio           Running                 `json:"Ratio"`
-	Memory          Running                 `json:"Memory"`
+	LatencyRatio    Running                 `json:"Ratio"`
+	MemoryMedian    Running                 `json:"Memory"`
 	Received        float64                 `json:"Taken"`
 	Dispersion      float64                 `json:"Stray"`
 	DispersionCount float64                 `json:"StrayN"`
-	Margin          float64                 `json:"Margin"`
+	GrantMargin     float64                 `json:"Margin"`
 	Fit             [5]float64              `json:"Fit"`
 	Price           [priorityLevels]float64 `json:"Price"`
 	QueueWait       [priorityLevels]float64 `json:"Wait"`
@@ -40,25 +40,25 @@
 
 // LearnedFleet is what was learned of all endpoints together and of own traffic.
 type LearnedFleet struct {
-	WarmthInflation [2]float64 `json:"Stretch"`
-	Threads         float64    `json:"Threads"`
-	Rate            float64    `json:"Rate"`
-	MeanRate        float64    `json:"MeanRate"`
-	GrantMB         float64    `json:"MB"`
-	SentThreads     Running    `json:"Sent"`
-	Latency         Running    `json:"Took"`
-	Cost            Running    `json:"Cost"`
-	Inflation       Running    `json:"Crowd"`
-	Capacity        float64    `json:"Room"`
-	InFlight        float64    `json:"Open"`
+	CacheInflation [2]float64 `json:"Stretch"`
+	QueryThreads   float64    `json:"Threads"`
+	Rate           float64    `json:"Rate"`
+	MeanRate       float64    `json:"MeanRate"`
+	GrantMB        float64    `json:"MB"`
+	SentThreads    Running    `json:"Sent"`
+	Latency        Running    `json:"Took"`
+	Work           Running    `json:"Cost"`
+	Inflation      Running    `json:"Crowd"`
+	Capacity       float64    `json:"Room"`
+	InFlight       float64    `json:"Open"`
 }
 
 // LearnedEndpoint is what was learned of one endpoint since its last start.
 type LearnedEndpoint struct {
-	ID      string  `json:"ID"`
-	Started Micros  `json:"Started"`
-	Slow    float64 `json:"Slow"`
-	Faults  float64 `json:"Faults"`
+	ID         string  `json:"ID"`
+	Started    Micros  `json:"Started"`
+	Inflation  float64 `json:"Slow"`
+	FaultShare float64 `json:"Faults"`
 }
 
 // stored and restored are a running estimate's stored form, and back.
@@ -72,17 +72,17 @@
 // Learned returns what the gateway has learned so far.
 func (g *Gateway) Learned() Learned {
 	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{
-		WarmthInflation: g.cacheEffect.inflation,
-		Threads:         g.queries.threads,
-		Rate:            g.traffic.rate,
-		MeanRate:        g.traffic.meanRate,
-		GrantMB:         g.queries.grantMB,
-		SentThreads:     g.queries.sentThreads.stored(),
-		Latency:         g.queries.latency.stored(),
-		Cost:            g.queries.work.stored(),
-		Inflation:       g.congestion.inflation.stored(),
-		Capacity:        g.congestion.capacity,
-		InFlight:        g.queries.inFlight,
+		CacheInflation: g.cacheEffect.inflation,
+		QueryThreads:   g.queries.threads,
+		Rate:           g.traffic.rate,
+		MeanRate:       g.traffic.meanRate,
+		GrantMB:        g.queries.grantMB,
+		SentThreads:    g.queries.sentThreads.stored(),
+		Latency:        g.queries.latency.stored(),
+		Work:           g.queries.work.stored(),
+		Inflation:      g.congestion.inflation.stored(),
+		Capacity:       g.congestion.capacity,
+		InFlight:       g.queries.inFlight,
 	}}
 	for i := range g.classes {
 		l.Classes = append(l.Classes, g.classes[i].learned())
@@ -97,15 +97,15 @@
 func (c *class) learned() LearnedClass {
 	return LearnedClass{
 		Name:            c.Name,
-		Mean:            c.meanWork.stored(),
+		MeanWork:        c.meanWork.stored(),
 		UsualWork:       c.usualWork.stored(),
 		EstimateMedian:  c.estimateMedian.stored(),
-		Ratio:           c.latencyRatio.stored(),
-		Memory:          c.memoryMedian.stored(),
+		LatencyRatio:    c.latencyRatio.stored(),
+		MemoryMedian:    c.memoryMedian.stored(),
 		Received:        c.received,
 		Dispersion:      c.dispersion,
 		DispersionCount: c.dispersionCount,
-		Margin:          c.grantMargin,
+		GrantMargin:     c.grantMargin,
 		Fit:             c.workFit.stored(),
 		Price:           c.price,
 		QueueWait:       c.queueWait,
@@ -114,14 +114,14 @@
 
 // restore takes what was learned of a class; prices and waits only where they still hold.
 func (c *class) restore(l LearnedClass, fresh bool) {
-	c.meanWork = l.Mean.mean()
+	c.meanWork = l.MeanWork.mean()
 	c.usualWork = l.UsualWork.mean()
 	c.estimateMedian = l.EstimateMedian.median()
-	c.latencyRatio = l.Ratio.median()
-	c.memoryMedian = l.Memory.median()
+	c.latencyRatio = l.LatencyRatio.median()
+	c.memoryMedian = l.MemoryMedian.median()
 	c.received = l.Received
 	c.dispersion, c.dispersionCount = l.Dispersion, l.DispersionCount
-	c.grantMargin = l.Margin
+	c.grantMargin = l.GrantMargin
 	c.workFit = restoredFit(l.Fit)
 	if fresh {
 		c.price, c.queueWait = l.Price, l.QueueWait
@@ -146,10 +146,10 @@
 		}
 	}
 	f := l.Fleet
-	g.cacheEffect.inflation = f.WarmthInflation
-	g.queries.threads, g.queries.grantMB = f.Threads, f.GrantMB
+	g.cacheEffect.inflation = f.CacheInflation
+	g.queries.threads, g.queries.grantMB = f.QueryThreads, f.GrantMB
 	g.queries.sentThreads, g.queries.latency = f.SentThreads.mean(), f.Latency.mean()
-	g.queries.work = f.Cost.mean()
+	g.queries.work = f.Work.mean()
 	if !fresh {
 		return nil
 	}
@@ -171,7 +171,7 @@
 	if k, ok := g.restored[e.ID]; ok {
 		delete(g.restored, e.ID)
 		if d := k.Started - e.Started; d < sameStartTolerance && d > -sameStartTolerance {
-			e.inflation, e.faultShare = k.Slow, k.Faults
+			e.inflation, e.faultShare = k.Inflation, k.FaultShare
 		}
 	}
 }
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -43,7 +43,7 @@
 	rows := []Endpoint{{ID: "e0"}, {ID: "e1"}, {ID: "e2", Started: 5 * sec}}
 	fresh, stale := start(l, true, rows...), start(l, false, rows...)
 	for _, g := range []*Gateway{fresh, stale} {
-		if got := g.Learned().Classes[0]; got.Fit != l.Classes[0].Fit || got.Ratio != l.Classes[0].Ratio || got.Mean != l.Classes[0].Mean {
+		if got := g.Learned().Classes[0]; got.Fit != l.Classes[0].Fit || got.LatencyRatio != l.Classes[0].LatencyRatio || got.MeanWork != l.Classes[0].MeanWork {
 			t.Errorf("the class: %+v, want %+v", got, l.Classes[0])
 		}
 	}
--- a/policy/load.go
+++ b/policy/load.go
@@ -32,7 +32,7 @@
 // reportConfidence is how far an endpoint's report is believed, from 1 when new to 0 at reportLifetime; 0
 // where it has neither utilization nor queries in flight.
 func (g *Gateway) reportConfidence(e *endpoint) float64 {
-	if e.loadAt == 0 || e.load.Util < 0 && e.load.InFlight < 0 {
+	if e.loadAt == 0 || e.load.Utilization < 0 && e.load.InFlight < 0 {
 		return 0
 	}
 	return max(0, 1-g.secondsSince(e.loadAt)/reportLifetime)
@@ -46,11 +46,11 @@
 	switch {
 	case k == 0 && g.fleet.threadsPerCore == 0:
 		return e.threads / g.trafficShare() / e.cores
-	case e.loadAt == 0 || e.load.Util < 0:
+	case e.loadAt == 0 || e.load.Utilization < 0:
 		threads, _ := g.peerLoad(e)
 		return (threads + e.threads) / threadsPerBusyCore / e.cores
 	}
-	return k*e.load.Util + (1-k)*g.fleet.threadsPerCore + e.unreportedThreads/e.cores
+	return k*e.load.Utilization + (1-k)*g.fleet.threadsPerCore + e.unreportedThreads/e.cores
 }
 
 // peerLoad is what other gateways have on an endpoint, in threads and granted MB: the maximum of what they
@@ -65,9 +65,9 @@
 	switch {
 	case k > 0 && e.load.InFlight >= 0:
 		estimate = e.load.InFlight*g.queries.threads - reportedOwn
-	case k > 0 && e.load.Util >= 0:
-		saturated := saturatedThreadSlope * max(0, e.load.Util-saturatedUtilization)
-		threadsPerCore := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Util + saturated)
+	case k > 0 && e.load.Utilization >= 0:
+		saturated := saturatedThreadSlope * max(0, e.load.Utilization-saturatedUtilization)
+		threadsPerCore := g.fleet.occupancyExcess * (threadsPerBusyCore*e.load.Utilization + saturated)
 		estimate = (k*(threadsPerCore*e.cores-reportedOwn) + (1-k)*estimate) * (1 - g.fleet.peerCoverage)
 	}
 	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage) // grants as big as ours
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -10,7 +10,7 @@
 	for range 40 {
 		b.now += 50000
 		for _, e := range b.g.endpoints.list {
-			b.g.recordLoad(e, Load{Util: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
+			b.g.recordLoad(e, Load{Utilization: 0.6, InFlight: -1, Queue: 0, Memory: -1, Disk: -1}, b.now)
 		}
 		sent += len(actionsOf[Send](b.step(b.request(1))))
 	}
--- a/policy/memory_grants.go
+++ b/policy/memory_grants.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Memory grants: factors over the estimated memory.
+// MemoryMedian grants: factors over the estimated memory.
 const (
 	reportedGrantMargin   = 1.75 // first factor: the fit may lie low, and a spill costs more than memory
 	unreportedGrantMargin = 2.5  // the same where no progress reports spills: nothing would correct it
--- a/policy/simulation_test.go
+++ b/policy/simulation_test.go
@@ -83,7 +83,7 @@
 }
 
 func (c *simulation) load(endpoint string) *Load {
-	return &Load{Util: min(1, c.open[endpoint]/8), InFlight: c.open[endpoint], Queue: -1, Memory: -1, Disk: -1}
+	return &Load{Utilization: min(1, c.open[endpoint]/8), InFlight: c.open[endpoint], Queue: -1, Memory: -1, Disk: -1}
 }
 
 func (c *simulation) after(d Micros, f func()) {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Slow start: how much work an endpoint bears that has just started.
+// Inflation start: how much work an endpoint bears that has just started.
 const (
 	rampCredit       = 0.5  // share of the ramp credited to a starting endpoint: its shape is not known
 	slowMachineSpeed = 0.8  // assumed speed of a slow machine, relative to its cores
--- a/server/admin_json_test.go
+++ b/server/admin_json_test.go
@@ -11,8 +11,8 @@
 // TestAdminJSON holds the keys of the admin socket's answers: operators' scripts and command lines of other builds read them.
 func TestAdminJSON(t *testing.T) {
 	state := ConfigState{Dispatcher: "dispatcher-1", History: []uint64{1, 2}, Effective: json.RawMessage(`{"name":"x"}`),
-		Status: control.Status{Number: 2, Moving: 3, Phase: control.Storing, Waiting: []string{"limits"}, Pinned: true,
-			Versions: map[string]string{"nodes": "7"}, Refused: []string{"too large"}}}
+		Status: control.Status{Number: 2, Updating: 3, Phase: control.Storing, Incomplete: []string{"limits"}, Pinned: true,
+			Versions: map[string]string{"nodes": "7"}, Rejected: []string{"too large"}}}
 	const golden = `{"dispatcher":"dispatcher-1","status":{"Number":2,"Moving":3,"Phase":1,"Waiting":["limits"],"Pinned":true,` +
 		`"Versions":{"nodes":"7"},"Refused":["too large"]},"history":[1,2],"effective":{"name":"x"}}`
 	text, err := json.Marshal(state)
--- a/server/controller.go
+++ b/server/controller.go
@@ -78,7 +78,7 @@
 	for _, one := range damaged {
 		c.log.Error("a stored version is damaged and passed over", "error", one)
 	}
-	if errors.Is(err, store.ErrNone) {
+	if errors.Is(err, store.ErrNotFound) {
 		return cfg, control.Set{}, nil
 	}
 	if err != nil {
@@ -102,10 +102,10 @@
 
 func streamOptions(cfg *config.Config) stream.Options {
 	f := &cfg.File
-	o := stream.Options{Node: f.Name, Names: cfg.Names(), Most: maxReconnectBackoff}
+	o := stream.Options{Node: f.Name, Names: cfg.Names(), MaxBackoff: maxReconnectBackoff}
 	if f.Control != nil {
 		o.Address, o.Cluster, o.Settings, o.Delta = f.Control.Address, f.Control.Cluster, true, f.Control.Delta
-		o.Most = f.Control.Reconnect.D()
+		o.MaxBackoff = f.Control.Reconnect.D()
 	} else {
 		o.Address, o.Cluster = f.Nodes.EDS.Address, f.Nodes.EDS.Cluster
 	}
@@ -208,7 +208,7 @@
 			c.post(ctx, control.Stored{Number: a.Set.Number, Err: err})
 			return nil
 		})
-	case control.Forget:
+	case control.DeleteSet:
 		if c.store != nil {
 			if err := c.store.Forget(a.Number); err != nil {
 				c.log.Error("a version that could not be put in force stays in the store", "set", a.Number, "error", err)
@@ -216,11 +216,11 @@
 		}
 	case control.Apply:
 		c.applySettings(ctx, a)
-	case control.List:
+	case control.ApplyNodeList:
 		if err := c.dispatcher.fleet.SetNodes(a.Nodes); err != nil {
 			c.log.Error("node list", "error", err)
 		}
-	case control.ListRefused:
+	case control.NodeListRejected:
 		c.dispatcher.fleet.ListFailed(errors.New(strings.Join(a.Reasons, "; ")))
 	case control.Renew:
 		c.stream.Renew()
@@ -288,7 +288,7 @@
 	if !errors.Is(err, stream.ErrRenewed) {
 		h.controller.dispatcher.fleet.ListFailed(err)
 	}
-	h.controller.post(h.ctx, control.Lost{})
+	h.controller.post(h.ctx, control.StreamLost{})
 }
 
 // BreakStore closes the store of a running dispatcher, so that every write to it fails, for tests of full and read-only disks.
--- a/server/learned_state_test.go
+++ b/server/learned_state_test.go
@@ -66,7 +66,7 @@
 		g, err := policy.New(seed, s)
 		return &restoreRecorder{g, &warm}, err
 	})
-	if err != nil || rep.Differ != 0 || rep.Damage != nil || !warm {
+	if err != nil || rep.Different != 0 || rep.Damage != nil || !warm {
 		t.Errorf("%+v, %v, started warm: %v", rep, err, warm)
 	}
 	if err := os.WriteFile(kept, []byte("{"), 0o600); err != nil {
--- a/server/observer.go
+++ b/server/observer.go
@@ -139,7 +139,7 @@
 	o.counterFunc("node_list_failures_total", "Node lists that failed or could not be used.", nil,
 		func() float64 { return float64(f.ListFailures()) })
 	o.gaugeFunc("drain_last_send_seconds", "Longest time from a drain notice to a send to that node after it; 0: none was sent.",
-		func() float64 { return f.LastSendAfterDrain().Seconds() })
+		func() float64 { return f.MaxSendDelayAfterDrain().Seconds() })
 	o.gaugeFunc("native_connections", "Open connections of native clients.", func() float64 { return float64(native.Conns()) })
 	o.gaugeFunc("held_insert_bytes", "Bytes of clients' rows and external tables held until their queries have an answer.",
 		func() float64 { b, _, _ := native.Holding(); return float64(b) })
--- a/server/platform.go
+++ b/server/platform.go
@@ -86,7 +86,7 @@
 	p.loop = dispatch.NewLoop(core, p.clock)
 	p.fleet.Bind(p.loop)
 	p.frontend = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings,
-		MostSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, Idle: duration(cfg.SocketLimits.ConnIdle)},
+		MaxSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, IdleTimeout: duration(cfg.SocketLimits.ConnIdle)},
 		frontend.NewIntake(p.loop, p.clock, frontend.Tables{}))
 	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial,
 		Interval: pollInterval(cfg), Apply: p.setNodes})
@@ -158,7 +158,7 @@
 		return
 	}
 	p.log.Info("configuration taken", "resolver", cfg.Resolver)
-	p.resolver.Move(cfg.Resolver)
+	p.resolver.SetAddress(cfg.Resolver)
 }
 
 // Drain begins a graceful shutdown: queries are accepted for drainDelay more, later ones are rejected, and Run returns when all have
--- a/server/platform_metrics.go
+++ b/server/platform_metrics.go
@@ -138,8 +138,8 @@
 // logNodeList logs the age of the node list and the counts of its polls.
 func (m *platformMetrics) logNodeList(p *Platform) {
 	list := p.resolver.Stats()
-	m.log.Info("node list figures", "version", list.Version, "age_ms", list.Age.Milliseconds(), "questions", list.Questions,
-		"answers", list.Answers, "answer_ms", list.AnswerIn.Milliseconds(), "unusable", list.Unusable, "lower", list.Lower,
+	m.log.Info("node list figures", "version", list.Version, "age_ms", list.Age.Milliseconds(), "questions", list.Queries,
+		"answers", list.Responses, "answer_ms", list.ResponseTime.Milliseconds(), "unusable", list.Unusable, "lower", list.LowerNumbers,
 		"reverted", list.Reverted, "sockets", list.Sockets)
 }
 
@@ -170,7 +170,7 @@
 // logClosures logs the reasons of ended client sessions that have occurred.
 func (m *platformMetrics) logClosures(p *Platform) {
 	var args []any
-	names, counts := p.frontend.Closures()
+	names, counts := p.frontend.CloseCounts()
 	for i, name := range names {
 		if counts[i] > 0 {
 			args = append(args, name, counts[i])
--- a/server/recording_test.go
+++ b/server/recording_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) { return policy.New(seed, s) })
-	if err != nil || rep.Differ != 0 || rep.Damage != nil || rep.Dropped != 0 || rep.Events < 800 || rep.Actions < 400 {
+	if err != nil || rep.Different != 0 || rep.Damage != nil || rep.Dropped != 0 || rep.Events < 800 || rep.Actions < 400 {
 		t.Errorf("%+v, %v", rep, err)
 	}
 	if rep.First != nil {
--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -175,8 +175,8 @@
 				t.Errorf("restarted with set %d, want %d", number, want)
 			}
 			h.acked[2] = false
-			if h.offer(m, validSet(2), 99); !h.acked[2] || m.InForce().Number != 2 {
-				t.Errorf("offered again: acknowledged %v, active is %d", h.acked[2], m.InForce().Number)
+			if h.offer(m, validSet(2), 99); !h.acked[2] || m.Active().Number != 2 {
+				t.Errorf("offered again: acknowledged %v, active is %d", h.acked[2], m.Active().Number)
 			}
 		})
 	}
--- a/store/store.go
+++ b/store/store.go
@@ -27,8 +27,8 @@
 // lockTimeout bounds the wait for a file that another process has open.
 const lockTimeout = time.Second
 
-// ErrNone is the error where no intact version is stored.
-var ErrNone = errors.New("store: no good version")
+// ErrNotFound is the error where no intact version is stored.
+var ErrNotFound = errors.New("store: no good version")
 
 // Damaged is a version that cannot be decoded. It is an error.
 type Damaged struct {
@@ -115,7 +115,7 @@
 	})
 }
 
-// Last returns the newest intact version, and the damaged ones that are newer. The error is ErrNone if there is none.
+// Last returns the newest intact version, and the damaged ones that are newer. The error is ErrNotFound if there is none.
 func (s *Store) Last() (control.Set, []Damaged, error) {
 	var damaged []Damaged
 	var found *control.Set
@@ -132,7 +132,7 @@
 		return nil
 	})
 	if err == nil && found == nil {
-		err = ErrNone
+		err = ErrNotFound
 	}
 	if err != nil {
 		return control.Set{}, damaged, err
@@ -140,7 +140,7 @@
 	return *found, damaged, nil
 }
 
-// Get returns the newest intact version with a number. The error is ErrNone if there is none.
+// Get returns the newest intact version with a number. The error is ErrNotFound if there is none.
 func (s *Store) Get(number uint64) (control.Set, error) {
 	all, err := s.All()
 	if err != nil {
@@ -151,7 +151,7 @@
 			return all[i], nil
 		}
 	}
-	return control.Set{}, fmt.Errorf("store: set %d: %w", number, ErrNone)
+	return control.Set{}, fmt.Errorf("store: set %d: %w", number, ErrNotFound)
 }
 
 // All returns the intact versions, the oldest first.
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -47,7 +47,7 @@
 func TestVersionsSurviveARestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.db")
 	s := open(t, path)
-	if _, _, err := s.Last(); !errors.Is(err, ErrNone) {
+	if _, _, err := s.Last(); !errors.Is(err, ErrNotFound) {
 		t.Errorf("an empty store: %v", err)
 	}
 	for n := uint64(1); n <= 5; n++ {
@@ -66,7 +66,7 @@
 	if got, err := s.Get(4); err != nil || got.Number != 4 {
 		t.Errorf("%v, %v", got.Number, err)
 	}
-	if _, err := s.Get(1); !errors.Is(err, ErrNone) {
+	if _, err := s.Get(1); !errors.Is(err, ErrNotFound) {
 		t.Errorf("one that was dropped: %v", err)
 	}
 	for _, n := range []uint64{4, 5} { // 4 is not the newest: it stays
--- a/trace/encoding.go
+++ b/trace/encoding.go
@@ -11,14 +11,14 @@
 	if l == nil {
 		return nil
 	}
-	return &tracev1.Load{Util: l.Util, InFlight: l.InFlight, Queue: l.Queue, Memory: l.Memory, Disk: l.Disk}
+	return &tracev1.Load{Util: l.Utilization, InFlight: l.InFlight, Queue: l.Queue, Memory: l.Memory, Disk: l.Disk}
 }
 
 func decodeLoad(l *tracev1.Load) *policy.Load {
 	if l == nil {
 		return nil
 	}
-	return &policy.Load{Util: l.GetUtil(), InFlight: l.GetInFlight(), Queue: l.GetQueue(), Memory: l.GetMemory(), Disk: l.GetDisk()}
+	return &policy.Load{Utilization: l.GetUtil(), InFlight: l.GetInFlight(), Queue: l.GetQueue(), Memory: l.GetMemory(), Disk: l.GetDisk()}
 }
 
 // encodeEvent encodes an event. It panics on a type that is missing here.
--- a/trace/golden_test.go
+++ b/trace/golden_test.go
@@ -17,8 +17,8 @@
 // decides the same again.
 func TestRecordingsOfTheBuildBefore(t *testing.T) {
 	for file, want := range map[string]Report{
-		"testdata/demo.decisions":  {Begins: 1, Steps: 96, Events: 89, Actions: 79},
-		"testdata/small.decisions": {Begins: 1, Steps: 847, Events: 845, Actions: 667},
+		"testdata/demo.decisions":  {Starts: 1, Steps: 96, Events: 89, Actions: 79},
+		"testdata/small.decisions": {Starts: 1, Steps: 847, Events: 845, Actions: 667},
 	} {
 		text, err := os.ReadFile(file)
 		if err != nil {
@@ -33,9 +33,9 @@
 			t.Fatal(err)
 		}
 		if report.First != nil || report.Damage != nil || report.Dropped > 0 {
-			t.Errorf("%s: %d steps differ, first %+v, damage %v, dropped %d", file, report.Differ, report.First, report.Damage, report.Dropped)
+			t.Errorf("%s: %d steps differ, first %+v, damage %v, dropped %d", file, report.Different, report.First, report.Damage, report.Dropped)
 		}
-		if report.Begins != want.Begins || report.Steps != want.Steps || report.Events != want.Events || report.Actions != want.Actions {
+		if report.Starts != want.Starts || report.Steps != want.Steps || report.Events != want.Events || report.Actions != want.Actions {
 			t.Errorf("%s: %+v, wanted %+v", file, report, want)
 		}
 		checkSettingsOf(t, file, text)
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -43,8 +43,8 @@
 
 // Report is the result of a replay.
 type Report struct {
-	Begins, Steps, Events, Actions int
-	Differ                         int            // steps that differ
+	Starts, Steps, Events, Actions int
+	Different                      int            // steps that differ
 	First                          *Difference    // nil: none
 	ByKind                         map[string]int // actions that were recorded and are not decided now ("-" and the kind), and vice versa ("+")
 	Dropped                        uint64         // entries that the recorder dropped
@@ -106,7 +106,7 @@
 	if err := p.restore(b.GetLearned(), b.GetFresh()); err != nil {
 		return err
 	}
-	p.report.Begins++
+	p.report.Starts++
 	p.now = b.GetAtUs()
 	return nil
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	if !same {
-		rep.Differ++
+		rep.Different++
 	}
 }
 
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -51,7 +51,7 @@
 			for _, a := range acts {
 				if a, ok := a.(policy.Send); ok {
 					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: attempts[a.ID], Endpoint: a.Endpoint, Code: policy.Code(rng.IntN(3) / 2), Final: true,
-						Latency: int64(rng.IntN(90000)), Load: &policy.Load{Util: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
+						Latency: int64(rng.IntN(90000)), Load: &policy.Load{Utilization: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
 					attempts[a.ID]++
 				}
 			}
@@ -112,12 +112,12 @@
 func TestReplay(t *testing.T) {
 	file := recording(t, 2000, 5)
 	rep := replayFile(t, file, nil)
-	if rep.Begins != 1 || rep.Steps < 2000 || rep.Actions == 0 || rep.Differ != 0 || rep.First != nil || rep.Damage != nil {
+	if rep.Starts != 1 || rep.Steps < 2000 || rep.Actions == 0 || rep.Different != 0 || rep.First != nil || rep.Damage != nil {
 		t.Errorf("%+v", rep)
 	}
 	t.Logf("%d steps, %d events, %d actions in %d bytes", rep.Steps, rep.Events, rep.Actions, len(file))
 	rep = replayFile(t, file, func(s *policy.Settings) { s.HonorsGrants, s.HonorsPriority = false, false })
-	if rep.First == nil || rep.Differ == 0 || rep.ByKind["-Terms"] == 0 {
+	if rep.First == nil || rep.Different == 0 || rep.ByKind["-Terms"] == 0 {
 		t.Errorf("without terms: %+v", rep)
 	}
 }
@@ -132,12 +132,12 @@
 	for _, at := range []int{len(Magic) + 3, len(file) / 2, len(file) - 1} {
 		rep := replayFile(t, file[:at], nil)
 		var d *DamageError
-		if !errors.As(rep.Damage, &d) || rep.Differ != 0 || rep.Steps > complete.Steps {
+		if !errors.As(rep.Damage, &d) || rep.Different != 0 || rep.Steps > complete.Steps {
 			t.Errorf("truncated at %d: %+v", at, rep)
 		}
 		damaged := bytes.Clone(file)
 		damaged[at] ^= 0x10
-		if rep = replayFile(t, damaged, nil); !errors.As(rep.Damage, &d) || rep.Differ != 0 {
+		if rep = replayFile(t, damaged, nil); !errors.As(rep.Damage, &d) || rep.Different != 0 {
 			t.Errorf("damaged at %d: %+v", at, rep)
 		}
 	}
@@ -151,7 +151,7 @@
 	if r.Drops() == 0 {
 		t.Fatal("nothing was dropped")
 	}
-	if rep := replayFile(t, writeAll(t, r), nil); rep.Dropped != r.Drops() || rep.Differ != 0 || rep.Steps+rep.Skipped == 0 {
+	if rep := replayFile(t, writeAll(t, r), nil); rep.Dropped != r.Drops() || rep.Different != 0 || rep.Steps+rep.Skipped == 0 {
 		t.Errorf("%+v, dropped were %d", rep, r.Drops())
 	}
 }
