--- a/backend/list.go
+++ b/backend/list.go
@@ -58,7 +58,7 @@
 
 // ListFailed reports to the policy that the node list cannot be fetched or read; the last good one stays in force.
 func (f *Fleet) ListFailed(err error) {
-	f.log.Warn("node list failed; the last good one holds", "error", err)
+	f.log.Warn("node list update failed; the last good list stays in effect", "error", err)
 	f.listFailures.Add(1)
 	f.post.Notify(policy.EndpointUpdate{Failed: true})
 }
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -95,7 +95,7 @@
 	cancel()
 	_ = group.Wait() // its goroutine returns no error
 	if second {
-		log.Warn("ended by a second signal; what was held has been failed")
+		log.Warn("ended by a second signal; queries in flight were failed")
 		return 3
 	}
 	return exitCode(log, err)
--- a/cmd/dispatcher/platform.go
+++ b/cmd/dispatcher/platform.go
@@ -66,7 +66,7 @@
 				draining = true
 				d.Drain()
 			default:
-				log.Info("stopping already", "signal", s.String())
+				log.Info("already stopping", "signal", s.String())
 			}
 		}
 	}
--- a/cmd/dispatcher/platform_test.go
+++ b/cmd/dispatcher/platform_test.go
@@ -122,7 +122,7 @@
 	p := start(t, goodFile)
 	p.until(t, `"serving"`)
 	sendSignal(t, p, syscall.SIGHUP)
-	p.until(t, "configuration taken")
+	p.until(t, "configuration reloaded")
 	if err := os.WriteFile(p.file, []byte(strings.Replace(goodFile, `"seed":"1"`, `"seed":"x"`, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/control/module.go
+++ b/control/module.go
@@ -117,12 +117,12 @@
 func (m *Module) reject(k Kind, version, nonce string, reasons []string) {
 	m.rejected = reasons
 	m.emit(Nack{k, m.accepted[k], nonce, reasons})
-	m.log("%s %q refused, the last good version holds: %s", k, version, strings.Join(reasons, "; "))
+	m.log("%s %q rejected, the last good version stays in effect: %s", k, version, strings.Join(reasons, "; "))
 }
 
 // handleLost drops the responses without a reply. An update goes on: its store does not depend on the stream, and the
 // service will send the set again and find it active.
 func (m *Module) handleLost() {
 	m.received, m.update.responses = responses{}, responses{}
-	m.log("the control service is out of reach; set %d stays in force", m.active.Number)
+	m.log("control service unreachable; set %d stays in effect", m.active.Number)
 }
--- a/control/nodecheck.go
+++ b/control/nodecheck.go
@@ -41,7 +41,7 @@
 		reasons = append(reasons, reason)
 	}
 	if len(reasons) > 0 && m.useNodeListOverride(ev.Version) {
-		m.log("node list %q passes by an operator's word: %s", ev.Version, strings.Join(reasons, "; "))
+		m.log("node list %q accepted by an operator's override: %s", ev.Version, strings.Join(reasons, "; "))
 		return nil
 	}
 	return reasons
--- a/control/update.go
+++ b/control/update.go
@@ -139,14 +139,14 @@
 			m.acknowledge(Kind(k), r)
 		}
 	}
-	m.log("set %d is in force", m.active.Number)
+	m.log("set %d applied", m.active.Number)
 	m.endUpdate()
 }
 
 // abortUpdate ends an update that failed; the active set stays.
 func (m *Module) abortUpdate(reason string) {
 	m.rejected = []string{reason}
-	m.log("set %d is not taken, %d stays in force: %s", m.update.set.Number, m.active.Number, reason)
+	m.log("set %d rejected, %d stays in effect: %s", m.update.set.Number, m.active.Number, reason)
 	for k, r := range m.update.responses {
 		if r != nil {
 			m.emit(Nack{Kind(k), m.accepted[k], r.nonce, m.rejected})
@@ -163,7 +163,7 @@
 
 func (m *Module) handleOverride(ev Override) {
 	m.overrides[ev.Number] = true
-	m.log("override: set %d passes the checks for harm, by an operator's word", ev.Number)
+	m.log("override: set %d may pass the safety checks", ev.Number)
 	m.evaluate()
 	if m.update.phase == Idle && ev.Number != m.active.Number {
 		m.emit(Renew{})
@@ -183,13 +183,13 @@
 // handleRollBack activates an earlier set by an operator's command, and pins it.
 func (m *Module) handleRollBack(ev RollBack) {
 	if m.update.phase != Idle {
-		m.log("roll back to set %d refused: set %d is on its way", ev.Set.Number, m.update.set.Number)
+		m.log("rollback to set %d rejected: set %d is being applied", ev.Set.Number, m.update.set.Number)
 		return
 	}
 	cfg, reasons := m.validate(ev.Set, ev.Live)
 	if len(reasons) > 0 {
 		m.rejected = reasons
-		m.log("roll back to set %d refused: %s", ev.Set.Number, strings.Join(reasons, "; "))
+		m.log("rollback to set %d rejected: %s", ev.Set.Number, strings.Join(reasons, "; "))
 		return
 	}
 	m.pinned = true
--- a/frontend/postgres/front.go
+++ b/frontend/postgres/front.go
@@ -173,7 +173,7 @@
 		return
 	}
 	f.acceptErrors.Add(1)
-	f.options.Log.Warn("a connection could not be taken", "error", err)
+	f.options.Log.Warn("connection not accepted", "error", err)
 	if errors.Is(err, syscall.EMFILE) {
 		f.evict(true)
 	}
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -179,7 +179,7 @@
 	r.stats.responseTime.Store(int64(r.schedule.responseTime))
 	if r.unresponsive {
 		r.unresponsive = false
-		r.log.Info("node list: answered again", "age_ms", age.Milliseconds(), "answer_ms", took.Milliseconds())
+		r.log.Info("node list: responses received again", "age_ms", age.Milliseconds(), "answer_ms", took.Milliseconds())
 	}
 }
 
@@ -193,7 +193,7 @@
 	r.schedule.unconfirmed = u.Unconfirmed
 	if u.Reverted {
 		r.stats.reverted.Add(1)
-		r.log.Warn("node list: its number was wrong and goes back", "from", before, "to", r.view.Number())
+		r.log.Warn("node list: version number was wrong and is reverted", "from", before, "to", r.view.Number())
 	}
 	r.stats.version.Store(r.view.Number())
 	if u.Changed {
--- a/nodelist/resolver/socket.go
+++ b/nodelist/resolver/socket.go
@@ -189,7 +189,7 @@
 		return
 	}
 	r.unresponsive = true
-	r.log.Warn("node list: a flow has no answers", "age_ms", r.age().Milliseconds(), "version", r.view.Number(),
+	r.log.Warn("node list: a socket receives no responses", "age_ms", r.age().Milliseconds(), "version", r.view.Number(),
 		"questions", r.stats.queries.Load(), "unusable", r.stats.unusable.Load())
 }
 
--- a/server/admin.go
+++ b/server/admin.go
@@ -92,7 +92,7 @@
 	if err := d.checkSignature(n, r.FormValue("signature")); err != nil {
 		return nil, err
 	}
-	d.log.Warn("override by an operator", "set", n)
+	d.log.Warn("override requested by an operator", "set", n)
 	return d.applyOperatorEvent(r.Context(), control.Override{Number: n})
 }
 
--- a/server/controller.go
+++ b/server/controller.go
@@ -76,7 +76,7 @@
 func (c *controller) lastVersion(cfg *config.Config) (*config.Config, control.Set, error) {
 	set, damaged, err := c.store.Last()
 	for _, one := range damaged {
-		c.log.Error("a stored version is damaged and passed over", "error", one)
+		c.log.Error("a stored version is damaged and skipped", "error", one)
 	}
 	if errors.Is(err, store.ErrNotFound) {
 		return cfg, control.Set{}, nil
@@ -86,10 +86,10 @@
 	}
 	merged, err := control.Merge(cfg.File, set)
 	if err != nil {
-		c.log.Error("the last version does not fit the file any more; starting from the file", "set", set.Number, "error", err)
+		c.log.Error("the last stored version does not fit the file; starting from the file", "set", set.Number, "error", err)
 		return cfg, control.Set{}, nil
 	}
-	c.log.Info("starting from the last good version", "set", set.Number)
+	c.log.Info("starting from the last stored version", "set", set.Number)
 	return merged, set, nil
 }
 
@@ -211,14 +211,14 @@
 	case control.DeleteSet:
 		if c.store != nil {
 			if err := c.store.Forget(a.Number); err != nil {
-				c.log.Error("a version that could not be put in force stays in the store", "set", a.Number, "error", err)
+				c.log.Error("a version that could not be applied remains in the store", "set", a.Number, "error", err)
 			}
 		}
 	case control.Apply:
 		c.applySettings(ctx, a)
 	case control.ApplyNodeList:
 		if err := c.dispatcher.fleet.SetNodes(a.Nodes); err != nil {
-			c.log.Error("node list", "error", err)
+			c.log.Error("node list rejected", "error", err)
 		}
 	case control.NodeListRejected:
 		c.dispatcher.fleet.ListFailed(errors.New(strings.Join(a.Reasons, "; ")))
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -141,7 +141,7 @@
 // Drain begins a graceful shutdown: health reports it, new queries are rejected, pending ones get their answers, then Run
 // returns nil.
 func (d *Dispatcher) Drain() {
-	d.log.Info("draining: no new queries, those held get their answers")
+	d.log.Info("draining: new queries are rejected, queries in flight are answered")
 	d.health.Shutdown()
 	d.loop.Drain()
 }
--- a/server/learned_state.go
+++ b/server/learned_state.go
@@ -35,14 +35,14 @@
 		return k
 	}
 	if err != nil {
-		log.Warn("what was learned before cannot be read; starting cold", "file", file, "error", err)
+		log.Warn("learned state cannot be read; starting without it", "file", file, "error", err)
 		return k
 	}
 	classes, fleet, reason := state.Usable(time.Now(), k.build)
 	if classes {
 		err = core.Restore(state.Learned, fleet, k.epoch)
 	}
-	log.Info("what was learned before", "classes", classes && err == nil, "fleet", fleet && err == nil, "why", reason, "error", err)
+	log.Info("learned state read", "classes", classes && err == nil, "fleet", fleet && err == nil, "why", reason, "error", err)
 	return k
 }
 
@@ -91,7 +91,7 @@
 			err = k.write(state)
 		}
 		if err != nil {
-			k.log.Warn("what was learned cannot be kept", "file", k.file, "error", err)
+			k.log.Warn("learned state cannot be written", "file", k.file, "error", err)
 		}
 	case <-ctx.Done():
 	}
--- a/server/platform.go
+++ b/server/platform.go
@@ -142,10 +142,10 @@
 // setNodes puts a node list of the resolver in force.
 func (p *Platform) setNodes(nodes []nodelist.Node) {
 	if err := p.fleet.SetNodes(nodes); err != nil {
-		p.log.Warn("a node list was not taken", "error", err)
+		p.log.Warn("node list rejected", "error", err)
 		return
 	}
-	p.log.Info("node list in force", "version", p.resolver.Stats().Version, "changes", fmt.Sprint(nodelist.Changes(p.nodes, nodes)))
+	p.log.Info("node list applied", "version", p.resolver.Stats().Version, "changes", fmt.Sprint(nodelist.Changes(p.nodes, nodes)))
 	p.nodes = nodes
 }
 
@@ -154,10 +154,10 @@
 func (p *Platform) Reload(path string) {
 	cfg, err := config.LoadPlatform(path)
 	if err != nil {
-		p.log.Error("the new configuration is not taken; the old one stays", "error", err)
+		p.log.Error("new configuration rejected; the old one stays in effect", "error", err)
 		return
 	}
-	p.log.Info("configuration taken", "resolver", cfg.Resolver)
+	p.log.Info("configuration reloaded", "resolver", cfg.Resolver)
 	p.resolver.SetAddress(cfg.Resolver)
 }
 
@@ -194,7 +194,7 @@
 		return
 	case <-p.draining:
 	}
-	p.log.Info("draining: queries are taken for a moment more, then refused", "moment", drainDelay)
+	p.log.Info("draining: queries are accepted for a moment more, then rejected", "moment", drainDelay)
 	t := time.NewTimer(drainDelay)
 	defer t.Stop()
 	select {
--- a/server/platform_metrics.go
+++ b/server/platform_metrics.go
@@ -38,7 +38,7 @@
 // QueryReceived implements dispatch.Observer.
 func (m *platformMetrics) QueryReceived(q *dispatch.Query) {
 	m.received.Add(1)
-	m.log.Debug("taken", "query", q.ID, "trace", traceID(q))
+	m.log.Debug("query received", "query", q.ID, "trace", traceID(q))
 }
 
 // traceID is the id that the client gave its query; "" where its protocol has none.
@@ -55,7 +55,7 @@
 	if i := slices.Index(loggedReasons[:], outcome.Reason); i >= 0 {
 		m.reasons[i].Add(1)
 	}
-	m.log.Debug("answered", "query", q.ID, "trace", traceID(q), "final", outcome.Kind.String(), "reason", outcome.Reason, "attempts", outcome.Attempts,
+	m.log.Debug("query answered", "query", q.ID, "trace", traceID(q), "final", outcome.Kind.String(), "reason", outcome.Reason, "attempts", outcome.Attempts,
 		"took_ms", duration/1000)
 }
 
@@ -64,7 +64,7 @@
 	if m.sent.Add(1); a.Number > 0 {
 		m.retries.Add(1)
 	}
-	m.log.Debug("sent", "query", a.Query.ID, "trace", traceID(a.Query), "attempt", a.Number, "node", a.Node)
+	m.log.Debug("attempt sent", "query", a.Query.ID, "trace", traceID(a.Query), "attempt", a.Number, "node", a.Node)
 }
 
 // AttemptEnded implements dispatch.Observer.
@@ -132,13 +132,13 @@
 		sent, received, dropped := p.peers.Counts()
 		args = append(args, "told", sent, "heard", received, "peer_dropped", dropped)
 	}
-	m.log.Info("figures", args...)
+	m.log.Info("metrics", args...)
 }
 
 // logNodeList logs the age of the node list and the counts of its polls.
 func (m *platformMetrics) logNodeList(p *Platform) {
 	list := p.resolver.Stats()
-	m.log.Info("node list figures", "version", list.Version, "age_ms", list.Age.Milliseconds(), "questions", list.Queries,
+	m.log.Info("node list metrics", "version", list.Version, "age_ms", list.Age.Milliseconds(), "questions", list.Queries,
 		"answers", list.Responses, "answer_ms", list.ResponseTime.Milliseconds(), "unusable", list.Unusable, "lower", list.LowerNumbers,
 		"reverted", list.Reverted, "sockets", list.Sockets)
 }
@@ -152,7 +152,7 @@
 		}
 	}
 	if len(args) > 0 {
-		m.log.Info("queries refused or failed", args...)
+		m.log.Info("queries shed or failed", args...)
 	}
 }
 
--- a/server/recording.go
+++ b/server/recording.go
@@ -51,7 +51,7 @@
 func (r *recording) run(stop <-chan struct{}, log *slog.Logger) error {
 	err := errors.Join(r.recorder.Run(stop, r.writer, r.maxBytes), r.writer.Flush(), r.file.Close())
 	if err != nil {
-		log.Error("decisions are not recorded any more", "error", err)
+		log.Error("recording of decisions stopped", "error", err)
 	}
 	return nil
 }
