--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -59,6 +59,7 @@
 // poster posts events of the policy as well.
 type poster struct{ Poster }
 
+// Notify implements peers.Receiver.
 func (p poster) Notify(ev policy.Event) { p.Post(dispatch.PolicyEvent{Event: ev}) }
 
 // Fleet implements dispatch.Fleet for all three protocols.
--- a/backend/platform_attempt.go
+++ b/backend/platform_attempt.go
@@ -23,7 +23,9 @@
 // connectionError means that an attempt ended with its connection.
 type connectionError struct{ err error }
 
+// Error says what ended the connection.
 func (e *connectionError) Error() string { return "the connection ended: " + e.err.Error() }
+// Unwrap is the error that ended it.
 func (e *connectionError) Unwrap() error { return e.err }
 
 // platformAttempt makes an attempt in the platform's protocol. The reader of its connection fills in the answer; run waits for it.
--- a/frontend/postgres/query_fields.go
+++ b/frontend/postgres/query_fields.go
@@ -28,6 +28,7 @@
 // BadFieldError means that a field of a query's comment cannot be used.
 type BadFieldError struct{ Field, Found, Allowed string }
 
+// Error names the field, what was found and what is allowed.
 func (e *BadFieldError) Error() string {
 	if e.Found == "" {
 		return fmt.Sprintf("%s: missing; allowed: %s", e.Field, e.Allowed)
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -17,6 +17,7 @@
 // FormatError means that a node sent what is malformed; nothing further on its connection can be read.
 type FormatError struct{ What string }
 
+// Error names what cannot be parsed.
 func (e *FormatError) Error() string { return "lineproto: " + e.What }
 
 func malformed(format string, args ...any) error { return &FormatError{fmt.Sprintf(format, args...)} }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -15,6 +15,7 @@
 // FormatError means that a peer sent what is malformed; nothing further on its connection can be read.
 type FormatError struct{ What string }
 
+// Error names what cannot be parsed.
 func (e *FormatError) Error() string { return "pgwire: " + e.What }
 
 func malformed(format string, args ...any) error { return &FormatError{fmt.Sprintf(format, args...)} }
