--- a/backend/platform_attempt.go
+++ b/backend/platform_attempt.go
@@ -25,6 +25,7 @@
 
 // Error says what ended the connection.
 func (e *connectionError) Error() string { return "the connection ended: " + e.err.Error() }
+
 // Unwrap is the error that ended it.
 func (e *connectionError) Unwrap() error { return e.err }
 
