--- a/soak/judge_test.go
+++ b/soak/checker_test.go
@@ -7,23 +7,23 @@
 
 const second = time.Second
 
-// sound is a record in which everything is right: one request of each class, served by the first attempt.
-func sound() *Record {
+// soundRecord breaks no invariant: one request of each class, served by the first attempt.
+func soundRecord() *Record {
 	r := newRecord()
-	r.lives = []*Life{{Dispatcher: 0, Start: 1, Ready: 1, Killed: 30 * second, Ended: 30 * second, ExitCode: -1}}
+	r.incarnations = []*Incarnation{{Dispatcher: 0, Number: 1, Ready: 1, Killed: 30 * second, Ended: 30 * second, ExitCode: -1}}
 	for i, class := range classes {
 		id := string(rune('a' + i))
-		r.requests = append(r.requests, &Request{ID: id, Start: 1, Class: class, Sent: 5 * second, Patience: second, Outcome: Served, Ended: 5500 * time.Millisecond})
-		r.arrivals = append(r.arrivals, &Arrival{ID: id, Node: "s-1", At: 5100 * time.Millisecond, TTL: 900 * time.Millisecond, Ran: true, Over: 5400 * time.Millisecond})
+		r.requests = append(r.requests, &Request{ID: id, Incarnation: 1, Class: class, Sent: 5 * second, Timeout: second, Outcome: Served, Ended: 5500 * time.Millisecond})
+		r.arrivals = append(r.arrivals, &Arrival{ID: id, Node: "s-1", At: 5100 * time.Millisecond, TTL: 900 * time.Millisecond, Ran: true, Ended: 5400 * time.Millisecond})
 	}
 	return r
 }
 
-// The judge finds each kind of violation, once, and none where there is none.
-func TestJudge(t *testing.T) {
+// The checker finds each kind of violation, once, and none where there is none.
+func TestCheck(t *testing.T) {
 	const lookup, load, booking = 0, 1, 2
-	again := func(r *Record, of int, after time.Duration) {
-		a := *r.arrivals[of]
+	retry := func(r *Record, index int, after time.Duration) {
+		a := *r.arrivals[index]
 		a.At += after
 		a.TTL -= after
 		r.arrivals = append(r.arrivals, &a)
@@ -37,24 +37,27 @@
 		"an answer far too late":     {func(r *Record) { r.requests[lookup].Ended = 7 * second }, InvariantAnswer},
 		"an answer that is not true": {func(r *Record) { r.requests[lookup].Outcome = Unreadable }, InvariantAnswer},
 		"closed without an answer":   {func(r *Record) { r.requests[lookup].Outcome = Closed }, InvariantAnswer},
-		"closed by a kill":           {func(r *Record) { r.requests[lookup].Outcome = Closed; r.lives[0].Killed = 5500 * time.Millisecond }, ""},
+		"closed by a kill": {func(r *Record) {
+			r.requests[lookup].Outcome = Closed
+			r.incarnations[0].Killed = 5500 * time.Millisecond
+		}, ""},
 		"closed by a planned restart": {func(r *Record) {
 			r.requests[lookup].Outcome = Closed
-			r.lives[0].Killed, r.lives[0].Terminated = 5500*time.Millisecond, second
+			r.incarnations[0].Killed, r.incarnations[0].Terminated = 5500*time.Millisecond, second
 		}, InvariantAnswer},
 		"crossed a close": {func(r *Record) {
-			r.requests[lookup].Outcome, r.requests[lookup].Crossed, r.arrivals[lookup].ID = Closed, true, "x"
+			r.requests[lookup].Outcome, r.requests[lookup].RacedClose, r.arrivals[lookup].ID = Closed, true, "x"
 		}, ""},
-		"crossed, and sent on":       {func(r *Record) { r.requests[lookup].Outcome, r.requests[lookup].Crossed = Closed, true }, InvariantAnswer},
-		"refused, and ran":           {func(r *Record) { r.requests[booking].Outcome = Refused }, InvariantRefusal},
-		"refused, and may be":        {func(r *Record) { r.requests[lookup].Outcome = Refused }, ""},
-		"unsafe, sent twice":         {func(r *Record) { again(r, booking, 50*time.Millisecond) }, InvariantDuplicate},
-		"unsafe, the first was full": {func(r *Record) { r.arrivals[booking].Full = true; again(r, booking, 50*time.Millisecond) }, ""},
-		"keyed, in its window":       {func(r *Record) { again(r, load, 500*time.Millisecond) }, ""},
+		"crossed, and sent on":       {func(r *Record) { r.requests[lookup].Outcome, r.requests[lookup].RacedClose = Closed, true }, InvariantAnswer},
+		"refused, and ran":           {func(r *Record) { r.requests[booking].Outcome = Rejected }, InvariantRejection},
+		"refused, and may be":        {func(r *Record) { r.requests[lookup].Outcome = Rejected }, ""},
+		"unsafe, sent twice":         {func(r *Record) { retry(r, booking, 50*time.Millisecond) }, InvariantDuplicate},
+		"unsafe, the first was full": {func(r *Record) { r.arrivals[booking].Full = true; retry(r, booking, 50*time.Millisecond) }, ""},
+		"keyed, in its window":       {func(r *Record) { retry(r, load, 500*time.Millisecond) }, ""},
 		"keyed, past its window": {func(r *Record) {
-			r.requests[load].Patience = 3 * second
+			r.requests[load].Timeout = 3 * second
 			r.arrivals[load].TTL = 2900 * time.Millisecond
-			again(r, load, 1400*time.Millisecond)
+			retry(r, load, 1400*time.Millisecond)
 		}, InvariantDuplicate},
 		"sent in the grace":      {func(r *Record) { r.notices = []Notice{{0, 1, "s-1", 4100 * time.Millisecond}} }, ""},
 		"another start was told": {func(r *Record) { r.notices = []Notice{{0, 2, "s-1", 3 * second}} }, ""},
@@ -64,23 +67,25 @@
 		}, InvariantDrain},
 		"sent for one that left": {func(r *Record) {
 			q := r.requests[lookup]
-			q.Outcome, q.LeftAt = Left, 4900*time.Millisecond
+			q.Outcome, q.AbandonedAt = Abandoned, 4900*time.Millisecond
 		}, InvariantClient},
 		"more time passed on": {func(r *Record) { r.arrivals[lookup].TTL = 1200 * time.Millisecond }, InvariantTTL},
 		"too many attempts": {func(r *Record) {
 			for range 9 {
-				again(r, lookup, 10*time.Millisecond)
+				retry(r, lookup, 10*time.Millisecond)
 			}
 		}, InvariantBudget},
-		"never ready":            {func(r *Record) { r.lives[0].Ready = 0 }, InvariantProcess},
-		"a crash":                {func(r *Record) { r.lives[0].Killed, r.lives[0].ExitCode = 0, 1 }, InvariantProcess},
-		"a bad end":              {func(r *Record) { r.lives[0].Killed, r.lives[0].Terminated, r.lives[0].ExitCode = 0, second, 1 }, InvariantProcess},
-		"a violation of its own": {func(r *Record) { r.lives[0].Violations = []string{"fault"} }, InvariantOwn},
+		"never ready": {func(r *Record) { r.incarnations[0].Ready = 0 }, InvariantProcess},
+		"a crash":     {func(r *Record) { r.incarnations[0].Killed, r.incarnations[0].ExitCode = 0, 1 }, InvariantProcess},
+		"a bad end": {func(r *Record) {
+			r.incarnations[0].Killed, r.incarnations[0].Terminated, r.incarnations[0].ExitCode = 0, second, 1
+		}, InvariantProcess},
+		"a violation of its own": {func(r *Record) { r.incarnations[0].Violations = []string{"fault"} }, InvariantInternal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := sound()
+			r := soundRecord()
 			c.edit(r)
-			found := r.Judge()
+			found := r.Check()
 			if c.want == "" && len(found) > 0 || c.want != "" && (len(found) != 1 || found[0].Invariant != c.want) {
 				t.Errorf("found %v, want %q", found, c.want)
 			}
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -13,19 +13,19 @@
 	"embershunt/policy"
 )
 
-// Options are the size of a run.
+// Options are the size of a deployment and the behavior of its clients.
 type Options struct {
-	Program     string // path of dispatcher
-	Folder      string // for files and logs
+	Program     string // path of the dispatcher's executable
+	Directory   string // for files and logs
 	Seed        uint64
 	Dispatchers int
 	Servers     int
 	Clients     int // of each dispatcher
-	Sockets     int // descriptors of each dispatcher
-	Habits      Habits
+	Descriptors int // file descriptors that each dispatcher may use
+	Behavior    ClientBehavior
 }
 
-// Cluster is a deployment on loopback: dispatchers as processes, and stand-ins for all that they talk to.
+// Cluster is a deployment on loopback: dispatchers as processes, and simulated peers.
 type Cluster struct {
 	Record      *Record
 	Dispatchers []*Dispatcher
@@ -34,17 +34,17 @@
 	clients errgroup.Group
 	stop    context.CancelFunc
 
-	mu      sync.Mutex
-	servers map[string]*Server
-	nodes   []nodelist.Node // the list in force
-	serial  int
+	mu        sync.Mutex
+	servers   map[string]*Server
+	endpoints []nodelist.Node // the current endpoint list
+	serial    int
 }
 
-// NewCluster starts servers and dispatchers and waits until all are ready; clients come from then on.
+// NewCluster starts servers and dispatchers and waits until all are ready; clients start then. On an error the cluster is to be closed.
 func NewCluster(ctx context.Context, o Options) (*Cluster, error) {
 	c := &Cluster{Record: newRecord(), options: o, servers: map[string]*Server{}}
 	for range o.Servers {
-		if _, err := c.Join(); err != nil {
+		if _, err := c.AddServer(); err != nil {
 			return c, err
 		}
 	}
@@ -54,16 +54,16 @@
 		if err != nil {
 			return c, err
 		}
-		d, err := newDispatcher(c.Record, i, o.Program, o.Folder, names, o.Sockets)
+		d, err := newDispatcher(c.Record, i, o.Program, o.Directory, names, o.Descriptors)
 		if err != nil {
 			return c, err
 		}
-		if err := d.Begin(c.list()); err != nil {
+		if err := d.Start(c.endpointList()); err != nil {
 			return c, err
 		}
 		c.Dispatchers = append(c.Dispatchers, d)
 		group.Go(func() error {
-			if !d.Ready(ctx) {
+			if !d.WaitReady(ctx) {
 				return fmt.Errorf("dispatcher n%d was not ready", i)
 			}
 			return nil
@@ -76,22 +76,22 @@
 	for i, d := range c.Dispatchers {
 		for k := range o.Clients {
 			rng := rand.New(rand.NewPCG(o.Seed, uint64(i*1000+k)))
-			one := &client{record: c.Record, d: d, habits: o.Habits, rng: rng}
+			one := &client{record: c.Record, dispatcher: d, behavior: o.Behavior, rng: rng}
 			c.clients.Go(func() error { one.run(ctx); return nil })
 		}
 	}
 	return c, nil
 }
 
-// list is the list in force.
-func (c *Cluster) list() []nodelist.Node {
+// endpointList is the current list.
+func (c *Cluster) endpointList() []nodelist.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return slices.Clone(c.nodes)
+	return slices.Clone(c.endpoints)
 }
 
-// Join starts a server and puts it on the list.
-func (c *Cluster) Join() (*Server, error) {
+// AddServer starts a server and adds it to the list.
+func (c *Cluster) AddServer() (*Server, error) {
 	c.mu.Lock()
 	c.serial++
 	id := fmt.Sprintf("s-%d", c.serial)
@@ -102,43 +102,43 @@
 	}
 	c.mu.Lock()
 	c.servers[id] = s
-	c.nodes = append(slices.Clone(c.nodes), s.Node())
+	c.endpoints = append(slices.Clone(c.endpoints), s.Node())
 	c.mu.Unlock()
-	c.announce()
+	c.publish()
 	return s, nil
 }
 
-// Drain has the list say that a server drains.
-func (c *Cluster) Drain(id string) {
+// DrainServer marks a server as draining in the list.
+func (c *Cluster) DrainServer(id string) {
 	c.mu.Lock()
-	c.nodes = slices.Clone(c.nodes)
-	for i := range c.nodes {
-		if c.nodes[i].ID == id {
-			c.nodes[i].State = policy.Draining
+	c.endpoints = slices.Clone(c.endpoints)
+	for i := range c.endpoints {
+		if c.endpoints[i].ID == id {
+			c.endpoints[i].State = policy.Draining
 		}
 	}
 	c.mu.Unlock()
-	c.announce()
+	c.publish()
 }
 
-// Remove takes a server off the list; its process ends some time later.
-func (c *Cluster) Remove(id string) {
+// RemoveServer removes a server from the list; it runs on until it is crashed.
+func (c *Cluster) RemoveServer(id string) {
 	c.mu.Lock()
-	c.nodes = slices.DeleteFunc(slices.Clone(c.nodes), func(n nodelist.Node) bool { return n.ID == id })
+	c.endpoints = slices.DeleteFunc(slices.Clone(c.endpoints), func(n nodelist.Node) bool { return n.ID == id })
 	c.mu.Unlock()
-	c.announce()
+	c.publish()
 }
 
-// Server is a server by its name; nil where there is none.
+// Server returns a server by its ID; nil where there is none.
 func (c *Cluster) Server(id string) *Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[id]
 }
 
-// Healthy are the names of the servers that the list calls ready.
-func (c *Cluster) Healthy() (ids []string) {
-	for _, n := range c.list() {
+// HealthyServers are the IDs of the servers that the list calls healthy.
+func (c *Cluster) HealthyServers() (ids []string) {
+	for _, n := range c.endpointList() {
 		if n.State == policy.Healthy {
 			ids = append(ids, n.ID)
 		}
@@ -146,24 +146,24 @@
 	return ids
 }
 
-// announce puts the list in force at every name service.
-func (c *Cluster) announce() {
-	nodes := c.list()
+// publish hands the current list to every name service.
+func (c *Cluster) publish() {
+	nodes := c.endpointList()
 	for _, d := range c.Dispatchers {
-		d.names.Set(nodes)
+		d.nameService.SetEndpoints(nodes)
 	}
 }
 
-// Restart starts a dispatcher's process again and waits until it is ready.
+// Restart starts a dispatcher's next process and waits until it is ready; one that is not shows in the record.
 func (c *Cluster) Restart(ctx context.Context, d *Dispatcher) error {
-	if err := d.Begin(c.list()); err != nil {
+	if err := d.Start(c.endpointList()); err != nil {
 		return err
 	}
-	d.Ready(ctx)
+	d.WaitReady(ctx)
 	return nil
 }
 
-// Close ends the run: clients first, then dispatchers and servers.
+// Close ends the run: clients first, then dispatchers, then servers; all goroutines of the servers have ended then.
 func (c *Cluster) Close() error {
 	if c.stop != nil {
 		c.stop()
@@ -183,5 +183,8 @@
 	for _, s := range servers {
 		s.Crash()
 	}
+	for _, s := range servers {
+		s.Wait()
+	}
 	return err
 }
--- a/soak/dispatcher.go
+++ b/soak/dispatcher.go
@@ -17,111 +17,116 @@
 	"embershunt/nodelist"
 )
 
-// Dispatcher is one dispatcher: a process of its own that is killed, ended and started again under the same name and address.
+// Dispatcher is one dispatcher: a process of its own that is killed, terminated and restarted under the same name and address.
 type Dispatcher struct {
-	record  *Record
-	number  int
-	program string
-	folder  string
-	listen  string
-	sockets int
-	names   *NameService
-	log     *os.File
-
-	mu      sync.Mutex
-	command *exec.Cmd
-	life    *Life
-	ended   chan struct{} // closed when the process of this life has ended
-	open    bool          // clients may open connections
+	record      *Record
+	number      int
+	program     string
+	directory   string
+	listen      string
+	descriptors int
+	nameService *NameService
+	log         *os.File
+
+	mu          sync.Mutex
+	command     *exec.Cmd
+	incarnation *Incarnation
+	ended       chan struct{} // closed when the process of this incarnation has ended
+	accepting   bool          // clients may open connections
 }
 
 func newDispatcher(r *Record, number int, program, folder string, names *NameService, sockets int) (*Dispatcher, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // an address that is free
+	l, err := net.Listen("tcp", "127.0.0.1:0") // a free port
 	if err != nil {
 		return nil, err
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // the port is free for the dispatcher then
 	log, err := os.Create(filepath.Join(folder, fmt.Sprintf("n%d.log", number)))
 	if err != nil {
 		return nil, err
 	}
-	return &Dispatcher{record: r, number: number, program: program, folder: folder, listen: l.Addr().String(), sockets: sockets,
-		names: names, log: log}, nil
+	return &Dispatcher{record: r, number: number, program: program, directory: folder, listen: l.Addr().String(), descriptors: sockets,
+		nameService: names, log: log}, nil
 }
 
 // connectable tells whether clients may open connections now.
 func (d *Dispatcher) connectable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.open
+	return d.accepting
 }
 
-// current is the number of its start.
-func (d *Dispatcher) current() int {
+// incarnationNumber is the number of its current incarnation, from 1 on.
+func (d *Dispatcher) incarnationNumber() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.life.Start
+	return d.incarnation.Number
 }
 
-func (d *Dispatcher) file() string { return filepath.Join(d.folder, fmt.Sprintf("n%d.json", d.number)) }
+func (d *Dispatcher) configPath() string {
+	return filepath.Join(d.directory, fmt.Sprintf("n%d.json", d.number))
+}
 
-// configure writes its file with the list in force and the name service's address.
-func (d *Dispatcher) configure(nodes []nodelist.Node) error {
-	text, err := configuration{name: fmt.Sprintf("n%d", d.number), listen: d.listen, resolver: d.names.Address(), sockets: d.sockets,
+// writeConfig writes its configuration file with the endpoint list and the name service's address.
+func (d *Dispatcher) writeConfig(nodes []nodelist.Node) error {
+	text, err := configuration{name: fmt.Sprintf("n%d", d.number), listen: d.listen, resolver: d.nameService.Address(), descriptors: d.descriptors,
 		nodes: nodes}.marshal()
 	if err != nil {
 		return err
 	}
-	return os.WriteFile(d.file(), text, 0o600)
+	return os.WriteFile(d.configPath(), text, 0o600)
 }
 
-// Begin starts the process with the list in force; Ready waits for it.
-func (d *Dispatcher) Begin(nodes []nodelist.Node) error {
-	if err := d.configure(nodes); err != nil {
+// Start starts the process with an endpoint list; WaitReady waits until it is ready.
+func (d *Dispatcher) Start(nodes []nodelist.Node) error {
+	if err := d.writeConfig(nodes); err != nil {
 		return err
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	start := 1
-	if d.life != nil {
-		start = d.life.Start + 1
+	number := 1
+	if d.incarnation != nil {
+		number = d.incarnation.Number + 1
 	}
-	d.names.Begin(start, nodes)
-	d.life = &Life{Dispatcher: d.number, Start: start, Began: d.record.now()}
-	d.record.addLife(d.life)
+	d.nameService.Restart(number, nodes)
+	d.incarnation = &Incarnation{Dispatcher: d.number, Number: number, Started: d.record.now()}
+	d.record.addIncarnation(d.incarnation)
 	d.command = exec.Command(d.program, "--platform")
-	d.command.Env = append(os.Environ(), "NODE_CONFIG="+d.file())
+	d.command.Env = append(os.Environ(), "NODE_CONFIG="+d.configPath())
 	d.command.Stdout, d.command.Stderr = d.log, d.log
-	d.note("start %d", start)
+	d.logf("start %d", number)
 	if err := d.command.Start(); err != nil {
 		return err
 	}
 	d.ended = make(chan struct{})
-	go func(command *exec.Cmd, life *Life, ended chan struct{}) {
-		defer close(ended)
-		err := command.Wait()
-		d.record.change(func() { life.Ended, life.ExitCode = d.record.now(), command.ProcessState.ExitCode() })
-		var exit *exec.ExitError
-		if err != nil && !errors.As(err, &exit) {
-			d.record.change(func() { life.Violations = append(life.Violations, err.Error()) })
-		}
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		if d.life == life {
-			d.open = false
-		}
-	}(d.command, d.life, d.ended)
+	go d.recordEnd(d.command, d.incarnation, d.ended)
 	return nil
 }
 
-// readyMost is how long a process may take to be ready.
-const readyMost = 10 * time.Second
+// recordEnd waits for the end of a process, records it and closes ended; Kill waits for it.
+func (d *Dispatcher) recordEnd(command *exec.Cmd, incarnation *Incarnation, ended chan<- struct{}) {
+	defer close(ended)
+	err := command.Wait()
+	d.record.change(func() { incarnation.Ended, incarnation.ExitCode = d.record.now(), command.ProcessState.ExitCode() })
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
+		d.record.change(func() { incarnation.Violations = append(incarnation.Violations, err.Error()) })
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.incarnation == incarnation {
+		d.accepting = false
+	}
+}
+
+// maxStartup is how long a process may take to be ready.
+const maxStartup = 10 * time.Second
 
-// Ready waits until the process answers an empty query, and lets clients come.
-func (d *Dispatcher) Ready(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, readyMost)
+// WaitReady waits until the process answers an empty query, and lets clients connect; false where it took too long.
+func (d *Dispatcher) WaitReady(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, maxStartup)
 	defer cancel()
-	for !answered(ctx, d.listen) {
+	for !isReady(ctx, d.listen) {
 		select {
 		case <-ctx.Done():
 			return false
@@ -130,56 +135,57 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open = true
-	d.record.change(func() { d.life.Ready = d.record.now() })
+	d.accepting = true
+	d.record.change(func() { d.incarnation.Ready = d.record.now() })
 	return true
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process; one that has ended does not get it.
 func (d *Dispatcher) Signal(s os.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.command.Process.Signal(s)
+	_ = d.command.Process.Signal(s) // the process may have ended
 }
 
-// Kill kills the process outright and waits for its end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (d *Dispatcher) Kill() {
 	d.mu.Lock()
-	d.open = false
-	life, ended := d.life, d.ended
+	d.accepting = false
+	incarnation, ended := d.incarnation, d.ended
 	select {
 	case <-ended:
 	default:
-		d.record.change(func() { life.Killed = d.record.now() })
+		d.record.change(func() { incarnation.Killed = d.record.now() })
 	}
-	d.command.Process.Kill()
+	_ = d.command.Process.Kill() // the process may have ended
 	d.mu.Unlock()
 	<-ended
 }
 
-// How long after SIGTERM clients still open connections.
-const connectsAfterTerm = 300 * time.Millisecond
+// connectsAfterSIGTERM is how long after SIGTERM clients still open connections.
+const connectsAfterSIGTERM = 300 * time.Millisecond
 
-// Terminate plays a planned restart's end: SIGTERM, further signals, SIGKILL at the earliest moment that the protocol page allows.
-func (d *Dispatcher) Terminate(further []os.Signal, between time.Duration) {
+// Terminate ends the process as a planned restart does: SIGTERM, further signals, SIGKILL at the earliest moment that the
+// platform's protocol allows.
+func (d *Dispatcher) Terminate(further []os.Signal, interval time.Duration) {
 	d.mu.Lock()
-	life, ended := d.life, d.ended
-	d.record.change(func() { life.Terminated = d.record.now() })
-	d.note("SIGTERM, then %v every %v", further, between)
-	d.command.Process.Signal(syscall.SIGTERM)
+	incarnation, ended := d.incarnation, d.ended
+	d.record.change(func() { incarnation.Terminated = d.record.now() })
+	d.logf("SIGTERM, then %v every %v", further, interval)
+	_ = d.command.Process.Signal(syscall.SIGTERM) // the process may have ended
 	d.mu.Unlock()
 	kill := time.After(killAfter())
-	closes := time.AfterFunc(connectsAfterTerm, func() {
+	closes := time.AfterFunc(connectsAfterSIGTERM, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.open = d.open && d.life != life
+		d.accepting = d.accepting && d.incarnation != incarnation
 	})
 	defer closes.Stop()
 	for _, s := range further {
 		select {
 		case <-ended:
 			return
-		case <-time.After(between):
+		case <-time.After(interval):
 			d.Signal(s)
 		}
 	}
@@ -190,24 +196,24 @@
 	}
 }
 
-// Move moves its name service and tells it by SIGHUP.
-func (d *Dispatcher) Move(nodes []nodelist.Node) error {
-	if err := d.names.Move(); err != nil {
+// MoveNameService moves its name service to another address and notifies the process by SIGHUP.
+func (d *Dispatcher) MoveNameService(nodes []nodelist.Node) error {
+	if err := d.nameService.Move(); err != nil {
 		return err
 	}
-	if err := d.configure(nodes); err != nil {
+	if err := d.writeConfig(nodes); err != nil {
 		return err
 	}
-	d.names.Moved()
-	d.note("name service at %s, SIGHUP", d.names.Address())
+	d.nameService.SetMoved()
+	d.logf("name service at %s, SIGHUP", d.nameService.Address())
 	d.Signal(syscall.SIGHUP)
 	return nil
 }
 
-// Close ends it and reads what its log must not hold.
+// Close kills the process, closes its name service and records the log lines that must not be there.
 func (d *Dispatcher) Close() error {
 	d.Kill()
-	d.names.Close()
+	d.nameService.Close()
 	if err := d.log.Close(); err != nil {
 		return err
 	}
@@ -215,23 +221,23 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		line := lines.Text()
 		if strings.Contains(line, `"msg":"fault"`) || strings.Contains(line, "panic") || strings.Contains(line, `"msg":"rule violated"`) {
-			d.record.change(func() { d.life.Violations = append(d.life.Violations, line) })
+			d.record.change(func() { d.incarnation.Violations = append(d.incarnation.Violations, line) })
 		}
 	}
 	return nil
 }
 
-// SetNameFaults has its name service misbehave from now on.
+// SetNameFaults sets the faults of its name service.
 func (d *Dispatcher) SetNameFaults(f NameFaults) {
-	d.note("name service: %+v", f)
-	d.names.SetFaults(f)
+	d.logf("name service: %+v", f)
+	d.nameService.SetFaults(f)
 }
 
-// note writes a line of the run's own into the dispatcher's log.
-func (d *Dispatcher) note(format string, args ...any) {
-	fmt.Fprintf(d.log, "--- %.3f s: %s\n", d.record.now().Seconds(), fmt.Sprintf(format, args...))
+// logf writes a line of the run itself into the dispatcher's log.
+func (d *Dispatcher) logf(format string, args ...any) {
+	_, _ = fmt.Fprintf(d.log, "--- %.3f s: %s\n", d.record.now().Seconds(), fmt.Sprintf(format, args...))
 }
--- a/soak/drain_test.go
+++ b/soak/drain_test.go
@@ -16,32 +16,33 @@
 var program string
 
 func TestMain(m *testing.M) {
-	folder, err := os.MkdirTemp("", "soak")
+	directory, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = filepath.Join(folder, "dispatcher")
+	program = filepath.Join(directory, "dispatcher")
 	if out, err := exec.Command("go", "build", "-o", program, "embershunt/cmd/dispatcher").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%v\n%s", err, out)
 		os.Exit(1)
 	}
 	code := m.Run()
-	os.RemoveAll(folder)
+	_ = os.RemoveAll(directory) // left to the system where it fails
 	os.Exit(code)
 }
 
-func small(t *testing.T, seed uint64) *soak.Cluster {
+// smallCluster starts four dispatchers and six servers.
+func smallCluster(t *testing.T, seed uint64) *soak.Cluster {
 	t.Helper()
-	c, err := soak.NewCluster(t.Context(), soak.Options{Program: program, Folder: t.TempDir(), Seed: seed, Dispatchers: 4, Servers: 6, Clients: 4,
-		Sockets: 256, Habits: soak.Habits{Think: 40 * time.Millisecond}})
+	c, err := soak.NewCluster(t.Context(), soak.Options{Program: program, Directory: t.TempDir(), Seed: seed, Dispatchers: 4, Servers: 6, Clients: 4,
+		Descriptors: 256, Behavior: soak.ClientBehavior{ThinkTime: 40 * time.Millisecond}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// wait lets the cluster run on; what is waited for is time itself.
+// wait lets the cluster run on for some time.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -49,12 +50,13 @@
 	}
 }
 
+// report closes the cluster and fails the test where its record breaks an invariant.
 func report(t *testing.T, c *soak.Cluster) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
-	for i, v := range c.Record.Judge() {
+	for i, v := range c.Record.Check() {
 		if i == 20 {
 			t.Error("and more")
 			break
@@ -64,13 +66,13 @@
 	t.Log(c.Record.Summary())
 }
 
-// The incident: three of four dispatchers have been killed and started again, the name service answers slowly, and a server begins to
-// drain. It must be heard, however late the answers are.
-func TestDrainIsHeardFromASlowNameService(t *testing.T) {
+// An incident: three of four dispatchers have been killed and restarted, the name service answers slowly, and a server begins to
+// drain. All dispatchers must observe the drain, however late the answers are.
+func TestDrainIsObservedWithSlowNameService(t *testing.T) {
 	for _, latency := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
 			t.Parallel()
-			c := small(t, 1)
+			c := smallCluster(t, 1)
 			defer report(t, c)
 			for _, d := range c.Dispatchers[1:] {
 				d.Kill()
@@ -82,24 +84,24 @@
 				d.SetNameFaults(soak.NameFaults{Latency: latency})
 			}
 			wait(t.Context(), time.Second)
-			c.Drain("s-1")
+			c.DrainServer("s-1")
 			wait(t.Context(), 4*time.Second)
-			c.Remove("s-2")
+			c.RemoveServer("s-2")
 			wait(t.Context(), 4*time.Second)
 		})
 	}
 }
 
-// After a restart the numbers of lists begin again. A list of before it, under the higher number that it had then, must not make later
-// ones unheard, nor an answer that has the newest number and older rows.
-func TestDrainIsHeardAfterAMisleadingNumber(t *testing.T) {
-	for name, faults := range map[string]soak.NameFaults{"earlier start": {Earlier: 0.1}, "old rows": {OldRows: 0.3}} {
+// After a restart the numbers of lists begin again. A list published before it, with its higher number, must not hide later ones; nor
+// may an answer that has the newest number and older rows.
+func TestDrainIsObservedAfterMisleadingNumber(t *testing.T) {
+	for name, faults := range map[string]soak.NameFaults{"earlier start": {PreviousIncarnation: 0.1}, "old rows": {StaleRows: 0.3}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := small(t, 2)
+			c := smallCluster(t, 2)
 			defer report(t, c)
 			for range 4 {
-				if _, err := c.Join(); err != nil {
+				if _, err := c.AddServer(); err != nil {
 					t.Fatal(err)
 				}
 				wait(t.Context(), 300*time.Millisecond)
@@ -113,7 +115,7 @@
 			}
 			for _, id := range []string{"s-1", "s-2", "s-3"} {
 				wait(t.Context(), 1500*time.Millisecond)
-				c.Drain(id)
+				c.DrainServer(id)
 			}
 			wait(t.Context(), 3*time.Second)
 		})
--- /dev/null
+++ b/soak/serverconn.go
@@ -0,0 +1,247 @@
+package soak
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"embershunt/simulated"
+)
+
+// serverConn is one connection to a Server.
+type serverConn struct {
+	server *Server
+	conn   net.Conn
+
+	opened   time.Duration
+	readFrom time.Duration // when reading from the connection began
+
+	mu      sync.Mutex
+	pending map[string]*pendingRequest // by request ID
+}
+
+// pendingRequest is a request that has not been answered; a timer answers it.
+type pendingRequest struct {
+	arrival *Arrival
+	timer   *time.Timer
+}
+
+// serve reads commands until the connection ends or is to be closed.
+func (s *Server) serve(conn net.Conn) {
+	defer s.done.Done()
+	c := &serverConn{server: s, conn: conn, pending: map[string]*pendingRequest{}}
+	defer c.close()
+	f := s.currentFaults()
+	if s.chance(f.ResetNew) {
+		simulated.ResetConn(conn)
+		return
+	}
+	c.opened = s.record.now()
+	time.Sleep(f.ReadDelay)
+	c.readFrom = s.record.now()
+	r := bufio.NewReader(conn)
+	for {
+		c.setIdleDeadline()
+		line, err := r.ReadString('\n')
+		if err != nil {
+			return
+		}
+		if !c.command(r, strings.Fields(line)) {
+			return
+		}
+	}
+}
+
+// lateReadWindow is how long after reading began bytes may be read that had waited in the socket's buffer.
+const lateReadWindow = 30 * time.Millisecond
+
+// arrivedAt is when a request that has just been read reached the node's machine, at the earliest.
+func (c *serverConn) arrivedAt() time.Duration {
+	now := c.server.record.now()
+	if now-c.readFrom < lateReadWindow {
+		return c.opened
+	}
+	return now
+}
+
+// setIdleDeadline bounds the wait for the next command where no request is pending.
+func (c *serverConn) setIdleDeadline() {
+	idle := c.server.currentFaults().IdleTimeout
+	if idle == 0 {
+		idle = idleTimeout
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	deadline := time.Time{}
+	if len(c.pending) == 0 {
+		deadline = time.Now().Add(idle)
+	}
+	_ = c.conn.SetReadDeadline(deadline) // fails on a closed connection only, as the read then does
+}
+
+// close closes the connection and gives up the requests that are pending on it.
+func (c *serverConn) close() {
+	c.server.mu.Lock()
+	delete(c.server.conns, c.conn)
+	c.server.mu.Unlock()
+	_ = c.conn.Close() // it may have been reset already
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, r := range c.pending {
+		r.timer.Stop()
+		c.server.record.change(func() { r.arrival.Ended = c.server.record.now() })
+		delete(c.pending, id)
+	}
+}
+
+// command carries out one command; false where the connection is to be closed.
+func (c *serverConn) command(r *bufio.Reader, words []string) bool {
+	if len(words) < 2 {
+		return false
+	}
+	switch words[0] {
+	case "GET":
+		if len(words) != 4 {
+			return false
+		}
+		length, err := strconv.Atoi(words[3])
+		if err != nil {
+			return false
+		}
+		text := make([]byte, length+2)
+		if _, err := io.ReadFull(r, text); err != nil {
+			return false
+		}
+		return c.get(words[1], words[2])
+	case "DROP":
+		c.finish(words[1])
+	case "PAGE":
+		if len(words) == 3 {
+			c.write(simulated.LineAnswer(words[1], "page", "index="+words[2], words[1]+"\tpage\t"+words[2]+"\n"))
+		}
+	}
+	return true
+}
+
+// finish ends a pending request; false where there is none with that ID.
+func (c *serverConn) finish(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.pending[id]
+	if r == nil {
+		return false
+	}
+	r.timer.Stop()
+	delete(c.pending, id)
+	c.server.record.change(func() { r.arrival.Ended = c.server.record.now() })
+	return true
+}
+
+// write writes to the connection within a second; what fails shows at the other end.
+func (c *serverConn) write(text string) {
+	_ = c.conn.SetWriteDeadline(time.Now().Add(time.Second)) // fails on a closed connection only, as the write then does
+	_, _ = io.WriteString(c.conn, text)                      // the dispatcher may have closed
+}
+
+// get records a request and carries it out, subject to the current faults; false where the connection is to be closed.
+func (c *serverConn) get(id, fields string) bool {
+	f, record := c.server.currentFaults(), c.server.record
+	a := &Arrival{ID: id, Node: c.server.id, At: c.arrivedAt()}
+	meanWork := a.parseFields(fields)
+	record.addArrival(a)
+	duration := c.server.drawWork(meanWork, max(f.Slowdown, 1))
+	chance := c.server.chance
+	switch {
+	case f.Hang:
+		c.neverAnswer(a)
+	case chance(f.Full):
+		record.change(func() { a.Full = true })
+		c.answerAfter(0, a, simulated.LineAnswer(id, "full", "", ""))
+	case chance(f.Fail):
+		if chance(0.5) {
+			c.markRan(a)
+		}
+		c.answerAfter(0, a, simulated.LineAnswer(id, "failed", "", ""))
+	case chance(f.LostAnswer):
+		c.markRan(a)
+		c.neverAnswer(a)
+	case chance(f.ResetDuring):
+		if chance(0.5) {
+			c.markRan(a)
+		}
+		record.change(func() { a.Ended = record.now() })
+		simulated.ResetConn(c.conn)
+		return false
+	case chance(f.Malformed):
+		c.markRan(a)
+		c.answerAfter(duration, a, "\x01\x02 what is this\r\n")
+	case chance(f.Incomplete):
+		c.markRan(a)
+		c.answerAfter(duration, a, id+" data total=1 5000\r\n"+strings.Repeat("x\ty\tz\n", 10))
+	default:
+		c.markRan(a)
+		c.answerAfter(duration, a, c.drawResult(id, f.Duplicate))
+	}
+	return true
+}
+
+// parseFields takes the TTL and the key from a command's fields, and returns the mean work of the class that they name.
+func (a *Arrival) parseFields(fields string) (meanWork time.Duration) {
+	meanWork = classes[0].MeanWork
+	for field := range strings.SplitSeq(fields, ",") {
+		switch name, value, _ := strings.Cut(field, "="); name {
+		case "ttl":
+			ms, _ := strconv.Atoi(value) // no number is no time
+			a.TTL = time.Duration(ms) * time.Millisecond
+		case "dedupe":
+			a.Key = value
+		case "lane":
+			for _, class := range classes {
+				if class.Name == value {
+					meanWork = class.MeanWork
+				}
+			}
+		}
+	}
+	return meanWork
+}
+
+// drawResult is the first page of a result of one page or three, twice with the given probability.
+func (c *serverConn) drawResult(id string, duplicate float64) string {
+	copies, pages := 1, 1
+	if c.server.chance(duplicate) {
+		copies = 2
+	}
+	if c.server.chance(0.2) {
+		pages = 3
+	}
+	return strings.Repeat(simulated.LineAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies)
+}
+
+// markRan records that a request had its effect.
+func (c *serverConn) markRan(a *Arrival) {
+	c.server.record.change(func() { a.Ran = true })
+}
+
+// answerAfter answers a request after some time, unless it has been dropped or the connection has ended by then.
+func (c *serverConn) answerAfter(d time.Duration, a *Arrival, text string) {
+	c.addPending(a, d, func() {
+		if c.finish(a.ID) {
+			c.write(text)
+		}
+	})
+}
+
+// neverAnswer leaves a request pending until it is dropped or the connection ends.
+func (c *serverConn) neverAnswer(a *Arrival) { c.addPending(a, time.Hour, func() {}) }
+
+func (c *serverConn) addPending(a *Arrival, d time.Duration, expire func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending[a.ID] = &pendingRequest{arrival: a, timer: time.AfterFunc(d, expire)}
+}
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -10,29 +10,29 @@
 
 // Class is a request class of a run.
 type Class struct {
-	Name     string
-	Effect   policy.Effect
-	Deadline time.Duration
-	Window   time.Duration // of a keyed class: how long nodes remember a key
-	Work     time.Duration // mean time at a node
+	Name        string
+	Effect      policy.Effect
+	Deadline    time.Duration
+	DedupWindow time.Duration // of a keyed class: how long nodes deduplicate by a key
+	MeanWork    time.Duration // mean time at a node
 }
 
 // classes are those of every run. Their deadlines are short, so that many restarts fit into one.
 var classes = []*Class{
-	{Name: "lookup", Effect: policy.Idempotent, Deadline: 1500 * time.Millisecond, Work: 20 * time.Millisecond},
-	{Name: "load", Effect: policy.IdempotentByKey, Deadline: 2500 * time.Millisecond, Window: 1200 * time.Millisecond, Work: 60 * time.Millisecond},
-	{Name: "booking", Effect: policy.NonIdempotent, Deadline: 2000 * time.Millisecond, Work: 30 * time.Millisecond},
+	{Name: "lookup", Effect: policy.Idempotent, Deadline: 1500 * time.Millisecond, MeanWork: 20 * time.Millisecond},
+	{Name: "load", Effect: policy.IdempotentByKey, Deadline: 2500 * time.Millisecond, DedupWindow: 1200 * time.Millisecond, MeanWork: 60 * time.Millisecond},
+	{Name: "booking", Effect: policy.NonIdempotent, Deadline: 2000 * time.Millisecond, MeanWork: 30 * time.Millisecond},
 }
 
-// Limits of every run, as its settings tell them.
+// Limits of every run, written into its settings.
 const (
-	drainGrace   = time.Second
-	budgetFree   = 5
-	budgetShare  = 0.2
-	budgetSpan   = 5 * time.Second
-	attemptsMost = 3
-	connectMost  = 250 * time.Millisecond
-	idleMost     = 4 * time.Second
+	drainGrace     = time.Second
+	budgetBase     = 5
+	budgetRatio    = 0.2
+	budgetWindow   = 5 * time.Second
+	maxAttempts    = 3
+	connectTimeout = 250 * time.Millisecond
+	idleTimeout    = 4 * time.Second
 )
 
 // killAfter is the earliest SIGKILL after SIGTERM: the longest deadline plus 0.7 s.
@@ -48,11 +48,10 @@
 
 var names = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
-// configuration is the platform's file for one start of a dispatcher.
+// configuration is the platform's configuration file for one incarnation of a dispatcher.
 type configuration struct {
 	name, listen, resolver string
-	seed                   uint64
-	sockets                int
+	descriptors            int
 	nodes                  []nodelist.Node
 }
 
@@ -68,18 +67,18 @@
 	waits, writes, threads := []bool{}, []bool{}, []int{}
 	for _, class := range classes {
 		list = append(list, object{"name": class.Name, "credit": 1, "promiseUs": class.Deadline.Microseconds() / 2,
-			"deadlineUs": class.Deadline.Microseconds(), "effect": effectNames[class.Effect], "group": "all", "windowUs": class.Window.Microseconds()})
+			"deadlineUs": class.Deadline.Microseconds(), "effect": effectNames[class.Effect], "group": "all", "windowUs": class.DedupWindow.Microseconds()})
 		waits, writes, threads = append(waits, false), append(writes, false), append(threads, 1)
 	}
 	settings := object{"az": 0, "me": 0, "peersTotal": 1, "zones": names.Zones, "models": names.Kinds, "classes": list,
 		"familyInfo": object{"dop": threads, "kindCores": []int{64}, "ramOfKindMb": []int{131072}, "waitsForLoads": waits, "writesTables": writes},
 		"feedback":   object{"how": "piggyback", "fields": []string{"busy", "rif"}},
-		"limits": object{"connectTimeoutUs": connectMost.Microseconds(), "connIdleUs": idleMost.Microseconds(), "streamsPerConn": 100,
-			"sendCap": attemptsMost, "mostHeld": 20000, "retryAfter": true, "maxRetryAfterUs": 2000000},
-		"rules": object{"stopSendingWithinUs": drainGrace.Microseconds(), "budgetFree": budgetFree, "budgetShare": budgetShare,
-			"budgetSpanUs": budgetSpan.Microseconds()}}
+		"limits": object{"connectTimeoutUs": connectTimeout.Microseconds(), "connIdleUs": idleTimeout.Microseconds(), "streamsPerConn": 100,
+			"sendCap": maxAttempts, "mostHeld": 20000, "retryAfter": true, "maxRetryAfterUs": 2000000},
+		"rules": object{"stopSendingWithinUs": drainGrace.Microseconds(), "budgetFree": budgetBase, "budgetShare": budgetRatio,
+			"budgetSpanUs": budgetWindow.Microseconds()}}
 	return json.Marshal(object{"name": c.name, "listen": c.listen, "seed": "5eed", "resolver": c.resolver,
-		"limits":   object{"cores": 0.5, "memory_mb": 96, "sockets": c.sockets},
+		"limits":   object{"cores": 0.5, "memory_mb": 96, "sockets": c.descriptors},
 		"known":    object{"pos": 1, "entries": []any{object{"pos": 1, "hosts": object{"all": true, "targets": targets}}}},
 		"settings": settings})
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -13,7 +13,7 @@
 var (
 	firstSeed = flag.Uint64("soak.first", 1, "first seed of the runs")
 	seeds     = flag.Int("soak.seeds", 3, "how many seeds are run")
-	length    = flag.Duration("soak.length", 12*time.Second, "for how long each run plays faults")
+	length    = flag.Duration("soak.length", 12*time.Second, "for how long each run injects faults")
 	processes = flag.Int("soak.processes", 24, "dispatchers of each run, each a process of its own")
 	logs      = flag.String("soak.logs", "", "folder that the logs of the dispatchers are kept in")
 )
@@ -23,26 +23,26 @@
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			folder := *logs
-			if folder == "" {
-				folder = t.TempDir()
+			directory := *logs
+			if directory == "" {
+				directory = t.TempDir()
 			}
-			plan := soak.RandomPlan(soak.Options{Program: program, Folder: folder, Seed: seed, Dispatchers: *processes, Servers: 10, Clients: 4}, *length)
-			record, err := soak.Play(t.Context(), plan)
+			plan := soak.RandomPlan(soak.Options{Program: program, Directory: directory, Seed: seed, Dispatchers: *processes, Servers: 10, Clients: 4}, *length)
+			record, err := soak.Run(t.Context(), plan)
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := record.Judge()
-			by := map[soak.Invariant]int{}
+			found := record.Check()
+			counts := map[soak.Invariant]int{}
 			for i, v := range found {
-				if by[v.Invariant]++; i < 20 {
+				if counts[v.Invariant]++; i < 20 {
 					t.Error(v)
 				}
 			}
 			if len(found) > 0 {
-				t.Errorf("violations by invariant: %v", by)
+				t.Errorf("violations by invariant: %v", counts)
 			}
-			t.Logf("crowd %v; %s", plan.Crowd, record.Summary())
+			t.Logf("crowd %v; %s", plan.IdleCrowd, record.Summary())
 		})
 	}
 }
