--- /dev/null
+++ b/simulated/flightresult.go
@@ -0,0 +1,92 @@
+package simulated
+
+import (
+	"context"
+
+	"github.com/apache/arrow-go/v18/arrow"
+	"github.com/apache/arrow-go/v18/arrow/array"
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"github.com/apache/arrow-go/v18/arrow/memory"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+)
+
+// The schemas of results without and with a payload column.
+var resultSchema = arrow.NewSchema([]arrow.Field{{Name: "node", Type: arrow.BinaryTypes.String},
+	{Name: "row", Type: arrow.PrimitiveTypes.Int64}}, nil)
+
+var wideSchema = arrow.NewSchema(append(resultSchema.Fields(),
+	arrow.Field{Name: "payload", Type: arrow.BinaryTypes.Binary}), nil)
+
+// schemaOf is the schema of a statement's result.
+func schemaOf(h hints) *arrow.Schema {
+	if h.rowBytes > 0 {
+		return wideSchema
+	}
+	return resultSchema
+}
+
+// A batch of a result has at most so many rows, and so many bytes of payload unless a row has more.
+const (
+	batchRows  = 1024
+	batchBytes = 256 << 10
+)
+
+// streamRows sends a result's batches, subject to the faults that strike among them, and closes out.
+func (s *flightServer) streamRows(ctx context.Context, h hints, attempt *Seen, out chan<- flight.StreamChunk) {
+	defer close(out)
+	for sent := 0; sent < h.rows; {
+		f := s.node.faults()
+		if f.StallRow > 0 && sent >= f.StallRow {
+			select {
+			case <-ctx.Done():
+			case <-s.ctx.Done():
+			}
+			return
+		}
+		if f.CutRow > 0 && sent >= f.CutRow {
+			select {
+			case out <- flight.StreamChunk{Err: status.Error(codes.Unavailable, "cut off")}:
+			case <-ctx.Done():
+			}
+			return
+		}
+		n := flightBatchRows(h, f, sent)
+		select {
+		case out <- flight.StreamChunk{Data: recordBatch(s.node.Name, h, sent, n)}:
+		case <-ctx.Done():
+			return
+		}
+		sent += n
+		s.node.change(func() { attempt.Rows = sent })
+	}
+}
+
+// flightBatchRows is how many rows the next batch has: it ends where a fault strikes.
+func flightBatchRows(h hints, f Faults, sent int) int {
+	n := batchRows
+	if h.rowBytes > 0 {
+		n = max(1, min(n, batchBytes/h.rowBytes))
+	}
+	n = min(n, h.rows-sent)
+	for _, stop := range []int{f.StallRow, f.CutRow} {
+		if stop > sent {
+			n = min(n, stop-sent)
+		}
+	}
+	return n
+}
+
+// recordBatch is n rows of a result, numbered from a first one on.
+func recordBatch(node string, h hints, from, n int) arrow.RecordBatch {
+	b := array.NewRecordBuilder(memory.DefaultAllocator, schemaOf(h))
+	defer b.Release()
+	for i := range n {
+		b.Field(0).(*array.StringBuilder).Append(node)
+		b.Field(1).(*array.Int64Builder).Append(int64(from + i))
+		if h.rowBytes > 0 {
+			b.Field(2).(*array.BinaryBuilder).Append(make([]byte, h.rowBytes))
+		}
+	}
+	return b.NewRecordBatch()
+}
--- a/simulated/machine.go
+++ b/simulated/machine.go
@@ -1,5 +1,3 @@
-// Package simulated has stand-ins for what a dispatcher meets: query nodes that speak Flight SQL, a node list, clients.
-// They are written from the public specifications; their costs are a model, not a measurement of any engine.
 package simulated
 
 import (
@@ -19,6 +17,7 @@
 	Spill    float64       // work is multiplied by 1 plus this, times the share of memory that is missing; default 2
 }
 
+// defaults sets fields that are zero.
 func (m *Model) defaults() {
 	if m.Cores == 0 {
 		m.Cores = 8
@@ -35,34 +34,35 @@
 
 // job is one query on the machine.
 type job struct {
-	id       string  // of the query, for changes of priority
-	work     float64 // in all
-	left     float64
-	threads  float64
-	priority int
-	granted  float64
-	rate     float64
-	done     chan struct{}
+	id        string  // of the query, for changes of priority
+	work      float64 // in all
+	remaining float64
+	threads   float64
+	priority  int
+	granted   float64
+	rate      float64
+	done      chan struct{}
 }
 
 // machine shares cores between jobs, by priority 1 : 4 : 8 : 16.
 type machine struct {
 	model Model
 
-	mu      sync.Mutex
-	jobs    []*job
-	at      time.Time
-	started time.Time
-	cold    bool
-	slow    float64 // factor on all speeds; 1: none
-	paused  bool
-	timer   *time.Timer
+	mu         sync.Mutex
+	jobs       []*job
+	advancedTo time.Time
+	started    time.Time
+	cold       bool
+	speed      float64 // factor on all speeds; 1: none
+	paused     bool
+	timer      *time.Timer
 }
 
+// newMachine returns an idle machine; a cold one warms up from now on.
 func newMachine(m Model, cold bool) *machine {
 	m.defaults()
 	now := time.Now()
-	return &machine{model: m, at: now, started: now, cold: cold, slow: 1}
+	return &machine{model: m, advancedTo: now, started: now, cold: cold, speed: 1}
 }
 
 // capacity is the number of core seconds done a second.
@@ -70,7 +70,7 @@
 	if m.paused {
 		return 0
 	}
-	c := float64(m.model.Cores) * m.slow
+	c := float64(m.model.Cores) * m.speed
 	if age := now.Sub(m.started); m.cold && age < m.model.ColdFor {
 		c *= m.model.ColdFrom + (1-m.model.ColdFrom)*float64(age)/float64(m.model.ColdFor)
 	}
@@ -84,12 +84,12 @@
 	return c
 }
 
-// advance plays the time since the last call and sets the rates anew; mu is held.
+// advance applies the time since the last call and sets the rates anew. mu is held.
 func (m *machine) advance(now time.Time) {
-	span := now.Sub(m.at).Seconds()
-	m.at = now
+	span := now.Sub(m.advancedTo).Seconds()
+	m.advancedTo = now
 	m.jobs = slices.DeleteFunc(m.jobs, func(j *job) bool {
-		if j.left -= j.rate * span; j.left > 1e-6 {
+		if j.remaining -= j.rate * span; j.remaining > 1e-6 {
 			return false
 		}
 		close(j.done)
@@ -99,63 +99,64 @@
 	next := 50 * time.Millisecond // the capacity of a cold machine grows in between
 	for _, j := range m.jobs {
 		if j.rate > 0 {
-			next = min(next, time.Duration(j.left/j.rate*1e9)+50*time.Microsecond)
+			next = min(next, time.Duration(j.remaining/j.rate*1e9)+50*time.Microsecond)
 		}
 	}
 	if m.timer != nil {
 		m.timer.Stop()
 	}
 	if len(m.jobs) > 0 {
-		m.timer = time.AfterFunc(next, func() { m.do(nil) })
+		m.timer = time.AfterFunc(next, func() { m.update(nil) })
 	}
 }
 
-// share gives each job its part of the cores, none more than its threads.
+// share divides the capacity by priority and threads; no job gets more than its threads can use.
 func (m *machine) share(now time.Time) {
-	left, open := m.capacity(now), slices.Clone(m.jobs)
+	unallocated, open := m.capacity(now), slices.Clone(m.jobs)
 	for len(open) > 0 {
 		weights := 0.0
 		for _, j := range open {
-			weights += j.threads * weightOf(j.priority)
+			weights += j.threads * priorityWeight(j.priority)
 		}
-		sated := false
+		saturated := false
 		for _, j := range open {
-			if part := left * j.threads * weightOf(j.priority) / weights; part >= j.threads*m.slow {
-				j.rate, sated = j.threads*m.slow, true
+			if part := unallocated * j.threads * priorityWeight(j.priority) / weights; part >= j.threads*m.speed {
+				j.rate, saturated = j.threads*m.speed, true
 			} else {
 				j.rate = part
 			}
 		}
-		if !sated {
+		if !saturated {
 			return
 		}
 		open = slices.DeleteFunc(open, func(j *job) bool {
-			full := j.rate >= j.threads*m.slow
+			full := j.rate >= j.threads*m.speed
 			if full {
-				left -= j.rate
+				unallocated -= j.rate
 			}
 			return full
 		})
 	}
 }
 
-func weightOf(priority int) float64 { return [...]float64{1, 4, 8, 16}[min(max(priority, 0), 3)] }
+// priorityWeight is a priority's weight in share.
+func priorityWeight(priority int) float64 { return [...]float64{1, 4, 8, 16}[min(max(priority, 0), 3)] }
 
-// do changes the machine between two stretches of time.
-func (m *machine) do(change func()) {
+// update brings the machine up to now, and applies a change unless it is nil.
+func (m *machine) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.advance(time.Now())
 	if change != nil {
 		change()
-		m.advance(m.at)
+		m.advance(m.advancedTo)
 	}
 }
 
-// run adds a job; work is in core seconds. remove takes it away early.
+// run adds a job; work is in core seconds, need and grant in MB. remove removes it before its end.
 func (m *machine) run(id string, work, threads, need, grant float64, priority int) (j *job, remove func()) {
-	j = &job{id: id, left: work, threads: max(threads, 1), priority: priority, done: make(chan struct{})}
-	m.do(func() {
+	j = &job{id: id, remaining: work, threads: max(threads, 1), priority: priority, done: make(chan struct{})}
+	m.update(func() {
 		free := m.model.MemoryMB
 		for _, o := range m.jobs {
 			free -= o.granted
@@ -165,23 +166,23 @@
 		}
 		j.granted = max(0, min(grant, free))
 		if need > j.granted {
-			j.left *= 1 + m.model.Spill*(1-j.granted/need)
+			j.remaining *= 1 + m.model.Spill*(1-j.granted/need)
 		}
-		j.work = j.left
+		j.work = j.remaining
 		m.jobs = append(m.jobs, j)
 	})
 	return j, func() {
-		m.do(func() { m.jobs = slices.DeleteFunc(m.jobs, func(o *job) bool { return o == j }) })
+		m.update(func() { m.jobs = slices.DeleteFunc(m.jobs, func(o *job) bool { return o == j }) })
 	}
 }
 
-// done is the share of a job's work that is done.
-func (m *machine) done(j *job) (share float64) {
-	m.do(func() { share = 1 - j.left/max(j.work, 1e-9) })
+// progress is the share of a job's work that is done.
+func (m *machine) progress(j *job) (share float64) {
+	m.update(func() { share = 1 - j.remaining/max(j.work, 1e-9) })
 	return share
 }
 
-// load is a report: busy share of the cores, jobs in hand, granted share of memory.
+// load is the busy share of the cores, the number of jobs, and the granted share of memory.
 func (m *machine) load() (util, inflight, memory float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/simulated/native.go
+++ b/simulated/native.go
@@ -3,58 +3,64 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"net"
 	"regexp"
 	"strconv"
 	"strings"
-	"time"
 
 	"github.com/ClickHouse/ch-go/compress"
 	"github.com/ClickHouse/ch-go/proto"
-	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
-	"google.golang.org/grpc/status"
 
 	"embershunt/classify"
 	"embershunt/internal/native"
 )
 
-// serveNative answers the ClickHouse native protocol on the node's second address. Blocks are encoded by ch-go, which is
-// not ours, so that what the dispatcher finds in them is tested against another hand.
-func (n *Node) serveNative(ctx context.Context, v *life) {
+// serveNative accepts connections of the ClickHouse native protocol. Blocks are encoded by ch-go, so that the dispatcher's parser is
+// tested against an independent implementation.
+func (n *Node) serveNative(ctx context.Context, p *process) {
 	for {
-		conn, err := v.native.Accept()
+		conn, err := p.nativeListener.Accept()
 		if err != nil {
 			return
 		}
-		v.done.Add(1)
-		go func() {
-			defer v.done.Done()
-			stop := context.AfterFunc(ctx, func() { conn.Close() })
+		p.run(func() {
+			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the process ends
 			defer stop()
-			defer conn.Close()
-			n.mark(func() { n.conns++ })
-			defer n.mark(func() { n.conns-- })
-			s := &nativeServer{node: n, life: v, conn: conn, w: bufio.NewWriterSize(conn, 64<<10)}
+			defer func() { _ = conn.Close() }() // all that is to be sent was flushed
+			n.change(func() { n.nativeConns++ })
+			defer n.change(func() { n.nativeConns-- })
+			s := &nativeServer{node: n, process: p, conn: conn, w: bufio.NewWriterSize(conn, 64<<10)}
 			s.serve(ctx)
-			n.mark(func() { n.temporary -= len(s.tables) })
-		}()
+			n.change(func() { n.temporaryTables -= len(s.tables) })
+		})
 	}
 }
 
+// nativeServer serves one connection of the native protocol.
 type nativeServer struct {
-	node     *Node
-	life     *life
-	conn     net.Conn
-	w        *bufio.Writer
-	revision int
-	packing  *compress.Writer // nil: blocks are not compressed
-	tables   map[string]bool  // temporary ones: they live and die with the connection
+	node        *Node
+	process     *process
+	conn        net.Conn
+	w           *bufio.Writer
+	revision    int
+	compression *compress.Writer // of the current query; nil: blocks are not compressed
+	tables      map[string]bool  // temporary tables, which end with the connection
 }
 
+// write buffers bytes until the next flush.
+func (s *nativeServer) write(b []byte) {
+	_, _ = s.w.Write(b) // the writer keeps its first error until Flush
+}
+
+// flush sends what is buffered; false where the connection has failed.
+func (s *nativeServer) flush() bool { return s.w.Flush() == nil }
+
+// serve answers queries until the connection is to be closed.
 func (s *nativeServer) serve(ctx context.Context) {
 	r := native.NewReader(s.conn, 64<<20)
-	h, err := r.ReadHello()
+	hello, err := r.ReadHello()
 	if err != nil {
 		return
 	}
@@ -62,38 +68,39 @@
 	if newest == 0 {
 		newest = native.NewestRevision
 	}
-	s.revision = min(h.Revision, newest)
-	s.w.Write(native.Server{Name: "standin", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: s.node.Name}.Encode())
-	if s.w.Flush() != nil || r.ReadAddendum(s.revision) != nil {
+	s.revision = min(hello.Revision, newest)
+	s.write(native.Server{Name: "standin", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: s.node.Name}.Encode())
+	if !s.flush() || r.ReadAddendum(s.revision) != nil {
 		return
 	}
 	packets := make(chan clientPacket)
 	done := make(chan struct{})
 	defer close(done)
-	go s.read(r, packets, done)
+	s.process.run(func() { s.readPackets(r, packets, done) })
 	for p := range packets {
 		switch p.code {
 		case native.ClientPing:
-			s.w.Write([]byte{native.ServerPong})
+			s.write([]byte{native.ServerPong})
 		case native.ClientQuery:
 			if !s.query(ctx, packets, p.query) {
 				return
 			}
 		}
-		if s.w.Flush() != nil {
+		if !s.flush() {
 			return
 		}
 	}
 }
 
+// clientPacket is a packet from the client; code says which of its fields is set.
 type clientPacket struct {
 	code  uint64
 	query native.Query
 	block native.Block
 }
 
-// read hands the client's packets over until one cannot be read.
-func (s *nativeServer) read(r *native.Reader, packets chan<- clientPacket, done <-chan struct{}) {
+// readPackets hands the client's packets over until one cannot be read, or done is closed.
+func (s *nativeServer) readPackets(r *native.Reader, packets chan<- clientPacket, done <-chan struct{}) {
 	defer close(packets)
 	for {
 		code, err := r.ReadClient()
@@ -103,22 +110,9 @@
 		p := clientPacket{code: code}
 		switch code {
 		case native.ClientQuery:
-			if p.query, err = r.ReadQuery(s.revision); err != nil {
+			if p.query, err = s.readQuery(r); err != nil {
 				return
 			}
-			r.Compressed = p.query.Compression
-			for b := (native.Block{Rows: 1}); !b.End(); {
-				if code, err = r.ReadClient(); err != nil || code != native.ClientData {
-					return
-				}
-				table := ""
-				if table, b, err = r.ReadClientData(s.revision); err != nil {
-					return
-				}
-				if !b.End() {
-					p.query.Settings = append(p.query.Settings, native.Setting{Name: "standin_table_" + table, Value: strconv.Itoa(b.Rows)})
-				}
-			}
 		case native.ClientData:
 			if _, p.block, err = r.ReadClientData(s.revision); err != nil {
 				return
@@ -132,53 +126,97 @@
 	}
 }
 
+// externalTablePrefix begins the names of settings that readQuery adds for external tables.
+const externalTablePrefix = "standin_table_"
+
+var errNoTableData = errors.New("a query is followed by a packet other than Data")
+
+// readQuery reads a query and its external tables, which are added as settings: their names and rows.
+func (s *nativeServer) readQuery(r *native.Reader) (native.Query, error) {
+	q, err := r.ReadQuery(s.revision)
+	if err != nil {
+		return q, err
+	}
+	r.Compressed = q.Compression
+	for {
+		code, err := r.ReadClient()
+		if err != nil {
+			return q, err
+		}
+		if code != native.ClientData {
+			return q, errNoTableData
+		}
+		table, block, err := r.ReadClientData(s.revision)
+		if err != nil || block.End() {
+			return q, err
+		}
+		q.Settings = append(q.Settings, native.Setting{Name: externalTablePrefix + table, Value: strconv.Itoa(block.Rows)})
+	}
+}
+
 // query runs a statement; false where the connection must be closed.
 func (s *nativeServer) query(ctx context.Context, packets <-chan clientPacket, q native.Query) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.packing = nil
-	if q.Compression {
-		method := compress.LZ4
-		switch setting(q, "network_compression_method") {
-		case "ZSTD":
-			method = compress.ZSTD
-		case "NONE":
-			method = compress.None
-		}
-		s.packing = compress.NewWriter(0, method)
-	}
-	ctx, seen := s.begin(ctx, q)
+	s.compression = compressionOf(q)
+	ctx, attempt := s.recordAttempt(ctx, q)
 	rows := 0
 	if classify.InsertsClientData(q.Text) {
-		if s.node.faults().Hang {
-			for range packets { // it neither answers nor leaves
-			}
-			return false
-		}
-		if s.block(proto.Input{{Name: "id", Data: new(proto.ColUInt64)}, {Name: "name", Data: new(proto.ColStr)}}, 0) != nil || s.w.Flush() != nil {
+		var ok bool
+		if rows, ok = s.receiveInsert(packets); !ok {
 			return false
 		}
-		for more := true; more; {
-			p, ok := <-packets
-			if !ok || p.code != native.ClientData {
-				return false
-			}
-			rows += p.block.Rows
-			more = !p.block.End()
-		}
 	}
 	answered := make(chan bool, 1)
-	go func() { answered <- s.answer(ctx, q, seen, rows) }()
+	go func() { answered <- s.answer(ctx, q, attempt, rows) }()
 	select {
 	case ok := <-answered:
 		return ok
-	case <-packets: // a cancel, or the client's end
+	case <-packets: // a cancel, or the end of the connection
 		cancel()
 		<-answered
 		return false
 	}
 }
 
+// compressionOf is the compression of a query's answer; nil for none.
+func compressionOf(q native.Query) *compress.Writer {
+	if !q.Compression {
+		return nil
+	}
+	method := compress.LZ4
+	switch setting(q, "network_compression_method") {
+	case "ZSTD":
+		method = compress.ZSTD
+	case "NONE":
+		method = compress.None
+	}
+	return compress.NewWriter(0, method)
+}
+
+// receiveInsert sends an INSERT's columns and counts the rows that the client sends; false where the connection must be closed.
+func (s *nativeServer) receiveInsert(packets <-chan clientPacket) (rows int, ok bool) {
+	if s.node.faults().Hang {
+		for range packets { // no answer until the client disconnects
+		}
+		return 0, false
+	}
+	if s.writeBlock(proto.Input{{Name: "id", Data: new(proto.ColUInt64)}, {Name: "name", Data: new(proto.ColStr)}}, 0) != nil || !s.flush() {
+		return 0, false
+	}
+	for {
+		p, ok := <-packets
+		if !ok || p.code != native.ClientData {
+			return 0, false
+		}
+		rows += p.block.Rows
+		if p.block.End() {
+			return rows, true
+		}
+	}
+}
+
+// setting is the value of a query's setting; "" where it is not set.
 func setting(q native.Query, name string) string {
 	for _, s := range q.Settings {
 		if s.Name == name {
@@ -188,8 +226,8 @@
 	return ""
 }
 
-// begin books an attempt by its query id and settings.
-func (s *nativeServer) begin(ctx context.Context, q native.Query) (context.Context, *Seen) {
+// recordAttempt records an attempt with its query ID and settings.
+func (s *nativeServer) recordAttempt(ctx context.Context, q native.Query) (context.Context, *Seen) {
 	id, number := q.ID, "0"
 	if i := strings.LastIndexByte(id, '-'); i > 0 {
 		id, number = id[:i], id[i+1:]
@@ -202,24 +240,24 @@
 		md.Set("embershunt-memory-mb", strconv.FormatFloat(b/1e6, 'f', 0, 64))
 	}
 	ctx = metadata.NewIncomingContext(ctx, md)
-	seen := s.node.note(ctx, q.Text, isUpdate(q.Text))
-	s.node.mark(func() {
-		seen.Token = setting(q, "insert_deduplication_token")
+	attempt := s.node.recordAttempt(ctx, q.Text, isUpdate(q.Text))
+	s.node.change(func() {
+		attempt.Token = setting(q, "insert_deduplication_token")
 		for _, set := range q.Settings {
-			if name, ok := strings.CutPrefix(set.Name, "standin_table_"); ok {
-				seen.Tables = append(seen.Tables, name+":"+set.Value)
+			if name, ok := strings.CutPrefix(set.Name, externalTablePrefix); ok {
+				attempt.Tables = append(attempt.Tables, name+":"+set.Value)
 			}
 		}
 	})
-	return ctx, seen
+	return ctx, attempt
 }
 
-// temporary are the tables that a statement may name only where they were made.
-var temporary = regexp.MustCompile(`\btmp_[a-z0-9_]+`)
+// temporaryTable matches the name of a temporary table, known only to the connection that created it.
+var temporaryTable = regexp.MustCompile(`\btmp_[a-z0-9_]+`)
 
-// keep makes and drops temporary tables.
-func (s *nativeServer) keep(text string) {
-	name := temporary.FindString(text)
+// trackTables records the temporary tables that a statement creates or drops.
+func (s *nativeServer) trackTables(text string) {
+	name := temporaryTable.FindString(text)
 	before := len(s.tables)
 	switch {
 	case name == "":
@@ -232,155 +270,5 @@
 	case strings.HasPrefix(text, "DROP"):
 		delete(s.tables, name)
 	}
-	s.node.mark(func() { s.node.temporary += len(s.tables) - before })
-}
-
-// progress writes how many of the rows are read.
-func (s *nativeServer) progress(rows, total int) {
-	s.w.Write(native.PutUvarint([]byte{native.ServerProgress}, uint64(rows)))
-	s.w.Write(native.PutUvarint([]byte{0}, uint64(total)))
-	s.w.Write([]byte{0, 0})
-	if s.revision >= native.NewestRevision {
-		s.w.Write([]byte{0})
-	}
-}
-
-// profile writes what the query cost.
-func (s *nativeServer) profile(h hints) {
-	var host proto.ColStr
-	var at proto.ColDateTime
-	var thread proto.ColUInt64
-	var kind proto.ColEnum8
-	var name proto.ColStr
-	var value proto.ColInt64
-	for event, v := range map[string]int64{"OSCPUVirtualTimeMicroseconds": h.work.Microseconds(), "MemoryTrackerPeakUsage": int64(h.memory * 1e6)} {
-		host.Append(s.node.Name)
-		at.Append(time.Now())
-		thread.Append(0)
-		if kind = append(kind, 1); event == "MemoryTrackerPeakUsage" {
-			kind[len(kind)-1] = 2
-		}
-		name.Append(event)
-		value.Append(v)
-	}
-	input := proto.Input{{Name: "host_name", Data: &host}, {Name: "current_time", Data: &at}, {Name: "thread_id", Data: &thread},
-		{Name: "type", Data: proto.Alias(&kind, "Enum8('increment' = 1, 'gauge' = 2)")}, {Name: "name", Data: &name}, {Name: "value", Data: &value}}
-	var b proto.Buffer
-	b.PutUVarInt(native.ServerProfileEvents)
-	b.PutString("")
-	if (proto.Block{Rows: 2, Columns: len(input), Info: proto.BlockInfo{BucketNum: -1}}).EncodeBlock(&b, s.revision, input) == nil {
-		s.w.Write(b.Buf)
-	}
-}
-
-func (s *nativeServer) answer(ctx context.Context, q native.Query, seen *Seen, brought int) bool {
-	h := parseHints(q.Text)
-	if name := temporary.FindString(q.Text); name != "" && !s.tables[name] && !strings.Contains(q.Text, "CREATE TEMPORARY") {
-		s.node.mark(func() { s.node.tally.Misplaced = append(s.node.tally.Misplaced, q.Text) })
-		s.w.Write((&native.Exception{Code: 60, Name: "DB::Exception", Message: "DB::Exception: Table " + name + " does not exist"}).Encode())
-		return true
-	}
-	const scanned = 1000
-	told := 0
-	if err := s.node.work(ctx, s.life, seen, h, func(share float64) {
-		if read := int(share * scanned); read > told {
-			total := 0
-			if told == 0 {
-				total = scanned
-			}
-			s.progress(read-told, total)
-			s.w.Flush()
-			told = read
-		}
-	}); err != nil {
-		if ctx.Err() != nil {
-			return false
-		}
-		e := &native.Exception{Code: 1001, Name: "DB::Exception", Message: "DB::Exception: " + err.Error()}
-		switch status.Code(err) {
-		case codes.InvalidArgument:
-			e.Code = 62
-		case codes.ResourceExhausted:
-			e.Code = 202
-		}
-		s.w.Write(e.Encode())
-		return true
-	}
-	s.keep(q.Text)
-	s.progress(scanned-told, 0)
-	s.profile(h)
-	if isUpdate(q.Text) {
-		s.node.mark(func() { seen.Rows = brought })
-		s.w.Write([]byte{native.ServerEndOfStream})
-		return true
-	}
-	if s.rows(0, 0, h) != nil {
-		return false
-	}
-	for sent := 0; sent < h.rows; {
-		f := s.node.faults()
-		rows := min(1024, h.rows-sent)
-		if h.bytes > 0 {
-			rows = max(1, min(rows, (256<<10)/h.bytes))
-		}
-		if stop := f.StallRow + f.CutRow; stop > sent {
-			rows = min(rows, stop-sent)
-		}
-		if f.StallRow > 0 && sent >= f.StallRow {
-			s.w.Flush()
-			<-ctx.Done()
-			return false
-		}
-		if f.CutRow > 0 && sent >= f.CutRow { // in the middle of a block
-			s.w.Write([]byte{native.ServerData, 0, 1})
-			s.w.Flush()
-			return false
-		}
-		if f.Broken && sent > 0 { // an error behind rows
-			s.w.Write((&native.Exception{Code: 241, Name: "DB::Exception", Message: "DB::Exception: memory limit"}).Encode())
-			return true
-		}
-		if err := s.rows(sent, rows, h); err != nil || ctx.Err() != nil {
-			return false
-		}
-		sent += rows
-		s.node.mark(func() { seen.Rows = sent })
-	}
-	s.w.Write([]byte{native.ServerEndOfStream})
-	return true
-}
-
-// rows writes a Data packet of so many rows.
-func (s *nativeServer) rows(from, n int, h hints) error {
-	names := new(proto.ColStr)
-	var numbers proto.ColInt64
-	payload := new(proto.ColStr)
-	for i := range n {
-		names.Append(s.node.Name)
-		numbers.Append(int64(from + i))
-		payload.AppendBytes(make([]byte, h.bytes))
-	}
-	input := proto.Input{{Name: "node", Data: names}, {Name: "row", Data: numbers}}
-	if h.bytes > 0 {
-		input = append(input, proto.InputColumn{Name: "payload", Data: payload})
-	}
-	return s.block(input, n)
-}
-
-// block writes a Data packet, compressed where the client asked for that.
-func (s *nativeServer) block(input proto.Input, rows int) error {
-	var b proto.Buffer
-	if err := (proto.Block{Rows: rows, Columns: len(input), Info: proto.BlockInfo{BucketNum: -1}}).EncodeBlock(&b, s.revision, input); err != nil {
-		return err
-	}
-	s.w.Write([]byte{native.ServerData, 0})
-	content := b.Buf
-	if s.packing != nil {
-		if err := s.packing.Compress(content); err != nil {
-			return err
-		}
-		content = s.packing.Data
-	}
-	_, err := s.w.Write(content)
-	return err
+	s.node.change(func() { s.node.temporaryTables += len(s.tables) - before })
 }
--- a/simulated/relay.go
+++ b/simulated/relay.go
@@ -7,19 +7,18 @@
 	"sync"
 )
 
-// Relay passes TCP connections on to an address, and can stop, cut or redirect them at a byte: what lies between a client
-// and a service on a bad day.
+// Relay forwards TCP connections to an address, and can hold, cut or redirect them at a byte: a network that fails on demand.
 type Relay struct {
 	listener net.Listener
 	done     sync.WaitGroup
 
-	mu    sync.Mutex
-	to    string
-	left  int // bytes that still pass towards the client; -1: all
-	after func(client, server net.Conn)
-	open  map[net.Conn]bool
-	freed chan struct{} // closed when what is held may pass
-	spent chan struct{} // closed when the bytes are spent
+	mu           sync.Mutex
+	target       string
+	remaining    int // bytes towards the client until atLimit is called; -1: no limit
+	atLimit      func(client, server net.Conn)
+	conns        map[net.Conn]bool
+	released     chan struct{} // closed by Release
+	limitReached chan struct{} // closed when remaining reaches zero
 }
 
 // NewRelay listens on loopback.
@@ -28,7 +27,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, to: to, left: -1, open: map[net.Conn]bool{}}
+	r := &Relay{listener: l, target: to, remaining: -1, conns: map[net.Conn]bool{}}
 	r.done.Add(1)
 	go r.accept()
 	return r, nil
@@ -37,56 +36,61 @@
 // Address is where clients connect.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Redirect sends connections made from now on elsewhere, and cuts those that are up.
+// Redirect forwards new connections to another address, and closes those that are open.
 func (r *Relay) Redirect(to string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.to = to
-	for c := range r.open {
-		c.Close()
+	r.target = to
+	for c := range r.conns {
+		_ = c.Close() // its copies end either way
 	}
 }
 
-// CutAfter breaks the connections once so many more bytes have passed towards the client; later ones pass whole. The
-// channel is closed when that happened.
+// CutAfter closes a connection once n more bytes have passed towards clients; later connections are not cut. The channel is
+// closed when it happens.
 func (r *Relay) CutAfter(n int) <-chan struct{} {
-	return r.limit(n, func(client, server net.Conn) { client.Close(); server.Close() })
+	return r.limit(n, func(client, server net.Conn) {
+		_ = client.Close() // its copies end either way
+		_ = server.Close() // likewise
+	})
 }
 
-// HoldAfter lets so many bytes pass and keeps the rest until Release. The channel is closed when it begins to.
+// HoldAfter lets n more bytes pass towards clients and holds the rest until Release. The channel is closed when it begins.
 func (r *Relay) HoldAfter(n int) <-chan struct{} {
 	r.mu.Lock()
-	freed := make(chan struct{})
-	r.freed = freed
+	released := make(chan struct{})
+	r.released = released
 	r.mu.Unlock()
-	return r.limit(n, func(net.Conn, net.Conn) { <-freed })
+	return r.limit(n, func(net.Conn, net.Conn) { <-released })
 }
 
-// Release lets pass what is held.
+// Release lets pass what HoldAfter holds.
 func (r *Relay) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.freed != nil {
-		close(r.freed)
-		r.freed = nil
+	if r.released != nil {
+		close(r.released)
+		r.released = nil
 	}
 }
 
-func (r *Relay) limit(n int, after func(client, server net.Conn)) <-chan struct{} {
+// limit sets after how many bytes towards clients a function is called, once; the channel is closed then.
+func (r *Relay) limit(n int, atLimit func(client, server net.Conn)) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.left, r.after, r.spent = n, after, make(chan struct{})
-	return r.spent
+	r.remaining, r.atLimit, r.limitReached = n, atLimit, make(chan struct{})
+	return r.limitReached
 }
 
-// Close ends all.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
-	r.listener.Close()
+	_ = r.listener.Close() // the accept loop ends either way
 	r.Release()
 	r.Redirect("")
 	r.done.Wait()
 }
 
+// accept forwards connections until the listener is closed.
 func (r *Relay) accept() {
 	defer r.done.Done()
 	for {
@@ -95,51 +99,52 @@
 			return
 		}
 		r.mu.Lock()
-		server, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
 			r.mu.Unlock()
-			client.Close()
+			_ = client.Close() // nothing was read from it
 			continue
 		}
-		r.open[client], r.open[server] = true, true
+		r.conns[client], r.conns[server] = true, true
 		r.mu.Unlock()
 		r.done.Add(2)
 		go func() {
 			defer r.done.Done()
-			io.Copy(server, client)
-			r.end(client, server)
+			_, _ = io.Copy(server, client) // the end of either side ends both
+			r.closeConns(client, server)
 		}()
 		go func() {
 			defer r.done.Done()
-			r.back(client, server)
-			r.end(client, server)
+			_ = r.copyToClient(client, server) // the end of either side ends both
+			r.closeConns(client, server)
 		}()
 	}
 }
 
-func (r *Relay) end(conns ...net.Conn) {
+// closeConns closes connections and forgets them.
+func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range conns {
-		c.Close()
-		delete(r.open, c)
+		_ = c.Close() // it may be closed already
+		delete(r.conns, c)
 	}
 }
 
-// back passes on what goes towards the client, as far as it may.
-func (r *Relay) back(client, server net.Conn) error {
+// copyToClient forwards what the server sends, and calls atLimit where the limit is reached.
+func (r *Relay) copyToClient(client, server net.Conn) error {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := server.Read(b)
 		r.mu.Lock()
-		pass, after := n, r.after
-		if r.left >= 0 && n >= r.left {
-			pass, r.left = r.left, -1
-			close(r.spent)
+		pass, after := n, r.atLimit
+		if r.remaining >= 0 && n >= r.remaining {
+			pass, r.remaining = r.remaining, -1
+			close(r.limitReached)
 		} else {
 			after = nil
-			if r.left >= 0 {
-				r.left -= n
+			if r.remaining >= 0 {
+				r.remaining -= n
 			}
 		}
 		r.mu.Unlock()
--- a/simulated/transaction.go
+++ b/simulated/transaction.go
@@ -2,33 +2,31 @@
 
 import (
 	"context"
-	"fmt"
 	"strconv"
 	"time"
 
-	arrowsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/metadata"
 	"google.golang.org/grpc/status"
 )
 
-// state is what a node's present life holds of sessions.
-type state struct {
-	serial  int
-	open    map[string]*transaction // by the node's name for it
-	session map[string]string       // by the session's name
+// sessionState is the state of sessions in a node's current process.
+type sessionState struct {
+	serial       int
+	transactions map[string]*transaction // by transaction ID
+	bySession    map[string]string       // open transaction by session ID
 }
 
-// transaction is one that is open: its effects are seen when it is committed.
+// transaction is an open transaction; its writes become visible when it is committed.
 type transaction struct {
-	session string
-	idle    time.Duration // rolled back after so long without a statement; 0: never
-	used    time.Time
-	writes  []string
-	points  map[string]int // savepoints: writes made before each
+	session    string
+	idle       time.Duration // rolled back after so long without a statement; 0: never
+	lastUsed   time.Time
+	writes     []string
+	savepoints map[string]int // by savepoint ID: the number of writes before it
 }
 
-// Tally is what sessions did at a node, over all its lives.
+// Tally is what sessions did at a node, over all its incarnations.
 type Tally struct {
 	Begun     int            // transactions
 	Committed []string       // statements that became visible, in order
@@ -36,11 +34,11 @@
 	Misplaced []string       // statements that came where their state was not
 }
 
-// Transactions is the number that are open.
+// Transactions is the number of open transactions.
 func (n *Node) Transactions() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.state.open)
+	return len(n.sessions.transactions)
 }
 
 // Tally returns what sessions did here.
@@ -54,6 +52,7 @@
 	return t
 }
 
+// sessionOf is the session ID in a call's headers; "" for none.
 func sessionOf(ctx context.Context) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get("embershunt-session"); len(v) > 0 {
@@ -62,7 +61,7 @@
 	return ""
 }
 
-// idleOf is how long a transaction may be idle, by its BEGIN's header.
+// idleOf is how long a transaction may be idle, by the header of its BEGIN; 0: without limit.
 func idleOf(ctx context.Context) time.Duration {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get("embershunt-session-idle-ms"); len(v) > 0 {
@@ -72,90 +71,52 @@
 	return 0
 }
 
-// rollIdle rolls back what was idle for too long: its dispatcher may be gone.
-func (n *Node) rollIdle() {
-	n.mark(func() {
-		for id, tx := range n.state.open {
-			if tx.idle > 0 && time.Since(tx.used) > tx.idle {
-				n.finish(id, false)
+// rollBackIdle rolls back transactions that were idle for too long: their dispatcher may have crashed.
+func (n *Node) rollBackIdle() {
+	n.change(func() {
+		for id, tx := range n.sessions.transactions {
+			if tx.idle > 0 && time.Since(tx.lastUsed) > tx.idle {
+				n.endTransaction(id, false)
 			}
 		}
 	})
 }
 
-// within finds the transaction that a statement belongs to; one that is not here is tallied. n.mu is not held.
-func (n *Node) within(id []byte, statement string) error {
+// useTransaction marks a statement's transaction as used; a statement whose transaction is not open here is recorded as misplaced.
+// An empty ID is no transaction.
+func (n *Node) useTransaction(id []byte, statement string) error {
 	if len(id) == 0 {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if tx := n.state.open[string(id)]; tx != nil {
-		tx.used = time.Now()
-	} else {
-		if statement == "ROLLBACK" { // of what is gone already: no harm
-			return status.Errorf(codes.NotFound, "no transaction %q here", id)
-		}
+	if tx := n.sessions.transactions[string(id)]; tx != nil {
+		tx.lastUsed = time.Now()
+		return nil
+	}
+	if statement != "ROLLBACK" { // a second rollback does no harm
 		n.tally.Misplaced = append(n.tally.Misplaced, statement)
-		return status.Errorf(codes.NotFound, "no transaction %q here", id)
 	}
-	return nil
+	return status.Errorf(codes.NotFound, "no transaction %q here", id)
 }
 
-// wrote adds a statement to its transaction.
-func (n *Node) wrote(id []byte, statement string) {
-	n.mark(func() {
-		if tx := n.state.open[string(id)]; tx != nil {
+// recordWrite adds a statement to its transaction.
+func (n *Node) recordWrite(id []byte, statement string) {
+	n.change(func() {
+		if tx := n.sessions.transactions[string(id)]; tx != nil {
 			tx.writes = append(tx.writes, statement)
 		}
 	})
 }
 
-// BeginTransaction implements the Flight SQL action.
-func (s *flightServer) BeginTransaction(ctx context.Context, _ arrowsql.ActionBeginTransactionRequest) ([]byte, error) {
-	if err := s.node.trouble(ctx); err != nil {
-		return nil, err
-	}
-	id := ""
-	s.node.mark(func() {
-		st := &s.node.state
-		st.serial++
-		s.node.tally.Begun++
-		id = fmt.Sprintf("%s-%d-%d", s.node.Name, s.life.started.UnixNano(), st.serial)
-		st.open[id] = &transaction{session: sessionOf(ctx), idle: idleOf(ctx), used: time.Now(), points: map[string]int{}}
-		st.session[sessionOf(ctx)] = id
-	})
-	return []byte(id), s.node.lost(ctx)
-}
-
-// EndTransaction implements the Flight SQL action.
-func (s *flightServer) EndTransaction(ctx context.Context, r arrowsql.ActionEndTransactionRequest) error {
-	commit := r.GetAction() == arrowsql.EndTransactionCommit
-	name := "ROLLBACK"
-	if commit {
-		name = "COMMIT"
-		if err := s.node.trouble(ctx); err != nil {
-			return err
-		}
-	}
-	if err := s.node.within(r.GetTransactionId(), name); err != nil {
-		return err
-	}
-	s.node.mark(func() { s.node.finish(string(r.GetTransactionId()), commit) })
-	if commit {
-		return s.node.lost(ctx)
-	}
-	return nil
-}
-
-// finish ends a transaction; n.mu is held.
-func (n *Node) finish(id string, commit bool) {
-	tx := n.state.open[id]
+// endTransaction commits or rolls back a transaction, if it is open. n.mu is held.
+func (n *Node) endTransaction(id string, commit bool) {
+	tx := n.sessions.transactions[id]
 	if tx == nil {
 		return
 	}
-	if delete(n.state.open, id); n.state.session[tx.session] == id {
-		delete(n.state.session, tx.session)
+	if delete(n.sessions.transactions, id); n.sessions.bySession[tx.session] == id {
+		delete(n.sessions.bySession, tx.session)
 	}
 	if commit {
 		n.tally.Commits[tx.session]++
@@ -163,62 +124,7 @@
 	}
 }
 
-// BeginSavepoint implements the Flight SQL action.
-func (s *flightServer) BeginSavepoint(_ context.Context, r arrowsql.ActionBeginSavepointRequest) ([]byte, error) {
-	if err := s.node.within(r.GetTransactionId(), "SAVEPOINT"); err != nil {
-		return nil, err
-	}
-	id := string(r.GetTransactionId()) + "/" + r.GetName()
-	s.node.mark(func() {
-		tx := s.node.state.open[string(r.GetTransactionId())]
-		tx.points[id] = len(tx.writes)
-	})
-	return []byte(id), nil
-}
-
-// EndSavepoint implements the Flight SQL action.
-func (s *flightServer) EndSavepoint(_ context.Context, r arrowsql.ActionEndSavepointRequest) error {
-	err := status.Errorf(codes.NotFound, "no savepoint %q here", r.GetSavepointId())
-	s.node.mark(func() {
-		for _, tx := range s.node.state.open {
-			if at, ok := tx.points[string(r.GetSavepointId())]; ok {
-				if r.GetAction() == arrowsql.EndSavepointRollback {
-					tx.writes = tx.writes[:at]
-				}
-				delete(tx.points, string(r.GetSavepointId()))
-				err = nil
-			}
-		}
-	})
-	return err
-}
-
-// release ends what is held of a session, by its name.
+// releaseSession rolls back the transaction that a session has open.
 func (n *Node) releaseSession(name string) {
-	n.mark(func() { n.finish(n.state.session[name], false) })
-}
-
-// trouble is what faults do to an action before it has an effect.
-func (n *Node) trouble(ctx context.Context) error {
-	f := n.faults()
-	n.mu.Lock()
-	chance := n.rng.Float64()
-	n.mu.Unlock()
-	switch {
-	case f.Hang:
-		<-ctx.Done()
-		return ctx.Err()
-	case chance < f.Fail:
-		return status.Error(codes.Internal, "failed at once")
-	}
-	return nil
-}
-
-// lost keeps an action's answer back where the fault says so.
-func (n *Node) lost(ctx context.Context) error {
-	if !n.faults().Lost {
-		return nil
-	}
-	<-ctx.Done()
-	return ctx.Err()
+	n.change(func() { n.endTransaction(n.sessions.bySession[name], false) })
 }
--- /dev/null
+++ b/simulated/work.go
@@ -0,0 +1,110 @@
+package simulated
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/metadata"
+	"google.golang.org/grpc/status"
+)
+
+// progressInterval is how often a running statement reports its progress.
+const progressInterval = 50 * time.Millisecond
+
+// work runs a statement on the machine, subject to the faults; onProgress, unless nil, is given the share of the work done now
+// and then.
+func (n *Node) work(ctx context.Context, p *process, attempt *Seen, h hints, onProgress func(share float64)) error {
+	defer func() { n.change(func() { attempt.End = time.Now() }) }()
+	if err := n.failBeforeWork(ctx, attempt); err != nil {
+		return err
+	}
+	if h.fail != "" {
+		return status.Error(codes.InvalidArgument, h.fail)
+	}
+	if err := n.runJob(ctx, p, attempt, h, onProgress); err != nil {
+		return err
+	}
+	n.mu.Lock()
+	tokens := n.tokens
+	n.mu.Unlock()
+	first := tokens == nil || attempt.Token == "" || tokens.claim(attempt.Token)
+	n.change(func() { attempt.Ran, attempt.Dropped = first, !first })
+	return n.loseAnswer(ctx)
+}
+
+// failBeforeWork is what faults do to a statement before it runs.
+func (n *Node) failBeforeWork(ctx context.Context, attempt *Seen) error {
+	f := n.faults()
+	n.mu.Lock()
+	chance := n.rng.Float64()
+	n.mu.Unlock()
+	switch {
+	case f.Full:
+		_ = grpc.SetTrailer(ctx, metadata.Pairs("embershunt-ran", "no")) // the native protocol has no trailers
+		return status.Error(codes.ResourceExhausted, "too many sessions")
+	case chance < f.Fail:
+		return status.Error(codes.Internal, "failed at once")
+	case f.Hang:
+		<-ctx.Done()
+		n.change(func() { attempt.Cancelled = true })
+		return ctx.Err()
+	}
+	return nil
+}
+
+// runJob runs a statement's job to its end, or until ctx ends.
+func (n *Node) runJob(ctx context.Context, p *process, attempt *Seen, h hints, onProgress func(share float64)) error {
+	grantedMB := numberHeader(ctx, "embershunt-memory-mb", 0)
+	priority := int(numberHeader(ctx, "embershunt-priority", 1))
+	j, remove := p.machine.run(attempt.Query, h.work.Seconds(), h.threads, h.memoryMB, grantedMB, priority)
+	var tick <-chan time.Time
+	if onProgress != nil {
+		t := time.NewTicker(progressInterval)
+		defer t.Stop()
+		tick = t.C
+	}
+	for {
+		select {
+		case <-j.done:
+			return nil
+		case <-tick:
+			onProgress(p.machine.progress(j))
+		case <-ctx.Done():
+			remove()
+			n.change(func() { attempt.Cancelled = true })
+			return ctx.Err()
+		}
+	}
+}
+
+// numberHeader is a call header as a number; otherwise where it is missing or none.
+func numberHeader(ctx context.Context, name string, otherwise float64) float64 {
+	md, _ := metadata.FromIncomingContext(ctx)
+	if values := md.Get(name); len(values) > 0 {
+		if x, err := strconv.ParseFloat(values[0], 64); err == nil {
+			return x
+		}
+	}
+	return otherwise
+}
+
+// Priority is that of a running query, from 0 (low) to 3; -1 where it does not run.
+func (n *Node) Priority(query string) int {
+	n.mu.Lock()
+	p := n.process
+	n.mu.Unlock()
+	if p == nil {
+		return -1
+	}
+	p.machine.mu.Lock()
+	defer p.machine.mu.Unlock()
+	for _, j := range p.machine.jobs {
+		if j.id == query {
+			return j.priority
+		}
+	}
+	return -1
+}
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -82,6 +82,7 @@
 	return c.violations
 }
 
+// add adds a violation.
 func (c *checker) add(i Invariant, at time.Duration, format string, args ...any) {
 	c.violations = append(c.violations, Violation{i, at, fmt.Sprintf(format, args...)})
 }
@@ -97,6 +98,7 @@
 	return l != nil && l.Killed > 0 && l.Terminated == 0 && q.Sent <= l.Killed+readSlack && (q.Ended == 0 || q.Ended >= l.Killed-readSlack)
 }
 
+// String identifies the request in a report.
 func (q *Request) String() string {
 	return fmt.Sprintf("n%d.%d %s %s sent %.3f patience %.3f", q.Dispatcher, q.Incarnation, q.Class.Name, q.ID, q.Sent.Seconds(), q.Timeout.Seconds())
 }
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return c, err
 		}
-		d, err := newDispatcher(c.Record, i, o.Program, o.Directory, names, o.Descriptors)
+		d, err := newDispatcher(c.Record, i, o, names)
 		if err != nil {
 			return c, err
 		}
--- a/soak/dispatcher.go
+++ b/soak/dispatcher.go
@@ -35,18 +35,19 @@
 	accepting   bool          // clients may open connections
 }
 
-func newDispatcher(r *Record, number int, program, folder string, names *NameService, sockets int) (*Dispatcher, error) {
+// newDispatcher returns a dispatcher with a free port, which is not started yet.
+func newDispatcher(r *Record, number int, o Options, names *NameService) (*Dispatcher, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0") // a free port
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = l.Close() }() // the port is free for the dispatcher then
-	log, err := os.Create(filepath.Join(folder, fmt.Sprintf("n%d.log", number)))
+	log, err := os.Create(filepath.Join(o.Directory, fmt.Sprintf("n%d.log", number)))
 	if err != nil {
 		return nil, err
 	}
-	return &Dispatcher{record: r, number: number, program: program, directory: folder, listen: l.Addr().String(), descriptors: sockets,
-		nameService: names, log: log}, nil
+	return &Dispatcher{record: r, number: number, program: o.Program, directory: o.Directory, listen: l.Addr().String(),
+		descriptors: o.Descriptors, nameService: names, log: log}, nil
 }
 
 // connectable tells whether clients may open connections now.
--- a/soak/nameservice.go
+++ b/soak/nameservice.go
@@ -62,11 +62,13 @@
 	moveNotifyLimit   = 4 * time.Second
 )
 
+// newNameService returns a name service for one dispatcher, which listens on loopback.
 func newNameService(r *Record, dispatcher int, seed uint64) (*NameService, error) {
 	s := &NameService{record: r, dispatcher: dispatcher, rng: rand.New(rand.NewPCG(seed, uint64(dispatcher)))}
 	return s, s.listen()
 }
 
+// listen opens another socket and answers queries on it; the clients of the old one are forgotten.
 func (s *NameService) listen() error {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -198,6 +200,7 @@
 	}
 }
 
+// serve answers queries until the socket is closed.
 func (s *NameService) serve(conn *net.UDPConn) {
 	defer s.done.Done()
 	buf := make([]byte, 512)
--- a/soak/server.go
+++ b/soak/server.go
@@ -40,6 +40,7 @@
 	closed bool
 }
 
+// newServer returns a server that listens on loopback.
 func newServer(r *Record, id string, seed uint64) (*Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,6 +64,7 @@
 	s.faults = f
 }
 
+// currentFaults are those set last.
 func (s *Server) currentFaults() ServerFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,6 +92,7 @@
 // Wait waits until all its goroutines have ended; call it after Crash.
 func (s *Server) Wait() { s.done.Wait() }
 
+// accept serves connections until the listener is closed.
 func (s *Server) accept() {
 	defer s.done.Done()
 	for {
--- a/soak/serverconn.go
+++ b/soak/serverconn.go
@@ -240,6 +240,7 @@
 // neverAnswer leaves a request pending until it is dropped or the connection ends.
 func (c *serverConn) neverAnswer(a *Arrival) { c.addPending(a, time.Hour, func() {}) }
 
+// addPending makes a request pending, and calls expire after some time unless it is finished before.
 func (c *serverConn) addPending(a *Arrival, d time.Duration, expire func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -44,8 +44,10 @@
 	return longest + 700*time.Millisecond
 }
 
+// effectNames are the platform's words for effects.
 var effectNames = map[policy.Effect]string{policy.Idempotent: "retryable", policy.IdempotentByKey: "dedup", policy.NonIdempotent: "fragile"}
 
+// names are the zones and kinds of every run.
 var names = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
 // configuration is the platform's configuration file for one incarnation of a dispatcher.
@@ -55,6 +57,7 @@
 	nodes                  []nodelist.Node
 }
 
+// marshal is the file's content; its keys are the platform's.
 func (c configuration) marshal() ([]byte, error) {
 	type object = map[string]any
 	var targets []object
