--- a/cmd/querynode/main.go
+++ b/cmd/querynode/main.go
@@ -1,5 +1,6 @@
-// Command querynode is a stand-in query node: it speaks Flight SQL, shares modelled cores and answers made-up rows. It
-// is for trying a dispatcher out; its costs are a model, not a measurement of any engine.
+// Command querynode is a simulated query node: it speaks Flight SQL and the ClickHouse native protocol, shares modelled cores
+// between queries and answers with generated rows. It is for trying a dispatcher out; its costs are a model, not a measurement
+// of any engine.
 package main
 
 import (
@@ -15,6 +16,7 @@
 	"embershunt/simulated"
 )
 
+// cli are the flags.
 var cli struct {
 	Listen   string        `short:"l" default:"127.0.0.1:33011" help:"Address, as host:port."`
 	Native   string        `default:"127.0.0.1:0" help:"Address of the ClickHouse native protocol, as host:port; port 0 is any."`
@@ -33,21 +35,21 @@
 	Cut      int           `help:"Break each answer off after this many rows."`
 }
 
-// Exit codes: 0 ended by a signal, 1 the address cannot be had, 2 wrong usage.
+// Exit codes: 0 after SIGINT or SIGTERM, 1 where an address cannot be listened on, 80 for wrong usage.
 func main() {
 	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A stand-in query node. Statements state their cost: "+
 		"/* work_ms=120 threads=1 rows=1000 row_bytes=0 memory_mb=0 */"))
-	n := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
-	n.Set(simulated.Faults{Hang: cli.Hang, Lost: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
+	node := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
+	node.Set(simulated.Faults{Hang: cli.Hang, Lost: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
 		StallRow: cli.Stall, CutRow: cli.Cut})
-	n.Native = cli.Native
-	if err := n.Start(cli.Listen, cli.Cold); err != nil {
+	node.Native = cli.Native
+	if err := node.Start(cli.Listen, cli.Cold); err != nil {
 		fmt.Fprintln(os.Stderr, "querynode:", err)
 		os.Exit(1)
 	}
-	fmt.Println(cli.Name, "serves", n.Address, "and natively", n.Native)
+	fmt.Println(cli.Name, "serves", node.Address, "and natively", node.Native)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
-	n.Die()
+	node.Die()
 }
