--- a/simulated/control.go
+++ b/simulated/control.go
@@ -31,7 +31,7 @@
 	streamStarts      []time.Time // when each stream began
 	sets              map[uint64][]*anypb.Any
 	sentBytes         int // of all responses
-	chooseVersion     func(dispatcher string) uint64
+	chooseSet         func(dispatcher string) uint64
 	onReply           func(dispatcher string, number uint64, refused string)
 }
 
@@ -120,12 +120,12 @@
 	c.resourcesChanged = make(chan struct{})
 }
 
-// Stage gives each dispatcher a set of resources of its own: choose returns the number of the set to offer, reply is called with
+// Stage gives each dispatcher a set of resources of its own: chooseSet returns the number of the set to offer, onReply is called with
 // what the dispatcher replied. Both are called with the service's lock held.
-func (c *Control) Stage(choose func(dispatcher string) uint64, reply func(dispatcher string, number uint64, refused string)) {
+func (c *Control) Stage(chooseSet func(dispatcher string) uint64, onReply func(dispatcher string, number uint64, refused string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.chooseVersion, c.onReply, c.sets = choose, reply, map[uint64][]*anypb.Any{}
+	c.chooseSet, c.onReply, c.sets = chooseSet, onReply, map[uint64][]*anypb.Any{}
 }
 
 // Locked runs a function with the service's lock held, and pushes what it has changed.
@@ -141,11 +141,11 @@
 
 // resourcesFor are the resources to offer to a dispatcher. c.mu is held.
 func (c *Control) resourcesFor(dispatcher string) map[string]resource {
-	if c.chooseVersion == nil {
+	if c.chooseSet == nil {
 		return c.resources
 	}
 	out := maps.Clone(c.resources)
-	number := c.chooseVersion(dispatcher)
+	number := c.chooseSet(dispatcher)
 	for _, a := range c.sets[number] {
 		out[a.GetTypeUrl()] = resource{"default", a, int(number)}
 	}
--- a/simulated/machine.go
+++ b/simulated/machine.go
@@ -35,13 +35,13 @@
 // job is one query on the machine.
 type job struct {
 	id        string  // of the query, for changes of priority
-	work      float64 // in all
-	remaining float64
+	totalWork float64 // in core seconds, in all
+	remaining float64 // in core seconds
 	threads   float64
 	priority  int
-	granted   float64
-	rate      float64
-	done      chan struct{}
+	granted   float64       // memory in MB
+	rate      float64       // core seconds a second
+	done      chan struct{} // closed when all work is done
 }
 
 // machine shares cores between jobs, by priority 1 : 4 : 8 : 16.
@@ -50,10 +50,10 @@
 
 	mu         sync.Mutex
 	jobs       []*job
-	advancedTo time.Time
+	advancedTo time.Time // the jobs' remaining work is that of this time
 	started    time.Time
 	cold       bool
-	speed      float64 // factor on all speeds; 1: none
+	speed      float64 // factor on the speed of each core; 1: none
 	paused     bool
 	timer      *time.Timer
 }
@@ -168,7 +168,7 @@
 		if need > j.granted {
 			j.remaining *= 1 + m.model.Spill*(1-j.granted/need)
 		}
-		j.work = j.remaining
+		j.totalWork = j.remaining
 		m.jobs = append(m.jobs, j)
 	})
 	return j, func() {
@@ -178,7 +178,7 @@
 
 // progress is the share of a job's work that is done.
 func (m *machine) progress(j *job) (share float64) {
-	m.update(func() { share = 1 - j.remaining/max(j.work, 1e-9) })
+	m.update(func() { share = 1 - j.remaining/max(j.totalWork, 1e-9) })
 	return share
 }
 
--- a/simulated/transaction.go
+++ b/simulated/transaction.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
@@ -45,11 +47,8 @@
 func (n *Node) Tally() Tally {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	t := Tally{Begun: n.tally.Begun, Committed: append([]string(nil), n.tally.Committed...), Misplaced: append([]string(nil), n.tally.Misplaced...), Commits: map[string]int{}}
-	for k, v := range n.tally.Commits {
-		t.Commits[k] = v
-	}
-	return t
+	return Tally{Begun: n.tally.Begun, Committed: slices.Clone(n.tally.Committed), Commits: maps.Clone(n.tally.Commits),
+		Misplaced: slices.Clone(n.tally.Misplaced)}
 }
 
 // sessionOf is the session ID in a call's headers; "" for none.
@@ -65,7 +64,7 @@
 func idleOf(ctx context.Context) time.Duration {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get("embershunt-session-idle-ms"); len(v) > 0 {
-		ms, _ := strconv.ParseInt(v[0], 10, 64)
+		ms, _ := strconv.ParseInt(v[0], 10, 64) // zero where it is no number
 		return time.Duration(ms) * time.Millisecond
 	}
 	return 0
--- a/soak/nameservice.go
+++ b/soak/nameservice.go
@@ -117,12 +117,12 @@
 }
 
 // Restart begins another incarnation of the dispatcher: numbers begin again at 1, with the list of its configuration.
-func (s *NameService) Restart(start int, nodes []nodelist.Node) {
+func (s *NameService) Restart(incarnation int, nodes []nodelist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.record.now()
 	s.previousVersions = append(s.previousVersions, s.versions...)
-	s.incarnation, s.notified, s.versions = start, map[string]bool{}, []version{{1, now, nodes}}
+	s.incarnation, s.notified, s.versions = incarnation, map[string]bool{}, []version{{1, now, nodes}}
 	s.markNotified(s.versions[0], now)
 }
 
@@ -140,14 +140,14 @@
 
 // scheduleNotified counts the dispatcher as notified of a version some time after it was published; an outage or a move
 // until then gives more time. s.mu is held.
-func (s *NameService) scheduleNotified(v version, start int, within time.Duration) {
+func (s *NameService) scheduleNotified(v version, incarnation int, within time.Duration) {
 	time.AfterFunc(within-(s.record.now()-v.at), func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		switch later := s.notifyLimitFrom(v.at); {
-		case s.incarnation != start:
+		case s.incarnation != incarnation:
 		case later > within:
-			s.scheduleNotified(v, start, later)
+			s.scheduleNotified(v, incarnation, later)
 		default:
 			s.markNotified(v, v.at+within)
 		}
@@ -191,8 +191,8 @@
 			break
 		}
 		for _, n := range earlier.nodes {
-			state, is := listed[n.ID]
-			if (!is || state != policy.Healthy) && !s.notified[n.ID] {
+			state, ok := listed[n.ID]
+			if (!ok || state != policy.Healthy) && !s.notified[n.ID] {
 				s.notified[n.ID] = true
 				s.record.addNotice(Notice{s.dispatcher, s.incarnation, n.ID, at})
 			}
