--- a/backend/permission_audit_test.go
+++ b/backend/permission_audit_test.go
@@ -14,9 +14,9 @@
 
 // Attempts that are not permitted are counted by reason; one that starts against a rule is a violation.
 func TestAttemptsAreAudited(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(conn net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(conn net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			reply(conn, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -15,28 +15,28 @@
 )
 
 // nodeBehavior is how a node handles a command.
-type nodeBehavior func(net.Conn, simulated.LineCommand)
+type nodeBehavior func(net.Conn, simulated.PlatformCommand)
 
 // answering answers each request with one answer.
 func answering(kind, fields, body string) nodeBehavior {
-	return func(c net.Conn, cmd simulated.LineCommand) {
+	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(c, simulated.LineAnswer(cmd.ID, kind, fields, body))
+			reply(c, simulated.PlatformAnswer(cmd.ID, kind, fields, body))
 		}
 	}
 }
 
 // writing answers each command with a text, in which ID stands for the request's id.
 func writing(text string) nodeBehavior {
-	return func(c net.Conn, cmd simulated.LineCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
+	return func(c net.Conn, cmd simulated.PlatformCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
 }
 
 // paging answers with the first of three pages, and with answerPage where a further one is requested.
 func paging(answerPage func(n int) string) nodeBehavior {
-	return func(c net.Conn, cmd simulated.LineCommand) {
+	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		switch cmd.Verb {
 		case "GET":
-			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
 		case "PAGE":
 			reply(c, answerPage(cmd.N))
 		}
@@ -45,11 +45,11 @@
 
 // page is a further page of the request "id".
 func page(n int) string {
-	return simulated.LineAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
+	return simulated.PlatformAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
 }
 
 // duplicatePages answers with the further pages in another order, each twice.
-func duplicatePages(c net.Conn, cmd simulated.LineCommand) {
+func duplicatePages(c net.Conn, cmd simulated.PlatformCommand) {
 	if cmd.Verb == "GET" {
 		paging(nil)(c, cmd)
 	} else if cmd.Verb == "PAGE" && cmd.N == 2 {
@@ -59,7 +59,7 @@
 
 // truncating closes the connection within an answer.
 func truncating(t *testing.T) nodeBehavior {
-	return func(c net.Conn, cmd simulated.LineCommand) {
+	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		reply(c, cmd.ID+" data total=1 6\r\na\tb")
 		closeConn(t, c)
 	}
@@ -77,12 +77,12 @@
 		{"no rows", answering("data", "total=1", ""), policy.OK, ""},
 		{"three pages", paging(page), policy.OK, "a|b|c;p|1|;p|2|;"},
 		{"pages in another order, each twice", duplicatePages, policy.OK, "a|b|c;p|1|;p|2|;"},
-		{"a duplicate, and an answer to an unknown request before it", writing(simulated.LineAnswer("other", "data", "total=1", "x\ty\tz\n") +
-			simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.LineAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
+		{"a duplicate, and an answer to an unknown request before it", writing(simulated.PlatformAnswer("other", "data", "total=1", "x\ty\tz\n") +
+			simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
 		{"full", answering("full", "", ""), policy.Rejected, ""},
 		{"expired", answering("moot", "", ""), policy.NeverSent, ""},
 		{"failed", answering("failed", "", "what went wrong"), policy.Failed, ""},
-		{"a page that its node has lost", paging(func(int) string { return simulated.LineAnswer("id", "failed", "", "") }), policy.Failed, ""},
+		{"a page that its node has lost", paging(func(int) string { return simulated.PlatformAnswer("id", "failed", "", "") }), policy.Failed, ""},
 		{"a page beyond the last", paging(func(int) string { return page(7) }), policy.Failed, ""},
 		{"a page within a row", answering("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
 		{"a row of two columns", answering("data", "total=1", "a\tb\n"), policy.Failed, ""},
@@ -94,13 +94,13 @@
 		{"a length that does not fit", writing("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
 		{"no total", answering("data", "", "a\tb\tc\n"), policy.Failed, ""},
 		{"truncated", truncating(t), policy.ConnectionReset, ""},
-		{"reset under a request", func(c net.Conn, _ simulated.LineCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
-		{"no answer", func(net.Conn, simulated.LineCommand) {}, policy.TimedOut, ""},
+		{"reset under a request", func(c net.Conn, _ simulated.PlatformCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
+		{"no answer", func(net.Conn, simulated.PlatformCommand) {}, policy.TimedOut, ""},
 		{"a complete page and then nothing", paging(func(int) string { return "" }), policy.TimedOut, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			node, err := simulated.NewLineNode("", c.serve)
+			node, err := simulated.NewPlatformNode("", c.serve)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -166,13 +166,13 @@
 			}
 		},
 	} {
-		for blocking, block := range map[string]func(*platformFleet, *simulated.LineNode, time.Duration) func(){
+		for blocking, block := range map[string]func(*platformFleet, *simulated.PlatformNode, time.Duration) func(){
 			"connecting": sendConnecting, "behind another command": sendBehindAnother,
 		} {
 			t.Run(name+", "+blocking, func(t *testing.T) {
-				node, err := simulated.NewLineNode("", func(conn net.Conn, cmd simulated.LineCommand) {
+				node, err := simulated.NewPlatformNode("", func(conn net.Conn, cmd simulated.PlatformCommand) {
 					if cmd.Verb == "GET" && cmd.ID != "before" {
-						reply(conn, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+						reply(conn, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 					}
 				})
 				if err != nil {
@@ -204,7 +204,7 @@
 
 // sendConnecting sends the attempt "id", whose connection is established when release is called: in the very moment in which it is
 // not wanted any more.
-func sendConnecting(f *platformFleet, _ *simulated.LineNode, timeout time.Duration) (release func()) {
+func sendConnecting(f *platformFleet, _ *simulated.PlatformNode, timeout time.Duration) (release func()) {
 	arrived, barrier := make(chan struct{}), make(chan struct{})
 	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(context.WithoutCancel(ctx), address)
@@ -218,7 +218,7 @@
 }
 
 // sendBehindAnother sends the attempt "id" on a connection on which a command is being written until release is called.
-func sendBehindAnother(f *platformFleet, node *simulated.LineNode, timeout time.Duration) (release func()) {
+func sendBehindAnother(f *platformFleet, node *simulated.PlatformNode, timeout time.Duration) (release func()) {
 	f.send("before", 0, "n0", 5*time.Second)
 	for len(node.Commands()) == 0 {
 		time.Sleep(time.Millisecond)
@@ -233,7 +233,7 @@
 }
 
 // checkNeverSent waits for the end of the attempt "id" and checks that it was never sent, and is known as such.
-func checkNeverSent(t *testing.T, f *platformFleet, node *simulated.LineNode) {
+func checkNeverSent(t *testing.T, f *platformFleet, node *simulated.PlatformNode) {
 	t.Helper()
 	end := f.end()
 	for end.ID == "q-before" { // ends with its node
@@ -253,18 +253,18 @@
 // the same query sent again.
 func TestDuplicateAnswerAfterTheEnd(t *testing.T) {
 	first := ""
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb != "GET" {
 			return
 		}
 		if first == "" {
 			first = cmd.ID
 		} else { // half of the copy, then the rest with the next answer behind it
-			copied := simulated.LineAnswer(first, "data", "total=1", "old\t\t\n")
+			copied := simulated.PlatformAnswer(first, "data", "total=1", "old\t\t\n")
 			reply(c, copied[:11])
 			reply(c, copied[11:])
 		}
-		reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
+		reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -285,9 +285,9 @@
 // The end of a connection on which nothing was written may be noticed when the attempt is on another one already: that does not end the
 // attempt, which is not sent a second time while it runs.
 func TestLateCloseOfAnotherConnection(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.ID == "go" {
-			reply(c, simulated.LineAnswer("id", "data", "total=1", "a\tb\tc\n"))
+			reply(c, simulated.PlatformAnswer("id", "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
@@ -313,13 +313,13 @@
 
 // An abandoned request is dropped on its node, its late answer is ignored, and its id is not used again on the connection.
 func TestAbandonedRequests(t *testing.T) {
-	got := make(chan simulated.LineCommand, 10)
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	got := make(chan simulated.PlatformCommand, 10)
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "DROP" {
-			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "late\t\t\n"))
 		}
 		if cmd.Verb == "GET" && cmd.Text == "SELECT 1" && len(got) > 1 {
-			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "new\t\t\n"))
 		}
 		got <- cmd
 	})
--- a/backend/platform_pool_test.go
+++ b/backend/platform_pool_test.go
@@ -15,12 +15,12 @@
 
 // What proves that nothing ran, and what does not: nobody listens, a new connection that is reset, a pooled one that the node has closed.
 func TestOutcomesOfPlatformConnections(t *testing.T) {
-	serve := func(c net.Conn, cmd simulated.LineCommand) {
+	serve := func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	}
-	node, err := simulated.NewLineNode("", serve)
+	node, err := simulated.NewPlatformNode("", serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +56,7 @@
 	if end := f.end(); end.Code != policy.ConnectionRefused {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
 	}
-	if node, err = simulated.NewLineNode(address, serve); err != nil {
+	if node, err = simulated.NewPlatformNode(address, serve); err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
@@ -68,17 +68,17 @@
 
 // Health checks count against the bound on connections, and a connection that was closed makes room at once.
 func TestEveryConnectionIsCounted(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
-	other, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
-		reply(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
+	other, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
+		reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 // Attempts share a connection only where the bound on connections is reached, never beyond the bound on attempts, and never with the same id.
 func TestAttemptsShareConnectionsAtTheBound(t *testing.T) {
 	hold := make(chan struct{})
-	node, err := simulated.NewLineNode("", func(_ net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(_ net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" && cmd.ID == "last" {
 			close(hold)
 		}
@@ -141,10 +141,10 @@
 
 // A node that takes the address of another inherits no connection, and one that was removed keeps none.
 func TestNodeAtTheAddressOfAnother(t *testing.T) {
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(c, simulated.LineAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.LineAnswer(cmd.ID, "news", "why=w,datum=2", "")+
-				simulated.LineAnswer(cmd.ID, "data", "total=1", ""))
+			reply(c, simulated.PlatformAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.PlatformAnswer(cmd.ID, "news", "why=w,datum=2", "")+
+				simulated.PlatformAnswer(cmd.ID, "data", "total=1", ""))
 		}
 	})
 	if err != nil {
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -210,12 +210,12 @@
 	if err := config.Decode(file, text, &list, nil); err != nil {
 		return err
 	}
-	var rows []simulated.Listed
+	var rows []simulated.ListedNode
 	for _, n := range list.Nodes {
 		if n.State == "gone" {
 			continue
 		}
-		row := simulated.Listed{Name: n.Name, Address: n.Address, Hall: n.Zone, Kind: n.Kind, Draining: n.State == "draining"}
+		row := simulated.ListedNode{Name: n.Name, Address: n.Address, Zone: n.Zone, Kind: n.Kind, Draining: n.State == "draining"}
 		if n.Started != "" {
 			at, err := time.Parse(time.RFC3339Nano, n.Started)
 			if err != nil {
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -61,8 +61,8 @@
 // awaitQueries waits until a service has received more queries.
 func awaitQueries(t *testing.T, s *simulated.NameService, more int) {
 	t.Helper()
-	from := s.Asked()
-	await(t, "queries", func() bool { return s.Asked() >= from+more })
+	from := s.Queries()
+	await(t, "queries", func() bool { return s.Queries() >= from+more })
 }
 
 // expect waits for the next list with a single healthy node, which must be the one named.
@@ -115,15 +115,15 @@
 	awaitQueries(t, a, 3) // the number that it starts with is not applied again
 	a.Set(7, nodes("seven"))
 	expect(t, applied, "seven")
-	a.Spoil(older(t, 6, 2)) // fewer than show that the number was wrong
+	a.Corrupt(older(t, 6, 2)) // fewer than show that the number was wrong
 	awaitQueries(t, a, 5)
-	a.Spoil(spoilOnce())
+	a.Corrupt(spoilOnce())
 	a.Set(8, nodes("eight"))
 	expect(t, applied, "eight")
 	if r.Failures() < 4 {
 		t.Errorf("%d failures counted, want 4 and more", r.Failures())
 	}
-	a.Spoil(nil)
+	a.Corrupt(nil)
 	if s := r.Stats(); s.Version != 8 || s.Responses == 0 || s.Queries < s.Responses || s.Unusable != r.Failures() || s.Sockets == 0 {
 		t.Errorf("stats %+v", s)
 	}
@@ -182,7 +182,7 @@
 				}})
 			row[0].State = policy.Draining
 			s.Set(2, row)
-			s.Delay(time.Duration(times) * interval)
+			s.SetDelay(time.Duration(times) * interval)
 			run(t, r)
 			select {
 			case <-drained:
@@ -207,7 +207,7 @@
 			state.Store(text)
 		}})
 	s.Set(2, nodes("a", "b"))
-	s.Spoil(older(t, 4_000_000_000, 1))
+	s.Corrupt(older(t, 4_000_000_000, 1))
 	run(t, r)
 	defer func() {
 		if t.Failed() {
@@ -256,9 +256,9 @@
 		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
 	run(t, r)
 	s.Set(1, nodes("a"))
-	s.Delay(50 * interval)
+	s.SetDelay(50 * interval)
 	await(t, "slow responses", func() bool { return r.Stats().ResponseTime >= 40*interval })
-	s.Delay(0)
+	s.SetDelay(0)
 	responses := r.Stats().Responses
 	await(t, "fast responses", func() bool { return r.Stats().Responses >= responses+8 })
 	s.Mute() // the slow responses are still received
--- a/scenario/environment.go
+++ b/scenario/environment.go
@@ -22,7 +22,7 @@
 	log     *slog.Logger
 	rng     *rand.Rand // of the arrivals; one goroutine
 	nodes   []*simulated.Node
-	rows    []simulated.Listed // as the control service will know them
+	rows    []simulated.ListedNode // as the control service will know them
 	control *simulated.Control
 	begin   time.Time
 
@@ -80,7 +80,7 @@
 				return err
 			}
 			e.nodes = append(e.nodes, n)
-			e.rows = append(e.rows, simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: g.Zone, Kind: g.Kind})
+			e.rows = append(e.rows, simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native, Zone: g.Zone, Kind: g.Kind})
 		}
 	}
 	return nil
@@ -132,12 +132,12 @@
 	e.control.Stop()
 }
 
-func (e *environment) listedNodes() []simulated.Listed {
-	return append([]simulated.Listed(nil), e.rows...)
+func (e *environment) listedNodes() []simulated.ListedNode {
+	return append([]simulated.ListedNode(nil), e.rows...)
 }
 
 // updateList changes one row of the control service's list, after its delay.
-func (e *environment) updateList(ctx context.Context, change func(rows []simulated.Listed) []simulated.Listed) {
+func (e *environment) updateList(ctx context.Context, change func(rows []simulated.ListedNode) []simulated.ListedNode) {
 	if !sleep(ctx, e.script.ListDelay.D()) {
 		return
 	}
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -51,18 +51,18 @@
 		if f.Kind == "die" {
 			n.Die()
 		} else {
-			n.Vanish()
+			n.Freeze()
 		}
 		var group errgroup.Group
 		group.Go(func() error {
-			e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed { return without(rows, n.Name) })
+			e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode { return without(rows, n.Name) })
 			return nil
 		})
 		sleep(ctx, f.For.D())
 		_ = group.Wait() // its goroutine returns no error
 		return e.restartNode(ctx, i)
 	case "drain": // it finishes its work, leaves, and comes back as a new process
-		e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed {
+		e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode {
 			for j := range rows {
 				rows[j].Draining = rows[j].Draining || rows[j].Name == n.Name
 			}
@@ -89,8 +89,8 @@
 	return none
 }
 
-func without(rows []simulated.Listed, name string) []simulated.Listed {
-	var out []simulated.Listed
+func without(rows []simulated.ListedNode, name string) []simulated.ListedNode {
+	var out []simulated.ListedNode
 	for _, r := range rows {
 		if r.Name != name {
 			out = append(out, r)
@@ -113,8 +113,8 @@
 	e.restarts = append(e.restarts, restart{n.Name, n.Started()})
 	e.mu.Unlock()
 	hall, kind := e.placementOf(i)
-	e.updateList(ctx, func(rows []simulated.Listed) []simulated.Listed {
-		return append(without(rows, n.Name), simulated.Listed{Name: n.Name, Address: n.Address, Native: n.Native, Hall: hall, Kind: kind,
+	e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode {
+		return append(without(rows, n.Name), simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native, Zone: hall, Kind: kind,
 			Started: n.Started()})
 	})
 	return nil
--- a/scenario/report.go
+++ b/scenario/report.go
@@ -62,12 +62,12 @@
 // check compares the clients' tallies with the nodes'.
 func (e *environment) check() *Report {
 	r := &Report{Name: e.script.Name, Reasons: map[string]int{}, Samples: map[string]string{}, Nacks: len(e.control.Nacks())}
-	seen := make([][]simulated.Seen, len(e.queries)) // by serial, in the order of arrival
-	var all []simulated.Seen
+	seen := make([][]simulated.AttemptRecord, len(e.queries)) // by serial, in the order of arrival
+	var all []simulated.AttemptRecord
 	for _, n := range e.nodes {
-		all = append(all, n.Seen()...)
+		all = append(all, n.Attempts()...)
 	}
-	slices.SortFunc(all, func(a, b simulated.Seen) int { return a.At.Compare(b.At) })
+	slices.SortFunc(all, func(a, b simulated.AttemptRecord) int { return a.At.Compare(b.At) })
 	for _, s := range all {
 		if i, ok := serialOf(s.Statement); ok && i < len(seen) {
 			seen[i] = append(seen[i], s)
--- a/scenario/rules.go
+++ b/scenario/rules.go
@@ -36,7 +36,7 @@
 	return false
 }
 
-func (e *environment) checkAnswers(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkAnswers(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "1 one final answer, in time, nothing after it"}
 	for _, a := range e.queries {
 		if a.Cancelled || e.duringOutage(a) {
@@ -53,7 +53,7 @@
 	return r
 }
 
-func (e *environment) checkEffects(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkEffects(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "2 no effect happens twice"}
 	for _, a := range e.queries {
 		class := e.classOf(a.Group)
@@ -74,7 +74,7 @@
 
 // checkDrains: nothing new later than the grace after the list that tells of the drain was sent to the dispatcher. One that
 // is listed as healthy again starts anew.
-func (e *environment) checkDrains(all []simulated.Seen, rep *Report) RuleResult {
+func (e *environment) checkDrains(all []simulated.AttemptRecord, rep *Report) RuleResult {
 	r := RuleResult{Name: "3 drains are kept"}
 	grace := e.dispatchers[0].config.File.Limits.DrainGrace.D()
 	pushed := e.control.Pushed()
@@ -109,7 +109,7 @@
 }
 
 // checkOrder: queries of one key run one at a time, and rest after an attempt that may still run.
-func (e *environment) checkOrder(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkOrder(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "5 order is kept"}
 	type run struct {
 		serial   int
@@ -140,7 +140,7 @@
 	return r
 }
 
-func (e *environment) checkPlacement(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkPlacement(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "6 placement is kept"}
 	kinds := e.dispatchers[0].config.Names()
 	for _, a := range e.queries {
@@ -161,7 +161,7 @@
 }
 
 // checkRetryBudget: further attempts of one dispatcher, as nodes saw them, within any span.
-func (e *environment) checkRetryBudget(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkRetryBudget(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "7 further attempts stay within the budget"}
 	l := &e.dispatchers[0].config.File.Limits
 	if l.RetryBudgetWindow == 0 {
@@ -210,7 +210,7 @@
 }
 
 // checkSlowStart: in no window is a node that has just started sent more than the stated multiple of what it can do then.
-func (e *environment) checkSlowStart(seen [][]simulated.Seen) RuleResult {
+func (e *environment) checkSlowStart(seen [][]simulated.AttemptRecord) RuleResult {
 	r := RuleResult{Name: "4 cold nodes are not pushed over"}
 	limits := &e.dispatchers[0].config.File.Limits
 	window, warmup := limits.OverloadDuration.D(), limits.SlowStartDuration.D()
@@ -233,7 +233,7 @@
 }
 
 // loadsSince is what a node was sent while it was warming up, in the order of arrival.
-func (e *environment) loadsSince(started restart, seen [][]simulated.Seen) (loads []nodeLoad) {
+func (e *environment) loadsSince(started restart, seen [][]simulated.AttemptRecord) (loads []nodeLoad) {
 	warmup := e.dispatchers[0].config.File.Limits.SlowStartDuration.D()
 	for serial, attempts := range seen {
 		for _, s := range attempts {
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -73,27 +73,27 @@
 	good := func(serial, group int) *ClientQuery {
 		return &ClientQuery{Serial: serial, Group: group, Key: -1, Sent: at(0), Deadline: at(1000), Ended: at(500), Outcome: "served"}
 	}
-	seen := func(node string, attempt, ms int) simulated.Seen {
-		return simulated.Seen{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
+	seen := func(node string, attempt, ms int) simulated.AttemptRecord {
+		return simulated.AttemptRecord{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
 	}
 	cases := []struct {
 		rule   int
 		change func(e *environment, a *ClientQuery)
 		group  int
-		seen   []simulated.Seen
+		seen   []simulated.AttemptRecord
 	}{
 		{0, func(_ *environment, a *ClientQuery) { a.Outcome = "" }, 0, nil},
 		{0, func(_ *environment, a *ClientQuery) { a.Ended = at(1001) }, 0, nil},
 		{0, func(_ *environment, a *ClientQuery) { a.Rows = 1 }, 0, nil},
-		{0, nil, 0, []simulated.Seen{seen("node-0", 0, 700)}},
-		{1, nil, 1, []simulated.Seen{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
-		{1, func(_ *environment, a *ClientQuery) { a.Outcome = "refused" }, 1, []simulated.Seen{seen("node-0", 0, 1)}},
+		{0, nil, 0, []simulated.AttemptRecord{seen("node-0", 0, 700)}},
+		{1, nil, 1, []simulated.AttemptRecord{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
+		{1, func(_ *environment, a *ClientQuery) { a.Outcome = "refused" }, 1, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
 		{3, func(e *environment, a *ClientQuery) {
 			e.restarts = []restart{{"node-0", at(0)}}
 			a.Work = time.Hour
-		}, 0, []simulated.Seen{seen("node-0", 0, 1)}},
-		{5, nil, 2, []simulated.Seen{seen("node-0", 0, 1)}},
-		{6, nil, 0, []simulated.Seen{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
+		}, 0, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
+		{5, nil, 2, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
+		{6, nil, 0, []simulated.AttemptRecord{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
 	}
 	for i, c := range cases {
 		e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, control: simulated.NewControl("c"),
@@ -103,7 +103,7 @@
 			c.change(e, a)
 		}
 		e.queries = []*ClientQuery{a}
-		all := [][]simulated.Seen{c.seen}
+		all := [][]simulated.AttemptRecord{c.seen}
 		rules := []RuleResult{e.checkAnswers(all), e.checkEffects(all), e.checkDrains(nil, &Report{}), e.checkSlowStart(all), e.checkOrder(all),
 			e.checkPlacement(all), e.checkRetryBudget(all)}
 		for j, r := range rules {
@@ -115,7 +115,7 @@
 	// Order takes two queries.
 	e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, queries: []*ClientQuery{good(0, 2), good(1, 2)}}
 	e.queries[0].Key, e.queries[1].Key = 0, 0
-	if r := e.checkOrder([][]simulated.Seen{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
+	if r := e.checkOrder([][]simulated.AttemptRecord{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
 		t.Errorf("order broken %d times, want once", r.Broken)
 	}
 }
--- a/scenario/transactions.go
+++ b/scenario/transactions.go
@@ -206,6 +206,6 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*e.dispatchers[0].config.File.Sessions.Idle.D()+5*time.Second)
 	defer cancel()
 	for _, n := range e.nodes {
-		_ = n.Await(ctx, func([]simulated.Seen) bool { return n.Transactions() == 0 })
+		_ = n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Transactions() == 0 })
 	}
 }
--- a/server/control_service_test.go
+++ b/server/control_service_test.go
@@ -208,13 +208,13 @@
 			p.offer(url, "1", p.nodes(""))
 			p.awaitReplies(1, "")
 			p.awaitReplies(1, "relisted")
-			before := len(p.r.nodes[0].Seen())
+			before := len(p.r.nodes[0].Attempts())
 			for range 20 {
 				if _, err := p.r.query(p.Context(), "SELECT 1 /* rows=1 */"); err != nil {
 					p.Fatal(err)
 				}
 			}
-			if n := len(p.r.nodes[0].Seen()) - before; n > 0 {
+			if n := len(p.r.nodes[0].Attempts()) - before; n > 0 {
 				p.Errorf("the node that drains was sent %d", n)
 			}
 		}},
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -66,8 +66,8 @@
 	first := make(chan *simulated.Node, len(r.nodes))
 	for _, n := range r.nodes {
 		go func() {
-			if n.Await(ctx, func(s []simulated.Seen) bool {
-				return slices.ContainsFunc(s, func(s simulated.Seen) bool { return s.Statement == statement })
+			if n.Await(ctx, func(s []simulated.AttemptRecord) bool {
+				return slices.ContainsFunc(s, func(s simulated.AttemptRecord) bool { return s.Statement == statement })
 			}) == nil {
 				first <- n
 			}
@@ -87,9 +87,9 @@
 		"reconnect_most": "300ms" %s}`, c.Address(), more))
 }
 
-func listed(r *rig) (rows []simulated.Listed) {
+func listed(r *rig) (rows []simulated.ListedNode) {
 	for _, n := range r.nodes {
-		rows = append(rows, simulated.Listed{Name: n.Name, Address: n.Address})
+		rows = append(rows, simulated.ListedNode{Name: n.Name, Address: n.Address})
 	}
 	return rows
 }
--- a/server/dispatcher_test.go
+++ b/server/dispatcher_test.go
@@ -12,7 +12,7 @@
 	if err != nil || n != 5 {
 		t.Fatalf("update: %d, %v", n, err)
 	}
-	if seen := len(r.nodes[0].Seen()) + len(r.nodes[1].Seen()); seen != 2 {
+	if seen := len(r.nodes[0].Attempts()) + len(r.nodes[1].Attempts()); seen != 2 {
 		t.Fatalf("nodes saw %d attempts, want 2", seen)
 	}
 }
--- a/server/flight_clients_test.go
+++ b/server/flight_clients_test.go
@@ -30,7 +30,7 @@
 
 const long = "SELECT 1 /* work_ms=3000 */"
 
-func anyCancelled(s []simulated.Seen) bool {
+func anyCancelled(s []simulated.AttemptRecord) bool {
 	for _, x := range s {
 		if x.Cancelled {
 			return true
@@ -41,7 +41,7 @@
 
 // A client that goes away leaves no work behind.
 func TestClientsThatGoAway(t *testing.T) {
-	started := func(s []simulated.Seen) bool { return len(s) > 0 }
+	started := func(s []simulated.AttemptRecord) bool { return len(s) > 0 }
 	cases := []struct {
 		name string
 		away func(r *rig, cancel func())
@@ -105,7 +105,7 @@
 				t.Fatal(err)
 			}
 		}
-		if n := len(r.nodes[0].Seen()); n != 0 {
+		if n := len(r.nodes[0].Attempts()); n != 0 {
 			t.Errorf("the node saw %d attempts", n)
 		}
 	})
@@ -440,7 +440,7 @@
 		_, err := r.query(ctx, "SELECT 1 /* work_ms=400 */")
 		done <- outcomeOf(err)
 	}()
-	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.AttemptRecord) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+r.d.Address(), grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -482,7 +482,7 @@
 			done <- err
 		}()
 	}
-	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool { return len(s) >= 5 }); err != nil {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.AttemptRecord) bool { return len(s) >= 5 }); err != nil {
 		t.Fatal(err)
 	}
 	for r.pendingQueries() < 10 { // one that has not come yet would wait for the next dispatcher: these clients wait for a connection
@@ -496,7 +496,7 @@
 	r.cancel()
 	_ = awaitEnd(r.ended) // killed: its error does not count
 	r.ended <- nil        // for the clean-up
-	if err := r.nodes[0].Await(ctx, func(s []simulated.Seen) bool {
+	if err := r.nodes[0].Await(ctx, func(s []simulated.AttemptRecord) bool {
 		for _, x := range s {
 			if !x.Cancelled && !x.Ran {
 				return false
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -251,7 +251,7 @@
 				before := [2]int{}
 				for i, n := range r.nodes {
 					n.Set(simulated.Faults{})
-					before[i] = len(n.Seen())
+					before[i] = len(n.Attempts())
 				}
 				r.nodes[0].Set(c.fault)
 				settings := []ch.Setting{{Key: "max_execution_time", Value: "3"}}
@@ -261,7 +261,7 @@
 				conn := r.native(t, "u")
 				err := insertNative(t.Context(), conn, statement, 3, 10, settings...)
 				closeQuietly(conn)
-				after := r.nodes[0].Seen()[before[0]:]
+				after := r.nodes[0].Attempts()[before[0]:]
 				if len(after) == 0 {
 					continue
 				}
@@ -285,7 +285,7 @@
 // attemptsSince counts the attempts that the nodes have seen since they had seen so many each, and those that ran.
 func (r *rig) attemptsSince(before []int) (seen, ran int) {
 	for i, n := range r.nodes {
-		for _, s := range n.Seen()[before[i]:] {
+		for _, s := range n.Attempts()[before[i]:] {
 			if seen++; s.Ran {
 				ran++
 			}
@@ -333,7 +333,7 @@
 				if s.Ran {
 					ran++
 				}
-				if s.Dropped {
+				if s.Deduplicated {
 					dropped++
 				}
 			}
--- a/server/many_dispatchers_test.go
+++ b/server/many_dispatchers_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer node.Die()
-	c.Set([]simulated.Listed{{Name: "node-0", Address: node.Address}}, "")
+	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	all, ended := startMany(ctx, t, c)
@@ -61,7 +61,7 @@
 		}
 		return len(refused) == *many
 	})
-	c.Set([]simulated.Listed{{Name: "node-0", Address: node.Address}}, "")
+	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
 	t.Logf("%d bytes of resources sent in all, %d a dispatcher", c.Bytes(), c.Bytes() / *many)
 	c.Stop()
 	for _, d := range all.dispatchers {
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -377,7 +377,7 @@
 			t.Fatal(p.Exception)
 		}
 	}
-	for len(r.nodes[0].Seen()) == 0 {
+	for len(r.nodes[0].Attempts()) == 0 {
 		ask()
 	}
 	set := func(drains bool) {
@@ -390,18 +390,18 @@
 		}
 	}
 	set(true)
-	before := len(r.nodes[0].Seen())
+	before := len(r.nodes[0].Attempts())
 	for range 30 {
 		ask()
 	}
-	if n := len(r.nodes[0].Seen()) - before; n > 0 {
+	if n := len(r.nodes[0].Attempts()) - before; n > 0 {
 		t.Errorf("%d queries reached the node that drains", n)
 	}
 	set(false)
 	ask()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if r.nodes[0].Await(ctx, func([]simulated.Seen) bool { return r.nodes[0].NativeConns() == 0 }) != nil {
+	if r.nodes[0].Await(ctx, func([]simulated.AttemptRecord) bool { return r.nodes[0].NativeConns() == 0 }) != nil {
 		t.Errorf("%d connections to the node that left", r.nodes[0].NativeConns())
 	}
 }
--- a/server/native_test.go
+++ b/server/native_test.go
@@ -133,7 +133,7 @@
 		_, err := selectNative(ctx, c, "SELECT 1 /* work_ms=3000 */")
 		done <- err
 	}()
-	if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func(s []simulated.AttemptRecord) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	cancel()
--- a/server/node_faults_test.go
+++ b/server/node_faults_test.go
@@ -15,9 +15,9 @@
 )
 
 // seen is all that the nodes saw of a statement.
-func (r *rig) seen(statement string) (out []simulated.Seen) {
+func (r *rig) seen(statement string) (out []simulated.AttemptRecord) {
 	for _, n := range r.nodes {
-		for _, s := range n.Seen() {
+		for _, s := range n.Attempts() {
 			if s.Statement == statement {
 				out = append(out, s)
 			}
@@ -127,7 +127,7 @@
 					done <- outcomeOf(err)
 				}()
 			}
-			if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) >= 4 }); err != nil {
+			if err := r.nodes[0].Await(t.Context(), func(s []simulated.AttemptRecord) bool { return len(s) >= 4 }); err != nil {
 				t.Fatal(err)
 			}
 			told := time.Now()
@@ -140,7 +140,7 @@
 				t.Errorf("final answers: %v, want some served and all others refused", finals)
 			}
 			span, _ := time.ParseDuration(grace)
-			for _, s := range r.nodes[0].Seen() {
+			for _, s := range r.nodes[0].Attempts() {
 				if late := s.At.Sub(told); late > span {
 					t.Errorf("an attempt reached the node %v after its drain was told", late)
 				}
@@ -165,7 +165,7 @@
 		}
 		defer c.Stop()
 		r := newRigWith(t, 2, func(string) string { return `{"eds": {"address": "` + c.Address() + `", "cluster": "nodes"}}` }, "")
-		rows := []simulated.Listed{{Name: "node-0", Address: r.nodes[0].Address}}
+		rows := []simulated.ListedNode{{Name: "node-0", Address: r.nodes[0].Address}}
 		c.Set(rows, "")
 		served := func(what string) {
 			t.Helper()
@@ -185,8 +185,8 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		c.Set([]simulated.Listed{{Name: "node-1", Address: r.nodes[1].Address}}, "")
-		for begin := time.Now(); len(r.nodes[1].Seen()) == 0; {
+		c.Set([]simulated.ListedNode{{Name: "node-1", Address: r.nodes[1].Address}}, "")
+		for begin := time.Now(); len(r.nodes[1].Attempts()) == 0; {
 			served("while the new list comes")
 			if time.Since(begin) > 10*time.Second {
 				t.Fatal("the new list was not taken up")
@@ -210,7 +210,7 @@
 	}
 	defer reader.Release()
 	// While nobody reads, the node gets rid of what fits in the windows on the way, and of no more.
-	out := func() int { return r.nodes[0].Seen()[0].Rows }
+	out := func() int { return r.nodes[0].Attempts()[0].Rows }
 	last, still := -1, 0
 	for still < 20 {
 		if now := out(); now != last {
@@ -310,12 +310,12 @@
 		_, err := r.query(t.Context(), "SELECT 1 /* work_ms=400 */")
 		done <- err
 	}()
-	if err := r.nodes[0].Await(t.Context(), func(s []simulated.Seen) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func(s []simulated.AttemptRecord) bool { return len(s) == 1 }); err != nil {
 		t.Fatal(err)
 	}
-	id := r.nodes[0].Seen()[0].Query
+	id := r.nodes[0].Attempts()[0].Query
 	r.d.Fleet().SetResources(id, 64, 3)
-	if err := r.nodes[0].Await(t.Context(), func([]simulated.Seen) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func([]simulated.AttemptRecord) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
 		t.Fatal(err)
 	}
 	if len(done) > 0 {
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -159,14 +159,14 @@
 }
 
 // lineNode answers every query with its own name, in two pages.
-func lineNode(t *testing.T, id string) (*simulated.LineNode, nodelist.Node) {
+func lineNode(t *testing.T, id string) (*simulated.PlatformNode, nodelist.Node) {
 	t.Helper()
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		switch cmd.Verb {
 		case "GET":
-			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.PlatformAnswer(cmd.ID, "data", "total=2,rep=busy:0.1;rif:1", id+"\ta\tb\n"))
 		case "PAGE":
-			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.PlatformAnswer(cmd.ID, "page", "index=1", "end\ta\tb\n"))
 		}
 	})
 	if err != nil {
@@ -192,7 +192,7 @@
 	if got, err := c.ask("lookup", "SELECT 1"); got != "Ts-1;end;C" || err != nil {
 		t.Fatalf("%q, %v", got, err)
 	}
-	var gets []simulated.LineCommand
+	var gets []simulated.PlatformCommand
 	closed := 0
 	for _, cmd := range node.Commands() {
 		if cmd.Verb == "GET" {
@@ -271,12 +271,12 @@
 // was accepted gets its answer, and the dispatcher ends.
 func TestPlatformDrains(t *testing.T) {
 	release := make(chan struct{})
-	node, err := simulated.NewLineNode("", func(c net.Conn, cmd simulated.LineCommand) {
+	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
 			if strings.Contains(cmd.Text, "slow") {
 				<-release
 			}
-			_, _ = fmt.Fprint(c, simulated.LineAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
+			_, _ = fmt.Fprint(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "s-1\ta\tb\n"))
 		}
 	})
 	if err != nil {
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -26,7 +26,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
-		if n.Await(ctx, func([]simulated.Seen) bool { return n.Temporary() == 0 }) != nil {
+		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Temporary() == 0 }) != nil {
 			r.t.Errorf("%s still has %d temporary tables", n.Name, n.Temporary())
 		}
 	}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
-		if n.Await(ctx, func([]simulated.Seen) bool { return n.Transactions() == 0 }) != nil {
+		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Transactions() == 0 }) != nil {
 			r.t.Errorf("%s still holds %d transactions", n.Name, n.Transactions())
 		}
 		for s, k := range n.Tally().Commits {
@@ -75,7 +75,7 @@
 // awaitRollback waits until a node has no transaction open.
 func (r *rig) awaitRollback(ctx context.Context, node int) {
 	r.t.Helper()
-	if err := r.nodes[node].Await(ctx, func([]simulated.Seen) bool { return r.nodes[node].Transactions() == 0 }); err != nil {
+	if err := r.nodes[node].Await(ctx, func([]simulated.AttemptRecord) bool { return r.nodes[node].Transactions() == 0 }); err != nil {
 		r.t.Errorf("%s has not rolled back: %v", r.nodes[node].Name, err)
 	}
 }
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 		at := r.nodes[r.nodeWithTransaction()]
-		before := len(at.Seen())
+		before := len(at.Attempts())
 		for k := range 3 {
 			if _, err := tx.ExecuteUpdate(t.Context(), fmt.Sprintf("INSERT INTO t VALUES (%d) /* tx=%d */", k, i)); err != nil {
 				t.Fatal(err)
@@ -117,7 +117,7 @@
 			}
 			reader.Release()
 		}
-		if got := len(at.Seen()) - before; got != 6 {
+		if got := len(at.Attempts()) - before; got != 6 {
 			t.Fatalf("%d of 6 statements reached the node that holds the transaction", got)
 		}
 		point, err := tx.BeginSavepoint(t.Context(), "p")
--- a/simulated/assignment.go
+++ b/simulated/assignment.go
@@ -10,9 +10,9 @@
 	"google.golang.org/protobuf/types/known/structpb"
 )
 
-// Listed is one node of the control service's endpoint list.
-type Listed struct {
-	Name, Address, Hall, Kind string
+// ListedNode is one node of the control service's endpoint list.
+type ListedNode struct {
+	Name, Address, Zone, Kind string
 	Native                    string
 	Draining                  bool
 	Started                   time.Time
@@ -22,7 +22,7 @@
 const edsType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
 // Assignment is an endpoint list as EDS has it.
-func Assignment(cluster string, rows []Listed) *endpointv3.ClusterLoadAssignment {
+func Assignment(cluster string, rows []ListedNode) *endpointv3.ClusterLoadAssignment {
 	list := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
 	for _, r := range rows {
 		list.Endpoints = append(list.Endpoints, r.endpoint())
@@ -31,7 +31,7 @@
 }
 
 // endpoint is the node with its zone, state and metadata.
-func (r Listed) endpoint() *endpointv3.LocalityLbEndpoints {
+func (r ListedNode) endpoint() *endpointv3.LocalityLbEndpoints {
 	host, port, _ := net.SplitHostPort(r.Address)
 	number, _ := strconv.Atoi(port)
 	state := corev3.HealthStatus_HEALTHY
@@ -45,7 +45,7 @@
 	if !r.Started.IsZero() {
 		fields["started"] = structpb.NewNumberValue(float64(r.Started.UnixMicro()) / 1e6)
 	}
-	return &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: r.Hall},
+	return &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: r.Zone},
 		LbEndpoints: []*endpointv3.LbEndpoint{{HealthStatus: state,
 			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"embershunt": {Fields: fields}}},
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: &corev3.Address{
--- a/simulated/attempts.go
+++ b/simulated/attempts.go
@@ -8,28 +8,28 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// Seen is one attempt as a node recorded it.
-type Seen struct {
-	Query     string
-	Attempt   int
-	Node      string
-	At        time.Time // when the call arrived
-	Statement string
-	Update    bool
-	Ran       bool // its work was done
-	Rows      int  // handed to the transport, or received by an INSERT
-	Dropped   bool // a duplicate by its token: it had no effect
-	Token     string
-	Tables    []string // external tables and their rows, as name:rows
-	Cancelled bool     // the caller cancelled or disconnected before the end
-	End       time.Time
+// Attempts is one attempt as a node recorded it.
+type AttemptRecord struct {
+	Query        string
+	Attempt      int
+	Node         string
+	At           time.Time // when the call arrived
+	Statement    string
+	Update       bool
+	Ran          bool // its work was done
+	Rows         int  // handed to the transport, or received by an INSERT
+	Deduplicated bool // a duplicate by its token: it had no effect
+	Token        string
+	Tables       []string // external tables and their rows, as name:rows
+	Cancelled    bool     // the caller cancelled or disconnected before the end
+	End          time.Time
 }
 
-// Seen returns the attempts that the node recorded, over all its incarnations.
-func (n *Node) Seen() []Seen {
+// Attempts returns the attempts that the node recorded, over all its incarnations.
+func (n *Node) Attempts() []AttemptRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := make([]Seen, len(n.attempts))
+	out := make([]AttemptRecord, len(n.attempts))
 	for i, s := range n.attempts {
 		out[i] = *s
 	}
@@ -37,7 +37,7 @@
 }
 
 // recordAttempt records an attempt with its call headers.
-func (n *Node) recordAttempt(ctx context.Context, statement string, update bool) *Seen {
+func (n *Node) recordAttempt(ctx context.Context, statement string, update bool) *AttemptRecord {
 	md, _ := metadata.FromIncomingContext(ctx)
 	first := func(name string) string {
 		if v := md.Get(name); len(v) > 0 {
@@ -46,7 +46,7 @@
 		return ""
 	}
 	number, _ := strconv.Atoi(first("embershunt-attempt"))
-	s := &Seen{Query: first("embershunt-query"), Attempt: number, Node: n.Name, At: time.Now(), Statement: statement,
+	s := &AttemptRecord{Query: first("embershunt-query"), Attempt: number, Node: n.Name, At: time.Now(), Statement: statement,
 		Update: update}
 	if update { // over Flight SQL the query ID is the deduplication token
 		s.Token = s.Query
@@ -65,12 +65,12 @@
 }
 
 // Await waits until the attempts satisfy a condition, or returns ctx's error.
-func (n *Node) Await(ctx context.Context, condition func([]Seen) bool) error {
+func (n *Node) Await(ctx context.Context, condition func([]AttemptRecord) bool) error {
 	for {
 		n.mu.Lock()
 		changed := n.changed
 		n.mu.Unlock()
-		if condition(n.Seen()) {
+		if condition(n.Attempts()) {
 			return nil
 		}
 		select {
--- a/simulated/control.go
+++ b/simulated/control.go
@@ -19,7 +19,7 @@
 	address string
 
 	mu                sync.Mutex // guards what follows, but done
-	nodes             []Listed
+	nodes             []ListedNode
 	resources         map[string]resource // by type URL
 	version           int
 	resourcesChanged  chan struct{} // closed and replaced at each change of what is to be sent
@@ -89,7 +89,7 @@
 }
 
 // Set changes the endpoint list and pushes it; bad is "", or "malformed" or "empty" for a list that is to be refused.
-func (c *Control) Set(nodes []Listed, bad string) {
+func (c *Control) Set(nodes []ListedNode, bad string) {
 	if bad != "" {
 		nodes = nil
 	}
--- a/simulated/flightresult.go
+++ b/simulated/flightresult.go
@@ -33,7 +33,7 @@
 )
 
 // streamRows sends a result's batches, subject to the faults that strike among them, and closes out.
-func (s *flightServer) streamRows(ctx context.Context, h hints, attempt *Seen, out chan<- flight.StreamChunk) {
+func (s *flightServer) streamRows(ctx context.Context, h hints, attempt *AttemptRecord, out chan<- flight.StreamChunk) {
 	defer close(out)
 	for sent := 0; sent < h.rows; {
 		f := s.node.faults()
--- a/simulated/nameservice.go
+++ b/simulated/nameservice.go
@@ -49,15 +49,15 @@
 	s.number, s.nodes = number, nodes
 }
 
-// Spoil has a function change every answer; an empty one is not sent.
-func (s *NameService) Spoil(spoil func(question, answer []byte) []byte) {
+// Corrupt has a function change every answer; an empty one is not sent.
+func (s *NameService) Corrupt(spoil func(question, answer []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corrupt = spoil
 }
 
-// Delay sets how much later every answer is sent.
-func (s *NameService) Delay(d time.Duration) {
+// SetDelay sets how much later every answer is sent.
+func (s *NameService) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
@@ -70,8 +70,8 @@
 	s.muted, s.clients = s.clients, map[netip.AddrPort]bool{}
 }
 
-// Asked counts the queries received.
-func (s *NameService) Asked() int {
+// Queries counts the queries received.
+func (s *NameService) Queries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queries
--- a/simulated/native.go
+++ b/simulated/native.go
@@ -227,7 +227,7 @@
 }
 
 // recordAttempt records an attempt with its query ID and settings.
-func (s *nativeServer) recordAttempt(ctx context.Context, q native.Query) (context.Context, *Seen) {
+func (s *nativeServer) recordAttempt(ctx context.Context, q native.Query) (context.Context, *AttemptRecord) {
 	id, number := q.ID, "0"
 	if i := strings.LastIndexByte(id, '-'); i > 0 {
 		id, number = id[:i], id[i+1:]
--- a/simulated/nativeresult.go
+++ b/simulated/nativeresult.go
@@ -25,7 +25,7 @@
 )
 
 // answer runs a statement and writes its answer; false where the connection must be closed.
-func (s *nativeServer) answer(ctx context.Context, q native.Query, attempt *Seen, insertedRows int) bool {
+func (s *nativeServer) answer(ctx context.Context, q native.Query, attempt *AttemptRecord, insertedRows int) bool {
 	h := parseHints(q.Text)
 	if name := temporaryTable.FindString(q.Text); name != "" && !s.tables[name] && !strings.Contains(q.Text, "CREATE TEMPORARY") {
 		s.node.change(func() { s.node.tally.Misplaced = append(s.node.tally.Misplaced, q.Text) })
@@ -81,7 +81,7 @@
 }
 
 // writeResult writes a query's rows, subject to the faults that strike among them; false where the connection must be closed.
-func (s *nativeServer) writeResult(ctx context.Context, h hints, attempt *Seen) bool {
+func (s *nativeServer) writeResult(ctx context.Context, h hints, attempt *AttemptRecord) bool {
 	if s.writeRows(0, 0, h) != nil {
 		return false
 	}
--- a/simulated/node.go
+++ b/simulated/node.go
@@ -23,7 +23,7 @@
 	rng             *rand.Rand
 	process         *process
 	currentFaults   Faults
-	attempts        []*Seen
+	attempts        []*AttemptRecord
 	changed         chan struct{} // closed and replaced at each change
 	tokens          *Tokens       // to deduplicate updates by; nil: none
 	nativeConns     int           // of the native protocol
@@ -61,8 +61,8 @@
 	return n.temporaryTables
 }
 
-// Vanish makes the node unresponsive: no reset, no answer, until it dies or restarts.
-func (n *Node) Vanish() {
+// Freeze makes the node unresponsive: no reset, no answer, until it dies or restarts.
+func (n *Node) Freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.process != nil {
--- a/simulated/platformnode.go
+++ b/simulated/platformnode.go
@@ -10,27 +10,27 @@
 	"sync"
 )
 
-// LineCommand is one command that a LineNode received.
-type LineCommand struct {
+// PlatformCommand is one command that a PlatformNode received.
+type PlatformCommand struct {
 	Verb, ID, Fields, Text string
 	N                      int // of PAGE and RANK
 }
 
-// LineNode is a query node of the platform's line protocol that a test scripts: a function is called with every command, and
+// PlatformNode is a query node of the platform's line protocol that a test scripts: a function is called with every command, and
 // writes answers to the connection.
-type LineNode struct {
+type PlatformNode struct {
 	listener net.Listener
-	handle   func(c net.Conn, cmd LineCommand)
+	handle   func(c net.Conn, cmd PlatformCommand)
 	done     sync.WaitGroup
 
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
-	commands []LineCommand
+	commands []PlatformCommand
 	accepted int
 }
 
-// NewLineNode listens at an address, "" for any free port on loopback. handle may be nil: commands are only recorded.
-func NewLineNode(address string, handle func(c net.Conn, cmd LineCommand)) (*LineNode, error) {
+// NewPlatformNode listens at an address, "" for any free port on loopback. handle may be nil: commands are only recorded.
+func NewPlatformNode(address string, handle func(c net.Conn, cmd PlatformCommand)) (*PlatformNode, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
 	}
@@ -38,38 +38,38 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &LineNode{listener: l, handle: handle, conns: map[net.Conn]bool{}}
+	n := &PlatformNode{listener: l, handle: handle, conns: map[net.Conn]bool{}}
 	n.done.Add(1)
 	go n.accept()
 	return n, nil
 }
 
 // Address is where it listens.
-func (n *LineNode) Address() string { return n.listener.Addr().String() }
+func (n *PlatformNode) Address() string { return n.listener.Addr().String() }
 
 // Commands returns the commands received so far.
-func (n *LineNode) Commands() []LineCommand {
+func (n *PlatformNode) Commands() []PlatformCommand {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]LineCommand(nil), n.commands...)
+	return append([]PlatformCommand(nil), n.commands...)
 }
 
 // Forget clears the commands received so far.
-func (n *LineNode) Forget() {
+func (n *PlatformNode) Forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.commands = nil
 }
 
 // Accepted counts the connections accepted.
-func (n *LineNode) Accepted() int {
+func (n *PlatformNode) Accepted() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.accepted
 }
 
 // Close ends it as a process that dies: its connections break.
-func (n *LineNode) Close() {
+func (n *PlatformNode) Close() {
 	_ = n.listener.Close() // the accept loop ends either way
 	n.mu.Lock()
 	for c := range n.conns {
@@ -80,7 +80,7 @@
 }
 
 // accept serves connections until the listener is closed.
-func (n *LineNode) accept() {
+func (n *PlatformNode) accept() {
 	defer n.done.Done()
 	for {
 		c, err := n.listener.Accept()
@@ -97,7 +97,7 @@
 }
 
 // serve records and handles a connection's commands until it ends.
-func (n *LineNode) serve(c net.Conn) {
+func (n *PlatformNode) serve(c net.Conn) {
 	defer n.done.Done()
 	defer func() {
 		n.mu.Lock()
@@ -121,13 +121,13 @@
 }
 
 // readCommand reads one command, with the text of a GET. It panics on one that is too short: the tests' dispatcher sends none.
-func readCommand(r *bufio.Reader) (LineCommand, error) {
+func readCommand(r *bufio.Reader) (PlatformCommand, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
-		return LineCommand{}, err
+		return PlatformCommand{}, err
 	}
 	words := strings.Fields(line)
-	cmd := LineCommand{Verb: words[0]}
+	cmd := PlatformCommand{Verb: words[0]}
 	if len(words) > 1 {
 		cmd.ID = words[1]
 	}
@@ -135,11 +135,11 @@
 	case "GET":
 		length, err := strconv.Atoi(words[3])
 		if err != nil {
-			return LineCommand{}, err
+			return PlatformCommand{}, err
 		}
 		text := make([]byte, length+2)
 		if _, err := io.ReadFull(r, text); err != nil {
-			return LineCommand{}, err
+			return PlatformCommand{}, err
 		}
 		cmd.Fields, cmd.Text = words[2], string(text[:length])
 	case "PAGE", "RANK":
@@ -148,8 +148,8 @@
 	return cmd, nil
 }
 
-// LineAnswer is one answer of the platform's line protocol; "" for fields is none.
-func LineAnswer(id, outcome, fields, body string) string {
+// PlatformAnswer is one answer of the platform's line protocol; "" for fields is none.
+func PlatformAnswer(id, outcome, fields, body string) string {
 	if fields == "" {
 		fields = "-"
 	}
--- a/simulated/work.go
+++ b/simulated/work.go
@@ -16,7 +16,7 @@
 
 // work runs a statement on the machine, subject to the faults; onProgress, unless nil, is given the share of the work done now
 // and then.
-func (n *Node) work(ctx context.Context, p *process, attempt *Seen, h hints, onProgress func(share float64)) error {
+func (n *Node) work(ctx context.Context, p *process, attempt *AttemptRecord, h hints, onProgress func(share float64)) error {
 	defer func() { n.change(func() { attempt.End = time.Now() }) }()
 	if err := n.failBeforeWork(ctx, attempt); err != nil {
 		return err
@@ -31,12 +31,12 @@
 	tokens := n.tokens
 	n.mu.Unlock()
 	first := tokens == nil || attempt.Token == "" || tokens.claim(attempt.Token)
-	n.change(func() { attempt.Ran, attempt.Dropped = first, !first })
+	n.change(func() { attempt.Ran, attempt.Deduplicated = first, !first })
 	return n.loseAnswer(ctx)
 }
 
 // failBeforeWork is what faults do to a statement before it runs.
-func (n *Node) failBeforeWork(ctx context.Context, attempt *Seen) error {
+func (n *Node) failBeforeWork(ctx context.Context, attempt *AttemptRecord) error {
 	f := n.faults()
 	n.mu.Lock()
 	chance := n.rng.Float64()
@@ -56,7 +56,7 @@
 }
 
 // runJob runs a statement's job to its end, or until ctx ends.
-func (n *Node) runJob(ctx context.Context, p *process, attempt *Seen, h hints, onProgress func(share float64)) error {
+func (n *Node) runJob(ctx context.Context, p *process, attempt *AttemptRecord, h hints, onProgress func(share float64)) error {
 	grantedMB := numberHeader(ctx, "embershunt-memory-mb", 0)
 	priority := int(numberHeader(ctx, "embershunt-priority", 1))
 	j, remove := p.machine.run(attempt.Query, h.work.Seconds(), h.threads, h.memoryMB, grantedMB, priority)
--- a/soak/serverconn.go
+++ b/soak/serverconn.go
@@ -122,7 +122,7 @@
 		c.finish(words[1])
 	case "PAGE":
 		if len(words) == 3 {
-			c.write(simulated.LineAnswer(words[1], "page", "index="+words[2], words[1]+"\tpage\t"+words[2]+"\n"))
+			c.write(simulated.PlatformAnswer(words[1], "page", "index="+words[2], words[1]+"\tpage\t"+words[2]+"\n"))
 		}
 	}
 	return true
@@ -161,12 +161,12 @@
 		c.neverAnswer(a)
 	case chance(f.Full):
 		record.change(func() { a.Full = true })
-		c.answerAfter(0, a, simulated.LineAnswer(id, "full", "", ""))
+		c.answerAfter(0, a, simulated.PlatformAnswer(id, "full", "", ""))
 	case chance(f.Fail):
 		if chance(0.5) {
 			c.markRan(a)
 		}
-		c.answerAfter(0, a, simulated.LineAnswer(id, "failed", "", ""))
+		c.answerAfter(0, a, simulated.PlatformAnswer(id, "failed", "", ""))
 	case chance(f.LostAnswer):
 		c.markRan(a)
 		c.neverAnswer(a)
@@ -220,7 +220,7 @@
 	if c.server.chance(0.2) {
 		pages = 3
 	}
-	return strings.Repeat(simulated.LineAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies)
+	return strings.Repeat(simulated.PlatformAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies)
 }
 
 // markRan records that a request had its effect.
