--- a/simulated/attempts.go
+++ b/simulated/attempts.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/metadata"
 )
 
-// Attempts is one attempt as a node recorded it.
+// AttemptRecord is one attempt as a node recorded it.
 type AttemptRecord struct {
 	Query        string
 	Attempt      int
--- a/soak/dispatcher.go
+++ b/soak/dispatcher.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -35,9 +36,19 @@
 	accepting   bool          // clients may open connections
 }
 
+// addresses counts the loopback addresses that this process has given away.
+var addresses atomic.Uint32
+
+// ownLoopbackAddress returns an address of 127.0.0.0/8 that no other dispatcher of this process has. A dispatcher's port is free
+// until it has started, and again while it restarts: on an address of its own no other socket can take the port meanwhile.
+func ownLoopbackAddress() string {
+	n := addresses.Add(1)
+	return net.IPv4(127, byte(64+os.Getpid()%128), byte(n>>8), byte(n)).String()
+}
+
 // newDispatcher returns a dispatcher with a free port, which is not started yet.
 func newDispatcher(r *Record, number int, o Options, names *NameService) (*Dispatcher, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a free port
+	l, err := net.Listen("tcp", net.JoinHostPort(ownLoopbackAddress(), "0")) // a free port
 	if err != nil {
 		return nil, err
 	}
