--- a/frontend/clickhouse/clickhouse.go
+++ b/frontend/clickhouse/clickhouse.go
@@ -32,12 +32,12 @@
 	MaxPacket   int           // bytes; default 16 MiB
 	HelloWithin time.Duration // a client that has not shaken hands by then is closed; default 5 s
 	MaxConns    int           // default 20000
-	InsertMost  int           // bytes that one query may bring as rows and external tables; default 64 MiB
-	InsertsHeld int           // bytes of all of them together; default 512 MiB
+	MaxInsertBytes  int           // bytes that one query may bring as rows and external tables; default 64 MiB
+	MaxBufferedInsertBytes int           // bytes of all of them together; default 512 MiB
 	Sessions    *frontend.Sessions
 	Revision    func() int    // the newest that all nodes speak; 0: not known; nil: the newest there is
 	SampleLife  time.Duration // how long the columns of an INSERT are cached; default 5 min
-	SampleMost  int           // statements cached; default 4096
+	MaxSamples  int           // statements cached; default 4096
 }
 
 // Front serves the protocol on a listener.
@@ -66,20 +66,20 @@
 	if o.MaxConns == 0 {
 		o.MaxConns = 20000
 	}
-	if o.InsertMost == 0 {
-		o.InsertMost = 64 << 20
+	if o.MaxInsertBytes == 0 {
+		o.MaxInsertBytes = 64 << 20
 	}
-	if o.InsertsHeld == 0 {
-		o.InsertsHeld = 512 << 20
+	if o.MaxBufferedInsertBytes == 0 {
+		o.MaxBufferedInsertBytes = 512 << 20
 	}
 	if o.SampleLife == 0 {
 		o.SampleLife = 5 * time.Minute
 	}
-	if o.SampleMost == 0 {
-		o.SampleMost = 4096
+	if o.MaxSamples == 0 {
+		o.MaxSamples = 4096
 	}
-	return &Front{opt: o, desk: d, conns: map[net.Conn]bool{}, left: make(chan struct{}), samples: frontend.NewCache(o.SampleMost, o.SampleLife),
-		store: store{books: dispatch.NewPayloadBudget(int64(o.InsertMost), int64(o.InsertsHeld)), begin: time.Now()}}
+	return &Front{opt: o, desk: d, conns: map[net.Conn]bool{}, left: make(chan struct{}), samples: frontend.NewCache(o.MaxSamples, o.SampleLife),
+		store: store{books: dispatch.NewPayloadBudget(int64(o.MaxInsertBytes), int64(o.MaxBufferedInsertBytes)), begin: time.Now()}}
 }
 
 // Serve takes connections until ctx ends or the listener fails, and returns when all of them are closed.
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -32,7 +32,7 @@
 	Auth        frontend.Authenticator
 	Seal        *seal.Sealer
 	SchemaLife  time.Duration // how long a statement's schema is cached; default 5 min
-	SchemaMost  int           // statements cached; default 4096
+	MaxSchemas  int           // statements cached; default 4096
 	PassHeaders []string      // call headers passed on to nodes
 	Sessions    *frontend.Sessions
 	Idle        time.Duration // of a transaction without a statement
@@ -43,8 +43,8 @@
 	if o.SchemaLife == 0 {
 		o.SchemaLife = 5 * time.Minute
 	}
-	if o.SchemaMost == 0 {
-		o.SchemaMost = 4096
+	if o.MaxSchemas == 0 {
+		o.MaxSchemas = 4096
 	}
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -64,7 +64,7 @@
 // New returns a front that hands its queries over at a desk.
 func New(o Options, d *frontend.Intake) *Front {
 	o.defaults()
-	return &Front{opt: o, desk: d, schemas: frontend.NewCache(o.SchemaMost, o.SchemaLife), running: map[string]map[string]bool{}}
+	return &Front{opt: o, desk: d, schemas: frontend.NewCache(o.MaxSchemas, o.SchemaLife), running: map[string]map[string]bool{}}
 }
 
 // ServerOptions are what a gRPC server needs for this front. Messages are read whole, so their size is bounded: a
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -119,9 +119,9 @@
 		DrainGrace: max(f.Limits.DrainGrace.D()-sessionMargin, 0).Microseconds()}, d.fleet)
 	d.fleet.OnNodes(d.sessions.SetNodes)
 	d.front = flightsql.New(flightsql.Options{Sessions: d.sessions, Idle: e.Idle.D(), Age: e.Age.D(), Log: d.log, Auth: auth, Seal: sealer, SchemaLife: r.SchemaLife.D(),
-		SchemaMost: r.MaxSchemas, PassHeaders: f.Sending.PassHeaders}, d.desk)
+		MaxSchemas: r.MaxSchemas, PassHeaders: f.Sending.PassHeaders}, d.desk)
 	d.native = clickhouse.New(clickhouse.Options{Log: d.log, Auth: auth, MaxPacket: f.Sending.MaxFrame, Revision: d.fleet.NativeRevision, Sessions: d.sessions,
-		InsertMost: r.MaxInsertBytes, InsertsHeld: r.MaxBufferedInsertBytes, SampleLife: r.SchemaLife.D(), SampleMost: r.MaxSchemas}, d.desk)
+		MaxInsertBytes: r.MaxInsertBytes, MaxBufferedInsertBytes: r.MaxBufferedInsertBytes, SampleLife: r.SchemaLife.D(), MaxSamples: r.MaxSchemas}, d.desk)
 	observer.watch(d.desk, d.fleet, d.native, r.MaxBufferedInsertBytes)
 	observer.watchSessions(d.sessions, e.Max)
 	d.server = grpc.NewServer(append(d.front.ServerOptions(),
