--- /dev/null
+++ b/frontend/clickhouse/answer.go
@@ -0,0 +1,202 @@
+package clickhouse
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"time"
+
+	"google.golang.org/grpc/status"
+
+	"embershunt/dispatch"
+	"embershunt/frontend"
+	"embershunt/internal/native"
+	"embershunt/session"
+)
+
+// Codes of Exceptions, by their names in ErrorCodes.cpp of ClickHouse; docs/operators.md has the table of final answers.
+const (
+	codeBadArguments         int32 = 36
+	codeNotImplemented       int32 = 48
+	codeUnexpectedPacket     int32 = 101
+	codeTimeoutExceeded      int32 = 159
+	codeTooManyQueries       int32 = 202 // TOO_MANY_SIMULTANEOUS_QUERIES
+	codeNoFreeConnection     int32 = 203
+	codeNetworkError         int32 = 210
+	codeAborted              int32 = 236
+	codeMemoryLimitExceeded  int32 = 241
+	codeQueryWasCancelled    int32 = 394
+	codeAuthenticationFailed int32 = 516
+	codeStandardException    int32 = 1001
+	codeUnknownException     int32 = 1002
+)
+
+const (
+	exceptionName       = "DB::Exception"
+	minRetryAfterMillis = 50 // of a query that could not be buffered
+	microsPerMilli      = 1000
+	writeGrace          = 50 * time.Millisecond // how long the end of an answer waits for a write that is under way
+)
+
+// outcomeCodes are the codes of final answers.
+var outcomeCodes = map[dispatch.Reason]int32{
+	dispatch.ReasonOverload:           codeTooManyQueries,
+	dispatch.ReasonFull:               codeTooManyQueries,
+	dispatch.ReasonClassRemoved:       codeNoFreeConnection,
+	dispatch.ReasonDraining:           codeNoFreeConnection,
+	dispatch.ReasonAttempt:            codeStandardException,
+	dispatch.ReasonBroken:             codeNetworkError,
+	dispatch.ReasonDeadline:           codeTimeoutExceeded,
+	dispatch.ReasonInternal:           codeUnknownException,
+	dispatch.ReasonClientDisconnected: codeQueryWasCancelled,
+	dispatch.ReasonStopped:            codeAborted,
+}
+
+var (
+	errPartialPacket = errors.New("a packet was broken off: the connection cannot go on")
+	errAnswerEnded   = errors.New("the answer has its end")
+)
+
+// write writes whole packets and flushes them.
+func (c *connection) write(packets []byte) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, err := c.writer.Write(packets); err != nil {
+		return err
+	}
+	return c.writer.Flush()
+}
+
+// reject writes an Exception of this frontend.
+func (c *connection) reject(code int32, text string) {
+	c.exceptionSent = true
+	exception := &native.Exception{Code: code, Name: exceptionName, Message: exceptionName + ": " + text}
+	_ = c.write(exception.Encode()) // a client that cannot be written to is noticed by the next read
+}
+
+// rejectUnreadable answers a packet that could not be read, or not be buffered.
+func (c *connection) rejectUnreadable(err error) {
+	var capacity *dispatch.CapacityError
+	switch {
+	case errors.As(err, &capacity) && capacity.Large:
+		c.reject(codeMemoryLimitExceeded, "refused (QUERY_TOO_LARGE): "+capacity.Error())
+	case errors.As(err, &capacity):
+		c.reject(codeTooManyQueries, fmt.Sprintf("refused (%s): %v; trying again does no harm, come back in %d ms", dispatch.ReasonFull, capacity,
+			max(capacity.RetryAfter/microsPerMilli, minRetryAfterMillis)))
+	default:
+		c.reject(codeUnexpectedPacket, err.Error())
+	}
+}
+
+// rejectQuery answers a query that has no outcome: its hints cannot be used, or its session has ended.
+func (c *connection) rejectQuery(err error) {
+	var ended *frontend.SessionError
+	if !errors.As(err, &ended) {
+		c.reject(codeBadArguments, err.Error())
+		return
+	}
+	c.reject(sessionException(ended))
+}
+
+// sessionException is the code and text of a statement that its session rejected or took with it.
+func sessionException(ended *frontend.SessionError) (code int32, text string) {
+	code, final := codeAborted, "failed"
+	switch ended.Reason {
+	case session.ReasonTooManySessions, session.ReasonTooManyTables:
+		code, final = codeTooManyQueries, "refused"
+	case session.ReasonNodesUnknown:
+		code, final = codeNoFreeConnection, "refused"
+	case session.ReasonBusy, session.ReasonNoTransaction, session.ReasonTransactionOpen:
+		code, final = codeBadArguments, "refused"
+	}
+	text = fmt.Sprintf("%s (%s)%s", final, ended.Reason, strings.TrimPrefix(ended.Error(), string(ended.Reason)))
+	if ended.RetryAfter > 0 {
+		text += fmt.Sprintf(", come back in %d ms", ended.RetryAfter.Milliseconds()+1)
+	}
+	return code, text
+}
+
+// beginAnswer makes Pass take the packets of another answer.
+func (c *connection) beginAnswer() {
+	c.mu.Lock()
+	c.answered, c.partial = false, false
+	c.mu.Unlock()
+}
+
+// Pass implements native.Sink.
+func (c *connection) Pass(packets []byte, more bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.answered {
+		return errAnswerEnded
+	}
+	_, err := c.writer.Write(packets)
+	if err == nil && !more {
+		err = c.writer.Flush()
+	}
+	c.partial = c.partial || err != nil
+	return err
+}
+
+// endAnswer sees to it that nothing more of the present answer is written. A write that a slow client holds up is broken off.
+func (c *connection) endAnswer() {
+	t := time.AfterFunc(writeGrace, func() {
+		_ = c.conn.SetWriteDeadline(inThePast) // it fails only on a closed connection, where the write fails anyway
+	})
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	t.Stop()
+	c.answered = true
+	_ = c.conn.SetWriteDeadline(time.Time{}) // likewise: the next write says so
+}
+
+// finish writes the end of an answer. An error ends the connection.
+func (c *connection) finish(v dispatch.Outcome, end ending, err error) error {
+	switch {
+	case end == clientDisconnected:
+		return err
+	case end == cancelled:
+		c.endAnswer()
+		if c.partial {
+			return errPartialPacket
+		}
+		return c.write([]byte{native.ServerEndOfStream})
+	case err != nil:
+		c.rejectQuery(err)
+		return nil
+	}
+	return c.writeOutcome(v)
+}
+
+// writeOutcome writes a final answer.
+func (c *connection) writeOutcome(v dispatch.Outcome) error {
+	c.endAnswer()
+	if c.partial {
+		return errPartialPacket
+	}
+	if v.Kind == dispatch.Served {
+		unstreamed, _ := v.Result.([]byte)
+		return c.write(append(unstreamed, native.ServerEndOfStream))
+	}
+	return c.write(outcomeException(v).Encode())
+}
+
+// outcomeException is the Exception of a final answer that is not served.
+func outcomeException(v dispatch.Outcome) *native.Exception {
+	var nodes *native.Exception
+	if v.Reason == dispatch.ReasonStatement && errors.As(v.Cause, &nodes) {
+		return nodes // the node's own, unchanged
+	}
+	text := fmt.Sprintf("%s: %s (%s, %d attempts)", exceptionName, v.Kind, v.Reason, v.Attempts)
+	if v.Kind == dispatch.Shed {
+		text += "; trying again does no harm"
+		if v.RetryAfter > 0 {
+			text += fmt.Sprintf(", come back in %d ms", (v.RetryAfter+microsPerMilli-1)/microsPerMilli)
+		}
+	}
+	if v.Cause != nil {
+		s, _ := status.FromError(v.Cause) // any error has a message here, also one without a status
+		text += "; last attempt: " + s.Message()
+	}
+	return &native.Exception{Code: outcomeCodes[v.Reason], Name: exceptionName, Message: text}
+}
--- a/frontend/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -1,214 +1,153 @@
 package clickhouse
 
 import (
+	"bufio"
 	"context"
 	"errors"
-	"fmt"
-	"strings"
+	"io"
+	"net"
+	"sync"
+	"time"
 
 	"golang.org/x/sync/errgroup"
 
-	"embershunt/classify"
 	"embershunt/dispatch"
-	"embershunt/frontend"
 	"embershunt/internal/native"
-	"embershunt/session"
 )
 
-// connection is what a client's statements have left on its connection. Options and the database can be replayed on any
-// node and are; temporary tables live on one connection to one node, and while there are any the session stays there.
+// bufferBytes is the size of each of a connection's two buffers: thousands of idle clients have them, and what is larger
+// is read and written without them.
+const bufferBytes = 4 << 10
+
+// inThePast is a deadline that ends a read or a write at once.
+var inThePast = time.Unix(1, 0)
+
+// connection is one connection of a client. One goroutine serves it; a second one may read the next packet meanwhile, and the
+// backend writes an answer's packets with Pass.
 type connection struct {
-	options []native.Setting // of SET, in order
-	tables  map[string]bool  // temporary ones that were made
-	id      string           // of the session while there are any, or one is being made
+	front         *Front
+	conn          net.Conn
+	reader        *native.Reader
+	revision      int
+	hello         native.Hello
+	session       sessionState
+	requests      chan request // what a read in the background returned
+	reading       bool         // there is one
+	group         errgroup.Group
+	watchTimer    *time.Timer
+	payload       dispatch.PayloadReservation // of the present query's rows and tables; guarded by payloadAccount's lock
+	exceptionSent bool                        // the last packet may have been an Exception of this frontend
+
+	mu       sync.Mutex // guards what follows, and the order of writes
+	writer   *bufio.Writer
+	answered bool // the present answer has its end: no more of it may be written
+	partial  bool // a packet was written in part
 }
 
-// optionsMost bounds the options that are replayed.
-const optionsMost = 500
+var _ native.Sink = (*connection)(nil)
 
-// replay puts the connection's options in front of a query's own.
-func (c *connection) replay(own []native.Setting) []native.Setting {
-	if len(c.options) == 0 {
-		return own
-	}
-	out := make([]native.Setting, 0, len(c.options)+len(own))
-	for _, o := range c.options {
-		stated := false
-		for _, s := range own {
-			stated = stated || s.Name == o.Name
-		}
-		if !stated {
-			out = append(out, o)
-		}
-	}
-	return append(out, own...)
+func newConnection(f *Front, conn net.Conn) *connection {
+	return &connection{front: f, conn: conn, reader: native.NewReaderSize(conn, f.options.MaxPacket, bufferBytes),
+		writer: bufio.NewWriterSize(conn, bufferBytes)}
 }
 
-// set keeps an option.
-func (c *connection) set(o classify.Option) error {
-	for i := range c.options {
-		if c.options[i].Name == o.Name {
-			c.options[i].Value = o.Value
-			return nil
-		}
-	}
-	if len(c.options) >= optionsMost {
-		return fmt.Errorf("more than %d options set on a connection", optionsMost)
-	}
-	c.options = append(c.options, native.Setting{Name: o.Name, Flags: 1, Value: o.Value})
-	return nil
+// serve runs a connection from its handshake to its end; its caller closes it.
+func (c *connection) serve(ctx context.Context) error {
+	stop := context.AfterFunc(ctx, c.interruptReads)
+	defer stop()
+	if err := c.handshake(); err != nil {
+		return err
+	}
+	c.requests = make(chan request, 1)
+	err := c.run(ctx)
+	c.session.close(c.front.options.Sessions)
+	c.interruptReads()
+	_ = c.group.Wait() // the background read returns no error: its request has it
+	if c.exceptionSent {
+		c.linger()
+	}
+	return err
 }
 
-// pinned names the session while a node holds tables of it.
-func (c *connection) pinned() string {
-	if len(c.tables) == 0 {
-		return ""
-	}
-	return c.id
+// interruptReads ends a read that waits, and every later one.
+func (c *connection) interruptReads() {
+	_ = c.conn.SetReadDeadline(inThePast) // it fails only on a closed connection, where reads fail anyway
 }
 
-// use tells what a statement is to the session; nil where it has none and makes none.
-func (c *connection) use(call frontend.Call) *frontend.Statement {
-	kind, name, _ := classify.OnConnection(call.Facts.Statement)
-	u := &frontend.Statement{Kind: session.Plain, ID: c.id, OutlivesState: true, ReadOnly: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
-	switch {
-	case kind == classify.LeavesTable:
-		u.Kind, u.Name = session.CreateState, name
-		if c.id == "" {
-			c.id = frontend.NewSessionID()
-			u.ID = c.id
-		}
-	case len(c.tables) == 0:
-		return nil
-	case kind == classify.DropsTable && c.tables[name]:
-		u.Kind, u.Name = session.DropState, name
-	}
-	return u
-}
+// Bounds of what linger reads and discards.
+const (
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 64 << 20
+)
 
-// served takes in what a statement has left.
-func (c *connection) served(u *frontend.Statement) {
-	switch u.Kind {
-	case session.CreateState:
-		if c.tables == nil {
-			c.tables = map[string]bool{}
-		}
-		c.tables[u.Name] = true
-	case session.DropState:
-		if delete(c.tables, u.Name); len(c.tables) == 0 {
-			c.id = ""
-		}
+// linger lets the client read the last packet: closed at once, with bytes unread, the connection would be reset.
+func (c *connection) linger() {
+	if tcp, ok := c.conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
+		_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))          // without it the byte limit still holds
+		_, _ = io.Copy(io.Discard, io.LimitReader(tcp, maxLingerBytes)) // the connection is closed next, however this ended
 	}
 }
 
-// lost forgets a session that has ended: what follows begins anew.
-func (c *connection) lost() { c.tables, c.id = nil, "" }
-
-// close ends the session with its client's connection.
-func (c *connection) close(s *frontend.Sessions) {
-	if c.id != "" && s != nil {
-		s.Close(c.id)
-	}
-	c.lost()
+// handshake reads the client's Hello and answers it.
+func (c *connection) handshake() (err error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloWithin)) // it fails only on a closed connection, as the read then does
+	if c.hello, err = c.reader.ReadHello(); err != nil {
+		c.reject(codeUnexpectedPacket, err.Error())
+		return err
+	}
+	if !c.front.options.Auth.Check(c.hello.User, c.hello.Password) {
+		c.reject(codeAuthenticationFailed, c.hello.User+": Authentication failed: name or password is wrong")
+		return errors.New("name or password is wrong")
+	}
+	newest := c.front.newestRevision()
+	c.revision = min(c.hello.Revision, newest)
+	if err = c.write(native.Server{Name: "embershunt", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: "embershunt"}.Encode()); err != nil {
+		return err
+	}
+	if err = c.reader.ReadAddendum(c.revision); err != nil {
+		return err
+	}
+	return c.conn.SetReadDeadline(time.Time{})
 }
 
-// own answers statements that concern the connection alone.
-func (s *client) own(text string) (done bool, err error) {
-	kind, name, options := classify.OnConnection(text)
-	switch kind {
-	case classify.LeavesOptions:
-		for _, o := range options {
-			if err := s.life.set(o); err != nil {
-				s.refuse(36, err.Error())
-				return true, nil
-			}
+// newestRevision is the newest revision of the protocol that this frontend and all nodes speak, as far as known.
+func (f *Front) newestRevision() int {
+	if f.options.Revision != nil {
+		if r := f.options.Revision(); r >= native.OldestRevision {
+			return min(native.NewestRevision, r)
 		}
-	case classify.LeavesDatabase:
-		if s.life.pinned() != "" {
-			s.refuse(48, "USE while temporary tables are open is not served: name the database in the statement")
-			return true, nil
-		}
-		s.hello.Database = name
-	case classify.LeavesUnserved:
-		s.refuse(48, "this would leave state on the connection that can neither be replayed nor kept: transactions, SET ROLE and temporary views are not served over the native protocol")
-		return true, nil
-	default:
-		return false, nil
 	}
-	return true, s.write([]byte{native.ServerEndOfStream})
+	return native.NewestRevision
 }
 
-// askPinned is ask for a statement of a session.
-func (s *client) askPinned(ctx context.Context, call frontend.Call, u *frontend.Statement) (v dispatch.Outcome, how ending, err error) {
-	if s.front.opt.Sessions == nil {
-		return v, answered, errors.New("temporary tables are not served here")
-	}
-	call.Work.(*native.Call).Session = u.ID
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	type answer struct {
-		v   dispatch.Outcome
-		err error
-	}
-	done := make(chan answer, 1)
-	var group errgroup.Group
-	defer group.Wait()
-	group.Go(func() error {
-		v, _, err := s.front.opt.Sessions.Execute(ctx, call, *u)
-		done <- answer{v, err}
-		return nil
-	})
-	end := func(how ending, err error) (dispatch.Outcome, ending, error) {
-		cancel()
-		return (<-done).v, how, err
-	}
+var errUnexpectedRows = errors.New("rows that no INSERT waits for")
+
+// run answers the client's packets, one query at a time.
+func (c *connection) run(ctx context.Context) error {
+	defer c.front.payloads.release(&c.payload)
 	for {
-		s.watch()
-		select {
-		case a := <-done:
-			var ended *frontend.SessionError
-			if errors.As(a.err, &ended) && (ended.State == session.Lost || ended.State == session.Expired || ended.State == session.Ending) {
-				s.life.lost()
-			} else if a.err == nil && a.v.Kind == dispatch.Served {
-				s.life.served(u)
-			} else if u.Kind == session.CreateState && len(s.life.tables) == 0 {
-				s.life.lost()
+		r := c.next()
+		switch actions[awaitingQuery][r.event()] {
+		case endConnection:
+			return nil
+		case rejectUnreadable:
+			if ctx.Err() == nil {
+				c.rejectUnreadable(r.err)
 			}
-			return a.v, answered, a.err
-		case st := <-s.steps:
-			s.reading = false
-			switch {
-			case st.err != nil:
-				return end(gone, st.err)
-			case st.code == native.ClientCancel:
-				return end(cancelled, nil)
-			case st.code == native.ClientPing:
-			default:
-				return end(gone, fmt.Errorf("packet %d while a query runs", st.code))
+			return r.err
+		case answerPing:
+			if err := c.write([]byte{native.ServerPong}); err != nil {
+				return err
+			}
+		case rejectUnexpected:
+			c.reject(codeUnexpectedPacket, errUnexpectedRows.Error())
+			return errUnexpectedRows
+		case startQuery:
+			err := c.runQuery(ctx, r)
+			c.front.payloads.release(&c.payload)
+			if err != nil {
+				return err
 			}
 		}
 	}
 }
-
-// refuseOf answers what no final answer was made for: hints that cannot be used, a session that has ended.
-func (s *client) refuseOf(err error) {
-	var ended *frontend.SessionError
-	if !errors.As(err, &ended) {
-		s.refuse(36, err.Error()) // BAD_ARGUMENTS
-		return
-	}
-	code, final := int32(236), "failed" // ABORTED
-	switch ended.Reason {
-	case session.ReasonTooManySessions, session.ReasonTooManyTables:
-		code, final = 202, "refused"
-	case session.ReasonNodesUnknown:
-		code, final = 203, "refused"
-	case session.ReasonBusy, session.ReasonNoTransaction, session.ReasonTransactionOpen:
-		code, final = 36, "refused"
-	}
-	text := fmt.Sprintf("%s (%s)%s", final, ended.Reason, strings.TrimPrefix(ended.Error(), string(ended.Reason)))
-	if ended.RetryAfter > 0 {
-		text += fmt.Sprintf(", come back in %d ms", ended.RetryAfter.Milliseconds()+1)
-	}
-	s.refuse(code, text)
-}
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"strconv"
 	"strings"
-	"sync"
 	"time"
 
 	"embershunt/classify"
@@ -15,116 +14,96 @@
 	"embershunt/internal/native"
 )
 
-// store holds what clients bring with their queries, as far as the books allow.
-type store struct {
-	mu    sync.Mutex
-	books *dispatch.PayloadBudget
-	begin time.Time
-}
-
-func (s *store) now() dispatch.Micros { return time.Since(s.begin).Microseconds() }
-
-func (s *store) grow(h *dispatch.PayloadReservation, n int) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.books.Grow(s.now(), h, int64(n))
-}
-
-func (s *store) release(h *dispatch.PayloadReservation) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.books.Release(s.now(), h)
-}
-
-// Holding tells how many bytes of clients' rows and tables are held, and how many queries were turned away because they
-// alone brought too much, or because there was no room.
-func (f *Front) Holding() (bytes int64, large, full uint64) {
-	f.store.mu.Lock()
-	defer f.store.mu.Unlock()
-	large, full = f.store.books.Turned()
-	return f.store.books.Bytes(), large, full
-}
-
-// insert runs an INSERT whose rows come from the client. First the client is told which columns the table has, by a node or
-// from the cache; then its rows are held here until they are complete; only then is the query made, so that a client that
+// insert runs an INSERT whose rows come from the client. First the client gets the table's columns, from a node or from the
+// cache; then its rows are buffered here until they are complete; only then is the query submitted, so that a client that
 // stalls keeps no node waiting and a further attempt has the rows at hand.
-func (s *client) insert(ctx context.Context, call frontend.Call) error {
-	left, err := s.front.desk.Deadline(call)
+func (c *connection) insert(ctx context.Context, call frontend.Call) error {
+	remaining, err := c.front.intake.Deadline(call)
 	if err != nil {
-		return s.close(dispatch.Outcome{}, answered, err)
+		return c.finish(dispatch.Outcome{}, completed, err)
 	}
-	due := time.Now().Add(left)
+	deadline := time.Now().Add(remaining)
 	work := call.Work.(*native.Call)
-	key := sampleKey(work, s.hello.User) + s.life.pinned()
-	sample, ok := s.front.samples.Get(key, time.Now())
+	key := sampleKey(work, c.hello.User) + c.session.stickyID()
+	sample, ok := c.front.samples.Get(key, time.Now())
 	if !ok {
-		first := *work
-		first.Sample = true
-		ask := call
-		ask.Work, ask.Facts.Harmless = &first, true
-		v, how, err := s.ask(ctx, ask)
-		if how != answered || err != nil || v.Kind != dispatch.Served {
-			return s.close(v, how, err)
+		v, end, err := c.executeSample(ctx, call, *work)
+		if end != completed || err != nil || v.Kind != dispatch.Served {
+			return c.finish(v, end, err)
 		}
 		sample = v.Result.([]byte)
-		s.front.samples.Put(key, sample, time.Now())
+		c.front.samples.Put(key, sample, time.Now())
 	}
-	if err := s.write(sample); err != nil {
+	if err := c.write(sample); err != nil {
 		return err
 	}
-	how, err := s.collect(ctx, work, due)
-	if how != answered {
-		return s.close(dispatch.Outcome{}, how, err)
+	end, err := c.readRows(ctx, work, deadline)
+	if end != completed {
+		return c.finish(dispatch.Outcome{}, end, err)
 	}
-	call.Remaining = max(time.Until(due), time.Millisecond)
-	v, how, err := s.ask(ctx, call)
-	if v.Reason == dispatch.ReasonStatement { // perhaps the table has other columns by now
-		s.front.samples.Drop(key)
+	call.Remaining = max(time.Until(deadline), time.Millisecond)
+	v, end, err := c.execute(ctx, call)
+	if v.Reason == dispatch.ReasonStatement { // the table's columns may have changed
+		c.front.samples.Drop(key)
 	}
-	return s.close(v, how, err)
+	return c.finish(v, end, err)
+}
+
+// executeSample asks a node for the columns that an INSERT takes; nothing is inserted.
+func (c *connection) executeSample(ctx context.Context, call frontend.Call, work native.Call) (dispatch.Outcome, ending, error) {
+	work.Sample = true
+	call.Work, call.Facts.Harmless = &work, true
+	return c.execute(ctx, call)
 }
 
-// collect takes the client's rows up to the empty block.
-func (s *client) collect(ctx context.Context, work *native.Call, due time.Time) (ending, error) {
-	timer := time.NewTimer(time.Until(due))
+var errClientStalled = errors.New("the rows of an INSERT did not come in time")
+
+// readRows buffers the client's rows in work, up to the empty block.
+func (c *connection) readRows(ctx context.Context, work *native.Call, deadline time.Time) (ending, error) {
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
-		s.watch()
+		c.watch()
 		select {
 		case <-ctx.Done():
-			return gone, nil
+			return clientDisconnected, nil
 		case <-timer.C:
-			s.refuse(159, "refused (CLIENT_STALLED): the rows of the INSERT did not come before its deadline; nothing was sent, trying again does no harm")
-			return gone, errStalled
-		case st := <-s.steps:
-			s.reading = false
-			switch {
-			case st.err != nil:
-				s.refuseFor(st.err)
-				return gone, st.err
-			case st.code == native.ClientCancel:
-				work.Data = nil
-				return cancelled, nil
-			case st.code == native.ClientPing:
-				if err := s.write([]byte{native.ServerPong}); err != nil {
-					return gone, err
-				}
-			case st.code == native.ClientData:
-				if work.Data = append(work.Data, st.data); st.block.End() {
-					return answered, nil
-				}
-			default:
-				err := fmt.Errorf("packet %d among the rows of an INSERT", st.code)
-				s.refuse(101, err.Error())
-				return gone, err
+			c.reject(codeTimeoutExceeded, "refused (CLIENT_STALLED): the rows of the INSERT did not come before its deadline; nothing was sent, trying again does no harm")
+			return clientDisconnected, errClientStalled
+		case r := <-c.requests:
+			if done, end, err := c.handleWhileReadingRows(r, work); done {
+				return end, err
 			}
 		}
 	}
 }
 
-var errStalled = errors.New("the rows of an INSERT did not come in time")
+// handleWhileReadingRows handles one packet of a client whose INSERT waits for rows; done: there are no more to wait for.
+func (c *connection) handleWhileReadingRows(r request, work *native.Call) (done bool, end ending, err error) {
+	c.reading = false
+	switch actions[awaitingRows][r.event()] {
+	case bufferRows:
+		work.Data = append(work.Data, r.data)
+		return r.block.End(), completed, nil
+	case answerPing:
+		if err := c.write([]byte{native.ServerPong}); err != nil {
+			return true, clientDisconnected, err
+		}
+		return false, completed, nil
+	case cancelQuery:
+		work.Data = nil
+		return true, cancelled, nil
+	case rejectUnreadable:
+		c.rejectUnreadable(r.err)
+		return true, clientDisconnected, r.err
+	default:
+		err := fmt.Errorf("packet %d among the rows of an INSERT", r.code)
+		c.reject(codeUnexpectedPacket, err.Error())
+		return true, clientDisconnected, err
+	}
+}
 
-// sampleKey names what the columns of an INSERT depend on.
+// sampleKey holds all that the columns of an INSERT depend on.
 func sampleKey(w *native.Call, user string) string {
 	return strings.Join([]string{user, w.Database, strconv.Itoa(w.Revision), strconv.FormatBool(w.Query.Compression),
 		classify.Bare(w.Query.Text)}, "\x00")
--- /dev/null
+++ b/frontend/clickhouse/session_statement.go
@@ -0,0 +1,85 @@
+package clickhouse
+
+import (
+	"context"
+	"errors"
+
+	"golang.org/x/sync/errgroup"
+
+	"embershunt/classify"
+	"embershunt/dispatch"
+	"embershunt/frontend"
+	"embershunt/internal/native"
+)
+
+// answerLocally answers statements that concern the connection alone: SET, USE, and those that cannot be served over it.
+func (c *connection) answerLocally(text string) (done bool, err error) {
+	effect, name, options := classify.OnConnection(text)
+	switch effect {
+	case classify.LeavesOptions:
+		for _, o := range options {
+			if err := c.session.setOption(o); err != nil {
+				c.reject(codeBadArguments, err.Error())
+				return true, nil
+			}
+		}
+	case classify.LeavesDatabase:
+		if c.session.stickyID() != "" {
+			c.reject(codeNotImplemented, "USE while temporary tables are open is not served: name the database in the statement")
+			return true, nil
+		}
+		c.hello.Database = name
+	case classify.LeavesUnserved:
+		c.reject(codeNotImplemented, "this would leave state on the connection that can neither be replayed nor kept: transactions, SET ROLE and temporary views are not served over the native protocol")
+		return true, nil
+	default:
+		return false, nil
+	}
+	return true, c.write([]byte{native.ServerEndOfStream})
+}
+
+// executeSticky is execute for a statement of a session.
+func (c *connection) executeSticky(ctx context.Context, call frontend.Call, statement *frontend.Statement) (v dispatch.Outcome, end ending, err error) {
+	if c.front.options.Sessions == nil {
+		return v, completed, errors.New("temporary tables are not served here")
+	}
+	call.Work.(*native.Call).Session = statement.ID
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	type answer struct {
+		v   dispatch.Outcome
+		err error
+	}
+	done := make(chan answer, 1)
+	var group errgroup.Group
+	defer func() { _ = group.Wait() }() // its one function returns no error: done has it
+	group.Go(func() error {
+		v, _, err := c.front.options.Sessions.Execute(ctx, call, *statement)
+		done <- answer{v, err}
+		return nil
+	})
+	for {
+		c.watch()
+		select {
+		case a := <-done:
+			c.recordStatement(statement, a.v, a.err)
+			return a.v, completed, a.err
+		case r := <-c.requests:
+			if end, err := c.handleWhileExecuting(r); end != completed {
+				cancel()
+				return (<-done).v, end, err
+			}
+		}
+	}
+}
+
+// recordStatement records in the session how one of its statements ended.
+func (c *connection) recordStatement(statement *frontend.Statement, v dispatch.Outcome, err error) {
+	if err == nil && v.Kind == dispatch.Served {
+		c.session.served(statement)
+		return
+	}
+	var ended *frontend.SessionError
+	_ = errors.As(err, &ended) // nil where the session did not end with it
+	c.session.failed(statement, ended)
+}
