--- a/frontend/flightsql/metadata.go
+++ b/frontend/flightsql/metadata.go
@@ -1,8 +1,6 @@
 package flightsql
 
 import (
-	"strconv"
-
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	arrowsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 	"github.com/apache/arrow-go/v18/arrow/ipc"
@@ -12,7 +10,7 @@
 	"embershunt/internal/flightwire"
 )
 
-// isMetadata tells the commands that are passed on to a node as they are, through the module like any query.
+// isMetadata reports whether a command is forwarded to a node as it is, as a query like any other.
 func isMetadata(name string) bool {
 	switch name {
 	case "CommandGetCatalogs", "CommandGetDbSchemas", "CommandGetTables", "CommandGetTableTypes",
@@ -23,10 +21,8 @@
 	return false
 }
 
-func formatInt(v int64) string { return strconv.FormatInt(v, 10) }
-
-// info is what GetSqlInfo tells: of the dispatcher itself, since it, not a node, is what the client speaks with.
-var info = func() *arrowsql.BaseServer {
+// serverInfo answers GetSqlInfo: it describes the dispatcher, which is the server that the client is connected to.
+var serverInfo = func() *arrowsql.BaseServer {
 	b := new(arrowsql.BaseServer)
 	for id, v := range map[arrowsql.SqlInfo]any{
 		arrowsql.SqlInfoFlightSqlServerName:         "embershunt",
@@ -39,29 +35,32 @@
 		arrowsql.SqlInfoFlightSqlServerCancel:       true,
 	} {
 		if err := b.RegisterSqlInfo(id, v); err != nil {
-			panic(err) // the values are the ones above
+			panic(err) // cannot be: the values are the ones above
 		}
 	}
 	return b
 }()
 
-// wanted is the list of codes that a client asks for.
-type wanted []uint32
+// infoCodes are the codes that a client asks for.
+type infoCodes []uint32
 
-func (w wanted) GetInfo() []uint32 { return w }
+var _ arrowsql.GetSqlInfo = infoCodes(nil)
 
-// sqlInfo answers CommandGetSqlInfo. It reads no data of anybody: the rows are our own.
-func (f *Front) sqlInfo(cmd flightwire.Command, stream grpc.ServerStream) error {
+// GetInfo implements arrowsql.GetSqlInfo.
+func (c infoCodes) GetInfo() []uint32 { return c }
+
+// sendServerInfo answers CommandGetSqlInfo. Its rows are serverInfo's; no node is asked.
+func sendServerInfo(cmd flightwire.Command, stream grpc.ServerStream) error {
 	ids, err := flightwire.Uint32s(cmd.Body, 1)
 	if err != nil {
 		return malformed(err)
 	}
-	schema, chunks, err := info.DoGetSqlInfo(stream.Context(), wanted(ids))
+	schema, chunks, err := serverInfo.DoGetSqlInfo(stream.Context(), infoCodes(ids))
 	if err != nil {
 		return err
 	}
 	w := flight.NewRecordWriter(dataStream{stream}, ipc.WithSchema(schema))
-	defer w.Close()
+	defer func() { _ = w.Close() }() // it fails where a client is gone, which misses nothing by it
 	for chunk := range chunks {
 		if chunk.Err != nil {
 			return chunk.Err
@@ -78,11 +77,13 @@
 // dataStream sends FlightData messages made here.
 type dataStream struct{ stream grpc.ServerStream }
 
+var _ flight.DataStreamWriter = dataStream{}
+
 // Send implements flight.DataStreamWriter.
 func (d dataStream) Send(data *flight.FlightData) error {
 	b, err := proto.Marshal(data)
 	if err != nil {
 		return err
 	}
-	return d.stream.SendMsg(flightwire.NewFrame(b))
+	return send(d.stream, b)
 }
--- /dev/null
+++ b/frontend/flightsql/prepared.go
@@ -0,0 +1,77 @@
+package flightsql
+
+import (
+	"time"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"embershunt/internal/flightwire"
+	"embershunt/internal/seal"
+)
+
+// createPrepared asks a node what the statement is (as a query, or from the cache) and seals a handle that is bound to no
+// node.
+func (f *Front) createPrepared(c *caller, body []byte) ([]byte, error) {
+	cmd, err := parseAction(body, "ActionCreatePreparedStatementRequest")
+	if err != nil {
+		return nil, err
+	}
+	s, err := f.parseStatement(cmd, false)
+	if err != nil {
+		return nil, err
+	}
+	if _, err := f.openTransaction(c, s.Transaction); err != nil {
+		return nil, err
+	}
+	text := string(s.Text)
+	described, err := f.cached(c, "prepare\x00"+text, query{command: cmd.Name,
+		call: &flightwire.Call{Kind: flightwire.Prepare, Text: text}})
+	if err != nil {
+		return nil, err
+	}
+	fields, varints, err := flightwire.Fields(described)
+	if err != nil {
+		return nil, status.Errorf(codes.Internal, "what the node says of the statement cannot be read: %v", err)
+	}
+	result := flightwire.AppendBytes(nil, 1, f.sealPrepared(sealedStatement{user: c.user, text: text, transaction: s.Transaction}))
+	for _, field := range fields { // dataset and parameter schema, as the node gave them
+		if field.Number == 2 || field.Number == 3 {
+			result = flightwire.AppendBytes(result, field.Number, field.Value)
+		}
+	}
+	result = flightwire.AppendVarint(result, 4, varints[4])
+	return flightwire.NewCommand("ActionCreatePreparedStatementResult", result), nil
+}
+
+// sealPrepared is the handle of a prepared statement.
+func (f *Front) sealPrepared(s sealedStatement) []byte {
+	return f.options.Seal.Seal(seal.Prepared, time.Now().Add(f.intake.Tables().PreparedLife), s.encode())
+}
+
+// closePrepared checks a handle; there is nothing to close, since nothing is kept for it.
+func (f *Front) closePrepared(c *caller, body []byte) ([]byte, error) {
+	cmd, err := flightwire.ParseCommand(body)
+	if err != nil {
+		return nil, malformed(err)
+	}
+	s, err := flightwire.ParseStatement(cmd.Body, true)
+	if err != nil {
+		return nil, malformed(err)
+	}
+	_, err = f.openStatement(seal.Prepared, c, s.Text)
+	return nil, err
+}
+
+// bindParams answers with a handle that holds the parameters that the client sends (DoPutPreparedStatementResult).
+func (f *Front) bindParams(c *caller, cmd flightwire.Command, first []byte) error {
+	prepared, err := f.parseHandle(c, cmd)
+	if err != nil {
+		return err
+	}
+	if prepared.params, err = f.receiveParams(c.stream, first); err != nil {
+		return err
+	}
+	result := flightwire.AppendBytes(nil, 1, f.sealPrepared(prepared))
+	return send(c.stream, flightwire.AppendBytes(nil, 1, result))
+}
--- a/frontend/flightsql/sealed_test.go
+++ b/frontend/flightsql/sealed_test.go
@@ -24,11 +24,11 @@
 	return s
 }
 
-func storedStatement() sealed {
-	return sealed{user: "pobocka", text: "SELECT 1", serial: "12345678", params: [][]byte{[]byte("first"), []byte("second")}, tx: []byte("token")}
+func storedStatement() sealedStatement {
+	return sealedStatement{user: "pobocka", text: "SELECT 1", serial: "12345678", params: [][]byte{[]byte("first"), []byte("second")}, transaction: []byte("token")}
 }
 
-func storedPin() *frontend.StickySession {
+func storedTransaction() *frontend.StickySession {
 	return &frontend.StickySession{ID: "transaction", Node: "node-1", Handle: []byte("handle"), Tenant: "tenant",
 		Started: time.UnixMicro(1_700_000_000_000_001), Since: time.UnixMicro(1_700_000_000_000_002)}
 }
@@ -44,7 +44,7 @@
 	payloads := map[seal.Purpose][]byte{
 		seal.Ticket:      storedStatement().encode(),
 		seal.Prepared:    storedStatement().encode(),
-		seal.Transaction: sealPin("pobocka", storedPin()),
+		seal.Transaction: encodeTransaction("pobocka", storedTransaction()),
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) != len(payloads) {
@@ -64,13 +64,13 @@
 			t.Errorf("%s is sealed as %x, before it was %x", purpose, again, token)
 		}
 		if purpose == seal.Transaction {
-			user, pin, err := openPin(payload)
-			if err != nil || user != "pobocka" || !reflect.DeepEqual(pin, storedPin()) {
-				t.Errorf("%s is read as %q, %+v, %v", purpose, user, pin, err)
+			user, transaction, err := decodeTransaction(payload)
+			if err != nil || user != "pobocka" || !reflect.DeepEqual(transaction, storedTransaction()) {
+				t.Errorf("%s is read as %q, %+v, %v", purpose, user, transaction, err)
 			}
 			continue
 		}
-		if s, err := decodeSealed(payload); err != nil || !reflect.DeepEqual(s, storedStatement()) {
+		if s, err := decodeStatement(payload); err != nil || !reflect.DeepEqual(s, storedStatement()) {
 			t.Errorf("%s is read as %+v, %v", purpose, s, err)
 		}
 	}
--- a/frontend/flightsql/status.go
+++ b/frontend/flightsql/status.go
@@ -1,7 +1,9 @@
 package flightsql
 
 import (
+	"fmt"
 	"strconv"
+	"strings"
 	"time"
 
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
@@ -11,12 +13,15 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"embershunt/dispatch"
+	"embershunt/frontend"
+	"embershunt/internal/flightwire"
+	"embershunt/session"
 )
 
-// Domain is the ErrorInfo domain of every refused or failed answer.
+// Domain is the ErrorInfo domain of every answer that is not served.
 const Domain = "embershunt"
 
-// statuses maps each reason to its code and words (docs/operators.md has the table).
+// statuses maps each reason to its code and text (docs/operators.md has the table).
 var statuses = map[dispatch.Reason]struct {
 	code codes.Code
 	text string
@@ -34,30 +39,79 @@
 	dispatch.ReasonStopped:            {codes.Unavailable, "failed: the dispatcher was stopped before the answer was in"},
 }
 
-// verdictError is the status of a final answer; nil where it was served.
-func verdictError(v dispatch.Outcome) error {
+// outcomeError is the status of an outcome; nil where it was served.
+func outcomeError(v dispatch.Outcome) error {
 	if v.Kind == dispatch.Served {
 		return nil
 	}
 	e := statuses[v.Reason]
 	text := e.text
 	if v.Cause != nil {
-		s, _ := status.FromError(v.Cause)
-		if v.Reason == dispatch.ReasonStatement { // the node's own words and code
-			e.code, text = s.Code(), s.Message()
+		s, _ := status.FromError(v.Cause) // any error has a message here, also one without a status
+		if v.Reason == dispatch.ReasonStatement {
+			e.code, text = s.Code(), s.Message() // the node's own
 		} else {
 			text += " (last attempt: " + s.Message() + ")"
 		}
 	}
-	details := []protoadapt.MessageV1{&errdetails.ErrorInfo{Reason: string(v.Reason), Domain: Domain,
-		Metadata: map[string]string{"final": v.Kind.String(), "attempts": strconv.Itoa(v.Attempts)}}}
-	if v.Kind == dispatch.Shed && v.RetryAfter > 0 {
-		details = append(details, &errdetails.RetryInfo{
-			RetryDelay: durationpb.New(time.Duration(v.RetryAfter) * time.Microsecond)})
+	var retryAfter time.Duration
+	if v.Kind == dispatch.Shed {
+		retryAfter = time.Duration(v.RetryAfter) * time.Microsecond
 	}
-	s, err := status.New(e.code, text).WithDetails(details...)
+	return detailedError(e.code, text, &errdetails.ErrorInfo{Reason: string(v.Reason), Domain: Domain,
+		Metadata: map[string]string{"final": v.Kind.String(), "attempts": strconv.Itoa(v.Attempts)}}, retryAfter)
+}
+
+// sessionError is the status of a statement that its session rejected or took with it.
+func sessionError(e *frontend.SessionError) error {
+	code, final := codes.Aborted, "failed"
+	switch e.Reason {
+	case session.ReasonTooManySessions, session.ReasonTooManyTables:
+		code, final = codes.ResourceExhausted, "refused"
+	case session.ReasonNodesUnknown:
+		code, final = codes.Unavailable, "refused"
+	case session.ReasonBusy, session.ReasonNoTransaction, session.ReasonTransactionOpen, session.ReasonTransactionDone:
+		code, final = codes.FailedPrecondition, "refused"
+	case session.ReasonClosed:
+		code = codes.Canceled
+	}
+	commit := "known not to have run"
+	if !e.CommitKnown() {
+		commit = "unknown"
+	}
+	return detailedError(code, final+": "+e.Error(), &errdetails.ErrorInfo{Reason: string(e.Reason), Domain: Domain,
+		Metadata: map[string]string{"final": final, "session": e.State.String(), "commit": commit}}, e.RetryAfter)
+}
+
+// detailedError is a status with an ErrorInfo, and a RetryInfo where retryAfter is positive.
+func detailedError(code codes.Code, text string, info *errdetails.ErrorInfo, retryAfter time.Duration) error {
+	details := []protoadapt.MessageV1{info}
+	if retryAfter > 0 {
+		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
+	}
+	s, err := status.New(code, text).WithDetails(details...)
 	if err != nil { // the details always marshal
-		return status.Error(e.code, text)
+		return status.Error(code, text)
 	}
 	return s.Err()
 }
+
+// malformed is the status of a message that cannot be read.
+func malformed(err error) error {
+	return status.Error(codes.InvalidArgument, strings.TrimPrefix(err.Error(), "proto: "))
+}
+
+// malformedMessage is malformed with the name of the message.
+func malformedMessage(name string, err error) error {
+	return malformed(fmt.Errorf("%s: %w", name, err))
+}
+
+// errStatementSize is the status of a statement that is too long; both sizes are in bytes.
+func errStatementSize(size, maxSize int) error {
+	return status.Errorf(codes.InvalidArgument, "statement of %d bytes, allowed are %d", size, maxSize)
+}
+
+// errUnknownCommand is the status of a command that is not served.
+func errUnknownCommand(cmd flightwire.Command) error {
+	return status.Errorf(codes.Unimplemented, "%s is not known here", cmd.Name)
+}
