--- a/frontend/clickhouse/front.go
+++ b/frontend/clickhouse/front.go
@@ -7,6 +7,7 @@
 package clickhouse
 
 import (
+	"cmp"
 	"context"
 	"log/slog"
 	"net"
@@ -49,27 +50,13 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	if o.MaxPacket == 0 {
-		o.MaxPacket = defaultMaxPacketBytes
-	}
-	if o.HelloWithin == 0 {
-		o.HelloWithin = defaultHelloTimeout
-	}
-	if o.MaxConns == 0 {
-		o.MaxConns = defaultMaxConns
-	}
-	if o.MaxInsertBytes == 0 {
-		o.MaxInsertBytes = defaultMaxInsertBytes
-	}
-	if o.MaxBufferedInsertBytes == 0 {
-		o.MaxBufferedInsertBytes = defaultMaxBufferedInsertBytes
-	}
-	if o.SampleLife == 0 {
-		o.SampleLife = defaultSampleLife
-	}
-	if o.MaxSamples == 0 {
-		o.MaxSamples = defaultMaxSamples
-	}
+	o.MaxPacket = cmp.Or(o.MaxPacket, defaultMaxPacketBytes)
+	o.HelloWithin = cmp.Or(o.HelloWithin, defaultHelloTimeout)
+	o.MaxConns = cmp.Or(o.MaxConns, defaultMaxConns)
+	o.MaxInsertBytes = cmp.Or(o.MaxInsertBytes, defaultMaxInsertBytes)
+	o.MaxBufferedInsertBytes = cmp.Or(o.MaxBufferedInsertBytes, defaultMaxBufferedInsertBytes)
+	o.SampleLife = cmp.Or(o.SampleLife, defaultSampleLife)
+	o.MaxSamples = cmp.Or(o.MaxSamples, defaultMaxSamples)
 }
 
 // Front serves the protocol on a listener.
--- a/frontend/clickhouse/query.go
+++ b/frontend/clickhouse/query.go
@@ -64,7 +64,7 @@
 const (
 	completed          ending = iota // there is an outcome, or an error in its place
 	cancelled                        // the client cancelled it and stays connected
-	clientDisconnected               // the client is gone, or its connection is to be closed
+	clientDisconnected               // the client has disconnected, or its connection is to be closed
 )
 
 // watchAfter is how long a query runs before its client's next packet is read: most are answered by then.
--- a/frontend/clickhouse/state.go
+++ b/frontend/clickhouse/state.go
@@ -11,7 +11,7 @@
 type state int
 
 const (
-	awaitingQuery state = iota // no query is under way
+	awaitingQuery state = iota // no query is in flight
 	executing                  // a query waits for its final answer
 	awaitingRows               // an INSERT waits for its client's rows
 	stateCount
@@ -40,10 +40,10 @@
 	bufferRows       // leads back to executing when the rows are complete
 	cancelQuery      // leads to awaitingQuery
 	endConnection    // the client closed it in order
-	dropConnection   // closed without a word: the client is gone
+	dropConnection   // closed without an answer: the client has disconnected
 	rejectUnreadable // an Exception says what could not be read or buffered; then the connection is closed
 	rejectUnexpected // an Exception says that the packet is not expected; then the connection is closed
-	dropUnexpected   // closed without a word for a packet that is not expected: an Exception would be read as the answer's
+	dropUnexpected   // closed without an answer for a packet that is not expected: an Exception would be read as the answer's
 )
 
 // actions is the state machine of a connection. Events of the server (an answer, a deadline, a shutdown) end the state that
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -8,6 +8,7 @@
 package flightsql
 
 import (
+	"cmp"
 	"log/slog"
 	"time"
 
@@ -44,12 +45,8 @@
 
 // setDefaults replaces zero values.
 func (o *Options) setDefaults() {
-	if o.SchemaLife == 0 {
-		o.SchemaLife = defaultSchemaLife
-	}
-	if o.MaxSchemas == 0 {
-		o.MaxSchemas = defaultMaxSchemas
-	}
+	o.SchemaLife = cmp.Or(o.SchemaLife, defaultSchemaLife)
+	o.MaxSchemas = cmp.Or(o.MaxSchemas, defaultMaxSchemas)
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
--- a/frontend/flightsql/query.go
+++ b/frontend/flightsql/query.go
@@ -20,13 +20,13 @@
 
 // query is one query as this frontend makes it.
 type query struct {
-	call        *flightwire.Call
-	statement   string                  // for its classification; "" where the command has none
-	command     string                  // name of the command
-	serial      string                  // of the ticket; "" where it has none
-	transaction *frontend.StickySession // that it belongs to; nil: none
-	boundary    *frontend.Statement     // of what begins, ends or divides a transaction; nil: anything else
-	begun       *frontend.StickySession // set by execute where a transaction was begun
+	call           *flightwire.Call
+	statement      string                  // for its classification; "" where the command has none
+	command        string                  // name of the command
+	serial         string                  // of the ticket; "" where it has none
+	transaction    *frontend.StickySession // that it belongs to; nil: none
+	boundary       *frontend.Statement     // of what begins, ends or divides a transaction; nil: anything else
+	newTransaction *frontend.StickySession // set by execute where a transaction was begun
 }
 
 // setStatement makes a query run a statement: with parameters to bind, or else as the command of that name.
@@ -126,6 +126,6 @@
 		// The header is advice; it can be set only until the first message of the answer.
 		_ = c.stream.SetHeader(metadata.Pairs(flightwire.HeaderDrainsIn, strconv.FormatInt(remaining.Milliseconds(), 10)))
 	}
-	v, q.begun, err = f.options.Sessions.Execute(c.stream.Context(), call, *statement)
+	v, q.newTransaction, err = f.options.Sessions.Execute(c.stream.Context(), call, *statement)
 	return v, err
 }
--- a/frontend/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -32,7 +32,7 @@
 	if _, err := f.executeServed(c, q); err != nil {
 		return nil, err
 	}
-	token := f.options.Seal.Seal(seal.Transaction, time.Now().Add(f.options.Age), encodeTransaction(c.user, q.begun))
+	token := f.options.Seal.Seal(seal.Transaction, time.Now().Add(f.options.Age), encodeTransaction(c.user, q.newTransaction))
 	return flightwire.StatementCommand("ActionBeginTransactionResult", token), nil
 }
 
