--- a/server/parts.go
+++ b/server/parts.go
@@ -93,7 +93,7 @@
 		Auth:        auth,
 		Seal:        sealer,
 		SchemaLife:  f.Front.SchemaLife.D(),
-		SchemaMost:  f.Front.MaxSchemas,
+		MaxSchemas:  f.Front.MaxSchemas,
 		PassHeaders: f.Sending.PassHeaders,
 	}, d.intake)
 	d.nativeFrontend = clickhouse.New(clickhouse.Options{
@@ -102,10 +102,10 @@
 		MaxPacket:   f.Sending.MaxFrame,
 		Revision:    d.fleet.NativeRevision,
 		Sessions:    d.sessions,
-		InsertMost:  f.Front.MaxInsertBytes,
-		InsertsHeld: f.Front.MaxBufferedInsertBytes,
+		MaxInsertBytes:  f.Front.MaxInsertBytes,
+		MaxBufferedInsertBytes: f.Front.MaxBufferedInsertBytes,
 		SampleLife:  f.Front.SchemaLife.D(),
-		SampleMost:  f.Front.MaxSchemas,
+		MaxSamples:  f.Front.MaxSchemas,
 	}, d.intake)
 }
 
