--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -78,11 +78,11 @@
 		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
 		{"a wrong statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
 		{"silent", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
-		{"an update without an answer", simulated.Faults{Lost: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
+		{"an update without an answer", simulated.Faults{LoseAnswers: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
 		{"a truncated answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
 		{"rows taken", simulated.Faults{}, false, insert, rows, policy.OK, false},
 		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
-		{"rows taken and no answer", simulated.Faults{Lost: true}, false, insert, rows, policy.TimedOut, false},
+		{"rows taken and no answer", simulated.Faults{LoseAnswers: true}, false, insert, rows, policy.TimedOut, false},
 		{"rows taken and failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
 	}
 	for _, c := range cases {
@@ -91,10 +91,10 @@
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
-			defer n.Die()
-			n.Set(c.fault)
+			defer n.Crash()
+			n.SetFaults(c.fault)
 			if c.down {
-				n.Die()
+				n.Crash()
 			}
 			_, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
 			if c.text == insert && c.fault.Hang { // reported well before the attempt's own timeout
@@ -116,7 +116,7 @@
 	if err := n.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
-	defer n.Die()
+	defer n.Crash()
 	progress, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
 	if end.Code != policy.OK || end.WorkMicros != 600000 || end.NeededMB != 50 {
 		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkMicros, end.NeededMB)
--- a/backend/native_load_report.go
+++ b/backend/native_load_report.go
@@ -37,6 +37,6 @@
 	if err != nil {
 		return
 	}
-	t.workMicros += p.WorkUs
+	t.workMicros += p.WorkMicros
 	t.neededMB = max(t.neededMB, float64(p.Peak)/1e6)
 }
--- a/backend/resources.go
+++ b/backend/resources.go
@@ -12,7 +12,7 @@
 	body := flightwire.AppendBytes(nil, 1, id)
 	body = flightwire.AppendVarint(body, 2, uint64(priority)+1)
 	body = flightwire.AppendVarint(body, 3, uint64(max(0, memoryMB)))
-	request := flightwire.Action{Type: flightwire.ActionTerms, Body: body}.Encode()
+	request := flightwire.Action{Type: flightwire.ActionResources, Body: body}.Encode()
 	f.mu.Lock()
 	var nodes []string
 	for _, t := range f.attempts[id] {
--- a/classify/classify.go
+++ b/classify/classify.go
@@ -12,13 +12,13 @@
 
 // Facts are what a frontend knows of a query.
 type Facts struct {
-	User      string
-	Header    func(name string) string // a call header, "" where absent; names in lower case
-	Option    func(name string) string // a session option, "" where absent
-	Statement string
-	Command   string // name of the protocol's command, such as CommandGetTables
-	Token     string // deduplication token of an INSERT, "" where absent
-	Harmless  bool   // the statement is not run: only its parameters or columns are described
+	User         string
+	Header       func(name string) string // a call header, "" where absent; names in lower case
+	Option       func(name string) string // a session option, "" where absent
+	Statement    string
+	Command      string // name of the protocol's command, such as CommandGetTables
+	Token        string // deduplication token of an INSERT, "" where absent
+	DescribeOnly bool   // the statement is not run: only its parameters or columns are described
 }
 
 // Traits are the properties of a query that decisions depend on.
@@ -84,7 +84,7 @@
 	}
 	out.Tenant = max(out.Tenant, 0)
 	switch {
-	case f.Harmless: // unordered, and of next to no cost
+	case f.DescribeOnly: // unordered, and of next to no cost
 		out.Key, out.HasKey, out.Cost, out.MemoryMB = 0, false, harmlessCost, 0
 	case f.Token != "" && t.Keyed != nil && t.Keyed[out.Class] >= 0 && IsInsert(f.Statement):
 		out.Class = t.Keyed[out.Class]
--- a/classify/connection.go
+++ b/classify/connection.go
@@ -5,14 +5,14 @@
 // ConnectionEffect is what a statement changes on the connection that it runs on.
 type ConnectionEffect int
 
-// The effects. LeavesUnserved can be neither replayed on another connection nor undone by itself.
+// The effects. Unsupported can be neither replayed on another connection nor undone by itself.
 const (
-	LeavesNothing  ConnectionEffect = iota
-	LeavesOptions                   // SET name = value, ...
-	LeavesDatabase                  // USE name
-	LeavesTable                     // CREATE TEMPORARY TABLE name
-	DropsTable                      // DROP TABLE name: temporary or not
-	LeavesUnserved                  // SET ROLE, transactions, temporary views and so on
+	LeavesNothing ConnectionEffect = iota
+	SetsOptions                    // SET name = value, ...
+	SetsDatabase                   // USE name
+	CreatesTable                   // CREATE TEMPORARY TABLE name
+	DropsTable                     // DROP TABLE name: temporary or not
+	Unsupported                    // SET ROLE, transactions, temporary views and so on
 )
 
 // Option is one name and value of a SET, as text.
@@ -28,10 +28,10 @@
 		return effect, "", options
 	case "USE":
 		if kind, text := s.next(); kind == tokenWord || kind == tokenQuoted {
-			return LeavesDatabase, unquoteName(text), nil
+			return SetsDatabase, unquoteName(text), nil
 		}
 	case "BEGIN", "COMMIT", "ROLLBACK", "START":
-		return LeavesUnserved, "", nil
+		return Unsupported, "", nil
 	case "CREATE":
 		effect, name = s.create()
 		return effect, name, nil
@@ -53,7 +53,7 @@
 		return LeavesNothing, ""
 	}
 	if s.keyword() != "TABLE" {
-		return LeavesUnserved, ""
+		return Unsupported, ""
 	}
 	name := s.keyword()
 	if name == "IF" { // NOT EXISTS
@@ -61,7 +61,7 @@
 		s.keyword()
 		name = s.keyword()
 	}
-	return LeavesTable, s.qualifiedName(name)
+	return CreatesTable, s.qualifiedName(name)
 }
 
 // drop scans what follows DROP.
@@ -98,17 +98,17 @@
 	for {
 		kind, name := s.next()
 		if kind != tokenWord {
-			return LeavesUnserved, nil
+			return Unsupported, nil
 		}
 		if kind, text := s.next(); kind != tokenOther || text != "=" { // SET ROLE, SET DEFAULT ROLE, SET TRANSACTION
-			return LeavesUnserved, nil
+			return Unsupported, nil
 		}
 		value, more, ok := s.optionValue()
 		if !ok || value == "" {
-			return LeavesUnserved, nil
+			return Unsupported, nil
 		}
 		if options = append(options, Option{name, value}); !more {
-			return LeavesOptions, options
+			return SetsOptions, options
 		}
 	}
 }
--- a/classify/statement.go
+++ b/classify/statement.go
@@ -83,8 +83,8 @@
 	return first == "INSERT" && (!hasSource || last == "VALUES")
 }
 
-// Bare is a statement without its comments and with single spaces; an invalid one is unchanged.
-func Bare(statement string) string {
+// StripComments is a statement without its comments and with single spaces; an invalid one is unchanged.
+func StripComments(statement string) string {
 	s := scanner{text: statement}
 	var b strings.Builder
 	for {
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -69,8 +69,8 @@
 	defer stop()
 	s := &service{control: simulated.NewControl(cli.Cluster), begin: time.Now(), sets: map[uint64]control.FileParts{},
 		printed: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
-	s.rollout.Fall = cli.Fall
-	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.Replied(s.now(), d, n, refused) })
+	s.rollout.MaxServiceDrop = cli.Fall
+	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.RecordReply(s.now(), d, n, refused) })
 	s.read()
 	s.control.At(cli.Listen)
 	if err := s.control.Start(); err != nil {
@@ -107,7 +107,7 @@
 	for name, address := range cli.Metrics {
 		served, received, err := counters(ctx, address)
 		if err == nil {
-			s.control.Locked(func() { s.rollout.Service(s.now(), name, served, received) })
+			s.control.Locked(func() { s.rollout.RecordService(s.now(), name, served, received) })
 		}
 	}
 }
@@ -178,7 +178,7 @@
 
 // addRollback makes the content of the set before a halted one known under the number it is offered by.
 func (s *service) addRollback() {
-	if n, of := s.rollout.Back(); n > 0 && of > 0 && !s.has(n) {
+	if n, of := s.rollout.Restored(); n > 0 && of > 0 && !s.has(n) {
 		if err := s.add(n, s.sets[of]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
@@ -188,7 +188,7 @@
 func (s *service) add(n uint64, parts control.FileParts) error {
 	set := parts.Set(n)
 	var all []*anypb.Any
-	for _, m := range set.Parts() {
+	for _, m := range set.Resources() {
 		a, err := anypb.New(m)
 		if err != nil {
 			return err
--- a/cmd/dispatcher/demo.go
+++ b/cmd/dispatcher/demo.go
@@ -31,7 +31,7 @@
 	var nodes []*simulated.Node
 	stop := func() {
 		for _, n := range nodes {
-			n.Die()
+			n.Crash()
 		}
 	}
 	for i := range 3 {
--- a/cmd/querynode/main.go
+++ b/cmd/querynode/main.go
@@ -40,7 +40,7 @@
 	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A stand-in query node. Statements state their cost: "+
 		"/* work_ms=120 threads=1 rows=1000 row_bytes=0 memory_mb=0 */"))
 	node := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
-	node.Set(simulated.Faults{Hang: cli.Hang, Lost: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
+	node.SetFaults(simulated.Faults{Hang: cli.Hang, LoseAnswers: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
 		StallRow: cli.Stall, CutRow: cli.Cut})
 	node.Native = cli.Native
 	if err := node.Start(cli.Listen, cli.Cold); err != nil {
@@ -51,5 +51,5 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
-	node.Die()
+	node.Crash()
 }
--- a/config/platform.go
+++ b/config/platform.go
@@ -24,7 +24,7 @@
 	PeerListen   string
 	Peers        []string
 	Resolver     string
-	Initial      nodelist.Numbered
+	Initial      nodelist.Versioned
 	Names        nodelist.Names
 	Settings     policy.Settings
 	SocketLimits wire.SocketLimits
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -60,7 +60,7 @@
 // offer plays one resource of a set.
 func (m *model) offer(s Set, k Kind) {
 	m.responses++
-	m.step(Offered{Kind: k, Version: fmt.Sprint(s.Number), Nonce: fmt.Sprint(m.responses), Message: s.Parts()[k]})
+	m.step(Offered{Kind: k, Version: fmt.Sprint(s.Number), Nonce: fmt.Sprint(m.responses), Message: s.Resources()[k]})
 }
 
 // completeStore and completeApply end what is under way, if anything is, with or without an error.
@@ -106,7 +106,7 @@
 						s.Classes.Classes[0].DeadlineUs = 0
 					}
 				})
-				for k := range s.Parts() {
+				for k := range s.Resources() {
 					m.offer(s, Kind(k))
 				}
 			case 2: // a single resource
--- a/control/resources.go
+++ b/control/resources.go
@@ -37,13 +37,13 @@
 	Fronts         *configv1.Fronts
 }
 
-// Parts are a set's resources, in the order of their kinds.
-func (s Set) Parts() []proto.Message {
+// Resources are a set's resources, in the order of their kinds.
+func (s Set) Resources() []proto.Message {
 	return []proto.Message{s.Classes, s.Tenants, s.Limits, s.Classification, s.Fronts}
 }
 
 // resource is the set's resource of a kind of settings; a nil message where it has none.
-func (s Set) resource(k Kind) proto.Message { return s.Parts()[k] }
+func (s Set) resource(k Kind) proto.Message { return s.Resources()[k] }
 
 // setNumber returns the number of the set that a resource belongs to. It is an error if the resource is of another
 // kind or has no number.
--- a/control/rollout.go
+++ b/control/rollout.go
@@ -19,8 +19,8 @@
 	MinStageTime    Micros    // minimum time in a stage after its last reply
 	MaxRefusedShare float64   // share of a stage's dispatchers whose rejection halts the rollout
 
-	Fall       float64 // fall of the share served, against those with the previous set, that halts it; 0: none does
-	MinQueries int     // queries on either side below which service is not compared; 0: 200
+	MaxServiceDrop float64 // fall of the share served, against those with the previous set, that halts it; 0: none does
+	MinQueries     int     // queries on either side below which service is not compared; 0: 200
 
 	previous, target uint64
 	stage            int
@@ -68,10 +68,10 @@
 	}
 }
 
-// Service records a dispatcher's counters of queries served and received since its start, and halts the rollout where
+// RecordService records a dispatcher's counters of queries served and received since its start, and halts the rollout where
 // dispatchers with the target serve a clearly smaller share than those with the previous set over the same time. The
 // counters of a dispatcher that was restarted count from 0.
-func (r *Rollout) Service(_ Micros, dispatcher string, served, received float64) {
+func (r *Rollout) RecordService(_ Micros, dispatcher string, served, received float64) {
 	s := r.service[dispatcher]
 	if s == nil {
 		s = &serviceCounters{base: queryCounts{served, received}}
@@ -81,7 +81,7 @@
 		s.base = queryCounts{}
 	}
 	s.latest = queryCounts{served, received}
-	if r.Fall <= 0 || r.haltReason != "" || r.target == r.previous {
+	if r.MaxServiceDrop <= 0 || r.haltReason != "" || r.target == r.previous {
 		return
 	}
 	previous, target := r.serviceBySet()
@@ -92,7 +92,7 @@
 	if previous.received < minQueries || target.received < minQueries {
 		return
 	}
-	if before, after := previous.served/previous.received, target.served/target.received; after < before-r.Fall {
+	if before, after := previous.served/previous.received, target.served/target.received; after < before-r.MaxServiceDrop {
 		r.Halt(fmt.Sprintf("dispatchers with set %d serve %.3f of their queries, those with set %d %.3f", r.target, after, r.previous, before))
 	}
 }
@@ -125,9 +125,9 @@
 	return r.target
 }
 
-// Back returns the number under which a halted rollout offers the content of the previous set, and that set's own
+// Restored returns the number under which a halted rollout offers the content of the previous set, and that set's own
 // number; zeros where it is not halted.
-func (r *Rollout) Back() (number, of uint64) {
+func (r *Rollout) Restored() (number, of uint64) {
 	if r.restoreNumber == 0 {
 		return 0, 0
 	}
@@ -148,8 +148,8 @@
 	return float64(h>>11)/(1<<53) < r.Stages[r.stage]
 }
 
-// Replied records a reply; that of a rejection has a reason.
-func (r *Rollout) Replied(now Micros, dispatcher string, number uint64, reason string) {
+// RecordReply records a reply; that of a rejection has a reason.
+func (r *Rollout) RecordReply(now Micros, dispatcher string, number uint64, reason string) {
 	r.Offer(dispatcher)
 	d := r.dispatchers[dispatcher]
 	if reason == "" {
--- a/control/rollout_test.go
+++ b/control/rollout_test.go
@@ -19,7 +19,7 @@
 func beginRollout() *Rollout {
 	r := NewRollout(1, []float64{0.1, 0.5, 1}, 10*second, 0.05)
 	for _, d := range rolloutNames() {
-		r.Replied(0, d, r.Offer(d), "")
+		r.RecordReply(0, d, r.Offer(d), "")
 	}
 	r.Begin(0, 2)
 	return r
@@ -44,7 +44,7 @@
 		t.Fatalf("the first stage has %d of %d", len(first), n)
 	}
 	for _, d := range first {
-		r.Replied(second, d, 2, "")
+		r.RecordReply(second, d, 2, "")
 	}
 	if r.Advance(5*second) || len(offeredTarget(r)) != len(first) {
 		t.Error("the second stage began before its time")
@@ -53,14 +53,14 @@
 		t.Errorf("the second stage has %d", len(offeredTarget(r)))
 	}
 	for _, d := range offeredTarget(r) {
-		r.Replied(12*second, d, 2, "")
+		r.RecordReply(12*second, d, 2, "")
 	}
 	r.Advance(23 * second)
 	if len(offeredTarget(r)) != n {
 		t.Errorf("the last stage has %d: %s", len(offeredTarget(r)), r.State())
 	}
 	for _, d := range names {
-		r.Replied(24*second, d, 2, "")
+		r.RecordReply(24*second, d, 2, "")
 	}
 	if r.State() != "set 2 is with all" {
 		t.Error(r.State())
@@ -72,7 +72,7 @@
 	r := beginRollout()
 	for i, d := range offeredTarget(r) {
 		if i%15 == 0 {
-			r.Replied(second, d, 2, "class_ends")
+			r.RecordReply(second, d, 2, "class_ends")
 		}
 	}
 	if got := len(offeredTarget(r)); got != 0 || !strings.Contains(r.State(), "halted") || !strings.Contains(r.State(), "class_ends") {
@@ -85,12 +85,12 @@
 func TestRolloutHaltedFromOutside(t *testing.T) {
 	r := beginRollout()
 	accepted := offeredTarget(r)[0]
-	r.Replied(second, accepted, 2, "")
+	r.RecordReply(second, accepted, 2, "")
 	r.Halt("service fell to 0.7")
-	if number, of := r.Back(); number != 3 || of != 1 || r.Offer(accepted) != 3 || len(offeredTarget(r)) != 0 || r.Highest() != 3 {
+	if number, of := r.Restored(); number != 3 || of != 1 || r.Offer(accepted) != 3 || len(offeredTarget(r)) != 0 || r.Highest() != 3 {
 		t.Errorf("halted: set %d with the content of %d, offered where the target was accepted: %d", number, of, r.Offer(accepted))
 	}
-	r.Replied(2*second, accepted, 3, "")
+	r.RecordReply(2*second, accepted, 3, "")
 	if r.Offer(accepted) != 3 {
 		t.Errorf("restored, it is offered %d", r.Offer(accepted))
 	}
@@ -113,29 +113,29 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := NewRollout(1, []float64{0.3, 1}, 10*second, 0.5)
-			r.Fall = 0.1
+			r.MaxServiceDrop = 0.1
 			var staged, rest []string
 			for i := range 20 {
 				d := fmt.Sprint("d", i)
-				r.Replied(0, d, 1, "")
-				r.Service(0, d, 100, 5000) // a bad day before: it does not count
+				r.RecordReply(0, d, 1, "")
+				r.RecordService(0, d, 100, 5000) // a bad day before: it does not count
 			}
 			r.Begin(second, 2)
 			for i := range 20 {
 				d := fmt.Sprint("d", i)
 				if r.Offer(d) == 2 {
 					staged = append(staged, d)
-					r.Replied(second, d, 2, "")
+					r.RecordReply(second, d, 2, "")
 				} else {
 					rest = append(rest, d)
 				}
 			}
 			for _, d := range rest {
-				r.Service(2*second, d, 100+950, 5000+1000)
+				r.RecordService(2*second, d, 100+950, 5000+1000)
 			}
-			r.Service(2*second, rest[0], 95, 100) // restarted
+			r.RecordService(2*second, rest[0], 95, 100) // restarted
 			for _, d := range staged {
-				r.Service(2*second, d, 100+c.served, 5000+c.received)
+				r.RecordService(2*second, d, 100+c.served, 5000+c.received)
 			}
 			if halted := strings.Contains(r.State(), "halted"); halted != c.halts {
 				t.Errorf("%s", r.State())
--- a/control/update_test.go
+++ b/control/update_test.go
@@ -38,7 +38,7 @@
 
 // offerSet plays the resources of a set and returns all actions.
 func offerSet(m *Module, now Micros, s Set, live LiveState) (out []Action) {
-	for i, p := range s.Parts() {
+	for i, p := range s.Resources() {
 		out = append(out, m.Step(now, Offered{Kind: Kind(i), Version: fmt.Sprint(s.Number), Nonce: fmt.Sprintf("n%d", i), Message: p, Live: live})...)
 	}
 	return out
--- a/dispatch/payload_budget.go
+++ b/dispatch/payload_budget.go
@@ -35,25 +35,25 @@
 
 // CapacityError is the error of PayloadBudget.Grow.
 type CapacityError struct {
-	Large      bool   // the query alone exceeds its limit: a retry does not help
-	Held       int64  // bytes: of the query with the rejected ones where Large, else reserved in all
-	Allowed    int64  // bytes
-	RetryAfter Micros // not Large: when the bytes should be free
+	QueryTooLarge bool   // the query alone exceeds its limit: a retry does not help
+	ReservedBytes int64  // bytes: of the query with the rejected ones where Large, else reserved in all
+	AllowedBytes  int64  // bytes
+	RetryAfter    Micros // not Large: when the bytes should be free
 }
 
 // Error implements error.
 func (e *CapacityError) Error() string {
-	if e.Large {
-		return fmt.Sprintf("%d bytes of data with one query, allowed are %d", e.Held, e.Allowed)
+	if e.QueryTooLarge {
+		return fmt.Sprintf("%d bytes of data with one query, allowed are %d", e.ReservedBytes, e.AllowedBytes)
 	}
-	return fmt.Sprintf("%d bytes of data are held for queries, allowed are %d", e.Held, e.Allowed)
+	return fmt.Sprintf("%d bytes of data are held for queries, allowed are %d", e.ReservedBytes, e.AllowedBytes)
 }
 
 // Grow reserves n more bytes for a query; the error is a *CapacityError.
 func (b *PayloadBudget) Grow(now Micros, q *PayloadReservation, n int64) error {
 	if q.bytes+n > b.maxQueryBytes {
 		b.rejectedLarge++
-		return &CapacityError{Large: true, Held: q.bytes + n, Allowed: b.maxQueryBytes}
+		return &CapacityError{QueryTooLarge: true, ReservedBytes: q.bytes + n, AllowedBytes: b.maxQueryBytes}
 	}
 	limit := b.maxTotalBytes
 	if q.bytes == 0 && b.reservedBytes > 0 {
@@ -61,7 +61,7 @@
 	}
 	if b.reservedBytes+n > limit {
 		b.rejectedFull++
-		return &CapacityError{Held: b.reservedBytes, Allowed: b.maxTotalBytes, RetryAfter: b.retryAfter(b.reservedBytes + n - limit)}
+		return &CapacityError{ReservedBytes: b.reservedBytes, AllowedBytes: b.maxTotalBytes, RetryAfter: b.retryAfter(b.reservedBytes + n - limit)}
 	}
 	if q.bytes == 0 {
 		q.since = now
@@ -95,5 +95,5 @@
 // Bytes is the number of bytes reserved in all.
 func (b *PayloadBudget) Bytes() int64 { return b.reservedBytes }
 
-// Turned counts the calls of Grow that failed: because of the query's own limit, and of the limit for all.
-func (b *PayloadBudget) Turned() (large, full uint64) { return b.rejectedLarge, b.rejectedFull }
+// Rejected counts the calls of Grow that failed: because of the query's own limit, and of the limit for all.
+func (b *PayloadBudget) Rejected() (large, full uint64) { return b.rejectedLarge, b.rejectedFull }
--- a/dispatch/payload_budget_test.go
+++ b/dispatch/payload_budget_test.go
@@ -54,14 +54,14 @@
 	var capacity *CapacityError
 	switch {
 	case own+n > maxQueryBytes:
-		if !errors.As(err, &capacity) || !capacity.Large {
+		if !errors.As(err, &capacity) || !capacity.QueryTooLarge {
 			r.Fatalf("%d and %d more of %d: %v", own, n, maxQueryBytes, err)
 		}
 	case own > 0 && all+n <= maxTotalBytes, own == 0 && all+n <= maxTotalBytes*3/4:
 		if err != nil {
 			r.Fatalf("%d of %d held, %d more: %v", all, maxTotalBytes, n, err)
 		}
-	case !errors.As(err, &capacity) || capacity.Large || capacity.RetryAfter < 0:
+	case !errors.As(err, &capacity) || capacity.QueryTooLarge || capacity.RetryAfter < 0:
 		r.Fatalf("%d of %d held, %d more: %v", all, maxTotalBytes, n, err)
 	}
 }
--- a/frontend/cache.go
+++ b/frontend/cache.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Drop removes the cached answer of a key.
-func (c *Cache) Drop(key string) {
+// Delete removes the cached answer of a key.
+func (c *Cache) Delete(key string) {
 	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/clickhouse/answer.go
+++ b/frontend/clickhouse/answer.go
@@ -78,7 +78,7 @@
 func (c *connection) rejectUnreadable(err error) {
 	var capacity *dispatch.CapacityError
 	switch {
-	case errors.As(err, &capacity) && capacity.Large:
+	case errors.As(err, &capacity) && capacity.QueryTooLarge:
 		c.reject(codeMemoryLimitExceeded, "refused (QUERY_TOO_LARGE): "+capacity.Error())
 	case errors.As(err, &capacity):
 		c.reject(codeTooManyQueries, fmt.Sprintf("refused (%s): %v; trying again does no harm, come back in %d ms", dispatch.ReasonFull, capacity,
--- a/frontend/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -47,7 +47,7 @@
 var _ native.Sink = (*connection)(nil)
 
 func newConnection(f *Front, conn net.Conn) *connection {
-	return &connection{front: f, conn: conn, reader: native.NewReaderSize(conn, f.options.MaxPacket, bufferBytes),
+	return &connection{front: f, conn: conn, reader: native.NewReaderSize(conn, f.options.MaxPacketBytes, bufferBytes),
 		writer: bufio.NewWriterSize(conn, bufferBytes)}
 }
 
@@ -90,7 +90,7 @@
 
 // handshake reads the client's Hello and answers it.
 func (c *connection) handshake() (err error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloWithin)) // it fails only on a closed connection, as the read then does
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloTimeout)) // it fails only on a closed connection, as the read then does
 	if c.hello, err = c.reader.ReadHello(); err != nil {
 		c.reject(codeUnexpectedPacket, err.Error())
 		return err
--- a/frontend/clickhouse/front.go
+++ b/frontend/clickhouse/front.go
@@ -34,14 +34,14 @@
 type Options struct {
 	Log                    *slog.Logger           // nil: nothing is logged
 	Auth                   frontend.Authenticator // checks the name and password of a Hello
-	MaxPacket              int                    // bytes; default 16 MiB
-	HelloWithin            time.Duration          // a connection without a complete Hello by then is closed; default 5 s
+	MaxPacketBytes         int                    // bytes; default 16 MiB
+	HelloTimeout           time.Duration          // a connection without a complete Hello by then is closed; default 5 s
 	MaxConns               int                    // further connections are closed at once; default 20000
 	MaxInsertBytes         int                    // rows and external tables of one query; default 64 MiB
 	MaxBufferedInsertBytes int                    // those of all queries together; default 512 MiB
 	Sessions               *frontend.Sessions     // nil: temporary tables are not served
 	Revision               func() int             // the newest that all nodes speak; 0: not known; nil: the newest there is
-	SampleLife             time.Duration          // how long the columns of an INSERT are cached; default 5 min
+	SampleTTL              time.Duration          // how long the columns of an INSERT are cached; default 5 min
 	MaxSamples             int                    // INSERT statements whose columns are cached; default 4096
 }
 
@@ -50,12 +50,12 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	o.MaxPacket = cmp.Or(o.MaxPacket, defaultMaxPacketBytes)
-	o.HelloWithin = cmp.Or(o.HelloWithin, defaultHelloTimeout)
+	o.MaxPacketBytes = cmp.Or(o.MaxPacketBytes, defaultMaxPacketBytes)
+	o.HelloTimeout = cmp.Or(o.HelloTimeout, defaultHelloTimeout)
 	o.MaxConns = cmp.Or(o.MaxConns, defaultMaxConns)
 	o.MaxInsertBytes = cmp.Or(o.MaxInsertBytes, defaultMaxInsertBytes)
 	o.MaxBufferedInsertBytes = cmp.Or(o.MaxBufferedInsertBytes, defaultMaxBufferedInsertBytes)
-	o.SampleLife = cmp.Or(o.SampleLife, defaultSampleLife)
+	o.SampleTTL = cmp.Or(o.SampleTTL, defaultSampleLife)
 	o.MaxSamples = cmp.Or(o.MaxSamples, defaultMaxSamples)
 }
 
@@ -75,7 +75,7 @@
 func New(o Options, intake *frontend.Intake) *Front {
 	o.setDefaults()
 	return &Front{options: o, intake: intake, conns: map[net.Conn]bool{}, connClosed: make(chan struct{}),
-		samples: frontend.NewCache(o.MaxSamples, o.SampleLife), payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
+		samples: frontend.NewCache(o.MaxSamples, o.SampleTTL), payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
 }
 
 // Serve accepts connections until ctx ends or the listener fails, and returns when all of them are closed.
@@ -158,6 +158,6 @@
 	return len(f.conns)
 }
 
-// Holding returns the bytes of clients' rows and external tables that are buffered, and how many queries were rejected
+// BufferedInserts returns the bytes of clients' rows and external tables that are buffered, and how many queries were rejected
 // because they alone brought too much (large), or because all of them together would have (full).
-func (f *Front) Holding() (bytes int64, large, full uint64) { return f.payloads.usage() }
+func (f *Front) BufferedInserts() (bytes int64, large, full uint64) { return f.payloads.usage() }
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -44,7 +44,7 @@
 	call.Remaining = max(time.Until(deadline), time.Millisecond)
 	v, end, err := c.execute(ctx, call)
 	if v.Reason == dispatch.ReasonStatement { // the table's columns may have changed
-		c.front.samples.Drop(key)
+		c.front.samples.Delete(key)
 	}
 	return c.finish(v, end, err)
 }
@@ -52,7 +52,7 @@
 // executeSample asks a node for the columns that an INSERT takes; nothing is inserted.
 func (c *connection) executeSample(ctx context.Context, call frontend.Call, work native.Call) (dispatch.Outcome, ending, error) {
 	work.Sample = true
-	call.Work, call.Facts.Harmless = &work, true
+	call.Work, call.Facts.DescribeOnly = &work, true
 	return c.execute(ctx, call)
 }
 
@@ -106,5 +106,5 @@
 // sampleKey holds all that the columns of an INSERT depend on.
 func sampleKey(w *native.Call, user string) string {
 	return strings.Join([]string{user, w.Database, strconv.Itoa(w.Revision), strconv.FormatBool(w.Query.Compression),
-		classify.Bare(w.Query.Text)}, "\x00")
+		classify.StripComments(w.Query.Text)}, "\x00")
 }
--- a/frontend/clickhouse/payload.go
+++ b/frontend/clickhouse/payload.go
@@ -38,6 +38,6 @@
 func (a *payloadAccount) usage() (bytes int64, large, full uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	large, full = a.budget.Turned()
+	large, full = a.budget.Rejected()
 	return a.budget.Bytes(), large, full
 }
--- a/frontend/clickhouse/session.go
+++ b/frontend/clickhouse/session.go
@@ -68,9 +68,9 @@
 func (s *sessionState) statement(call frontend.Call) *frontend.Statement {
 	effect, name, _ := classify.OnConnection(call.Facts.Statement)
 	statement := &frontend.Statement{Kind: session.Plain, ID: s.id, OutlivesState: true,
-		ReadOnly: classify.IsRead(call.Facts.Statement) || call.Facts.Harmless}
+		ReadOnly: classify.IsRead(call.Facts.Statement) || call.Facts.DescribeOnly}
 	switch {
-	case effect == classify.LeavesTable:
+	case effect == classify.CreatesTable:
 		statement.Kind, statement.Name = session.CreateState, name
 		if s.id == "" {
 			s.id = frontend.NewSessionID()
--- a/frontend/clickhouse/session_statement.go
+++ b/frontend/clickhouse/session_statement.go
@@ -16,20 +16,20 @@
 func (c *connection) answerLocally(text string) (done bool, err error) {
 	effect, name, options := classify.OnConnection(text)
 	switch effect {
-	case classify.LeavesOptions:
+	case classify.SetsOptions:
 		for _, o := range options {
 			if err := c.session.setOption(o); err != nil {
 				c.reject(codeBadArguments, err.Error())
 				return true, nil
 			}
 		}
-	case classify.LeavesDatabase:
+	case classify.SetsDatabase:
 		if c.session.stickyID() != "" {
 			c.reject(codeNotImplemented, "USE while temporary tables are open is not served: name the database in the statement")
 			return true, nil
 		}
 		c.hello.Database = name
-	case classify.LeavesUnserved:
+	case classify.Unsupported:
 		c.reject(codeNotImplemented, "this would leave state on the connection that can neither be replayed nor kept: transactions, SET ROLE and temporary views are not served over the native protocol")
 		return true, nil
 	default:
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -32,20 +32,20 @@
 
 // Options are the frontend's settings; zero values mean the defaults.
 type Options struct {
-	Log         *slog.Logger           // nil: nothing is logged
-	Auth        frontend.Authenticator // checks names and passwords; with AnyUser a call needs none
-	Seal        *seal.Sealer           // of tickets, handles, transaction ids and cookies
-	SchemaLife  time.Duration          // how long a statement's schema is cached; default 5 min
-	MaxSchemas  int                    // statements cached; default 4096
-	PassHeaders []string               // call headers passed on to nodes
-	Sessions    *frontend.Sessions     // nil: transactions are not served
-	Idle        time.Duration          // of a transaction without a statement
-	Age         time.Duration          // the longest of a transaction; its token is valid for so long
+	Log                    *slog.Logger           // nil: nothing is logged
+	Auth                   frontend.Authenticator // checks names and passwords; with AnyUser a call needs none
+	Seal                   *seal.Sealer           // of tickets, handles, transaction ids and cookies
+	SchemaTTL              time.Duration          // how long a statement's schema is cached; default 5 min
+	MaxSchemas             int                    // statements cached; default 4096
+	PassHeaders            []string               // call headers passed on to nodes
+	Sessions               *frontend.Sessions     // nil: transactions are not served
+	TransactionIdleTimeout time.Duration          // of a transaction without a statement
+	TransactionMaxAge      time.Duration          // the longest of a transaction; its token is valid for so long
 }
 
 // setDefaults replaces zero values.
 func (o *Options) setDefaults() {
-	o.SchemaLife = cmp.Or(o.SchemaLife, defaultSchemaLife)
+	o.SchemaTTL = cmp.Or(o.SchemaTTL, defaultSchemaLife)
 	o.MaxSchemas = cmp.Or(o.MaxSchemas, defaultMaxSchemas)
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -63,7 +63,7 @@
 // New returns a frontend that submits its queries to an intake.
 func New(o Options, intake *frontend.Intake) *Front {
 	o.setDefaults()
-	return &Front{options: o, intake: intake, schemas: frontend.NewCache(o.MaxSchemas, o.SchemaLife), running: newRunningQueries()}
+	return &Front{options: o, intake: intake, schemas: frontend.NewCache(o.MaxSchemas, o.SchemaTTL), running: newRunningQueries()}
 }
 
 // ServerOptions are what a gRPC server needs for this frontend. Messages are read as a whole, so their size is bounded: a
--- a/frontend/flightsql/status.go
+++ b/frontend/flightsql/status.go
@@ -76,7 +76,7 @@
 		code = codes.Canceled
 	}
 	commit := "known not to have run"
-	if !e.CommitKnown() {
+	if !e.NothingCommitted() {
 		commit = "unknown"
 	}
 	return detailedError(code, final+": "+e.Error(), &errdetails.ErrorInfo{Reason: string(e.Reason), Domain: Domain,
--- a/frontend/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -26,13 +26,13 @@
 	q := actionQuery("BeginTransaction", name, nil)
 	q.statement = "BEGIN"
 	q.boundary = &frontend.Statement{Kind: session.Begin, ID: frontend.NewSessionID(), Handle: resultHandle}
-	if f.options.Idle > 0 { // if this dispatcher vanishes, the node ends the transaction a little later than it would have
-		q.call.Headers = append(q.call.Headers, flightwire.HeaderIdle, strconv.FormatInt((f.options.Idle+f.options.Idle/2).Milliseconds(), 10))
+	if f.options.TransactionIdleTimeout > 0 { // if this dispatcher vanishes, the node ends the transaction a little later than it would have
+		q.call.Headers = append(q.call.Headers, flightwire.HeaderIdle, strconv.FormatInt((f.options.TransactionIdleTimeout+f.options.TransactionIdleTimeout/2).Milliseconds(), 10))
 	}
 	if _, err := f.executeServed(c, q); err != nil {
 		return nil, err
 	}
-	token := f.options.Seal.Seal(seal.Transaction, time.Now().Add(f.options.Age), encodeTransaction(c.user, q.newTransaction))
+	token := f.options.Seal.Seal(seal.Transaction, time.Now().Add(f.options.TransactionMaxAge), encodeTransaction(c.user, q.newTransaction))
 	return flightwire.StatementCommand("ActionBeginTransactionResult", token), nil
 }
 
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	inner := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, token), 2, resultHandle(v))
-	savepoint := f.options.Seal.Seal(seal.Savepoint, time.Now().Add(f.options.Age), inner)
+	savepoint := f.options.Seal.Seal(seal.Savepoint, time.Now().Add(f.options.TransactionMaxAge), inner)
 	return flightwire.StatementCommand("ActionBeginSavepointResult", savepoint), nil
 }
 
--- a/frontend/session_error.go
+++ b/frontend/session_error.go
@@ -38,5 +38,5 @@
 	session.ReasonTransactionDone: "the transaction was committed or rolled back already",
 }
 
-// CommitKnown says whether it is certain that the failed statement committed nothing.
-func (e *SessionError) CommitKnown() bool { return e.Reason != session.ReasonCommitUnknown }
+// NothingCommitted says whether it is certain that the failed statement committed nothing.
+func (e *SessionError) NothingCommitted() bool { return e.Reason != session.ReasonCommitUnknown }
--- a/internal/flightwire/call.go
+++ b/internal/flightwire/call.go
@@ -30,16 +30,16 @@
 
 // The call headers and the action that nodes may heed (docs/operators.md).
 const (
-	HeaderQuery    = "embershunt-query"           // id of the query
-	HeaderAttempt  = "embershunt-attempt"         // number of the attempt, from 0
-	HeaderPriority = "embershunt-priority"        // 0 to 3
-	HeaderMemory   = "embershunt-memory-mb"       // grant in MB; absent: the node's own choice
-	HeaderSession  = "embershunt-session"         // name of the session that a transaction belongs to
-	HeaderDrainsIn = "embershunt-drains-in-ms"    // header to clients: their transaction's node takes its work for so long
-	HeaderIdle     = "embershunt-session-idle-ms" // with BeginTransaction: roll it back after so long without a statement
-	HeaderRan      = "embershunt-ran"             // trailer of a refusal: "no" proves that nothing ran
-	ActionRelease  = "embershunt.release"         // body: name of a session whose state is to be ended, whatever it is
-	ActionTerms    = "embershunt.terms"           // body: query id, priority and memory as fields 1, 2 and 3
+	HeaderQuery     = "embershunt-query"           // id of the query
+	HeaderAttempt   = "embershunt-attempt"         // number of the attempt, from 0
+	HeaderPriority  = "embershunt-priority"        // 0 to 3
+	HeaderMemory    = "embershunt-memory-mb"       // grant in MB; absent: the node's own choice
+	HeaderSession   = "embershunt-session"         // name of the session that a transaction belongs to
+	HeaderDrainsIn  = "embershunt-drains-in-ms"    // header to clients: their transaction's node takes its work for so long
+	HeaderIdle      = "embershunt-session-idle-ms" // with BeginTransaction: roll it back after so long without a statement
+	HeaderRan       = "embershunt-ran"             // trailer of a refusal: "no" proves that nothing ran
+	ActionRelease   = "embershunt.release"         // body: name of a session whose state is to be ended, whatever it is
+	ActionResources = "embershunt.terms"           // body: query id, priority and memory as fields 1, 2 and 3
 )
 
 // Ends of transactions and savepoints (FlightSql.proto, EndTransaction and EndSavepoint).
--- a/internal/native/profile.go
+++ b/internal/native/profile.go
@@ -8,8 +8,8 @@
 
 // Profile is what a node tells of a query's cost in ProfileEvents, as increments and peaks.
 type Profile struct {
-	WorkUs int64 // processor time of all threads
-	Peak   int64 // most memory in bytes; 0: not told
+	WorkMicros int64 // processor time of all threads
+	Peak       int64 // most memory in bytes; 0: not told
 }
 
 // The events that are read (ProfileEvents.cpp and MemoryTracker of ClickHouse).
@@ -53,7 +53,7 @@
 		v := int64(binary.LittleEndian.Uint64(values[8*i:]))
 		switch {
 		case string(name) == eventWork && kinds[i] == 1 && v > 0: // an increment
-			p.WorkUs += v
+			p.WorkMicros += v
 		case string(name) == eventPeak:
 			p.Peak = max(p.Peak, v)
 		}
--- a/membership/view.go
+++ b/membership/view.go
@@ -29,7 +29,7 @@
 // Response is a usable response of the name service.
 type Response struct {
 	Query uint64 // serial of the query; a duplicate response to one confirms nothing
-	nodelist.Numbered
+	nodelist.Versioned
 }
 
 // Update is what a response has changed.
@@ -76,7 +76,7 @@
 }
 
 // New returns a view with the list at the start.
-func New(initial nodelist.Numbered) *View {
+func New(initial nodelist.Versioned) *View {
 	return &View{number: initial.Number, nodes: slices.Clone(initial.Nodes),
 		unconfirmed: map[string]confirmation{}, missing: map[string]absence{},
 		removed: map[string]nodelist.Node{}}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -16,8 +16,8 @@
 
 // list parses "a b! c" as the nodes a, b that drains, and c; "d+" has started later, "?d" is an unusable row of d, "?d!"
 // one that drains.
-func list(number int64, text string) nodelist.Numbered {
-	out := nodelist.Numbered{Number: number}
+func list(number int64, text string) nodelist.Versioned {
+	out := nodelist.Versioned{Number: number}
 	for id := range strings.FieldsSeq(text) {
 		id, drains := strings.CutSuffix(id, "!")
 		if id, skipped := strings.CutPrefix(id, "?"); skipped {
@@ -163,7 +163,7 @@
 		}
 		v := New(list(rapid.Int64Range(1, 9).Draw(t, "known"), draw("known rows")))
 		query := uint64(0)
-		observe := func(l nodelist.Numbered) {
+		observe := func(l nodelist.Versioned) {
 			query++
 			v.Observe(Response{query, l})
 			if err := nodelist.Check(v.Nodes()); err != nil {
@@ -201,8 +201,8 @@
 }
 
 // largestList is a list with the maximum number of nodes.
-func largestList() nodelist.Numbered {
-	l := nodelist.Numbered{Number: 1}
+func largestList() nodelist.Versioned {
+	l := nodelist.Versioned{Number: 1}
 	for i := range 3200 {
 		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
 	}
--- a/nodelist/initial.go
+++ b/nodelist/initial.go
@@ -33,15 +33,15 @@
 var initialStates = map[string]policy.EndpointState{"active": policy.Healthy, "leaving": policy.Draining, "left": policy.Removed}
 
 // ParseInitial returns the list that results from the events a dispatcher starts with.
-func ParseInitial(raw json.RawMessage, names Names) (Numbered, error) {
+func ParseInitial(raw json.RawMessage, names Names) (Versioned, error) {
 	var initial struct {
 		Pos     int64          `json:"pos"`
 		Entries []initialEvent `json:"entries"`
 	}
 	if err := json.Unmarshal(raw, &initial); err != nil {
-		return Numbered{}, err
+		return Versioned{}, err
 	}
-	out := Numbered{Number: initial.Pos}
+	out := Versioned{Number: initial.Pos}
 	index := map[string]int{} // of nodes in out, by ID
 	for i, ev := range initial.Entries {
 		if ev.Hosts.All {
@@ -51,7 +51,7 @@
 		for j, t := range ev.Hosts.Targets {
 			n, err := t.node(fmt.Sprintf("entries[%d].hosts.targets[%d]", i, j), names)
 			if err != nil {
-				return Numbered{}, err
+				return Versioned{}, err
 			}
 			if k, listed := index[n.ID]; listed {
 				out.Nodes[k] = n
--- a/nodelist/platform.go
+++ b/nodelist/platform.go
@@ -24,8 +24,8 @@
 // MaxResponseBytes is the maximum length of a response of the name service.
 const MaxResponseBytes = 8000
 
-// Numbered is a complete list with its version number.
-type Numbered struct {
+// Versioned is a complete list with its version number.
+type Versioned struct {
 	Number int64
 	Nodes  []Node
 	// Skipped are the unusable rows. The others are used nevertheless, for a drain among them must not be missed.
@@ -74,20 +74,20 @@
 
 // ParseResponse parses a response to Query; pending tells whether an ID is that of a pending query. Unusable rows are
 // returned as skipped; a response without a usable row is an error, an empty list is not.
-func ParseResponse(message []byte, pending func(id uint16) bool, names Names) (Numbered, error) {
+func ParseResponse(message []byte, pending func(id uint16) bool, names Names) (Versioned, error) {
 	var m dnsmessage.Message
 	if err := m.Unpack(message); err != nil {
-		return Numbered{}, err
+		return Versioned{}, err
 	}
 	if err := checkResponse(&m, pending); err != nil {
-		return Numbered{}, err
+		return Versioned{}, err
 	}
 	number, err := serialNumber(m.Authorities)
 	if err != nil {
-		return Numbered{}, err
+		return Versioned{}, err
 	}
 	p := newRowParser(&m, names)
-	out := Numbered{Number: number}
+	out := Versioned{Number: number}
 	for _, r := range m.Answers {
 		srv, ok := r.Body.(*dnsmessage.SRVResource)
 		if !ok {
@@ -102,7 +102,7 @@
 		out.Nodes = append(out.Nodes, n)
 	}
 	if len(out.Nodes) == 0 && len(out.Skipped) > 0 {
-		return Numbered{}, out.Skipped[0].Err
+		return Versioned{}, out.Skipped[0].Err
 	}
 	return out, nil
 }
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -23,7 +23,7 @@
 	Log         *slog.Logger
 	Address     string // host:port of the name service
 	Names       nodelist.Names
-	Initial     nodelist.Numbered     // the list at the start
+	Initial     nodelist.Versioned    // the list at the start
 	Interval    time.Duration         // between two regular queries
 	Apply       func([]nodelist.Node) // activates a list; called by the goroutine of Run
 	MinInterval time.Duration         // between any two queries; 0: 40 ms, or Interval where that is shorter
@@ -152,9 +152,9 @@
 }
 
 // parse parses a response to a pending query.
-func (r *Resolver) parse(message []byte) (query, nodelist.Numbered, error) {
+func (r *Resolver) parse(message []byte) (query, nodelist.Versioned, error) {
 	if len(message) > nodelist.MaxResponseBytes {
-		return query{}, nodelist.Numbered{}, errTooLong
+		return query{}, nodelist.Versioned{}, errTooLong
 	}
 	var q query
 	pending := func(id uint16) (ok bool) { q, ok = r.pending.byID[id]; return ok }
@@ -184,12 +184,12 @@
 }
 
 // observe has the view evaluate a list, and activates what it decides.
-func (r *Resolver) observe(q query, list nodelist.Numbered) {
+func (r *Resolver) observe(q query, list nodelist.Versioned) {
 	before := r.view.Number()
 	if list.Number < before {
 		r.stats.lower.Add(1)
 	}
-	u := r.view.Observe(membership.Response{Query: q.serial, Numbered: list})
+	u := r.view.Observe(membership.Response{Query: q.serial, Versioned: list})
 	r.schedule.unconfirmed = u.Unconfirmed
 	if u.Reverted {
 		r.stats.reverted.Add(1)
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -103,7 +103,7 @@
 	a, b := service(t), service(t)
 	applied := make(chan string, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial: nodelist.Versioned{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until a response confirms its removal
 				applied <- n[0].ID
 			}
@@ -175,7 +175,7 @@
 			var once sync.Once
 			row := nodes("a")
 			r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-				Initial: nodelist.Numbered{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
+				Initial: nodelist.Versioned{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
 					if len(n) == 1 && n[0].State == policy.Draining {
 						once.Do(func() { close(drained) })
 					}
@@ -199,7 +199,7 @@
 	var state atomic.Value
 	state.Store("")
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			text := ""
 			for _, row := range n {
 				text += fmt.Sprintf("%s:%d ", row.ID, row.State)
@@ -226,7 +226,7 @@
 	s := service(t)
 	applied := make(chan int, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { applied <- len(n) }})
+		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { applied <- len(n) }})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -253,7 +253,7 @@
 	s := service(t)
 	applied := make(chan time.Time, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Numbered{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
+		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
 	run(t, r)
 	s.Set(1, nodes("a"))
 	s.SetDelay(50 * interval)
--- a/scenario/environment.go
+++ b/scenario/environment.go
@@ -51,7 +51,7 @@
 	if err := e.control.Start(); err != nil {
 		return err
 	}
-	if err := e.startNodes(); err != nil { //nolint:contextcheck // nodes end with Die
+	if err := e.startNodes(); err != nil { //nolint:contextcheck // nodes end with Crash
 		return err
 	}
 	e.control.Set(e.listedNodes(), "")
@@ -127,7 +127,7 @@
 		}
 	}
 	for _, n := range e.nodes {
-		n.Die()
+		n.Crash()
 	}
 	e.control.Stop()
 }
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -49,7 +49,7 @@
 	switch f.Kind {
 	case "die", "vanish":
 		if f.Kind == "die" {
-			n.Die()
+			n.Crash()
 		} else {
 			n.Freeze()
 		}
@@ -71,14 +71,14 @@
 		if !sleep(ctx, f.For.D()) {
 			return nil
 		}
-		n.Die()
+		n.Crash()
 		return e.restartNode(ctx, i)
 	}
-	n.Set(simulated.Faults{Hang: f.Kind == "hang", Lost: f.Kind == "lose", Full: f.Kind == "full", StallRow: whenKind(f, "stall", f.Rows),
+	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", Full: f.Kind == "full", StallRow: whenKind(f, "stall", f.Rows),
 		CutRow: whenKind(f, "cut", f.Rows), Fail: whenKind(f, "fail", f.Share), Slow: whenKind(f, "slow", f.Times),
-		PauseFor: whenKind(f, "pause", f.Pause.D()), PauseEach: whenKind(f, "pause", f.Each.D())})
+		PauseFor: whenKind(f, "pause", f.Pause.D()), PauseInterval: whenKind(f, "pause", f.Each.D())})
 	sleep(ctx, f.For.D())
-	n.Set(simulated.Faults{})
+	n.SetFaults(simulated.Faults{})
 	return nil
 }
 
@@ -102,11 +102,11 @@
 // restartNode starts a node anew, cold, and lists it.
 func (e *environment) restartNode(ctx context.Context, i int) error {
 	n := e.nodes[i]
-	n.Die()
+	n.Crash()
 	if ctx.Err() != nil {
 		return nil
 	}
-	if err := n.Start("", true); err != nil { //nolint:contextcheck // the node ends with Die
+	if err := n.Start("", true); err != nil { //nolint:contextcheck // the node ends with Crash
 		return err
 	}
 	e.mu.Lock()
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -135,7 +135,7 @@
 	}
 	set := p.Set(uint64(v.Number))
 	var out []*anypb.Any
-	for _, m := range set.Parts() {
+	for _, m := range set.Resources() {
 		a, err := anypb.New(m)
 		if err != nil {
 			return nil, err
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -28,7 +28,7 @@
 		change(&s)
 	}
 	var out []*anypb.Any
-	for _, m := range s.Parts() {
+	for _, m := range s.Resources() {
 		a, err := anypb.New(m)
 		if err != nil {
 			t.Fatal(err)
--- a/server/flight_clients_test.go
+++ b/server/flight_clients_test.go
@@ -287,7 +287,7 @@
 		t.Error(err)
 	}
 	// What a node said of a statement is kept: a second one asks nobody, even with all nodes gone.
-	r.nodes[0].Die()
+	r.nodes[0].Crash()
 	if _, err := r.client.Prepare(ctx, "INSERT INTO policy VALUES (?)"); err != nil {
 		t.Error(err)
 	}
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -228,8 +228,8 @@
 		want  string
 		nodes int // that got the rows
 	}{
-		{"answer lost, with a token", simulated.Faults{Lost: true}, "t1", "", 2},
-		{"answer lost, without one", simulated.Faults{Lost: true}, "", "ATTEMPT_FAILED", 1},
+		{"answer lost, with a token", simulated.Faults{LoseAnswers: true}, "t1", "", 2},
+		{"answer lost, without one", simulated.Faults{LoseAnswers: true}, "", "ATTEMPT_FAILED", 1},
 		{"silent before it took a row", simulated.Faults{Hang: true}, "", "", 1},
 		{"turned away", simulated.Faults{Full: true}, "", "", 2},
 	}
@@ -250,10 +250,10 @@
 			for range 20 { // until the faulty node was the first one
 				before := [2]int{}
 				for i, n := range r.nodes {
-					n.Set(simulated.Faults{})
+					n.SetFaults(simulated.Faults{})
 					before[i] = len(n.Attempts())
 				}
-				r.nodes[0].Set(c.fault)
+				r.nodes[0].SetFaults(c.fault)
 				settings := []ch.Setting{{Key: "max_execution_time", Value: "3"}}
 				if c.token != "" {
 					settings = append(settings, ch.Setting{Key: "insert_deduplication_token", Value: fmt.Sprint(c.token, hit, before)})
@@ -311,7 +311,7 @@
 				if n.Share(all); group == "hall" {
 					n.Share(simulated.NewTokens(time.Minute))
 				}
-				n.Set(simulated.Faults{Lost: true})
+				n.SetFaults(simulated.Faults{LoseAnswers: true})
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
@@ -324,7 +324,7 @@
 			first := r.seenBy(statement)
 			for _, n := range r.nodes {
 				if n != first {
-					n.Set(simulated.Faults{})
+					n.SetFaults(simulated.Faults{})
 				}
 			}
 			err := <-done
@@ -355,7 +355,7 @@
 	if err := r.d.Native().AwaitConns(ctx, 0); err != nil {
 		r.t.Errorf("%d connections are left", r.d.Native().Conns())
 	}
-	b, _, _ := r.d.Native().Holding()
+	b, _, _ := r.d.Native().BufferedInserts()
 	return b
 }
 
--- a/server/many_dispatchers_test.go
+++ b/server/many_dispatchers_test.go
@@ -33,7 +33,7 @@
 	if err := node.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
-	defer node.Die()
+	defer node.Crash()
 	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -142,7 +142,7 @@
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(good.Die)
+			t.Cleanup(good.Crash)
 			r := newRigWith(t, 0, func(string) string {
 				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`, raw.address, good.Native)
 			}, "")
@@ -230,7 +230,7 @@
 			if err := old.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(old.Die)
+			t.Cleanup(old.Crash)
 			r := newRigWith(t, 0, func(string) string {
 				return fmt.Sprintf(`{"list": [{"name": "old", "native": %q}]}`, old.Native)
 			}, "")
--- a/server/native_test.go
+++ b/server/native_test.go
@@ -87,9 +87,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			stalled := watchStalls(t)
 			r := newRig(t, 2, "")
-			r.nodes[0].Set(c.fault)
+			r.nodes[0].SetFaults(c.fault)
 			if c.all {
-				r.nodes[1].Set(c.fault)
+				r.nodes[1].SetFaults(c.fault)
 			}
 			for range 3 {
 				client := r.native(t, "u")
--- a/server/node_faults_test.go
+++ b/server/node_faults_test.go
@@ -32,11 +32,11 @@
 	all := func(f simulated.Faults) func(*rig) {
 		return func(r *rig) {
 			for _, n := range r.nodes {
-				n.Set(f)
+				n.SetFaults(f)
 			}
 		}
 	}
-	first := func(f simulated.Faults) func(*rig) { return func(r *rig) { r.nodes[0].Set(f) } }
+	first := func(f simulated.Faults) func(*rig) { return func(r *rig) { r.nodes[0].SetFaults(f) } }
 	cases := []struct {
 		name      string
 		fault     func(*rig)
@@ -57,8 +57,8 @@
 		{"one fails fast", first(simulated.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
 		{"one turns all away", first(simulated.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
 			4 * time.Second, 1},
-		{"one is dead", func(r *rig) { r.nodes[0].Die() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"an update whose answer is lost", all(simulated.Faults{Lost: true}), write, 900 * time.Millisecond,
+		{"one is dead", func(r *rig) { r.nodes[0].Crash() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
+		{"an update whose answer is lost", all(simulated.Faults{LoseAnswers: true}), write, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED"}, 900 * time.Millisecond, 1},
 		{"an update that fails", all(simulated.Faults{Fail: 1}), write, 4 * time.Second,
 			[]string{"failed ATTEMPT_FAILED"}, time.Second, 0},
@@ -291,7 +291,7 @@
 				}
 				done <- outcomeOf(err)
 			}()
-			r.seenBy(c.statement).Die()
+			r.seenBy(c.statement).Crash()
 			if got := <-done; got != c.want {
 				t.Errorf("final answer %q, want %q", got, c.want)
 			}
--- a/server/observer.go
+++ b/server/observer.go
@@ -142,12 +142,12 @@
 		func() float64 { return f.MaxSendDelayAfterDrain().Seconds() })
 	o.gaugeFunc("native_connections", "Open connections of native clients.", func() float64 { return float64(native.Conns()) })
 	o.gaugeFunc("held_insert_bytes", "Bytes of clients' rows and external tables held until their queries have an answer.",
-		func() float64 { b, _, _ := native.Holding(); return float64(b) })
+		func() float64 { b, _, _ := native.BufferedInserts(); return float64(b) })
 	o.gaugeFunc("held_insert_bytes_limit", "Most of them.", func() float64 { return float64(maxInsertBytes) })
 	o.counterFunc("inserts_too_large_total", "Queries turned away because they alone brought more than allowed.", nil,
-		func() float64 { _, large, _ := native.Holding(); return float64(large) })
+		func() float64 { _, large, _ := native.BufferedInserts(); return float64(large) })
 	o.counterFunc("inserts_no_room_total", "Queries turned away because there was no room for what they brought.", nil,
-		func() float64 { _, _, full := native.Holding(); return float64(full) })
+		func() float64 { _, _, full := native.BufferedInserts(); return float64(full) })
 	o.registerAudit(f.Audit())
 }
 
--- a/server/parts.go
+++ b/server/parts.go
@@ -86,26 +86,26 @@
 	f := &d.cfg.File
 	auth := newAuthenticator(f)
 	d.flightFrontend = flightsql.New(flightsql.Options{
-		Sessions:    d.sessions,
-		Idle:        f.Sessions.Idle.D(),
-		Age:         f.Sessions.Age.D(),
-		Log:         d.log,
-		Auth:        auth,
-		Seal:        sealer,
-		SchemaLife:  f.Front.SchemaLife.D(),
-		MaxSchemas:  f.Front.MaxSchemas,
-		PassHeaders: f.Sending.PassHeaders,
+		Sessions:               d.sessions,
+		TransactionIdleTimeout: f.Sessions.Idle.D(),
+		TransactionMaxAge:      f.Sessions.Age.D(),
+		Log:                    d.log,
+		Auth:                   auth,
+		Seal:                   sealer,
+		SchemaTTL:              f.Front.SchemaLife.D(),
+		MaxSchemas:             f.Front.MaxSchemas,
+		PassHeaders:            f.Sending.PassHeaders,
 	}, d.intake)
 	d.nativeFrontend = clickhouse.New(clickhouse.Options{
-		Log:         d.log,
-		Auth:        auth,
-		MaxPacket:   f.Sending.MaxFrame,
-		Revision:    d.fleet.NativeRevision,
-		Sessions:    d.sessions,
-		MaxInsertBytes:  f.Front.MaxInsertBytes,
+		Log:                    d.log,
+		Auth:                   auth,
+		MaxPacketBytes:         f.Sending.MaxFrame,
+		Revision:               d.fleet.NativeRevision,
+		Sessions:               d.sessions,
+		MaxInsertBytes:         f.Front.MaxInsertBytes,
 		MaxBufferedInsertBytes: f.Front.MaxBufferedInsertBytes,
-		SampleLife:  f.Front.SchemaLife.D(),
-		MaxSamples:  f.Front.MaxSchemas,
+		SampleTTL:              f.Front.SchemaLife.D(),
+		MaxSamples:             f.Front.MaxSchemas,
 	}, d.intake)
 }
 
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -64,7 +64,7 @@
 		if err := n.Start("127.0.0.1:0", false); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(n.Die)
+		t.Cleanup(n.Crash)
 		r.nodes = append(r.nodes, n)
 		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.Native))
 	}
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -116,7 +116,7 @@
 			r.awaitNoTables()
 		}, "failed (NODE_DRAINED)"},
 		{"its connection breaks", "", func(r *rig, at int) {
-			r.nodes[at].Die()
+			r.nodes[at].Crash()
 			if err := r.nodes[at].Start("", false); err != nil {
 				r.t.Fatal(err)
 			}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -184,7 +184,7 @@
 			return tx.Commit(r.t.Context())
 		}, "", "", 1},
 		{"the node restarts within a heartbeat", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Die()
+			r.nodes[at].Crash()
 			if err := r.nodes[at].Start("", false); err != nil {
 				return err
 			}
@@ -199,11 +199,11 @@
 		{"the node leaves the list", "", func(r *rig, tx *flightsql.Txn, at int) error {
 			r.listNodes(func(i int, _ *nodelist.Node) bool { return i != at })
 			_, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (2)")
-			r.nodes[at].Die()
+			r.nodes[at].Crash()
 			return err
 		}, "NODE_GONE", "known not to have run", 0},
 		{"the commit's answer is lost", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Set(simulated.Faults{Lost: true})
+			r.nodes[at].SetFaults(simulated.Faults{LoseAnswers: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), time.Second)
 			defer cancel()
 			id := tx.ID()
@@ -214,11 +214,11 @@
 			return err
 		}, "COMMIT_UNKNOWN", "unknown", 1},
 		{"the node hangs with a statement out", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Set(simulated.Faults{Hang: true})
+			r.nodes[at].SetFaults(simulated.Faults{Hang: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), 500*time.Millisecond)
 			defer cancel()
 			_, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)")
-			r.nodes[at].Set(simulated.Faults{})
+			r.nodes[at].SetFaults(simulated.Faults{})
 			return err
 		}, "STATE_UNKNOWN", "known not to have run", 0},
 		{"idle for too long", `, "sessions": {"idle": "200ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
@@ -277,7 +277,7 @@
 func (r *rig) checkNothingLeft() {
 	r.t.Helper()
 	for _, n := range r.nodes {
-		n.Set(simulated.Faults{})
+		n.SetFaults(simulated.Faults{})
 	}
 	r.awaitNoState()
 	if m := r.misplacedStatements(); len(m) > 0 {
@@ -424,7 +424,7 @@
 // drainDuringBegin drains a node while it is asked to begin a transaction: nothing is begun, and nothing stays there.
 func drainDuringBegin(t *testing.T) {
 	r := newRig(t, 1, `, "limits": {"drain_grace": "300ms"}`)
-	r.nodes[0].Set(simulated.Faults{Hang: true})
+	r.nodes[0].SetFaults(simulated.Faults{Hang: true})
 	done := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 	defer cancel()
@@ -439,7 +439,7 @@
 	if err := <-done; err == nil {
 		t.Error("begun")
 	}
-	r.nodes[0].Set(simulated.Faults{})
+	r.nodes[0].SetFaults(simulated.Faults{})
 	r.awaitNoState()
 }
 
@@ -593,7 +593,7 @@
 		}
 		all = append(all, tx)
 	}
-	r.nodes[0].Die()
+	r.nodes[0].Crash()
 	r.listNodes(func(int, *nodelist.Node) bool { return false })
 	back := map[int64]int{}
 	for _, tx := range all {
--- a/simulated/faults.go
+++ b/simulated/faults.go
@@ -10,20 +10,20 @@
 
 // Faults are faults of a node. The zero value has none.
 type Faults struct {
-	Hang      bool          // queries are accepted and never answered
-	Lost      bool          // queries run and their answers are lost; health checks succeed
-	StallRow  int           // answers stop after this many rows, for good; 0: no
-	CutRow    int           // answers break off after this many rows; 0: no
-	Fail      float64       // share of queries failed at once
-	Slow      float64       // speed is divided by this; 0 or 1: no
-	PauseFor  time.Duration // the machine stands still for this long ...
-	PauseEach time.Duration // ... this often
-	Full      bool          // queries are rejected before they run
-	Broken    bool          // answers end with an error behind their first rows (native protocol only)
+	Hang          bool          // queries are accepted and never answered
+	LoseAnswers   bool          // queries run and their answers are lost; health checks succeed
+	StallRow      int           // answers stop after this many rows, for good; 0: no
+	CutRow        int           // answers break off after this many rows; 0: no
+	Fail          float64       // share of queries failed at once
+	Slow          float64       // speed is divided by this; 0 or 1: no
+	PauseFor      time.Duration // the machine stands still for this long ...
+	PauseInterval time.Duration // ... this often
+	Full          bool          // queries are rejected before they run
+	Broken        bool          // answers end with an error behind their first rows (native protocol only)
 }
 
-// Set sets the faults, also for queries that are running.
-func (n *Node) Set(f Faults) {
+// SetFaults sets the faults, also for queries that are running.
+func (n *Node) SetFaults(f Faults) {
 	n.mu.Lock()
 	n.currentFaults = f
 	p := n.process
@@ -76,7 +76,7 @@
 		p.machine.update(func() { p.machine.paused = true })
 		ok := wait(f.PauseFor)
 		p.machine.update(func() { p.machine.paused = false })
-		if !ok || !wait(f.PauseEach) {
+		if !ok || !wait(f.PauseInterval) {
 			return
 		}
 	}
@@ -100,7 +100,7 @@
 
 // loseAnswer withholds an answer, until ctx ends, where the faults say so.
 func (n *Node) loseAnswer(ctx context.Context) error {
-	if !n.faults().Lost {
+	if !n.faults().LoseAnswers {
 		return nil
 	}
 	<-ctx.Done()
--- a/simulated/flight.go
+++ b/simulated/flight.go
@@ -114,7 +114,7 @@
 	case flightwire.ActionRelease:
 		s.node.releaseSession(string(a.GetBody()))
 		return nil
-	case flightwire.ActionTerms:
+	case flightwire.ActionResources:
 		return s.setPriority(a.GetBody())
 	}
 	return s.FlightServer.DoAction(a, stream)
--- a/simulated/node.go
+++ b/simulated/node.go
@@ -29,12 +29,12 @@
 	nativeConns     int           // of the native protocol
 	sessions        sessionState  // of the current process
 	temporaryTables int           // tables on native connections
-	tally           Tally
+	tally           SessionRecord
 }
 
 // NewNode returns a node that is not started.
 func NewNode(name string, m Model, seed uint64) *Node {
-	return &Node{Name: name, model: m, changed: make(chan struct{}), tally: Tally{Commits: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
+	return &Node{Name: name, model: m, changed: make(chan struct{}), tally: SessionRecord{Commits: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // Started is when the current process started; zero while the node is down.
--- a/simulated/process.go
+++ b/simulated/process.go
@@ -104,8 +104,8 @@
 	return server
 }
 
-// Die ends the process at once: connections break, and its sessions are lost.
-func (n *Node) Die() {
+// Crash ends the process at once: connections break, and its sessions are lost.
+func (n *Node) Crash() {
 	n.mu.Lock()
 	p := n.process
 	n.process = nil
--- a/simulated/transaction.go
+++ b/simulated/transaction.go
@@ -28,8 +28,8 @@
 	savepoints map[string]int // by savepoint ID: the number of writes before it
 }
 
-// Tally is what sessions did at a node, over all its incarnations.
-type Tally struct {
+// SessionRecord is what sessions did at a node, over all its incarnations.
+type SessionRecord struct {
 	Begun     int            // transactions
 	Committed []string       // statements that became visible, in order
 	Commits   map[string]int // by session: how often one was committed
@@ -44,10 +44,10 @@
 }
 
 // Tally returns what sessions did here.
-func (n *Node) Tally() Tally {
+func (n *Node) Tally() SessionRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return Tally{Begun: n.tally.Begun, Committed: slices.Clone(n.tally.Committed), Commits: maps.Clone(n.tally.Commits),
+	return SessionRecord{Begun: n.tally.Begun, Committed: slices.Clone(n.tally.Committed), Commits: maps.Clone(n.tally.Commits),
 		Misplaced: slices.Clone(n.tally.Misplaced)}
 }
 
--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -54,7 +54,7 @@
 func (h *host) offer(m *control.Module, s control.Set, maxActions int) {
 	n := 0
 	queue := []control.Event{}
-	for k, p := range s.Parts() {
+	for k, p := range s.Resources() {
 		queue = append(queue, control.Offered{Kind: control.Kind(k), Version: "v", Nonce: fmt.Sprint(k), Message: p})
 	}
 	for len(queue) > 0 {
--- a/store/record.go
+++ b/store/record.go
@@ -27,7 +27,7 @@
 
 func encode(set control.Set) ([]byte, error) {
 	body := flightwire.AppendVarint(nil, numberField, set.Number)
-	for i, m := range set.Parts() {
+	for i, m := range set.Resources() {
 		b, err := proto.Marshal(m)
 		if err != nil {
 			return nil, fmt.Errorf("store: %w", err)
@@ -57,7 +57,7 @@
 	}
 	set := control.Set{Number: varints[numberField], Classes: &configv1.Classes{}, Tenants: &configv1.Tenants{},
 		Limits: &configv1.Limits{}, Classification: &configv1.Classification{}, Fronts: &configv1.Fronts{}}
-	resources := set.Parts()
+	resources := set.Resources()
 	for _, f := range fields {
 		if f.Number < firstResourceField || f.Number > lastResourceField {
 			return control.Set{}, fmt.Errorf("field %d, known are 1 to 6", f.Number)
--- a/store/record_test.go
+++ b/store/record_test.go
@@ -28,9 +28,9 @@
 	if got.Number != want.Number {
 		t.Errorf("number %d, wanted %d", got.Number, want.Number)
 	}
-	for i, part := range want.Parts() {
-		if !proto.Equal(got.Parts()[i], part) {
-			t.Errorf("part %d is read as %v, wanted %v", i, got.Parts()[i], part)
+	for i, part := range want.Resources() {
+		if !proto.Equal(got.Resources()[i], part) {
+			t.Errorf("part %d is read as %v, wanted %v", i, got.Resources()[i], part)
 		}
 	}
 	if again, err := encode(want); err != nil || string(again) != string(record) {
