--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -37,7 +37,7 @@
 	MaxPlatformConns    int           // connections to nodes in the platform's protocol, all together; default 256
 	MaxAttemptsPerConn  int           // attempts that share one of them when all are open; default 100
 	PlatformIdleTimeout time.Duration // one without an attempt is closed after this; default 10 s
-	DrainGrace          time.Duration // nothing new starts at a node this long after its drain notice
+	DrainGrace          time.Duration // after a drain notice statements of sticky sessions may start for this long; nothing else starts from then on
 }
 
 // setDefaults replaces zero values.
@@ -135,8 +135,8 @@
 	}
 }
 
-// MaxSendDelayAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Only the
-// policy keeps new work away from nodes that drain: this measures it.
+// MaxSendDelayAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Sends that
+// are withheld before their first byte leaves (permit.Sending) count too.
 func (f *Fleet) MaxSendDelayAfterDrain() time.Duration { return f.drainDelays.longest() }
 
 // Audit counts attempts that were not permitted at the moment at which they would have started, and those that started against a
--- a/control/stream/stream.go
+++ b/control/stream/stream.go
@@ -32,8 +32,8 @@
 	Settings bool // the settings are streamed too, not the node list alone
 	Delta    bool // the incremental variant of xDS
 	Dial     []grpc.DialOption
-	// MinBackoff and Most bound the backoff before a new stream: it is drawn between nothing and a limit that doubles from
-	// Least to Most (full jitter), so that many dispatchers do not reconnect together. Zero values mean 200 ms and 30 s.
+	// MinBackoff and MaxBackoff bound the backoff before a new stream: it is drawn between nothing and a limit that doubles from
+	// MinBackoff to MaxBackoff (full jitter), so that many dispatchers do not reconnect together. Zero values mean 200 ms and 30 s.
 	MinBackoff, MaxBackoff time.Duration
 	Random                 func() float64 // in [0, 1); nil: math/rand's
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -44,7 +44,7 @@
 type decisionModule interface {
 	Step(now Micros, events []policy.Event) []policy.Action
 	Change(s policy.Settings, classes, tenants []int) error
-	Outstanding() (further, taken int, resting bool)
+	Outstanding() (retries, received int, orderKeyPaused bool)
 }
 
 var _ decisionModule = (*policy.Gateway)(nil)
@@ -75,8 +75,8 @@
 	r.Started(now, c.seed, c.settings, c.restored, c.fleetRestored)
 }
 
-// Pending is the number of queries without a final answer.
-func (c *Core) Pending() int { return len(c.ledger.pending) }
+// Unanswered is the number of queries without a final answer.
+func (c *Core) Unanswered() int { return len(c.ledger.unanswered) }
 
 // Tracked is the number of queries in the ledger: those without a final answer and those with attempts that have not ended.
 func (c *Core) Tracked() int { return len(c.ledger.entries) }
@@ -167,5 +167,5 @@
 		c.observer.Fault(f)
 	}
 	c.ledger.faults = c.ledger.faults[:0]
-	c.observer.StepCompleted(events, actions, c.Pending())
+	c.observer.StepCompleted(events, actions, c.Unanswered())
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -135,13 +135,13 @@
 	if got := strings.Join(log.lines, "; "); got != "answer b failed DISPATCHER_FAULT; answer a failed DISPATCHER_FAULT" {
 		t.Error(got)
 	}
-	if core.Pending() != 0 {
-		t.Errorf("%d still held", core.Pending())
+	if core.Unanswered() != 0 {
+		t.Errorf("%d still held", core.Unanswered())
 	}
 	// One that stood behind a change in the same step had no entry yet: it is answered too.
 	log, s = &tape{}, &scripted{decide: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
 	core = newTestCore(s, log)
-	if err := core.Step(0, []Event{QueryReceived{log.query("c", 9*ms)}, Change{Version: 1, Done: func(error) {}}, QueryReceived{log.query("d", 9*ms)}}); !errors.As(err, &p) {
+	if err := core.Step(0, []Event{QueryReceived{log.query("c", 9*ms)}, Change{Serial: 1, Done: func(error) {}}, QueryReceived{log.query("d", 9*ms)}}); !errors.As(err, &p) {
 		t.Errorf("error %v", err)
 	}
 	if got := strings.Join(log.lines, "; "); got != "answer c failed DISPATCHER_FAULT; answer d failed DISPATCHER_FAULT" {
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -35,7 +35,7 @@
 	PolicyEvent struct{ Event policy.Event }
 	// Change puts new settings in force between two steps, completely or not at all. Done is called once.
 	Change struct {
-		Version  uint64
+		Serial   uint64
 		Settings policy.Settings
 		Done     func(error)
 	}
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -9,10 +9,10 @@
 
 // ledger gives each query exactly one final answer.
 type ledger struct {
-	entries map[string]*entry
-	pending deadlineHeap // entries without a final answer
-	faults  []Fault      // of the step under way
-	step    int          // number of the step under way
+	entries    map[string]*entry
+	unanswered deadlineHeap // entries without a final answer
+	faults     []Fault      // of the step under way
+	step       int          // number of the step under way
 	// closedInStep counts the attempts of queries that were both received and closed in this step: the gateway may still send
 	// attempts for them, since it has not been told of the end.
 	closedInStep map[string]int
@@ -46,7 +46,7 @@
 	e := &entry{query: q, receivedAt: now, receivedInStep: l.step, forwarded: -1, history: make([]historyEntry, 0, 8)}
 	e.record(now, "taken", -1, -1)
 	l.entries[q.ID] = e
-	heap.Push(&l.pending, e)
+	heap.Push(&l.unanswered, e)
 	return e
 }
 
@@ -58,7 +58,7 @@
 	}
 	e.outcome = outcome.Kind
 	e.record(now, "answered", -1, int(outcome.Kind))
-	heap.Remove(&l.pending, e.heapIndex)
+	heap.Remove(&l.unanswered, e.heapIndex)
 	e.query.Client.Answer(outcome)
 	l.closeIfDone(e)
 	return true
@@ -123,16 +123,16 @@
 
 // nextDeadline is the earliest deadline of the pending queries; ok is false where there are none.
 func (l *ledger) nextDeadline() (at Micros, ok bool) {
-	if len(l.pending) == 0 {
+	if len(l.unanswered) == 0 {
 		return 0, false
 	}
-	return l.pending[0].query.Deadline, true
+	return l.unanswered[0].query.Deadline, true
 }
 
 // overdue is a pending query whose deadline has passed; nil where there is none.
 func (l *ledger) overdue(now Micros) *entry {
 	if at, ok := l.nextDeadline(); ok && at <= now {
-		return l.pending[0]
+		return l.unanswered[0]
 	}
 	return nil
 }
--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -13,7 +13,7 @@
 	clock Clock
 
 	mu                sync.Mutex
-	pending           []Event
+	inbox             []Event
 	pendingQueries    int // QueryReceived events among pending
 	maxPendingQueries int
 	stopped           bool
@@ -54,7 +54,7 @@
 	if isQuery {
 		l.pendingQueries++
 	}
-	l.pending = append(l.pending, ev)
+	l.inbox = append(l.inbox, ev)
 	l.mu.Unlock()
 	l.notify()
 }
@@ -81,8 +81,8 @@
 	err := l.stepUntilDone(ctx)
 	l.mu.Lock()
 	l.stopped = true
-	rest := l.pending
-	l.pending = nil
+	rest := l.inbox
+	l.inbox = nil
 	l.mu.Unlock()
 	for _, ev := range rest {
 		if received, ok := ev.(QueryReceived); ok {
@@ -151,13 +151,13 @@
 func (l *Loop) collect() ([]Event, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	events := l.pending
-	l.pending, l.pendingQueries = l.spare, 0
+	events := l.inbox
+	l.inbox, l.pendingQueries = l.spare, 0
 	return events, l.draining
 }
 
 func (l *Loop) hasPending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.pending) > 0
+	return len(l.inbox) > 0
 }
--- a/dispatch/payload_budget.go
+++ b/dispatch/payload_budget.go
@@ -36,9 +36,9 @@
 // CapacityError is the error of PayloadBudget.Grow.
 type CapacityError struct {
 	QueryTooLarge bool   // the query alone exceeds its limit: a retry does not help
-	ReservedBytes int64  // bytes: of the query with the rejected ones where Large, else reserved in all
+	ReservedBytes int64  // of this query with the bytes asked for where QueryTooLarge, else of all queries
 	AllowedBytes  int64  // bytes
-	RetryAfter    Micros // not Large: when the bytes should be free
+	RetryAfter    Micros // where not QueryTooLarge: when the bytes should be free
 }
 
 // Error implements error.
--- a/dispatch/query_events.go
+++ b/dispatch/query_events.go
@@ -36,7 +36,7 @@
 
 // receive opens an entry for a query and passes it to the gateway, or rejects it.
 func (c *Core) receive(now Micros, q *Query) {
-	intake := permit.Intake{Stopping: c.draining, InFlight: c.Pending(), MaxInFlight: c.maxInFlight}
+	intake := permit.Intake{Stopping: c.draining, InFlight: c.Unanswered(), MaxInFlight: c.maxInFlight}
 	switch reason := intake.Start(); {
 	case reason == permit.Stopping:
 		c.reject(q, ReasonDraining)
@@ -187,8 +187,8 @@
 
 // FailAll fails every pending query for the same reason, in the order of their deadlines.
 func (c *Core) FailAll(now Micros, reason Reason) {
-	for len(c.ledger.pending) > 0 {
-		c.answer(now, c.ledger.pending[0], Outcome{Kind: Failed, Reason: reason})
+	for len(c.ledger.unanswered) > 0 {
+		c.answer(now, c.ledger.unanswered[0], Outcome{Kind: Failed, Reason: reason})
 	}
 	c.reportStep(0, 0)
 }
--- a/dispatch/settings_change.go
+++ b/dispatch/settings_change.go
@@ -51,10 +51,10 @@
 
 // renumber gives a query the indexes of the version in force; false where its class was removed.
 func (n *settingsNumbering) renumber(q *Query) bool {
-	if q.Version == n.current {
+	if q.SettingsSerial == n.current {
 		return true
 	}
-	old, ok := n.namesByVersion[q.Version]
+	old, ok := n.namesByVersion[q.SettingsSerial]
 	now := n.namesByVersion[n.current]
 	if !ok || q.Class < 0 || q.Class >= len(old.classes) {
 		return false
@@ -63,7 +63,7 @@
 	if class < 0 {
 		return false
 	}
-	q.Class, q.Version = class, n.current
+	q.Class, q.SettingsSerial = class, n.current
 	if q.Tenant >= 0 && q.Tenant < len(old.tenants) { // -1 for one that was removed: it has no quota
 		q.Tenant = slices.Index(now.tenants, old.tenants[q.Tenant])
 	}
@@ -81,8 +81,8 @@
 
 // changeSettings puts new settings in force; on an error nothing has changed.
 func (c *Core) changeSettings(at Micros, ch Change) error {
-	if _, ok := c.numbering.namesByVersion[ch.Version]; ok {
-		return fmt.Errorf("dispatch: version %d was in force before: each change has a number of its own", ch.Version)
+	if _, ok := c.numbering.namesByVersion[ch.Serial]; ok {
+		return fmt.Errorf("dispatch: version %d was in force before: each change has a number of its own", ch.Serial)
 	}
 	old, now := c.numbering.namesByVersion[c.numbering.current], namesOf(ch.Settings)
 	classes, tenants := oldIndexes(now.classes, old.classes), oldIndexes(now.tenants, old.tenants)
@@ -97,9 +97,9 @@
 			renumberPending(e.query, now, old)
 		}
 	}
-	c.numbering.add(ch.Version, ch.Settings)
+	c.numbering.add(ch.Serial, ch.Settings)
 	c.maxInFlight, c.classes = ch.Settings.MaxInFlight, ch.Settings.Classes
-	c.observer.Changed(ch.Version, ch.Settings)
+	c.observer.Changed(ch.Serial, ch.Settings)
 	return nil
 }
 
@@ -117,7 +117,7 @@
 func (c *Core) InFlight() map[string]int {
 	out := map[string]int{}
 	classes := c.numbering.namesByVersion[c.numbering.current].classes
-	for _, e := range c.ledger.pending {
+	for _, e := range c.ledger.unanswered {
 		if e.query.Class >= 0 && e.query.Class < len(classes) {
 			out[classes[e.query.Class]]++
 		}
@@ -126,7 +126,9 @@
 }
 
 // Outstanding is that of the gateway (policy.Gateway.Outstanding).
-func (c *Core) Outstanding() (further, taken int, resting bool) { return c.gateway.Outstanding() }
+func (c *Core) Outstanding() (retries, received int, orderKeyPaused bool) {
+	return c.gateway.Outstanding()
+}
 
-// Version is the version of the settings in force.
-func (c *Core) Version() uint64 { return c.numbering.current }
+// SettingsSerial is the version of the settings in force.
+func (c *Core) SettingsSerial() uint64 { return c.numbering.current }
--- a/dispatch/settings_change_test.go
+++ b/dispatch/settings_change_test.go
@@ -28,7 +28,7 @@
 	}
 	query := func(id string, version uint64, class int) Event {
 		q := log.query(id, 2000*ms)
-		q.Version, q.Class, q.Cost = version, class, ms
+		q.SettingsSerial, q.Class, q.Cost = version, class, ms
 		return QueryReceived{q}
 	}
 	now := Micros(1e9)
@@ -79,14 +79,14 @@
 			for i := range n {
 				step(b, core, now, QueryReceived{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Deadline: now + 60e6, Client: log}})
 			}
-			if core.Pending() != n {
-				b.Fatalf("%d held", core.Pending())
+			if core.Unanswered() != n {
+				b.Fatalf("%d held", core.Unanswered())
 			}
 			version := uint64(0)
 			for b.Loop() {
 				version++
 				s.Classes[0], s.Classes[1] = s.Classes[1], s.Classes[0]
-				if err := core.changeSettings(0, Change{Version: version, Settings: s}); err != nil {
+				if err := core.changeSettings(0, Change{Serial: version, Settings: s}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/frontend/intake.go
+++ b/frontend/intake.go
@@ -119,21 +119,21 @@
 	remaining -= min(tables.ResponseMargin, remaining/10)
 	q := &PendingQuery{Done: make(chan dispatch.Outcome, 1), intake: i, id: fmt.Sprintf("%s-%d", i.prefix, i.serial.Add(1))}
 	query := &dispatch.Query{
-		ID:          q.id,
-		Version:     tables.Version,
-		Class:       traits.Class,
-		Tenant:      traits.Tenant,
-		Cost:        traits.Cost.Microseconds(),
-		MemoryMB:    traits.MemoryMB,
-		TableGroup:  traits.Tables,
-		OrderKey:    traits.Key,
-		HasOrderKey: traits.HasKey,
-		ClientRetry: traits.Retry,
-		Protocol:    c.Protocol,
-		StickyTo:    c.StickyTo,
-		Deadline:    now + remaining.Microseconds(),
-		Work:        c.Work,
-		Client:      q,
+		ID:             q.id,
+		SettingsSerial: tables.SettingsSerial,
+		Class:          traits.Class,
+		Tenant:         traits.Tenant,
+		Cost:           traits.Cost.Microseconds(),
+		MemoryMB:       traits.MemoryMB,
+		TableGroup:     traits.Tables,
+		OrderKey:       traits.Key,
+		HasOrderKey:    traits.HasKey,
+		ClientRetry:    traits.Retry,
+		Protocol:       c.Protocol,
+		StickyTo:       c.StickyTo,
+		Deadline:       now + remaining.Microseconds(),
+		Work:           c.Work,
+		Client:         q,
 	}
 	if c.OnReceived != nil {
 		c.OnReceived(q.id)
--- a/frontend/tables.go
+++ b/frontend/tables.go
@@ -8,7 +8,7 @@
 
 // Tables are what a change of settings changes for the frontends.
 type Tables struct {
-	Version        uint64 // of the settings whose indexes the classes are
+	SettingsSerial uint64 // of the settings whose indexes the classes are
 	Classes        *classify.Table
 	Deadlines      []time.Duration // by class, for calls that state none
 	ResponseMargin time.Duration   // subtracted from a deadline for the way back, a tenth of it at most
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -59,7 +59,7 @@
 	ClientDisconnected bool
 	DrainNotifiedAt    policy.Micros // when the server was reported as draining or removed; 0: it is healthy
 	Sticky             bool          // the server has the state of the query's session
-	Grace              policy.Micros // for sticky queries, after Notified
+	Grace              policy.Micros // for sticky queries, after DrainNotifiedAt
 }
 
 // inGrace tells whether the server still serves the session while it drains.
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -5,13 +5,17 @@
 	"slices"
 )
 
+// queueInterval is the seconds between two attempts to send what is queued, if nothing comes before.
+const queueInterval = 0.05
+
 // Price of a place in the admission queue: see admissionQueuePrice.
 const (
 	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place costs nothing
 	residualAgeShare = 0.5 // share of its age that a query past its expected end is assumed to stay on
 )
 
-// admissionQueue holds the requests that wait for capacity.
+// admissionQueue holds the requests that are neither in flight nor answered: they wait for capacity, a
+// health check, their order key or the retry budget.
 type admissionQueue struct {
 	requests []*request // in the order queued
 	price    float64    // weight a second of an open request's place, see admissionQueuePrice
@@ -42,10 +46,10 @@
 	return sorted
 }
 
-// drainQueue sends queued requests where there is capacity, highest weight for their work first, or
+// sendQueued sends queued requests where there is capacity, highest weight for their work first, or
 // sheds them.
-func (g *Gateway) drainQueue() {
-	g.schedule.drainQueueAt = g.now + Micros(healthCheckTimeout*microsPerSecond)
+func (g *Gateway) sendQueued() {
+	g.schedule.sendQueuedAt = g.now + Micros(queueInterval*microsPerSecond)
 	if len(g.queue.requests) == 0 {
 		return
 	}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -142,8 +142,8 @@
 		return
 	}
 	q.restarting = false
-	g.queue.add(q) // drainQueue sends it again, or sheds it
-	g.schedule.drainQueueAt = g.now
+	g.queue.add(q) // sendQueued sends it again, or sheds it
+	g.schedule.sendQueuedAt = g.now
 }
 
 // learnFromResult learns from a result: the class's estimates and waits, the endpoint's health. An endpoint
--- a/policy/change.go
+++ b/policy/change.go
@@ -135,20 +135,20 @@
 
 // Outstanding says what the rules count as outstanding: retries and requests received within the retry
 // budget's window, and whether any order key has an attempt in flight or pauses.
-func (g *Gateway) Outstanding() (further, taken int, resting bool) {
+func (g *Gateway) Outstanding() (retries, received int, orderKeyPaused bool) {
 	since := g.now - g.settings.RetryBudgetWindow
 	for _, at := range g.retryBudget.retriedAt {
 		if at > since {
-			further++
+			retries++
 		}
 	}
 	for _, at := range g.retryBudget.receivedAt {
 		if at > since {
-			taken++
+			received++
 		}
 	}
 	for _, t := range g.keyOrders { // any of them: the order does not matter
-		resting = resting || t.openAttempts > 0 || g.now < t.pausedUntil
+		orderKeyPaused = orderKeyPaused || t.openAttempts > 0 || g.now < t.pausedUntil
 	}
-	return further, taken, resting
+	return retries, received, orderKeyPaused
 }
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -47,7 +47,7 @@
 // schedule is when periodic work is due or was last done.
 type schedule struct {
 	timerAt      Micros // next maintenance
-	drainQueueAt Micros // next attempt to send what is queued
+	sendQueuedAt Micros // next attempt to send what is queued
 	pollAt       Micros // next call for the endpoint list
 	pricedAt     Micros // last computation of prices
 }
@@ -108,8 +108,8 @@
 		g.schedule.timerAt = now + after
 		g.emit(SetTimer{After: after})
 	}
-	if now >= g.schedule.drainQueueAt {
-		g.drainQueue()
+	if now >= g.schedule.sendQueuedAt {
+		g.sendQueued()
 	}
 	return g.actions
 }
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -9,7 +9,7 @@
 	maxHealthCheckCredit   = 6.0  // maximum credit saved, in health checks
 	lightHealthCheckCredit = 3.0  // credit from which a light query may use it: heavy ones gain more
 	healthCheckInterval    = 0.5  // seconds after which a load report is worth refreshing
-	healthCheckTimeout     = 0.05 // seconds to wait for an answer, and between two drains of the queue
+	healthCheckTimeout     = 0.05 // seconds for which a request waits for an answer before it is placed without
 )
 
 // healthCheckCredit is the number of health checks that own traffic has paid for.
@@ -61,7 +61,7 @@
 	if e == nil {
 		return
 	}
-	e.healthCheckPending, g.schedule.drainQueueAt = false, g.now
+	e.healthCheckPending, g.schedule.sendQueuedAt = false, g.now
 	if r.Code == OK && r.Load != nil {
 		g.recordLoad(e, *r.Load, g.now)
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -39,7 +39,7 @@
 	SlowStartDuration Micros  `json:"ColdFor"`      // a new endpoint has its full capacity after this
 	OverloadMultiple  float64 `json:"FallMultiple"` // a new endpoint fails at this multiple of capacity ...
 	OverloadDuration  Micros  `json:"FallFor"`      // ... for this long
-	DrainGrace        Micros  `json:"DrainGrace"`   // sends to a draining endpoint stop within this
+	DrainGrace        Micros  `json:"DrainGrace"`   // sends to a draining endpoint stop within this; only sticky requests use it
 	AnswerSlack       Micros  `json:"AnswerSlack"`  // a final answer counts this long after the deadline
 	MaxPollInterval   Micros  `json:"AskWithin"`    // the list has to be polled at least this often
 	OrderingGap       Micros  `json:"TurnGap"`      // pause of an order key after an attempt that may run on
--- a/server/controller.go
+++ b/server/controller.go
@@ -234,7 +234,7 @@
 	c.changes++
 	version := c.changes
 	done := make(chan error, 1)
-	c.dispatcher.loop.Post(dispatch.Change{Version: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
+	c.dispatcher.loop.Post(dispatch.Change{Serial: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
 	c.group.Go(func() error {
 		select {
 		case err := <-done:
--- a/server/parts.go
+++ b/server/parts.go
@@ -134,7 +134,7 @@
 func frontendTables(cfg *config.Config, version uint64) frontend.Tables {
 	f := &cfg.File.Front
 	t := frontend.Tables{
-		Version:        version,
+		SettingsSerial: version,
 		Classes:        &cfg.Classes,
 		Deadlines:      make([]time.Duration, len(cfg.Settings.Classes)),
 		ResponseMargin: f.ResponseMargin.D(),
