--- a/scenario/dispatchers.go
+++ b/scenario/dispatchers.go
@@ -7,6 +7,7 @@
 	"github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 
 	"embershunt/config"
+	"embershunt/internal/clock"
 	"embershunt/server"
 )
 
@@ -55,7 +56,7 @@
 	if err := <-h.ended; err != nil {
 		e.log.Debug("dispatcher ended", "error", err)
 	}
-	sleep(ctx, f.For.D())
+	clock.Sleep(ctx, f.For.D())
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.outages = append(e.outages, outage{i, from, time.Now()})
--- a/scenario/environment.go
+++ b/scenario/environment.go
@@ -12,6 +12,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials/insecure"
 
+	"embershunt/internal/clock"
 	"embershunt/policy"
 	"embershunt/simulated"
 )
@@ -138,7 +139,7 @@
 
 // updateList changes one row of the control service's list, after its delay.
 func (e *environment) updateList(ctx context.Context, change func(rows []simulated.ListedNode) []simulated.ListedNode) {
-	if !sleep(ctx, e.script.ListDelay.D()) {
+	if !clock.Sleep(ctx, e.script.ListDelay.D()) {
 		return
 	}
 	e.mu.Lock()
@@ -179,7 +180,7 @@
 func (e *environment) streamVersions(ctx context.Context) error {
 	for i := range e.script.Versions {
 		v := &e.script.Versions[i]
-		if !sleep(ctx, time.Until(e.begin.Add(v.At.D()))) {
+		if !clock.Sleep(ctx, time.Until(e.begin.Add(v.At.D()))) {
 			return nil
 		}
 		resources, err := e.script.resources(v)
@@ -191,17 +192,3 @@
 	}
 	return nil
 }
-
-func sleep(ctx context.Context, d time.Duration) bool {
-	if d <= 0 {
-		return ctx.Err() == nil
-	}
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -6,23 +6,24 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"embershunt/internal/clock"
 	"embershunt/simulated"
 )
 
 // injectFault plays one fault from its begin to its end.
 func (e *environment) injectFault(ctx context.Context, f *Fault) error {
-	if !sleep(ctx, time.Until(e.begin.Add(f.At.D()))) {
+	if !clock.Sleep(ctx, time.Until(e.begin.Add(f.At.D()))) {
 		return nil
 	}
 	e.log.Info("fault", "do", f.Kind, "nodes", f.Nodes, "for", f.For.D())
 	switch f.Kind {
 	case "list_down":
 		e.control.Stop()
-		sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.D())
 		return e.control.Start()
 	case "list_empty", "list_malformed":
 		e.spoilList(f.Kind[len("list_"):])
-		sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.D())
 		e.spoilList("")
 		return nil
 	}
@@ -58,7 +59,7 @@
 			e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode { return without(rows, n.Name) })
 			return nil
 		})
-		sleep(ctx, f.For.D())
+		clock.Sleep(ctx, f.For.D())
 		_ = group.Wait() // its goroutine returns no error
 		return e.restartNode(ctx, i)
 	case "drain": // it finishes its work, leaves, and comes back as a new process
@@ -68,7 +69,7 @@
 			}
 			return rows
 		})
-		if !sleep(ctx, f.For.D()) {
+		if !clock.Sleep(ctx, f.For.D()) {
 			return nil
 		}
 		n.Crash()
@@ -77,7 +78,7 @@
 	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", Full: f.Kind == "full", StallRow: whenKind(f, "stall", f.Rows),
 		CutRow: whenKind(f, "cut", f.Rows), Fail: whenKind(f, "fail", f.Share), Slow: whenKind(f, "slow", f.Times),
 		PauseFor: whenKind(f, "pause", f.Pause.D()), PauseInterval: whenKind(f, "pause", f.Each.D())})
-	sleep(ctx, f.For.D())
+	clock.Sleep(ctx, f.For.D())
 	n.SetFaults(simulated.Faults{})
 	return nil
 }
--- a/scenario/queries.go
+++ b/scenario/queries.go
@@ -8,6 +8,8 @@
 	"math/rand/v2"
 	"time"
 
+	"embershunt/internal/clock"
+
 	"golang.org/x/sync/errgroup"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
@@ -57,7 +59,7 @@
 		})
 	}
 	if c.Burst > 0 {
-		if !sleep(ctx, time.Until(e.begin.Add(c.BurstAt.D()))) {
+		if !clock.Sleep(ctx, time.Until(e.begin.Add(c.BurstAt.D()))) {
 			return nil
 		}
 		for range c.Burst {
@@ -68,7 +70,7 @@
 	at := e.begin
 	for c.Rate > 0 {
 		at = at.Add(time.Duration(rng.ExpFloat64() / c.Rate * 1e9))
-		if at.Sub(e.begin) > e.script.Length.D() || !sleep(ctx, time.Until(at)) {
+		if at.Sub(e.begin) > e.script.Length.D() || !clock.Sleep(ctx, time.Until(at)) {
 			return nil
 		}
 		send()
@@ -154,7 +156,7 @@
 		a.Lost = outcome.kind == "" && (a.Native || status.Code(err) == codes.Unavailable)
 	}
 	e.mu.Unlock()
-	if outcome.kind == "refused" && retries > 0 && sleep(outer, outcome.retryAfter) {
+	if outcome.kind == "refused" && retries > 0 && clock.Sleep(outer, outcome.retryAfter) {
 		again := &ClientQuery{Group: a.Group, Dispatcher: a.Dispatcher, Key: a.Key, Work: a.Work, WantRows: a.WantRows, Native: a.Native,
 			Token: a.Token, HonoredRetryAfter: outcome.retryAfter > 0}
 		text := e.register(again, true)
--- a/scenario/transactions.go
+++ b/scenario/transactions.go
@@ -13,6 +13,7 @@
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/status"
 
+	"embershunt/internal/clock"
 	"embershunt/simulated"
 )
 
@@ -93,7 +94,7 @@
 }
 
 func (c *transactionClient) pause(ctx context.Context) {
-	sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.group.Pause)))
+	clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.group.Pause)))
 }
 
 // withDeadline makes a call within the group's deadline.
--- a/simulated/faults.go
+++ b/simulated/faults.go
@@ -4,6 +4,8 @@
 	"context"
 	"time"
 
+	"embershunt/internal/clock"
+
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 )
@@ -54,29 +56,19 @@
 
 // injectPauses stops the machine now and then where the faults say so, and rolls idle transactions back.
 func (n *Node) injectPauses(ctx context.Context, p *process) {
-	wait := func(d time.Duration) bool {
-		t := time.NewTimer(d)
-		defer t.Stop()
-		select {
-		case <-ctx.Done():
-			return false
-		case <-t.C:
-			return true
-		}
-	}
 	for {
 		n.rollBackIdle()
 		f := n.faults()
 		if f.PauseFor == 0 {
-			if !wait(50 * time.Millisecond) {
+			if !clock.Sleep(ctx, 50*time.Millisecond) {
 				return
 			}
 			continue
 		}
 		p.machine.update(func() { p.machine.paused = true })
-		ok := wait(f.PauseFor)
+		ok := clock.Sleep(ctx, f.PauseFor)
 		p.machine.update(func() { p.machine.paused = false })
-		if !ok || !wait(f.PauseInterval) {
+		if !ok || !clock.Sleep(ctx, f.PauseInterval) {
 			return
 		}
 	}
--- a/soak/client.go
+++ b/soak/client.go
@@ -9,6 +9,7 @@
 	"syscall"
 	"time"
 
+	"embershunt/internal/clock"
 	"embershunt/policy"
 )
 
@@ -38,7 +39,7 @@
 			c.session.drop()
 		}
 	}()
-	for c.sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.behavior.ThinkTime))) {
+	for clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.behavior.ThinkTime))) {
 		if c.session != nil && !c.session.isIdle() { // the dispatcher closed it while it was idle
 			c.session.drop()
 			c.session = nil
@@ -60,18 +61,6 @@
 	return 0
 }
 
-// sleep waits; false where ctx ended first.
-func (c *client) sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-t.C:
-		return true
-	}
-}
-
 // connect opens a session where the dispatcher accepts new connections now; false where it failed.
 func (c *client) connect(ctx context.Context) bool {
 	if !c.dispatcher.connectable() {
@@ -133,7 +122,7 @@
 		n := min(len(message)/2, 40)
 		_, _ = s.Write(message[:n]) // the write of the last piece fails too
 		message = message[n:]
-		c.sleep(ctx, time.Duration(1+c.rng.IntN(15))*time.Millisecond)
+		clock.Sleep(ctx, time.Duration(1+c.rng.IntN(15))*time.Millisecond)
 	}
 	return message
 }
@@ -169,7 +158,7 @@
 			backoff = max(backoff, min(max(a.retryAfter, 20*time.Millisecond), time.Second))
 		}
 	}
-	c.sleep(ctx, backoff)
+	clock.Sleep(ctx, backoff)
 }
 
 // replaceSession drops a session that has ended; a request that raced with its close is sent once more on a new one.
