--- a/soak/faults.go
+++ b/soak/faults.go
@@ -65,7 +65,7 @@
 		start(p.idleCrowd)
 	}
 	p.running.Wait()
-	clock.Sleep(ctx, killAfter()) // the last requests are answered
+	p.sleep(ctx, killAfter()) // the last requests are answered
 	err = c.Close()
 	select {
 	case failed := <-p.failed:
@@ -75,6 +75,11 @@
 	return c.Record, err
 }
 
+// sleep waits; false where ctx or the plan's length has ended.
+func (p *faultRunner) sleep(ctx context.Context, d time.Duration) bool {
+	return clock.Sleep(ctx, d) && time.Now().Before(p.end)
+}
+
 // uniform draws a duration from an interval.
 func uniform(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(rng.Float64()*float64(maximum-minimum))
@@ -82,7 +87,7 @@
 
 // nameFaults injects faults into one dispatcher's name service now and then.
 func (p *faultRunner) nameFaults(ctx context.Context, rng *rand.Rand, d *Dispatcher) {
-	for clock.Sleep(ctx, uniform(rng, 100*time.Millisecond, 2*time.Second)) {
+	for p.sleep(ctx, uniform(rng, 100*time.Millisecond, 2*time.Second)) {
 		var f NameFaults
 		hold := uniform(rng, 500*time.Millisecond, 4*time.Second)
 		switch rng.IntN(8) {
@@ -104,7 +109,7 @@
 			f.Latency, f.Loss, f.Duplicate = uniform(rng, 0, 500*time.Millisecond), 0.1, 0.3
 		}
 		d.SetNameFaults(f)
-		clock.Sleep(ctx, hold)
+		p.sleep(ctx, hold)
 		d.SetNameFaults(NameFaults{})
 	}
 }
@@ -112,7 +117,7 @@
 // serverFaults injects faults into one server now and then.
 func (p *faultRunner) serverFaults(ctx context.Context, rng *rand.Rand, id string) {
 	s := p.Server(id)
-	for clock.Sleep(ctx, uniform(rng, time.Second, 8*time.Second)) {
+	for p.sleep(ctx, uniform(rng, time.Second, 8*time.Second)) {
 		var f ServerFaults
 		switch rng.IntN(8) {
 		case 0:
@@ -133,23 +138,23 @@
 			f.IdleTimeout = uniform(rng, 5*time.Millisecond, 300*time.Millisecond)
 		}
 		s.SetFaults(f)
-		clock.Sleep(ctx, uniform(rng, 500*time.Millisecond, 5*time.Second))
+		p.sleep(ctx, uniform(rng, 500*time.Millisecond, 5*time.Second))
 		s.SetFaults(ServerFaults{})
 	}
 }
 
 // processFaults kills, terminates and restarts one dispatcher, and sends it signals.
 func (p *faultRunner) processFaults(ctx context.Context, rng *rand.Rand, d *Dispatcher) {
-	for clock.Sleep(ctx, uniform(rng, 500*time.Millisecond, 9*time.Second)) {
+	for p.sleep(ctx, uniform(rng, 500*time.Millisecond, 9*time.Second)) {
 		switch rng.IntN(4) {
 		case 0:
 			d.Kill()
-			clock.Sleep(ctx, uniform(rng, 50*time.Millisecond, time.Second))
+			p.sleep(ctx, uniform(rng, 50*time.Millisecond, time.Second))
 			p.restart(ctx, d)
 		case 1:
 			p.moveNameService(d)
 			if rng.IntN(2) == 0 {
-				clock.Sleep(ctx, uniform(rng, 0, 100*time.Millisecond))
+				p.sleep(ctx, uniform(rng, 0, 100*time.Millisecond))
 				p.moveNameService(d)
 			}
 		default:
@@ -186,7 +191,7 @@
 		d.Signal(syscall.SIGHUP)
 	}
 	d.Terminate(further, uniform(rng, 0, 600*time.Millisecond))
-	clock.Sleep(ctx, uniform(rng, 0, 300*time.Millisecond))
+	p.sleep(ctx, uniform(rng, 0, 300*time.Millisecond))
 	p.restart(ctx, d)
 }
 
@@ -195,7 +200,7 @@
 
 // serverChanges drains, removes, crashes and adds servers.
 func (p *faultRunner) serverChanges(ctx context.Context, rng *rand.Rand) {
-	for clock.Sleep(ctx, uniform(rng, 200*time.Millisecond, 1500*time.Millisecond)) {
+	for p.sleep(ctx, uniform(rng, 200*time.Millisecond, 1500*time.Millisecond)) {
 		ids := p.HealthyServers()
 		if rng.IntN(3) == 0 || len(ids) <= minHealthyServers {
 			_, _ = p.AddServer() // without a free port there is no new server this time
@@ -211,7 +216,7 @@
 		p.running.Add(1)
 		go func() {
 			defer p.running.Done()
-			clock.Sleep(ctx, crash)
+			p.sleep(ctx, crash)
 			p.RemoveServer(id)
 			p.Server(id).Crash()
 		}()
@@ -222,7 +227,7 @@
 func (p *faultRunner) malformedClients(ctx context.Context, rng *rand.Rand) {
 	payloads := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0, 0, 0, 8, 4, 210, 22, 47}, {0xff, 0xff, 0xff, 0xff}, queryMessage("SELECT 1"),
 		queryMessage("/* route=none,trace=1 */ SELECT 1"), {'Q', 0, 0}, {'Q', 0x7f, 0xff, 0xff, 0xff}, nil}
-	for clock.Sleep(ctx, uniform(rng, 0, 200*time.Millisecond)) {
+	for p.sleep(ctx, uniform(rng, 0, 200*time.Millisecond)) {
 		d := p.Dispatchers[rng.IntN(len(p.Dispatchers))]
 		if !d.connectable() {
 			continue
@@ -239,7 +244,7 @@
 
 // idleCrowd opens idle connections until the descriptors of a dispatcher are in use, and closes them again.
 func (p *faultRunner) idleCrowd(ctx context.Context, rng *rand.Rand) {
-	for clock.Sleep(ctx, uniform(rng, time.Second, 3*time.Second)) {
+	for p.sleep(ctx, uniform(rng, time.Second, 3*time.Second)) {
 		d := p.Dispatchers[rng.IntN(len(p.Dispatchers))]
 		var idle []net.Conn
 		for range p.plan.Descriptors {
@@ -247,7 +252,7 @@
 				idle = append(idle, conn)
 			}
 		}
-		clock.Sleep(ctx, uniform(rng, time.Second, 3*time.Second))
+		p.sleep(ctx, uniform(rng, time.Second, 3*time.Second))
 		for _, conn := range idle {
 			_ = conn.Close() // nothing was sent on it
 		}
