--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -9,7 +9,7 @@
 	maxHealthCheckCredit   = 6.0  // maximum credit saved, in health checks
 	lightHealthCheckCredit = 3.0  // credit from which a light query may use it: heavy ones gain more
 	healthCheckInterval    = 0.5  // seconds after which a load report is worth refreshing
-	healthCheckTimeout     = 0.05 // seconds for which a request waits for an answer before it is placed without
+	healthCheckTimeout     = 0.05 // seconds for which a request waits for an answer
 )
 
 // healthCheckCredit is the number of health checks that own traffic has paid for.
