--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"net"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"embershunt/frontend"
@@ -28,7 +29,8 @@
 	query       *frontend.PendingQuery // the one that the worker waits for; nil: none
 
 	writeMu  sync.Mutex
-	finished bool // the last message was written
+	finished bool        // the last message was written
+	failing  atomic.Bool // the last message is about to be written: pending answers are dropped, whichever goroutine is faster
 
 	closeOnce sync.Once // see recordClose
 }
@@ -252,7 +254,7 @@
 func (s *session) writeMessages(b []byte, last bool) bool {
 	s.writeMu.Lock()
 	defer s.writeMu.Unlock()
-	if s.finished {
+	if s.finished || s.failing.Load() && !last {
 		return true
 	}
 	s.finished = last
--- a/frontend/postgres/session_close.go
+++ b/frontend/postgres/session_close.go
@@ -91,6 +91,7 @@
 // fail writes the session's last message and closes it; the queries of its client are cancelled.
 func (s *session) fail(r *bufio.Reader, code, message string) {
 	s.recordClose(closedUnreadable)
+	s.failing.Store(true)
 	s.disconnect()
 	s.writeLast(pgwire.AppendError(nil, pgwire.Fatal, code, message))
 	s.linger(r)
