--- a/policy/actions.go
+++ b/policy/actions.go
@@ -1,19 +1,19 @@
 package policy
 
-// Action is something to do: output of Gateway.Step.
+// Action is an output of Gateway.Step, which the dispatcher carries out.
 type Action interface{ isAction() }
 
-// The actions. Attempts of a request count from 0 in the order of their Send.
+// The actions. The attempts of a request are numbered from 0 in the order of their Send.
 type (
-	// Send starts an attempt that is abandoned after Timeout. An attempt that has not begun by
-	// StartBefore must not begin any more, since endpoints may have forgotten its idempotency key
-	// by then (0: it may begin at any time).
+	// Send starts an attempt that times out after Timeout. The attempt must not begin to run at or after
+	// the time StartBefore, when endpoints may have forgotten its idempotency key (0: no such limit).
 	Send struct {
 		ID, Endpoint string
 		Timeout      Micros
 		StartBefore  Micros
 	}
-	// Resources sets the memory grant of further sends and, at once, the priority (0 to 3).
+	// Resources sets the memory grant and the priority (0 to 3, 3 is the highest) of a request's further
+	// sends. The change of priority applies to its attempts in flight at once.
 	Resources struct {
 		ID       string
 		MemoryMB float64
@@ -24,25 +24,25 @@
 		ID      string
 		Attempt int
 	}
-	// Shed is a final answer: the request may be retried after RetryAfter without harm.
+	// Shed is a final answer: the client can safely retry the request after RetryAfter.
 	Shed struct {
 		ID         string
 		RetryAfter Micros
 	}
-	// Fail is a final answer that says nothing about whether the request ran.
+	// Fail is a final answer that does not tell whether the request ran.
 	Fail struct{ ID string }
-	// HealthCheck asks an endpoint for its load.
+	// HealthCheck requests a load report from an endpoint.
 	HealthCheck struct{ Endpoint string }
-	// SetTimer asks for a TimerFired event.
+	// SetTimer requests a TimerFired event after the time After; it replaces an earlier timer.
 	SetTimer struct{ After Micros }
-	// SendGossip sends a message of up to 256 bytes to one peer.
+	// SendGossip sends a message of at most 256 bytes to the peer of index To.
 	SendGossip struct {
 		To   int
 		Data []byte
 	}
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints struct{}
-	// FetchEndpoints asks for the complete endpoint list once.
+	// FetchEndpoints requests the complete endpoint list once.
 	FetchEndpoints struct{}
 	// LogLine is a line for the operators' log.
 	LogLine struct{ Text string }
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -1,9 +1,11 @@
 package policy
 
-// freeCoreUtilization is the utilization below which an endpoint has a free core (docs/design.md).
+// freeCoreUtilization is the utilization below which an endpoint counts as having a free core
+// (docs/design.md).
 const freeCoreUtilization = 0.7
 
-// handleRequest takes a request into the ledger and admits, queues or sheds it.
+// handleRequest adds a request to the ledger and admits, queues or sheds it. A request with a known ID or
+// an unknown class is ignored.
 func (g *Gateway) handleRequest(r Request) {
 	if g.ledger.requests[r.ID] != nil || r.Class < 0 || r.Class >= len(g.classes) {
 		return
@@ -12,25 +14,26 @@
 	q := g.register(r, c)
 	c.estimateWork(q)
 	g.queries.work.add(q.work, meanSmoothing)
-	q.weight = g.weightOf(q)
+	q.weight = g.priorityWeight(q)
 	q.objectiveAt = g.now + c.LatencyObjective + toMicros(c.ObjectiveStretch*q.work/c.threads)
 	g.healthChecks.earn(g.fleet.threadsPerCore)
 	g.keyOrders.join(q)
-	if q.StickyTo != "" && g.cannotEarn(q) {
+	if q.StickyTo != "" && g.cannotEarnWeight(q) {
 		g.shedOrFail(q)
 		return
 	}
 	g.admit(q)
 }
 
-// admit sends, queues or sheds a request by its net value: priority weight less delay cost and price at
-// the best level (docs/design.md). A request that waits for health checks is decided on after them.
+// admit sends, queues or sheds a request by its net value: its priority weight minus the delay cost and the
+// price at the level of lowest cost (docs/design.md). While a request waits for health checks it is queued,
+// and the decision follows after them.
 func (g *Gateway) admit(q *request) {
 	level, net := g.leastCostLevel(q)
 	q.level = level
 	e := g.pickEndpoint(q)
 	waits := e == nil && g.awaitsHealthCheck(q)
-	if net < 0 && !waits && !g.passesFreeCore(q, e) {
+	if net < 0 && !waits && !g.fitsFreeCores(q, e) {
 		g.shedOrFail(q)
 		return
 	}
@@ -45,9 +48,10 @@
 	}
 }
 
-// weightOf is the value of serving the request within its objective. It shrinks for a tenant over its
-// quota; which of its requests are over the quota is not known, so all share the reduction.
-func (g *Gateway) weightOf(q *request) float64 {
+// priorityWeight returns the value of an answer to the request within its objective. The weight is lower
+// if the tenant exceeds its quota. It is not known which of the tenant's requests exceed the quota, so all
+// of them get the mean weight.
+func (g *Gateway) priorityWeight(q *request) float64 {
 	w := q.class.PriorityWeight
 	if g.settings.WeightByWork {
 		w *= q.work / q.class.typicalWork()
@@ -63,14 +67,15 @@
 	if t.quota <= 0 || rate <= t.quota {
 		return w
 	}
-	inside := t.quota / rate
-	return w * (inside + (1-inside)*g.settings.OverQuotaWeight)
+	withinQuota := t.quota / rate // share of the tenant's requests
+	return w * (withinQuota + (1-withinQuota)*g.settings.OverQuotaWeight)
 }
 
-// passesFreeCore admits a request whatever its price while cores are free: while this gateway's threads are
-// below its share of the cores, or the endpoint picked is below freeCoreUtilization. It then delays nobody,
-// unless it is very long or takes a place in a full queue.
-func (g *Gateway) passesFreeCore(q *request, e *endpoint) bool {
+// fitsFreeCores reports whether a request is admitted whatever its price since it would run on free cores:
+// this gateway's threads stay within its share of the cores, or the endpoint e is below freeCoreUtilization.
+// Such a request delays no other. Exceptions are a request that would end after its deadline, a very long
+// request, and a request worth less than its place in an admission queue that is nearly full.
+func (g *Gateway) fitsFreeCores(q *request, e *endpoint) bool {
 	delay := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
 	if delay > seconds(q.Deadline-g.now) || q.work > veryLongFactor*q.class.typicalWork() ||
 		q.weight < g.queue.price*delay {
@@ -80,8 +85,8 @@
 		e != nil && g.utilization(e) < freeCoreUtilization
 }
 
-// earnedWeight is the value of an answer at a time: the full weight within the objective, LateWeight of
-// it after.
+// earnedWeight returns the value of an answer at the given time: the full weight within the objective, the
+// share LateWeight of it later.
 func (g *Gateway) earnedWeight(q *request, at Micros) float64 {
 	if at > q.objectiveAt {
 		return q.weight * q.class.LateWeight
@@ -89,9 +94,10 @@
 	return q.weight
 }
 
-// cannotEarn says that a request with nothing in flight can no longer earn its weight: its sticky endpoint
-// is gone, no attempt is allowed any more, or too little time is left.
-func (g *Gateway) cannotEarn(q *request) bool {
+// cannotEarnWeight reports whether a request without an attempt in flight can no longer earn its weight: its
+// sticky endpoint cannot be sent to, no further attempt is allowed, or the time left (up to the objective
+// if a late answer earns nothing) is shorter than the service time.
+func (g *Gateway) cannotEarnWeight(q *request) bool {
 	if q.openAttempts > 0 {
 		return false
 	}
@@ -110,8 +116,8 @@
 	return seconds(end-g.now) < q.class.serviceTime(q.work)
 }
 
-// shedOrFail answers at once: Shed where a client's retry is harmless, else Fail. The time to retry is when
-// one like it has ended and may have left capacity.
+// shedOrFail answers a request at once: with Shed if a retry by the client is safe, else with Fail. The
+// Retry-After is the time in which a similar request ends and may free capacity, at most MaxRetryAfter.
 func (g *Gateway) shedOrFail(q *request) {
 	c := q.class
 	if c.Effect == Idempotent || q.firstRan == nil && q.openAttempts == 0 ||
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// queueInterval is the seconds between two attempts to send what is queued, if nothing comes before.
+// queueInterval is the maximum number of seconds between two attempts to send queued requests.
 const queueInterval = 0.05
 
-// Price of a place in the admission queue: see admissionQueuePrice.
+// Parameters of the price of a place in the admission queue, see admissionQueuePrice.
 const (
-	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place costs nothing
-	residualAgeShare = 0.5 // share of its age that a query past its expected end is assumed to stay on
+	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place is free
+	residualAgeShare = 0.5 // remaining time of a request past its expected end, as a share of its age
 )
 
-// admissionQueue holds the requests that are neither in flight nor answered: they wait for capacity, a
-// health check, their order key or the retry budget.
+// admissionQueue holds the requests that have neither an attempt in flight nor an answer. They wait for
+// capacity, a health check, their order key or the retry budget.
 type admissionQueue struct {
 	requests []*request // in the order queued
-	price    float64    // weight a second of an open request's place, see admissionQueuePrice
+	price    float64    // of an open request's place, in weight a second, see admissionQueuePrice
 }
 
-// add appends a request, where it isn't queued already.
+// add appends a request unless it is queued already.
 func (u *admissionQueue) add(q *request) {
 	if !q.queued {
 		q.queued = true
@@ -29,7 +29,7 @@
 	}
 }
 
-// remove removes a request, where it is queued.
+// remove removes a request if it is queued.
 func (u *admissionQueue) remove(q *request) {
 	if q.queued {
 		q.queued = false
@@ -37,8 +37,8 @@
 	}
 }
 
-// byWeight is the queued requests, highest weight for their work first.
-func (u *admissionQueue) byWeight() []*request {
+// byWeightPerWork returns the queued requests, those of highest weight per second of work first.
+func (u *admissionQueue) byWeightPerWork() []*request {
 	sorted := slices.Clone(u.requests)
 	slices.SortStableFunc(sorted, func(a, b *request) int {
 		return cmp.Compare(b.weight/b.work, a.weight/a.work)
@@ -46,16 +46,17 @@
 	return sorted
 }
 
-// sendQueued sends queued requests where there is capacity, highest weight for their work first, or
-// sheds them.
+// sendQueued sends the queued requests for which there is capacity, those of highest weight per second of
+// work first, and sheds those that can no longer earn their weight.
 func (g *Gateway) sendQueued() {
 	g.schedule.sendQueuedAt = g.now + Micros(queueInterval*microsPerSecond)
 	if len(g.queue.requests) == 0 {
 		return
 	}
-	full := make([]bool, len(g.classes)) // no capacity for one is none for the heavier ones behind it
-	for _, q := range g.queue.byWeight() {
-		if g.cannotEarn(q) {
+	// Per class: there is no capacity for a request, so there is none for heavier ones after it.
+	full := make([]bool, len(g.classes))
+	for _, q := range g.queue.byWeightPerWork() {
+		if g.cannotEarnWeight(q) {
 			g.shedOrFail(q)
 		} else if full[q.Class] && q.StickyTo == "" {
 			continue
@@ -64,15 +65,17 @@
 		} else if e := g.pickEndpoint(q); e != nil {
 			g.sendAttempt(q, e)
 		}
-		if q.StickyTo == "" && !q.class.LocksTables { // what waits for one endpoint or group blocks no others
+		// A request that waits for one endpoint or for the lock of a table group must not block others.
+		if q.StickyTo == "" && !q.class.LocksTables {
 			full[q.Class] = q.queued && g.mayStartAttempt(q) && !g.awaitsHealthCheck(q)
 		}
 	}
 }
 
-// admissionQueuePrice is the value to others of a second of an open request's place, in weight a second:
-// nothing up to freeQueueShare of MaxInFlight, then rising linearly to what answered requests earn a
-// second. It guards against blocked queries that keep other clients from sending.
+// admissionQueuePrice returns the price of an open request's place, in weight a second, while so many
+// requests are open. The price is zero up to freeQueueShare of MaxInFlight and rises linearly from there
+// to the mean weight that answered requests earn per second of response time. It keeps blocked queries from
+// using up MaxInFlight, which would keep other clients from sending.
 func (g *Gateway) admissionQueuePrice(open int) float64 {
 	full := float64(open)/max(float64(g.settings.MaxInFlight), 1) - freeQueueShare
 	if g.settings.MaxInFlight == 0 || full <= 0 || g.queries.responseTime.value <= 0 {
@@ -81,7 +84,8 @@
 	return min(1, full/(1-freeQueueShare)) * g.queries.earned.value / g.queries.responseTime.value
 }
 
-// belowQueuePrice says that a queued request earns less than its place in the queue costs.
+// belowQueuePrice reports whether a request without an attempt in flight is expected to earn less than its
+// place costs for the time that it is expected to stay open.
 func (g *Gateway) belowQueuePrice(q *request) bool {
 	age := g.secondsSince(q.receivedAt)
 	remains := max(q.class.queueWait[q.level]+q.class.serviceTime(q.work)-age, age*residualAgeShare)
--- a/policy/events.go
+++ b/policy/events.go
@@ -1,26 +1,26 @@
 package policy
 
-// Event is something that happened: input of Gateway.Step.
+// Event is an input of Gateway.Step.
 type Event interface{ isEvent() }
 
-// EndpointUpdate is a watch event of the endpoint list. A complete list replaces the old one, a
-// partial one adds and changes rows; a failed call carries no rows.
+// EndpointUpdate is a watch event of the endpoint list. A complete list replaces the old list, a partial
+// list adds or changes rows. Failed says that the call failed; the update then has no rows.
 type EndpointUpdate struct {
 	Complete, Failed bool
 	Endpoints        []Endpoint
 }
 
-// Endpoint is one row of the endpoint list: a query node that can be sent attempts.
+// Endpoint is one row of the endpoint list: a query node that attempts can be sent to.
 type Endpoint struct {
 	ID                         string
 	Zone, Kind, PlacementGroup int
 	State                      EndpointState
 	Weight                     float64
-	Started                    Micros // last start; 0: long ago
-	Protocols                  uint8  // protocols, a bit each; see Request.Protocol
+	Started                    Micros // time of the last start; 0: long ago
+	Protocols                  uint8  // bit set of the protocols it speaks; see Request.Protocol
 }
 
-// EndpointState is the state of an endpoint by the endpoint list.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
@@ -30,46 +30,46 @@
 	Removed
 )
 
-// Request is a client's request received by this gateway.
+// Request is a client's request that this gateway received.
 type Request struct {
 	ID          string
-	Class       int
-	Tenant      int
-	Cost        Micros  // estimated work of all threads; 0: unknown
+	Class       int     // index into Settings.Classes
+	Tenant      int     // index into Settings.Tenants; out of range: no known tenant
+	Cost        Micros  // estimated work, summed over all threads; 0: unknown
 	MemoryMB    float64 // estimated memory; 0: unknown
 	TableGroup  int64   // group of tables it reads or writes
-	OrderKey    int64   // for classes with Ordered
+	OrderKey    int64   // used if HasOrderKey, in classes with Ordered
 	HasOrderKey bool
-	ClientRetry bool   // a client's retry, where clients mark them
+	ClientRetry bool   // a retry by the client, where clients mark retries
 	Protocol    uint8  // bit of the protocol that an endpoint must speak; 0: any
-	StickyTo    string // the endpoint that holds its session's state, "" where there is none
+	StickyTo    string // ID of the endpoint that holds its session's state; "": any endpoint
 	Deadline    Micros
 }
 
-// AttemptResult says how an attempt ended. Final: the request has ended with it.
+// AttemptResult reports the end of an attempt.
 type AttemptResult struct {
 	ID         string
 	Attempt    int
 	Endpoint   string
 	Code       Code
-	Final      bool
+	Final      bool // the request has ended with this attempt
 	Latency    Micros
-	Load       *Load
-	WorkMicros Micros  // work done, where endpoints report it; else 0
-	NeededMB   float64 // memory needed, where endpoints report it; else 0
+	Load       *Load   // load report of the endpoint; nil: none
+	WorkMicros Micros  // work done; 0: not reported
+	NeededMB   float64 // memory needed; 0: not reported
 }
 
-// Load is an endpoint's load report; a negative value was not reported.
+// Load is an endpoint's load report. A negative value means that it was not reported.
 type Load struct{ Utilization, InFlight, Queue, Memory, Disk float64 }
 
-// Code says how an attempt or a health check ended.
+// Code is the result of an attempt or a health check.
 type Code int
 
 // The codes. Rejected, ConnectionRefused and NeverSent prove that the attempt never ran.
 const (
 	OK                Code = iota
 	Failed                 // the endpoint answered with an error; may have run
-	Rejected               // rejected before execution
+	Rejected               // rejected before execution; never ran
 	TimedOut               // no reply in time; may have run
 	ConnectionRefused      // no connection; never ran
 	ConnectionReset        // the connection broke; may have run
@@ -86,13 +86,13 @@
 	Value    float64
 }
 
-// ProgressKind says what a Progress report means.
+// ProgressKind is the meaning of a Progress report.
 type ProgressKind int
 
 // The kinds of progress report.
 const (
-	FractionDone     ProgressKind = iota // Value is the share of the work done
-	MemorySpilled                        // Value is the memory missing, in MB
+	FractionDone     ProgressKind = iota // Value is the share of the work that is done, 0 to 1
+	MemorySpilled                        // Value is the missing memory in MB
 	WaitingForMemory                     // blocked until memory is free
 	WaitingForTables                     // blocked by a load that locks the table group
 )
@@ -106,16 +106,17 @@
 		Latency  Micros
 		Load     *Load
 	}
-	// StreamStarted says that a streamed answer has begun: its attempt can be neither cancelled nor retried.
+	// StreamStarted reports that a streamed answer has begun: its attempt can no longer be cancelled or
+	// retried.
 	StreamStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientDisconnected says that the client is gone and no answer is owed any more.
+	// ClientDisconnected reports that the client is gone, so that the request needs no answer any more.
 	ClientDisconnected struct{ ID string }
-	// TimerFired is the timer set by SetTimer.
+	// TimerFired reports that the timer set by SetTimer has expired.
 	TimerFired struct{}
-	// GossipReceived is a message from a peer.
+	// GossipReceived is a gossip message; From is the peer's index.
 	GossipReceived struct {
 		From int
 		Data []byte
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -9,20 +9,20 @@
 const (
 	microsPerSecond = 1e6 // microseconds in a second
 
-	timerInterval = 0.02 // seconds between checks of open requests: a few steps of a dispatcher
+	timerInterval = 0.02 // seconds between checks of open requests: a few steps of the dispatcher
 	timerMicros   = Micros(timerInterval * microsPerSecond)
-	minSeconds    = 1e-4 // minimum seconds of time or work in a logarithm
+	minSeconds    = 1e-4 // lower bound in seconds for a time or work whose logarithm is taken
 
 	logInterval = 1.0 // minimum seconds between two log lines
 )
 
-// Gateway decides for one dispatcher. It is not safe for concurrent use.
+// Gateway makes the decisions of one dispatcher. It is not safe for concurrent use.
 type Gateway struct {
 	settings Settings
 	rng      *rand.Rand
 	now      Micros
 	started  bool
-	actions  []Action // of this step
+	actions  []Action // emitted in the current step
 	schedule schedule
 	log      logLimiter
 
@@ -41,24 +41,24 @@
 	cacheEffect  cacheEffect
 	fleet        fleetSummary
 	gossip       gossipState
-	restored     map[string]LearnedEndpoint // of an earlier gateway, until they are listed; looked up only
+	restored     map[string]LearnedEndpoint // from Restore, by ID, until listed; never iterated
 }
 
-// schedule is when periodic work is due or was last done.
+// schedule holds the times at which periodic work is due or was last done.
 type schedule struct {
 	timerAt      Micros // next maintenance
-	sendQueuedAt Micros // next attempt to send what is queued
-	pollAt       Micros // next call for the endpoint list
+	sendQueuedAt Micros // next attempt to send queued requests
+	pollAt       Micros // next poll of the endpoint list
 	pricedAt     Micros // last computation of prices
 }
 
-// logLimiter limits log lines to one in an interval: a fault that repeats would flood the log.
+// logLimiter allows one log line per interval, since a repeated fault would flood the log.
 type logLimiter struct {
 	interval float64 // seconds
-	lastAt   Micros
+	lastAt   Micros  // time of the last line; 0: none yet
 }
 
-// New returns a gateway, or an error that names the unusable setting. The seed determines all random draws.
+// New returns a gateway, or an error that names the invalid setting. The seed determines all random draws.
 func New(seed uint64, s Settings) (*Gateway, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -77,8 +77,8 @@
 	return g, nil
 }
 
-// initialize sets up the state of classes and tenants; margin is the first log of grant over memory
-// estimate.
+// initialize sets up the state of endpoints, requests, classes and tenants. The margin is the initial log
+// ratio of memory grant to memory estimate.
 func (g *Gateway) initialize(margin float64) {
 	g.endpoints = endpointTable{byID: map[string]*endpoint{}, byWireID: map[uint32]*endpoint{}}
 	g.gossip.reports = map[int]*peerReport{}
@@ -93,7 +93,8 @@
 	}
 }
 
-// Step takes the events of one moment and returns the actions they lead to, in order.
+// Step handles the events of the time now and returns the resulting actions in order. It also runs
+// maintenance and sends queued requests when these are due.
 func (g *Gateway) Step(now Micros, events []Event) []Action {
 	g.beginStep(now)
 	for _, ev := range events {
@@ -114,7 +115,7 @@
 	return g.actions
 }
 
-// beginStep sets the time of a step and clears the actions of the last one.
+// beginStep sets the time of a step and clears the actions of the previous step.
 func (g *Gateway) beginStep(now Micros) {
 	g.now, g.actions = now, nil
 	if !g.started {
@@ -122,7 +123,8 @@
 	}
 }
 
-// handle dispatches an event to the function that decides on it.
+// handle dispatches an event to its handler. A TimerFired event has none: Step looks at the time after
+// every event.
 func (g *Gateway) handle(ev Event) {
 	switch ev := ev.(type) {
 	case EndpointUpdate:
@@ -148,19 +150,19 @@
 	}
 }
 
-// emit appends an action to those that Step returns.
+// emit appends an action to the list that Step returns.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// secondsSince is the seconds from t until now.
+// secondsSince returns the time from t until now, in seconds.
 func (g *Gateway) secondsSince(t Micros) float64 { return seconds(g.now - t) }
 
-// seconds is a duration in seconds.
+// seconds converts a duration to seconds.
 func seconds(d Micros) float64 { return float64(d) / microsPerSecond }
 
-// toMicros is a duration of so many seconds.
+// toMicros converts a duration in seconds to Micros.
 func toMicros(s float64) Micros { return Micros(s * microsPerSecond) }
 
-// logLine emits a line for the operators' log, as far as the limiter allows.
+// logLine emits a line for the operators' log, or drops it if the limiter does not allow it.
 func (g *Gateway) logLine(format string, args ...any) {
 	if g.log.lastAt == 0 || g.secondsSince(g.log.lastAt) >= g.log.interval {
 		g.log.lastAt = g.now
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// runMaintenance is the periodic work: fleet summary, estimates and prices, polls, gossip, unresponsive
-// endpoints, and all requests that are open.
+// runMaintenance does the periodic work: it updates the fleet summary, estimates and prices, polls the
+// endpoint list, sends gossip, ejects unresponsive endpoints and checks the open requests.
 func (g *Gateway) runMaintenance() {
-	keep := math.Pow(idleRetention, timerInterval)
-	g.queries.inFlight += (g.attemptsInFlight() - g.queries.inFlight) * (1 - keep)
-	g.summarizeFleet(keep)
+	retained := math.Pow(idleRetention, timerInterval)
+	g.queries.inFlight += (g.attemptsInFlight() - g.queries.inFlight) * (1 - retained)
+	g.summarizeFleet(retained)
 	g.fleet.occupancyExcess = g.occupancyExcess(g.fleet.threadsPerCore / max(g.fleet.occupancyExcess, 1))
 	if g.secondsSince(g.schedule.pricedAt) >= priceInterval {
 		g.updateEstimates()
 		g.schedule.pricedAt = g.now
 	}
-	if g.settings.PollEndpoints && g.now >= g.schedule.pollAt { // a failed call may have ended the watch
+	// The endpoint list is polled although it is watched, since a failed call may have ended the watch.
+	if g.settings.PollEndpoints && g.now >= g.schedule.pollAt {
 		g.schedule.pollAt = g.now + max(g.settings.MaxPollInterval/4, toMicros(minPollInterval))
 		g.emit(WatchEndpoints{})
 	}
@@ -30,8 +31,9 @@
 	g.checkOpenRequests()
 }
 
-// checkOpenRequests ends requests at their deadline or below the price of their place, and looks for overdue
-// attempts of the others.
+// checkOpenRequests answers the requests that are near their deadline or earn less than the price of their
+// place, and checks the attempts of all others for overdue ones. A request with a streamed answer is left
+// alone.
 func (g *Gateway) checkOpenRequests() {
 	for _, q := range g.ledger.active {
 		if q.done || q.streamed {
@@ -50,22 +52,24 @@
 	g.ledger.active = slices.DeleteFunc(g.ledger.active, (*request).ended)
 }
 
-// updateEstimates recomputes, each priceInterval, the traffic rates, means and prices, and lets fade what
-// nothing reports any more. The retry budget forgets here too: it grows also while nothing is retried.
+// updateEstimates recomputes the traffic rates, means and prices every priceInterval, and decays estimates
+// that nothing has refreshed.
 func (g *Gateway) updateEstimates() {
 	interval := max(g.secondsSince(g.schedule.pricedAt), 1e-3)
-	g.withinRetryBudget()
+	g.withinRetryBudget() // expires old entries: the budget grows with each request, retried or not
 	g.traffic.updateRates(interval)
 	g.updateShare()
 	g.updateQueryMeans()
 	g.congestion.slack = g.objectiveSlack()
 	g.updatePrices(interval)
-	g.fadeUnreported()
+	g.decayUnreported()
 }
 
-// fadeUnreported moves what was not reported lately back to the usual: capacity without attempts in flight
-// (a small one would let no answer come again), an endpoint's inflation to the fleet's, claims to none.
-func (g *Gateway) fadeUnreported() {
+// decayUnreported moves estimates without recent reports back to their defaults: the capacity to its initial
+// value if no attempt is in flight (a small capacity could keep this gateway from sending, so that no answer
+// would ever raise it), and an endpoint's latency inflation to the fleet's. It also resets the claims on an
+// endpoint's free capacity.
+func (g *Gateway) decayUnreported() {
 	if g.secondsSince(g.congestion.adjustedAt) > priceInterval && g.attemptsInFlight() == 0 {
 		g.congestion.relax()
 	}
--- a/policy/pricing.go
+++ b/policy/pricing.go
@@ -2,32 +2,33 @@
 
 import "math"
 
-// Pricing: the price (toll) of a class at a level, after the paper's sections 3.3 and 3.4.
+// Parameters of the price (toll) of a class at a priority level, after the paper's sections 3.3 and 3.4.
 const (
-	priorityLevels     = 4   // priority levels (endpoint priorities 3 to 0)
+	priorityLevels     = 4   // priority levels 0 to 3, which are the endpoint priorities 3 to 0
 	priceSmoothing     = 0.1 // weight of a newly computed price (the paper's equation 7)
 	priceInterval      = 1.0 // seconds between two computations of prices
-	maxTollUtilization = 0.9 // maximum that utilization u counts in 1/(1-u)
-	queueWaitSmoothing = 0.2 // weight of one answer in the wait of a class: about five answers
+	maxTollUtilization = 0.9 // upper bound of the utilization u in 1/(1-u)
+	queueWaitSmoothing = 0.2 // weight of one answer in a class's mean wait: about the last five answers
 )
 
-// levelPrices is what a class pays and how long it waits at each priority level.
+// levelPrices holds a class's price, wait and admission rate at each priority level.
 type levelPrices struct {
-	price         [priorityLevels]float64 // toll of a query of typical work, in weight
-	queueWait     [priorityLevels]float64 // seconds from receipt to answer beyond the service time
+	price         [priorityLevels]float64 // toll of a query of the class's typical work, in weight
+	queueWait     [priorityLevels]float64 // mean seconds from receipt to answer beyond the service time
 	admittedRate  [priorityLevels]float64 // requests admitted a second
 	admitted      [priorityLevels]float64 // requests admitted since the last interval
 	waitRefreshed [priorityLevels]bool    // an answer came since the last interval
 }
 
-// recordWait takes the wait of an answer at a level, in seconds.
+// recordWait adds the wait of an answer at a level, in seconds, to the mean wait there.
 func (l *levelPrices) recordWait(level int, wait float64) {
 	l.queueWait[level] += (wait - l.queueWait[level]) * queueWaitSmoothing
 	l.waitRefreshed[level] = true
 }
 
-// updateRates ends an interval of so many seconds. Waits halve without answers: a level that nobody uses
-// must be tried again.
+// updateRates computes the admission rates over an interval, in seconds, and starts the next interval. The
+// wait of a level without an answer is halved: otherwise a level that was slow once would never be used
+// again.
 func (l *levelPrices) updateRates(interval float64) {
 	for k := range priorityLevels {
 		l.admittedRate[k] += (l.admitted[k]/interval - l.admittedRate[k]) * rateSmoothing
@@ -39,15 +40,15 @@
 	}
 }
 
-// delayCost is what a second of delay costs, in weight a second: the weight is lost evenly up to the
+// delayCost returns the cost of delay in weight a second: the weight is lost linearly from receipt to the
 // deadline.
 func (c *class) delayCost() float64 {
 	return c.PriorityWeight / seconds(c.Deadline)
 }
 
-// leastCostLevel is the level with the lowest delay cost plus price for a request, and the request's net
-// value there. A level whose wait and service exceed the time left earns nothing. While prices and waits
-// make no difference, heavy queries take level 2 and light ones level 1.
+// leastCostLevel returns the level with the lowest sum of delay cost and price for a request, and the
+// request's net value there. A level where wait and service time exceed the time left also costs the
+// request's weight. If all levels cost the same, heavy queries get level 2 and light queries level 1.
 func (g *Gateway) leastCostLevel(q *request) (level int, net float64) {
 	c, lowest := q.class, math.Inf(1)
 	scale, preferred := q.work/c.typicalWork(), 1
@@ -67,11 +68,11 @@
 	return level, q.weight - lowest
 }
 
-// updatePrices recomputes the prices from what was admitted in an interval of so many seconds and how
-// long it waited (the paper's equations 6 and 7).
+// updatePrices recomputes the prices from the requests admitted in the last interval, in seconds, and from
+// their waits (the paper's equations 6 and 7).
 func (g *Gateway) updatePrices(interval float64) {
 	cores := g.coreShare()
-	var delayCosts [priorityLevels]float64 // of all classes that wait at a level, in weight a second
+	var delayCosts [priorityLevels]float64 // of all requests that wait at a level, summed over the classes
 	for i := range g.classes {
 		c := &g.classes[i]
 		c.updateRates(interval)
@@ -88,9 +89,10 @@
 	}
 }
 
-// toll is the delay that one more query at a level lays on all who wait there or below, times their delay
-// costs (the paper's equation 6): the sum over those levels h of work · delay costs / (1-u), where work is
-// in seconds of our share of the cores and u the utilization by levels down to h.
+// toll returns the cost of the delay that one more query at a level causes to all requests that wait there
+// or at a lower priority (the paper's equation 6): the sum over these levels h of work · delayCosts[h] /
+// (1-u). The work is in seconds on this gateway's share of the cores, and u is the utilization of that share
+// by the levels from 0 to h.
 func (g *Gateway) toll(level int, work, cores float64, delayCosts *[priorityLevels]float64) float64 {
 	var toll, threads float64
 	for h := range priorityLevels {
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -2,51 +2,51 @@
 
 import "math"
 
-// ledger holds the requests that are open, or have attempts that are.
+// ledger holds the requests that are open or have an open attempt.
 type ledger struct {
-	requests map[string]*request // by ID; looked up only, never ranged over
-	active   []*request          // in the order received
+	requests map[string]*request // by ID; never iterated, since the order of a map is random
+	active   []*request          // open requests in the order received; ended ones stay until maintenance
 }
 
-// request is one request that is open here, or has attempts that are.
+// request is a request that is open at this gateway or has an open attempt.
 type request struct {
 	Request
 	class        *class
 	receivedAt   Micros
-	objectiveAt  Micros  // an answer until then has the full weight
+	objectiveAt  Micros  // end of its latency objective: an answer until then has the full weight
 	work         float64 // estimated work, seconds
-	weight       float64 // value of an answer within the objective
-	level        int     // priority level, 0 to priorityLevels-1
+	weight       float64 // priority weight: value of an answer within the objective
+	level        int     // priority level, 0 (served first) to priorityLevels-1
 	attempts     []*attempt
 	openAttempts int
-	firstRan     *attempt // first attempt that may have run
-	done         bool     // the final answer was given, or the client is gone
-	queued       bool
-	streamed     bool // its answer has begun
-	admitted     bool
-	candidates   []*endpoint // drawn for it; health checks of them decide
-	restarting   bool        // an attempt was cancelled to be sent again
-	observedTime float64     // seconds that a cancelled attempt showed it to take
+	firstRan     *attempt    // first attempt that may have run
+	done         bool        // the final answer was given, or the client is gone
+	queued       bool        // in the admission queue
+	streamed     bool        // its answer has begun
+	admitted     bool        // admit has decided to serve it
+	candidates   []*endpoint // drawn for it; their health checks decide between them
+	restarting   bool        // an overdue attempt was cancelled to be sent again
+	observedTime float64     // seconds it is expected to take at least, by an attempt that was cancelled
 }
 
-// class is what was learned of one class.
+// class holds the settings of one class and the estimates learned of it.
 type class struct {
 	Class
 	levelPrices
-	threads         float64       // of one query
-	received        float64       // requests
+	threads         float64       // threads of one query, at least 1
+	received        float64       // number of requests received
 	meanWork        runningMean   // estimated work, seconds
-	usualWork       runningMean   // the same without shrinking by the fit, rather too high than too low
+	usualWork       runningMean   // the same, never below the estimate that the fit has not shrunk
 	estimateMedian  runningMedian // of log(estimate)
-	workFit         powerFit      // uncontended work over the estimate
+	workFit         powerFit      // fit of work without contention to estimated cost
 	latencyRatio    runningMedian // of log(latency · threads ÷ estimated work)
 	dispersion      float64       // mean distance of that log from its median
-	dispersionCount float64
+	dispersionCount float64       // number of values in dispersion
 	memoryMedian    runningMedian // of log(memory estimate)
-	grantMargin     float64       // log of grant over fitted memory estimate
+	grantMargin     float64       // log(memory grant ÷ fitted memory estimate)
 }
 
-// register puts a request into the ledger and counts it.
+// register adds a request to the ledger and counts it in the traffic and the retry budget.
 func (g *Gateway) register(r Request, c *class) *request {
 	q := &request{Request: r, class: c, receivedAt: g.now}
 	g.ledger.requests[r.ID] = q
@@ -59,8 +59,8 @@
 	return q
 }
 
-// endRequest closes a request and cancels its attempts in flight. It stays in the ledger until they have
-// ended.
+// endRequest closes a request and cancels its attempts in flight. The request stays in the ledger until
+// these have ended.
 func (g *Gateway) endRequest(q *request) {
 	q.done = true
 	g.queue.remove(q)
@@ -73,10 +73,10 @@
 	}
 }
 
-// ended says that nothing of a request is open any more.
+// ended reports whether a request is closed and has no open attempt.
 func (q *request) ended() bool { return q.done && q.openAttempts == 0 }
 
-// unanswered is how many requests are owed a final answer.
+// unanswered returns the number of requests without a final answer.
 func (l *ledger) unanswered() (n int) {
 	for _, q := range l.active {
 		if !q.done {
@@ -86,27 +86,29 @@
 	return n
 }
 
-// estimateWork sets the work of a request from its estimated cost, and learns from that.
+// estimateWork sets the work of a request from its estimated cost, and adds the request's estimates to
+// those of its class.
 func (c *class) estimateWork(q *request) {
 	estimate := seconds(q.Cost)
 	if q.Cost > 0 {
 		c.estimateMedian.add(math.Log(estimate), medianStep)
 	}
 	q.work = c.workFit.predict(estimate, c.estimateMedian.value, initialSlope, 0)
-	if q.Cost <= 0 { // a missing estimate is never zero work
+	if q.Cost <= 0 { // a missing estimate does not mean zero work
 		q.work = c.typicalWork()
 	}
 	if q.MemoryMB > 0 {
 		c.memoryMedian.add(math.Log(q.MemoryMB), medianStep)
 	}
 	c.meanWork.add(q.work, meanSmoothing)
-	// For slow start: the fit's shrunk estimates lie nearer the class's middle.
+	// Slow start needs the estimate that is not shrunk: the fit moves heavy queries towards the class's
+	// median, and an endpoint that has just started would get too much work.
 	unshrunk := c.workFit.predict(estimate, c.estimateMedian.value, 1, 1)
 	c.usualWork.add(max(q.work, unshrunk), meanSmoothing)
 }
 
-// typicalWork is the class's mean estimated work in seconds, or a quarter of what its latency objective
-// allows.
+// typicalWork returns the class's mean estimated work in seconds. Before the first request it is a quarter
+// of the work that fits in the latency objective.
 func (c *class) typicalWork() float64 {
 	if c.meanWork.value > 0 {
 		return c.meanWork.value
@@ -114,14 +116,14 @@
 	return max(float64(c.LatencyObjective), 1) / microsPerSecond / 4 * c.threads
 }
 
-// serviceTime is the expected seconds of a query of so much work on its threads, at the class's usual
-// latency inflation.
+// serviceTime returns the expected seconds that a query with this work, in seconds, runs on its threads, at
+// the class's median ratio of latency to estimate.
 func (c *class) serviceTime(work float64) float64 {
 	return work * math.Exp(c.latencyRatio.value) / c.threads
 }
 
-// recordDispersion learns from the log ratio x of an answer's time to its estimate: the median, and the
-// mean distance from it, each answer counting at most maxLogInflation.
+// recordDispersion updates the class's median log ratio of time to estimate, and the mean distance from that
+// median, with the log ratio x of one attempt. A single distance counts at most maxLogInflation.
 func (c *class) recordDispersion(x float64) {
 	c.latencyRatio.add(x, medianStep)
 	c.dispersionCount++
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// fieldCheck is one field of the settings and whether its value is unusable.
+// fieldCheck is the result of the validation of one field of the settings.
 type fieldCheck struct {
-	field string // stored key, with the index in lists
-	bad   bool
+	field   string // key of the stored form, with the index in a list
+	invalid bool
 }
 
-// validate names the first field that cannot be used.
+// validate returns an error that names the first invalid field, or nil.
 func (s *Settings) validate() error {
 	if len(s.Classes) == 0 {
-		return fmt.Errorf("policy: Classes: at least one is needed")
+		return fmt.Errorf("policy: Classes: at least one class is required")
 	}
-	checks := s.checks()
+	checks := s.scalarChecks()
 	for i, c := range s.Classes {
 		checks = append(checks, c.checks(fmt.Sprintf("Classes[%d].", i), len(s.Kinds))...)
 	}
@@ -24,15 +24,16 @@
 		checks = append(checks, fieldCheck{fmt.Sprintf("Tenants[%d].Allowance", i), !(t.Quota >= 0)})
 	}
 	for _, c := range checks {
-		if c.bad {
+		if c.invalid {
 			return fmt.Errorf("policy: %s: out of range", c.field)
 		}
 	}
 	return nil
 }
 
-// checks are those of the fields that are not lists. Float fields are compared so that NaN is bad.
-func (s *Settings) checks() []fieldCheck {
+// scalarChecks returns the checks of the fields that are not lists. Floats are compared so that NaN is
+// invalid.
+func (s *Settings) scalarChecks() []fieldCheck {
 	return []fieldCheck{
 		{"Peers", s.Peers < 0}, {"Me", s.PeerIndex < 0}, {"Zone", s.Zone < 0},
 		{"OverShareWorth", !(s.OverQuotaWeight >= 0)}, {"MaxAttempts", s.MaxAttempts < 0},
@@ -49,7 +50,8 @@
 	}
 }
 
-// checks are those of one class where there are so many kinds of machine; prefix leads its keys.
+// checks returns the checks of one class. The prefix precedes its field names; kinds is the number of
+// machine kinds, 0 if the settings have none.
 func (c *Class) checks(prefix string, kinds int) []fieldCheck {
 	checks := []fieldCheck{
 		{prefix + "Worth", !(c.PriorityWeight >= 0)}, {prefix + "LateWorth", !(c.LateWeight >= 0)},
