--- a/policy/admission_queue_test.go
+++ b/policy/admission_queue_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Clients have few connections: a queued query keeps another one out. With MaxInFlight nearly reached, one that earns
-// little for its time is shed at once with a Retry-After; otherwise it stays queued.
-func TestFullAdmissionQueueHasAPrice(t *testing.T) {
+// Clients have few connections, so a queued query keeps other queries out. Near MaxInFlight a queued query
+// that earns little for its time is shed with a Retry-After; far from it the query stays queued.
+func TestNearlyFullQueueShedsLowValueRequests(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		limit int
@@ -16,7 +16,7 @@
 		s := loadSettings()
 		s.MaxInFlight = c.limit
 		b := newHarness(t, s, 1)
-		for range 200 { // served queries earn 1 in a tenth of a second
+		for range 200 { // each answered query earns a weight of 1 in 0.1 s
 			b.now += 100000
 			for _, s := range actionsOf[Send](b.step(b.request(0))) {
 				b.now += 100000
@@ -24,7 +24,7 @@
 			}
 		}
 		var loads []string
-		for range 38 { // one load runs, the others wait for its group
+		for range 38 { // one load runs, the others wait for the lock of its table group
 			q := b.request(2)
 			loads = append(loads, q.ID)
 			b.step(q)
@@ -35,14 +35,14 @@
 		}
 		for _, r := range shed {
 			if r.RetryAfter <= 0 {
-				t.Errorf("%s: no Retry-After", c.name)
+				t.Errorf("%s: %s was shed without a Retry-After", c.name, r.ID)
 			}
 		}
 	}
 }
 
-// A queue for one endpoint blocks no other requests of its class.
-func TestStickyQueueBlocksNoOthers(t *testing.T) {
+// Requests that wait for the endpoint they are sticky to must not block other requests of their class.
+func TestQueuedStickyRequestsBlockNoOthers(t *testing.T) {
 	b := newHarness(t, testSettings(), 2)
 	for i := range 400 { // far more than the capacity of e0
 		q := b.request(0)
@@ -60,6 +60,6 @@
 		}
 	}
 	if sent < 18 {
-		t.Errorf("%d of 20 requests that are not sticky were sent past the queue", sent)
+		t.Errorf("%d of 20 requests that are not sticky were sent, want at least 18", sent)
 	}
 }
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -2,28 +2,28 @@
 
 import "testing"
 
-func TestAdmissionByHand(t *testing.T) {
+func TestLeastCostLevelMatchesManualCalculation(t *testing.T) {
 	b := newHarness(t, testSettings(), 2)
 	g := b.g
 	c := &g.classes[1] // weight 10 over 15 s, 4 threads
 	c.meanWork.value = 3
 	c.queueWait = [priorityLevels]float64{1, 0.2, 2, 4}
 	c.price = [priorityLevels]float64{5, 4, 1, 0.5}
-	q := &request{class: c, work: 6, weight: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean cost
+	q := &request{class: c, work: 6, weight: 10, Request: Request{Deadline: b.now + 15*sec}} // 1.5 s on its threads, twice the mean work
 	level, net := g.leastCostLevel(q)
 	delta := 10.0 / 15
 	if level != 2 {
 		t.Fatalf("level %d, want 2", level)
 	}
-	requireNear(t, "net worth", net, 10-delta*(2+1.5)-2*1)
+	requireNear(t, "net value", net, 10-delta*(2+1.5)-2*1)
 }
 
-// Free cores admit what the prices would shed, while our share of the cores is
-// not in use, and not beyond.
-func TestFreeCorePass(t *testing.T) {
+// A request that its price would shed is admitted while this gateway's share of the cores has room for it
+// or the endpoint is idle, unless it would end after its deadline.
+func TestFreeCoresAdmitWhateverThePrice(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		own   float64 // own threads in flight; our share is 8
+		own   float64 // own threads in flight; this gateway's share is 8
 		util  float64 // utilization that the endpoint reports
 		class int
 		cost  Micros
@@ -53,23 +53,23 @@
 	}
 }
 
-// A request that cannot be served within its deadline is shed at once.
+// A request whose service time exceeds its deadline is shed at once.
 func TestUnservableRequestIsShedAtOnce(t *testing.T) {
 	b := newHarness(t, testSettings(), 1)
 	q := b.request(0)
 	q.Cost = 3600 * sec
 	acts := b.step(q)
 	if len(actionsOf[Shed](acts)) != 1 {
-		t.Fatalf("want a Shed at once, got %v", acts)
+		t.Fatalf("want one Shed in the step that received the request, got %v", acts)
 	}
 }
 
-// A request priced out is shed at once, with a Retry-After where clients honor one.
+// A request whose price exceeds its weight is shed at once, with a Retry-After if clients honor one.
 func TestShedAtOnceWithRetryAfter(t *testing.T) {
 	for _, limit := range []Micros{0, sec} {
 		b := newSparseHarness(t, 2, func(s *Settings) { s.MaxRetryAfter = limit })
 		for i := range b.g.classes[0].price {
-			b.g.classes[0].price[i] = 100 // no weight covers that
+			b.g.classes[0].price[i] = 100 // above the weight of any request
 		}
 		b.g.queries.work.value, b.g.fleet.threadsPerCore, b.g.fleet.everReported = 0.1, 9, true
 		for _, e := range b.g.endpoints.list {
@@ -78,7 +78,7 @@
 		b.g.threads[0] = 50
 		r := actionsOf[Shed](b.step(b.request(0)))
 		if len(r) != 1 || (r[0].RetryAfter > 0) != (limit > 0) || r[0].RetryAfter > limit {
-			t.Errorf("limit %v: shed %v", limit, r)
+			t.Errorf("MaxRetryAfter %v: shed %v", limit, r)
 		}
 	}
 }
--- a/policy/gateway_test.go
+++ b/policy/gateway_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-func TestAnswersOnce(t *testing.T) {
+func TestNoSendOrAnswerAfterTheFinalAnswer(t *testing.T) {
 	b := newHarness(t, testSettings(), 4)
 	q := b.request(0)
 	acts := b.step(q)
 	sends := actionsOf[Send](acts)
 	if len(sends) != 1 || sends[0].ID != q.ID {
-		t.Fatalf("want one send of %s, got %v", q.ID, acts)
+		t.Fatalf("want one Send for %s, got %v", q.ID, acts)
 	}
 	b.now += 100000
 	b.step(AttemptResult{ID: q.ID, Endpoint: sends[0].Endpoint, Code: OK, Final: true, Latency: 100000})
 	rest := b.runUntil(b.now + 5*sec)
 	if n := len(actionsOf[Send](rest)) + len(actionsOf[Fail](rest)) + len(actionsOf[Shed](rest)); n != 0 {
-		t.Fatalf("%d actions after the final answer", n)
+		t.Fatalf("%d Send, Fail or Shed actions after the final answer", n)
 	}
 }
 
+// The actions of a gateway depend on its own events alone: gateways in the same process share no state.
 func TestSameEventsSameActions(t *testing.T) {
 	run := func(between func(*harness)) (all []Action) {
 		b := newHarness(t, testSettings(), 5)
@@ -44,19 +45,19 @@
 	alone := run(nil)
 	mixed := run(func(o *harness) { o.step(o.request(1)) })
 	if !reflect.DeepEqual(alone, mixed) {
-		t.Fatal("a gateway acts differently next to others")
+		t.Fatal("a gateway's actions depend on other gateways in the process")
 	}
 }
 
-// Hundreds of gateways interleaved: same events, same actions.
+// The events of 200 gateways are interleaved. Two runs with equal events give equal actions.
 func TestManyGatewaysAreDeterministic(t *testing.T) {
-	play := func() []Action {
+	simulate := func() []Action {
 		c := newSimulation(t, 200, 12, nil, nil)
 		c.run(sec, sec/2)
 		return c.acts
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
-		t.Fatal("two runs differ")
+	if a, b := simulate(), simulate(); !reflect.DeepEqual(a, b) {
+		t.Fatal("the actions of two runs differ")
 	}
 }
 
@@ -72,15 +73,16 @@
 		GossipReceived{From: 1, Data: nil}, GossipReceived{From: 1, Data: []byte{0, 1, 3}}, GossipReceived{From: 1, Data: []byte{200, 1}},
 		Request{ID: "odd", Class: 9, Deadline: b.now + sec}, EndpointUpdate{Failed: true})
 	if len(actionsOf[Send](acts)) != 0 {
-		t.Fatalf("unknown events led to %v", acts)
+		t.Fatalf("events of unknown objects led to sends: %v", acts)
 	}
-	bare := b.request(0)
-	bare.Cost, bare.MemoryMB, bare.Tenant = 0, 0, 0
-	if len(actionsOf[Send](b.step(bare))) != 1 || b.g.ledger.requests[bare.ID].work <= 0 {
-		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.ledger.requests[bare.ID].work))
+	noCost := b.request(0)
+	noCost.Cost, noCost.MemoryMB, noCost.Tenant = 0, 0, 0
+	if len(actionsOf[Send](b.step(noCost))) != 1 || b.g.ledger.requests[noCost.ID].work <= 0 {
+		t.Fatal(fmt.Sprint("a missing estimate must not count as zero work: ", b.g.ledger.requests[noCost.ID].work))
 	}
 }
 
+// Step must not panic, whatever the order of the events and their IDs.
 func FuzzStep(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
 	f.Add([]byte{1, 1, 1, 2, 0, 2, 8, 2, 16, 3, 3, 4, 5, 9, 17, 25})
@@ -114,7 +116,8 @@
 	})
 }
 
-// The cost of a request against the number of endpoints and of gateways.
+// BenchmarkStep measures the time for one request and one gossip message, by the number of gateways and
+// endpoints.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range [][2]int{{3, 8}, {100, 8}, {300, 8}, {3, 40}, {300, 40}} {
 		b.Run(fmt.Sprintf("gateways=%d/endpoints=%d", size[0], size[1]), func(b *testing.B) {
@@ -125,14 +128,14 @@
 				b.Fatal(err)
 			}
 			var rows []Endpoint
-			var news []gossipRow
+			var gossip []gossipRow
 			for i := range size[1] {
 				rows = append(rows, Endpoint{ID: fmt.Sprintf("e%02d", i)})
-				news = append(news, gossipRow{wireID: wireID(rows[i].ID), utilization: 0.5, inFlight: 4, memory: -1, threads: 1})
+				gossip = append(gossip, gossipRow{wireID: wireID(rows[i].ID), utilization: 0.5, inFlight: 4, memory: -1, threads: 1})
 			}
 			now := 100 * sec
 			g.Step(now, []Event{EndpointUpdate{Complete: true, Endpoints: rows}})
-			data := encodeGossip([]float64{1}, news)
+			data := encodeGossip([]float64{1}, gossip)
 			for i := 0; b.Loop(); i++ {
 				now += 20000
 				id := fmt.Sprint(i)
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -8,7 +8,7 @@
 
 const sec = Micros(1e6)
 
-// testSettings is a plain site of two classes and two gateways.
+// testSettings returns the settings of one of two gateways, with two classes and one kind of machine.
 func testSettings() Settings {
 	return Settings{Peers: 2, OverQuotaWeight: 0.1, MaxAttempts: 3, MaxRetryAfter: 2 * sec, CanCancel: true,
 		AllowHedging: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
@@ -20,15 +20,16 @@
 		}}
 }
 
-// harness drives a gateway through its public interface.
+// harness drives one gateway by events and holds its clock.
 type harness struct {
 	t   *testing.T
 	g   *Gateway
 	now Micros
-	ids int
+	ids int // requests created so far
 }
 
-// newHarness is a gateway that has so many endpoints of one kind in its list.
+// newHarness returns a harness whose gateway has the given number of endpoints of one kind in its list,
+// two in each placement group.
 func newHarness(t *testing.T, s Settings, endpoints int) *harness {
 	t.Helper()
 	g, err := New(7, s)
@@ -44,8 +45,10 @@
 	return b
 }
 
+// step passes the events to the gateway at the current time.
 func (b *harness) step(events ...Event) []Action { return b.g.Step(b.now, events) }
 
+// request returns a new request of a class; its cost is 0.1 s in class 0 and 3 s in class 1.
 func (b *harness) request(class int) Request {
 	b.ids++
 	c := b.g.settings.Classes[class]
@@ -53,7 +56,7 @@
 		Deadline: b.now + c.Deadline}
 }
 
-// runUntil steps each 10 ms until end and returns all actions.
+// runUntil steps every 10 ms until end, without events, and returns all actions.
 func (b *harness) runUntil(end Micros) (all []Action) {
 	for b.now < end {
 		b.now += 10000
@@ -62,7 +65,7 @@
 	return all
 }
 
-// actionsOf are the actions of one type, in order.
+// actionsOf returns the actions of type T, in order.
 func actionsOf[T Action](acts []Action) (out []T) {
 	for _, a := range acts {
 		if t, ok := a.(T); ok {
@@ -72,7 +75,7 @@
 	return out
 }
 
-// finalAnswers counts the final answers that the gateway gave to a request.
+// finalAnswers counts the final answers (Shed or Fail) that the gateway gave to a request.
 func finalAnswers(acts []Action, id string) (n int) {
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -89,7 +92,8 @@
 	return n
 }
 
-// newSparseHarness is one gateway of fifty that do not gossip, and its endpoints.
+// newSparseHarness returns a harness for one of fifty gateways that do not gossip, so that it sees little of
+// the traffic. The settings pass through edit, which may be nil.
 func newSparseHarness(t *testing.T, endpoints int, edit func(*Settings)) *harness {
 	t.Helper()
 	s := testSettings()
@@ -100,7 +104,7 @@
 	return newHarness(t, s, endpoints)
 }
 
-// requireNear fails the test where a value is off by more than rounding.
+// requireNear fails the test if got differs from want by more than a rounding error.
 func requireNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9*max(1, math.Abs(want)) {
--- a/policy/pricing_test.go
+++ b/policy/pricing_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Hand-worked: one class of mean work 2 s and weight 10 over 15 s, 3 admitted a
-// second at level 1 in the last interval, waits of 0.5 s there and 2 s at level
-// 3, 4 own threads in flight at level 1, 16 cores shared by two gateways.
-func TestPricesByHand(t *testing.T) {
+// The expected prices are calculated by hand: one class of mean work 2 s and weight 10 over 15 s, 3 requests
+// a second admitted at level 1 in the last interval, waits of 0.5 s at level 1 and 2 s at level 3, 4 own
+// threads in flight at level 1, 16 cores shared by two gateways.
+func TestPricesMatchManualCalculation(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[1:]
 	b := newHarness(t, s, 2)
@@ -18,17 +18,17 @@
 	g.schedule.pricedAt = b.now - sec
 	g.now = b.now
 	g.updateEstimates()
-	rate := 3 * rateSmoothing // smoothed from zero
+	rate := 3 * rateSmoothing // the smoothed rate starts at zero
 	delta := 10.0 / 15
-	// At level 1 and below only class 0's wait at level 1 carries a rate; u = 4 of 8 cores.
+	// Only level 1 has an admission rate, so only the wait there counts; u is 4 of 8 cores.
 	r := 2.0 / 8 * delta * rate * 0.5 / (1 - 0.5)
 	requireNear(t, "price at level 1", c.price[1], 0.1*r)
 	requireNear(t, "price at level 0, which delays level 1 as well", c.price[0], 0.1*r)
-	requireNear(t, "price at level 2: nothing admitted at or below", c.price[2], 0)
-	requireNear(t, "rate", c.admittedRate[1], rate)
+	requireNear(t, "price at level 2, with no admissions at levels 2 and 3", c.price[2], 0)
+	requireNear(t, "admission rate at level 1", c.admittedRate[1], rate)
 	g.now += sec
 	g.updateEstimates()
-	requireNear(t, "a wait without fresh outcomes halves", c.queueWait[1], 0.25)
+	requireNear(t, "wait after an interval without answers", c.queueWait[1], 0.25)
 }
 
 func TestUtilizationInPricesIsCapped(t *testing.T) {
@@ -41,11 +41,11 @@
 	g.threads[0] = 80
 	g.schedule.pricedAt, g.now = b.now-sec, b.now
 	g.updateEstimates()
-	requireNear(t, "price at u = 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
+	requireNear(t, "price with u limited to 0.9", c.price[0], 0.1*2/8*(10.0/15)*(3*rateSmoothing)*0.5/(1-0.9))
 }
 
-// Clients that leave less time than the level of least cost takes get a level that is in time.
-func TestLittleTimeLeftTakesAFasterLevel(t *testing.T) {
+// A request whose deadline is too early for the level of lowest cost gets a level that is in time.
+func TestEarlyDeadlineSelectsAFasterLevel(t *testing.T) {
 	b := newHarness(t, testSettings(), 2)
 	c := &b.g.classes[0]
 	c.meanWork.value, c.queueWait, c.price = 0.1, [priorityLevels]float64{0, 0, 3, 3}, [priorityLevels]float64{0.9, 0.9, 0, 0}
@@ -55,7 +55,7 @@
 	}{{4 * sec, 2}, {sec, 1}} {
 		q := &request{class: c, work: 0.1, weight: 1, Request: Request{Deadline: b.now + tt.left}}
 		if level, _ := b.g.leastCostLevel(q); level > tt.want || tt.want == 2 && level != 2 {
-			t.Errorf("level %d with %d left", level, tt.left)
+			t.Errorf("level %d with %d µs left, want %d", level, tt.left, tt.want)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -2,12 +2,13 @@
 
 import "testing"
 
-func TestRuleOneAnswerBeforeTheDeadline(t *testing.T) {
+// Without any result of an attempt, the gateway itself must answer a request before its deadline, once only.
+func TestOneFinalAnswerBeforeTheDeadline(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		endpoints int
 		cancel    bool
-		closes    bool // the attempt's end comes after the answer
+		lateEnd   bool // the result of the attempt comes after the final answer
 	}{
 		{"no endpoint at all", 0, true, false},
 		{"an endpoint that never answers", 1, true, true},
@@ -23,7 +24,7 @@
 			if n := finalAnswers(acts, q.ID); n != 1 {
 				t.Fatalf("%d final answers before the deadline", n)
 			}
-			if tt.closes {
+			if tt.lateEnd {
 				for i := range actionsOf[Send](acts) {
 					acts = append(acts, b.step(AttemptResult{ID: q.ID, Endpoint: "e0", Attempt: i, Code: Cancelled, Final: true})...)
 				}
@@ -31,22 +32,24 @@
 			sent := len(actionsOf[Send](acts))
 			acts = append(acts, b.runUntil(q.Deadline+5*sec)...)
 			if n := finalAnswers(acts, q.ID); n != 1 || len(actionsOf[Send](acts)) != sent {
-				t.Fatalf("%d final answers, %d sends after the end", n, len(actionsOf[Send](acts))-sent)
+				t.Fatalf("%d final answers, %d sends after the deadline", n, len(actionsOf[Send](acts))-sent)
 			}
 		})
 	}
 }
 
-func TestRuleTwoNoEffectTwice(t *testing.T) {
+// A request is retried only where a second execution does no harm: after a broken connection the first
+// attempt may have run.
+func TestNoEffectTwice(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		effect Effect
-		group  DedupScope
+		scope  DedupScope
 		code   Code
-		wait   Micros // before the result
+		wait   Micros // from the first send to its result
 		again  int    // retries wanted
 		sheds  bool   // Shed is allowed
-		stays  bool   // retries stay in the first one's placement group
+		stays  bool   // retries must stay in the placement group of the first attempt
 	}{
 		{"not idempotent, never ran", NonIdempotent, DedupFleet, ConnectionRefused, 1000, 1, true, false},
 		{"not idempotent, may have run", NonIdempotent, DedupFleet, ConnectionReset, 1000, 0, false, false},
@@ -57,20 +60,21 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			s := testSettings()
-			s.Classes[0].Effect, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = tt.effect, tt.group, sec
+			s.Classes[0].Effect, s.Classes[0].DedupScope, s.Classes[0].DedupWindow = tt.effect, tt.scope, sec
 			s.Classes[0].LatencyObjective = 3 * sec
 			s.CanCancel, s.AllowHedging = false, false
 			b := newHarness(t, s, 6)
 			for range 12 {
 				b.now += 5 * sec
-				playTwo(t, b, tt.code, tt.wait, tt.again, tt.sheds, tt.stays)
+				retryAfterFirstAttempt(t, b, tt.code, tt.wait, tt.again, tt.sheds, tt.stays)
 			}
 		})
 	}
 }
 
-// playTwo plays one request whose first attempt ends with a code.
-func playTwo(t *testing.T, b *harness, code Code, wait Micros, wanted int, mayShed, stays bool) {
+// retryAfterFirstAttempt sends one request, ends its first attempt with the code after wait, and checks the
+// number of retries, their endpoints and limits, and whether the request is shed in the end.
+func retryAfterFirstAttempt(t *testing.T, b *harness, code Code, wait Micros, wanted int, mayShed, stays bool) {
 	t.Helper()
 	q := b.request(0)
 	first := actionsOf[Send](b.step(q))[0]
@@ -83,36 +87,39 @@
 	}
 	for _, a := range again {
 		if until := a.StartBefore; stays && until != b.g.ledger.requests[q.ID].firstRan.sentAt+b.g.classes[0].DedupWindow || !stays && until != 0 && b.g.classes[0].Effect != IdempotentByKey {
-			t.Fatalf("another attempt may begin until %d", until)
+			t.Fatalf("StartBefore of the retry is %d", until)
 		}
 		if stays && b.g.endpoints.byID[a.Endpoint].PlacementGroup != b.g.endpoints.byID[first.Endpoint].PlacementGroup {
-			t.Fatalf("sent to another placement group: %v after %v", a, first)
+			t.Fatalf("retry outside the placement group of the first attempt: %v after %v", a, first)
 		}
 	}
 	acts = append(acts, b.runUntil(q.Deadline)...)
 	if r := actionsOf[Shed](acts); len(r) > 0 && !mayShed {
-		t.Fatalf("shed although it may have run: %v", r)
+		t.Fatalf("request shed although its first attempt may have run: %v", r)
 	}
-	for i := range again { // so that no endpoint stays ejected
+	for i := range again { // ends the retries, so that no endpoint stays ejected as unresponsive
 		b.step(AttemptResult{ID: q.ID, Attempt: 1 + i, Endpoint: again[i].Endpoint, Final: true, Latency: 100000})
 	}
-	for _, e := range b.g.endpoints.list {
+	for _, e := range b.g.endpoints.list { // the next request must find all endpoints healthy
 		e.faultShare, e.ejected, e.slowStartSince = 0, false, 0
 	}
 }
 
-func TestRuleTwoNeverTwoAtOnce(t *testing.T) {
+// Without hedging and without cancel, a request has one attempt in flight at most.
+func TestOneAttemptInFlightWithoutHedging(t *testing.T) {
 	s := testSettings()
 	s.AllowHedging, s.CanCancel = false, false
 	b := newHarness(t, s, 4)
 	q := b.request(1)
 	acts := append(b.step(q), b.runUntil(q.Deadline+sec)...)
 	if n := len(actionsOf[Send](acts)); n != 1 {
-		t.Fatalf("%d attempts in flight at once", n)
+		t.Fatalf("%d attempts in flight at the same time, want 1", n)
 	}
 }
 
-func TestRuleThreeDrainsAreKept(t *testing.T) {
+// An endpoint that is draining, removed or missing from a complete list gets no request that is
+// not sticky to it.
+func TestNoSendsToDrainingOrRemovedEndpoints(t *testing.T) {
 	for _, state := range []EndpointState{Draining, Removed} {
 		b := newHarness(t, testSettings(), 2)
 		b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: "e0", State: state}}})
@@ -137,7 +144,8 @@
 	}
 }
 
-func TestRuleFourSlowStartKeepsOurShare(t *testing.T) {
+// The work sent to a starting endpoint must stay below this gateway's share of the load at which it fails.
+func TestSlowStartStaysWithinOwnShare(t *testing.T) {
 	s := testSettings()
 	b := newHarness(t, s, 0)
 	b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "cold", Started: b.now}}})
@@ -151,11 +159,13 @@
 	}
 	budget := s.OverloadMultiple * s.SlowStartFloor * 0.85 * 8 * 2 / 2 // multiple × capacity × duration, for one of two gateways
 	if work == 0 || work > budget {
-		t.Fatalf("sent %.1f s of work to a starting endpoint, our share is %.1f s", work, budget)
+		t.Fatalf("sent %.1f s of work to a starting endpoint, want more than 0 and at most %.1f s", work, budget)
 	}
 }
 
-func TestRuleFiveOrderOfAKey(t *testing.T) {
+// Requests of one order key run one at a time and in order. After a broken connection the first attempt may
+// still run, so the key pauses for OrderingGap.
+func TestOrderKeyKeepsOrderAndPauses(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Ordered, s.OrderingGap = true, sec/2
 	b := newHarness(t, s, 4)
@@ -163,7 +173,7 @@
 	first.OrderKey, first.HasOrderKey, second.OrderKey, second.HasOrderKey = 5, true, 5, true
 	sends := actionsOf[Send](b.step(first, second))
 	if len(sends) != 1 || sends[0].ID != first.ID {
-		t.Fatalf("want the first request alone, got %v", sends)
+		t.Fatalf("want one Send, for the first request, got %v", sends)
 	}
 	b.now += 100000
 	acts := b.step(AttemptResult{ID: first.ID, Endpoint: sends[0].Endpoint, Code: ConnectionReset, Final: true})
@@ -177,11 +187,13 @@
 	b.step(third)
 	later := actionsOf[Send](b.runUntil(b.now + sec/10))
 	if len(later) != 1 || later[0].ID != second.ID {
-		t.Fatalf("want the second request after the pause, got %v", later)
+		t.Fatalf("want one Send after the pause, for the second request, got %v", later)
 	}
 }
 
-func TestRuleSixPlacement(t *testing.T) {
+// Classes run only in their zones and on their kinds of machine, also when they are retried or their zone
+// drains.
+func TestPlacementByZoneAndKind(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Zones = []int{1}
 	s.Kinds = append(s.Kinds, Kind{Cores: 8})
@@ -193,7 +205,7 @@
 		b.now += 50000
 		for _, a := range actionsOf[Send](b.step(b.request(i % 2))) {
 			if (a.ID != "" && a.Endpoint != want[0] && a.Endpoint != want[1]) || b.g.ledger.requests[a.ID].Class != index(want, a.Endpoint) {
-				t.Fatalf("%v breaks placement", a)
+				t.Fatalf("%v is outside the zones or kinds of its class", a)
 			}
 			code := OK
 			if i%3 == 0 {
@@ -207,14 +219,15 @@
 	acts := append(b.step(q), b.runUntil(q.Deadline)...)
 	for _, a := range actionsOf[Send](acts) {
 		if a.ID == q.ID {
-			t.Fatalf("sent outside its zone when that drains: %v", a)
+			t.Fatalf("sent outside its zone while the zone drains: %v", a)
 		}
 	}
 	if finalAnswers(acts, q.ID) != 1 {
-		t.Fatal("no final answer")
+		t.Fatal("want one final answer while the zone drains")
 	}
 }
 
+// index returns the position of v in s, or -1.
 func index(s []string, v string) int {
 	for i := range s {
 		if s[i] == v {
@@ -224,7 +237,8 @@
 	return -1
 }
 
-func TestRuleSevenRetryBudget(t *testing.T) {
+// Retries stay within RetryBudgetFloor plus RetryBudgetRatio times the requests received in the window.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	s := testSettings()
 	s.RetryBudgetFloor, s.RetryBudgetRatio, s.RetryBudgetWindow = 3, 0.1, 5*sec
 	b := newHarness(t, s, 8)
@@ -232,8 +246,8 @@
 	for range 40 {
 		b.now += 50000
 		for _, a := range actionsOf[Send](b.step(b.request(0))) {
-			for at := 0; at < 3; at++ { // every attempt fails at once
-				again := actionsOf[Send](b.step(AttemptResult{ID: a.ID, Attempt: at, Endpoint: a.Endpoint, Code: Failed}))
+			for attempt := 0; attempt < 3; attempt++ { // every attempt fails at once
+				again := actionsOf[Send](b.step(AttemptResult{ID: a.ID, Attempt: attempt, Endpoint: a.Endpoint, Code: Failed}))
 				if len(again) == 0 {
 					break
 				}
@@ -242,6 +256,6 @@
 		}
 	}
 	if limit := 3 + 4; retries == 0 || retries > limit {
-		t.Fatalf("%d retries, at most %d allowed", retries, limit)
+		t.Fatalf("%d retries, want at least 1 and at most %d", retries, limit)
 	}
 }
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-func TestNewNamesTheUnusableField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+func TestNewNamesTheInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":             func(s *Settings) { s.Classes = nil },
 		"Classes[1].Deadline": func(s *Settings) { s.Classes[1].Deadline = -1 },
 		"Classes[0].Worth":    func(s *Settings) { s.Classes[0].PriorityWeight = -1 },
@@ -12,9 +12,9 @@
 		"Kinds[0]":            func(s *Settings) { s.Kinds[0].Cores = -2 },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(1, s); err == nil || !contains(err.Error(), field) {
-			t.Errorf("%s: error %v does not name it", field, err)
+			t.Errorf("error %v does not name the field %s", err, field)
 		}
 	}
 }
