--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// Health checks are paid for by requests, so that their number is bounded by traffic.
+// Credit and timing of health checks. Requests earn the credit, so traffic bounds the number of checks.
 const (
-	healthChecksPerRequest = 0.6  // credit for each request at one thread a core; grows with its square
-	minHealthCheckShare    = 0.1  // minimum share of that: endpoints that are full must be found out
+	healthChecksPerRequest = 0.6  // credit of a request at one thread a core; below, times its square
+	minHealthCheckShare    = 0.1  // minimum share of that, so that full endpoints are found at low load too
 	maxHealthCheckCredit   = 6.0  // maximum credit saved, in health checks
-	lightHealthCheckCredit = 3.0  // credit from which a light query may use it: heavy ones gain more
+	lightHealthCheckCredit = 3.0  // minimum credit for a light query; heavy queries gain more from a check
 	healthCheckInterval    = 0.5  // seconds after which a load report is worth refreshing
-	healthCheckTimeout     = 0.05 // seconds for which a request waits for an answer
+	healthCheckTimeout     = 0.05 // seconds for which a request waits for the result of a health check
 )
 
-// healthCheckCredit is the number of health checks that own traffic has paid for.
+// healthCheckCredit is the number of health checks that the gateway's own traffic has paid for.
 type healthCheckCredit struct{ credit float64 }
 
-// earn takes the credit of one request, at so many threads a core.
+// earn adds the credit of one request; threadsPerCore is the load of the fleet.
 func (h *healthCheckCredit) earn(threadsPerCore float64) {
 	share := min(1, max(minHealthCheckShare, threadsPerCore*threadsPerCore))
 	h.credit = min(maxHealthCheckCredit, h.credit+healthChecksPerRequest*share)
 }
 
-// startHealthChecks checks the endpoints drawn for a request.
+// startHealthChecks makes endpoints the candidates of a request and checks those whose load is stale.
 func (g *Gateway) startHealthChecks(q *request, candidates ...*endpoint) {
 	q.candidates = candidates
 	for _, e := range candidates {
@@ -33,7 +33,8 @@
 	}
 }
 
-// mayCheckHealth says whether the candidates of a request are checked before the choice.
+// mayCheckHealth reports whether the request is to wait for health checks of the endpoint e and of a second
+// candidate before one of them is picked: before its first attempt, if e's load is stale and credit is left.
 func (g *Gateway) mayCheckHealth(q *request, e *endpoint) bool {
 	price := 1.0
 	if q.work < g.queries.work.value {
@@ -43,19 +44,22 @@
 		g.healthChecks.credit >= price && g.loadIsStale(e)
 }
 
-// loadIsStale says that an endpoint's load report is worth refreshing and no health check was sent lately.
+// loadIsStale reports whether an endpoint's last load report and last health check are both older than
+// healthCheckInterval.
 func (g *Gateway) loadIsStale(e *endpoint) bool {
 	return g.secondsSince(max(e.loadAt, e.healthCheckAt)) > healthCheckInterval
 }
 
-// awaitsHealthCheck says that a candidate of a request was checked and may still answer in time.
+// awaitsHealthCheck reports whether a health check of one of the request's candidates is pending and has
+// not timed out.
 func (g *Gateway) awaitsHealthCheck(q *request) bool {
 	return slices.ContainsFunc(q.candidates, func(e *endpoint) bool {
 		return e.healthCheckPending && g.secondsSince(e.healthCheckAt) < healthCheckTimeout
 	})
 }
 
-// handleHealthCheckResult takes the report of a health check; requests that waited for it are sent at once.
+// handleHealthCheckResult records the load report of a health check. Queued requests are tried in the same
+// step, since some may have waited for it.
 func (g *Gateway) handleHealthCheckResult(r HealthCheckResult) {
 	e := g.endpoints.byID[r.Endpoint]
 	if e == nil {
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -5,16 +5,18 @@
 	"slices"
 )
 
-// Routing: the weights of the random draw among endpoints that have capacity.
+// Weights of the random draw among the endpoints that have capacity for a request.
 const (
 	utilizationExponent = 2.0  // exponent of free utilization in the weight
-	minDrawShare        = 0.03 // minimum free utilization in the weight; factor of an endpoint tried before
-	localZoneWeight     = 4.0  // factor of endpoints in the gateway's own zone
+	minDrawShare        = 0.03 // minimum free utilization in the weight; factor for each attempt made there
+	localZoneWeight     = 4.0  // factor for endpoints in the gateway's own zone
 )
 
-// pickEndpoint draws an endpoint among those eligible that have capacity; nil if there is none. Where
-// endpoints answer health checks it draws twice, checks both while own traffic pays for that, and takes the
-// better one when the reports are in: otherwise a gateway with little traffic knows the load of none.
+// pickEndpoint draws an endpoint for a request among the eligible ones that have capacity. It returns nil
+// if there is none, if the request may not be sent now, or if the request waits for health checks. Where
+// endpoints answer health checks and the health check credit suffices, it draws two candidates, checks both
+// and picks the one of higher weight once the reports have arrived or timed out. Otherwise a gateway with
+// little traffic would know the load of no endpoint.
 func (g *Gateway) pickEndpoint(q *request) *endpoint {
 	if g.awaitsHealthCheck(q) || !g.mayStartAttempt(q) {
 		return nil
@@ -27,13 +29,13 @@
 			total += weights[i]
 		}
 	}
-	if total <= 0 { // an endpoint taken to be full may have capacity again
+	if total <= 0 { // an endpoint that was full at its last report may have capacity again
 		if e := g.anyEndpoint(); e != nil && g.isEligible(q, e) && g.mayCheckHealth(q, e) {
 			g.startHealthChecks(q, e)
 		}
 		return nil
 	}
-	if best := g.bestCandidate(weights, q.candidates); best != nil { // the reports are in, or late
+	if best := g.bestCandidate(weights, q.candidates); best != nil { // the reports have arrived or timed out
 		return best
 	}
 	e := g.drawEndpoint(weights, total)
@@ -44,7 +46,8 @@
 	return nil
 }
 
-// isEligible keeps the rules of placement, drains, protocol and deduplication scope.
+// isEligible reports whether a request may run on an endpoint at all: by sticky session, protocol, drain,
+// zone and machine kind, and by deduplication scope once an attempt may have run.
 func (g *Gateway) isEligible(q *request, e *endpoint) bool {
 	c := q.class
 	if q.StickyTo != "" && q.StickyTo != e.ID || q.Protocol&^e.Protocols != 0 ||
@@ -59,7 +62,7 @@
 	return c.DedupScope.contains(q.firstRan.endpoint, e)
 }
 
-// contains says whether two endpoints share the deduplication of idempotency keys.
+// contains reports whether two endpoints share the deduplication of idempotency keys.
 func (s DedupScope) contains(a, b *endpoint) bool {
 	switch s {
 	case DedupFleet:
@@ -71,8 +74,8 @@
 	}
 }
 
-// drawWeight is an endpoint's weight in the draw: free utilization, cores, speed, zone, cached tables, table
-// locks. An endpoint tried before is drawn only where there is hardly another.
+// drawWeight returns an endpoint's weight in the draw, by free utilization, cores, speed, zone, cached tables
+// and table locks. An endpoint that the request was sent to before is drawn only if there is hardly another.
 func (g *Gateway) drawWeight(q *request, e *endpoint) float64 {
 	free := max(minDrawShare, 1-g.utilization(e)/maxCapacity)
 	w := math.Pow(free, utilizationExponent) * e.cores * math.Pow(g.relativeSpeed(e), 2)
@@ -96,7 +99,7 @@
 	return w
 }
 
-// drawEndpoint draws an endpoint by weight; total is the sum of the weights.
+// drawEndpoint draws an endpoint at random in proportion to its weight; total is the sum of the weights.
 func (g *Gateway) drawEndpoint(weights []float64, total float64) *endpoint {
 	x, last := g.rng.Float64()*total, 0
 	for i, w := range weights {
@@ -110,7 +113,7 @@
 	return g.endpoints.list[last]
 }
 
-// bestCandidate is the candidate of highest weight; nil if none has any.
+// bestCandidate returns the candidate of highest weight, or nil if none has a positive weight.
 func (g *Gateway) bestCandidate(weights []float64, candidates []*endpoint) (best *endpoint) {
 	maxWeight := 0.0
 	for i, e := range g.endpoints.list {
@@ -121,7 +124,7 @@
 	return best
 }
 
-// anyEndpoint draws among all endpoints alike; nil if there is none.
+// anyEndpoint draws among all listed endpoints with equal probability; nil if there is none.
 func (g *Gateway) anyEndpoint() *endpoint {
 	if len(g.endpoints.list) == 0 {
 		return nil
--- a/policy/table_affinity.go
+++ b/policy/table_affinity.go
@@ -7,47 +7,50 @@
 	"slices"
 )
 
-// Table affinity: loads lock their table group on an endpoint; queries find a group read lately in its cache.
+// Table affinity. A load locks its table group on its endpoint, and an endpoint caches the table groups that
+// were read there last.
 const (
-	lockedTablesWeight = 0.1 // weight of endpoints where a load locks the group, for classes that wait
-	affinityShare      = 0.5 // share of the endpoints that take the loads of one group
+	lockedTablesWeight = 0.1 // factor for endpoints that may lock the group; squared where a load locks it
+	affinityShare      = 0.5 // share of the healthy endpoints, without ejected ones, for loads of a group
 	maxCachedGroups    = 4   // table groups assumed to be cached on an endpoint
-	cacheTolerance     = 0.1 // log time saved below which caching is taken for noise
-	cacheExponent      = 2.0 // exponent of the time saved by caching in the draw
+	cacheTolerance     = 0.1 // log of the time saved by caching up to which it counts as noise
+	cacheExponent      = 2.0 // exponent of the time saved by caching in the weight of the draw
 )
 
-// inAffinitySubset says whether an endpoint takes loads of a table group, the same at every gateway
-// (rendezvous hashing): loads of one group on all endpoints would leave none for the queries that wait for
-// them, and on a single endpoint they would block each other.
+// inAffinitySubset reports whether an endpoint runs the loads of a table group. Rendezvous hashing gives the
+// same subset at every gateway. Loads of one group on all endpoints would leave none for the queries that
+// wait for the lock, and on a single endpoint they would block each other.
 func (g *Gateway) inAffinitySubset(tables int64, e *endpoint) bool {
-	healthy, before := 0, 0
-	for _, o := range g.endpoints.list {
-		if o.State == Healthy && !o.ejected {
+	healthy, rank := 0, 0
+	for _, other := range g.endpoints.list {
+		if other.State == Healthy && !other.ejected {
 			healthy++
-			if o != e && affinityHash(tables, o) > affinityHash(tables, e) {
-				before++
+			if other != e && affinityHash(tables, other) > affinityHash(tables, e) {
+				rank++
 			}
 		}
 	}
-	return before < max(1, int(affinityShare*float64(healthy)))
+	return rank < max(1, int(affinityShare*float64(healthy)))
 }
 
-// affinityHash ranks the endpoints for a table group, the same at every gateway.
+// affinityHash returns the hash that ranks the endpoints for a table group; it is the same at every gateway.
 func affinityHash(tables int64, e *endpoint) uint64 {
 	h := fnv.New64a()
 	h.Write(binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint64(nil, uint64(tables)), e.wireID))
 	return h.Sum64()
 }
 
-// holdsOwnTableLock says that a load of this gateway locks a group on the endpoint, or waits for the lock.
+// holdsOwnTableLock reports whether a load sent by this gateway holds the lock of a table group on the
+// endpoint, or waits for it.
 func (e *endpoint) holdsOwnTableLock(tables int64) bool {
 	return slices.ContainsFunc(e.attempts, func(a *attempt) bool {
 		return a.request.class.LocksTables && a.request.TableGroup == tables
 	})
 }
 
-// tablesLocked says that a load locks a group on an endpoint: one of ours, or one known from a recent
-// progress report or gossip. It guards against blocked queries.
+// tablesLocked reports whether a load locks a table group on an endpoint: a load sent by this gateway, or
+// one seen within gossipLifetime in a progress report or in gossip. Queries that need the group would block
+// there.
 func (g *Gateway) tablesLocked(e *endpoint, tables int64) bool {
 	if e.holdsOwnTableLock(tables) {
 		return true
@@ -56,7 +59,8 @@
 	return at > 0 && g.secondsSince(at) < gossipLifetime
 }
 
-// sampleLockedGroup draws one group that a load of ours locks on an endpoint, for gossip; 0: none.
+// sampleLockedGroup draws one of the table groups that this gateway's loads lock on an endpoint and returns
+// its code for gossip; 0 if there is none. A row of gossip has space for a single group.
 func (g *Gateway) sampleLockedGroup(e *endpoint) byte {
 	var groups []byte
 	for _, a := range e.attempts {
@@ -70,20 +74,22 @@
 	return groups[g.rng.IntN(len(groups))]
 }
 
-// groupCode is the wire form of a table group, never 0.
+// groupCode returns the code of a table group in gossip, from 1 to 255; several groups may share a code.
 func groupCode(tables int64) byte { return byte(uint64(tables)%255) + 1 }
 
-// recordRead marks a table group as the one read last; the endpoint caches maxCachedGroups of them.
+// recordRead moves a table group to the front of the endpoint's cached groups, of which it keeps the first
+// maxCachedGroups.
 func (e *endpoint) recordRead(tables int64) {
 	e.cachedGroups = slices.DeleteFunc(e.cachedGroups, func(t int64) bool { return t == tables })
 	e.cachedGroups = slices.Insert(e.cachedGroups, 0, tables)
 	e.cachedGroups = e.cachedGroups[:min(len(e.cachedGroups), maxCachedGroups)]
 }
 
-// cacheEffect is the mean log latency inflation of answers whose table group was not cached, and was.
+// cacheEffect holds the mean log latency inflation of answers whose table group was not cached on the
+// endpoint (index 0) and of those whose group was (index 1).
 type cacheEffect struct{ inflation [2]float64 }
 
-// record takes the log inflation x of an answer, by whether its group was cached.
+// record adds the log latency inflation x of an answer to the mean of cached or of other table groups.
 func (c *cacheEffect) record(cached bool, x float64) {
 	i := 0
 	if cached {
@@ -92,7 +98,7 @@
 	c.inflation[i] += (x - c.inflation[i]) * meanSmoothing
 }
 
-// weight is the factor of endpoints where the table group is cached, by the time that this saves.
+// weight returns the factor for endpoints that have the table group cached; it grows with the time saved.
 func (c *cacheEffect) weight() float64 {
 	return math.Exp(cacheExponent * max(0, c.inflation[0]-c.inflation[1]-cacheTolerance))
 }
