--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -2,55 +2,57 @@
 
 import "math"
 
-// Capacity: threads a core that any endpoint may hold, of all gateways together.
+// Capacity of an endpoint, in threads a core of all gateways together, and how it is adjusted.
 const (
 	initialCapacity  = 1.5  // threads a core at the start: endpoints lose throughput beyond one or two
-	maxCapacity      = 2.0  // maximum threads a core: the upper end of the same
-	minCapacity      = 0.25 // minimum threads a core of a congested fleet
-	capacityBackoff  = 0.9  // factor of a reduction, gentle since reports are late
-	capacityInterval = 0.2  // seconds between two adjustments: a report must have come between them
-	shrinkSlackShare = 0.67 // share of the objective slack above which capacity shrinks: work is lost
-	growSlackShare   = 0.48 // share of it below which capacity in full use grows
+	maxCapacity      = 2.0  // maximum threads a core: the upper end of that range
+	minCapacity      = 0.25 // minimum threads a core, for a congested fleet
+	capacityBackoff  = 0.9  // factor of a reduction, close to 1 since reports are late; growth divides by it
+	capacityInterval = 0.2  // minimum seconds between two adjustments: a report must arrive between them
+	shrinkSlackShare = 0.67 // share of objectiveSlack above which capacity shrinks: beyond it work is lost
+	growSlackShare   = 0.48 // share of objectiveSlack below which capacity grows if over half is in use
 )
 
-// Use of the capacity by one query.
+// How much of the capacity one query may use.
 const (
-	lightCapacityFactor = 1.3  // capacity for light queries: they end soon
-	longCapacityFactor  = 0.6  // capacity for a very long query: it would keep out many others
-	veryLongFactor      = 4.0  // work over the class's mean from which a query is very long
-	staleReportReserve  = 0.3  // share of the capacity reserved for what an old report does not show
-	claimExponent       = 3.0  // exponent by which claims grow as the fleet falls under a thread a core
-	maxMemoryShare      = 0.95 // share of memory granted above which nothing more is sent
+	lightCapacityFactor = 1.3  // factor for a query of less work than the mean: it ends soon
+	longCapacityFactor  = 0.6  // factor for a very long query: it would keep out many others
+	veryLongFactor      = 4.0  // multiple of the class's typical work above which a query is very long
+	staleReportReserve  = 0.3  // maximum share of the capacity reserved for what an old report does not show
+	claimExponent       = 3.0  // exponent by which claims grow as the fleet falls below one thread a core
+	maxMemoryShare      = 0.95 // maximum share of an endpoint's memory in use or granted after a send
 )
 
-// congestion is the state of the control loop that sets the capacity of all endpoints: it compares the
-// latency inflation of answers with what the latency objectives leave.
+// congestion is the state of the control loop that sets the capacity of all endpoints. The loop compares the
+// latency inflation of answers with the inflation that the latency objectives allow.
 type congestion struct {
-	inflation  runningMedian // log latency inflation of answers, ours or gossiped
-	slack      float64       // log latency inflation that the objectives leave, see objectiveSlack
+	inflation  runningMedian // log latency inflation of answers, own or gossiped
+	slack      float64       // log latency inflation that the objectives allow, see objectiveSlack
 	capacity   float64       // threads a core that an endpoint may hold, of all gateways
 	adjustedAt Micros
 }
 
-// adjust shrinks the capacity of all endpoints under congestion, of cores, disks or memory alike, and
-// grows it in full use, by a factor. The capacity is the fleet's: one gateway of many seldom has an
-// answer from one endpoint; relativeSpeed covers single ones.
+// adjust multiplies the capacity of all endpoints by capacityBackoff under congestion, whether of cores,
+// disks or memory, and divides it by that without congestion, if more than half of it is in use. One capacity
+// applies to the fleet, since one gateway of many seldom has an answer from a given endpoint; relativeSpeed
+// covers single slow endpoints.
 func (c *congestion) adjust(f *fleetSummary) {
 	if c.inflation.value > shrinkSlackShare*c.slack {
 		c.capacity = max(c.capacity*capacityBackoff, minCapacity)
 	} else if c.inflation.value < growSlackShare*c.slack && f.threadsPerCore > c.capacity/2 {
-		limit := initialCapacity + (maxCapacity-initialCapacity)*f.peerCoverage // less where load is guessed
+		limit := initialCapacity + (maxCapacity-initialCapacity)*f.peerCoverage // less without gossip
 		c.capacity = min(c.capacity/capacityBackoff, limit)
 	}
 }
 
-// relax moves inflation and capacity back to where they started, by a second.
+// relax moves inflation and capacity back towards their initial values, as far as one second without answers
+// does.
 func (c *congestion) relax() {
 	c.inflation.value *= idleRetention
 	c.capacity = initialCapacity + (c.capacity-initialCapacity)*idleRetention
 }
 
-// adjustCapacity adjusts the capacity after an answer.
+// adjustCapacity adjusts the capacity after an answer, at most once in capacityInterval.
 func (g *Gateway) adjustCapacity() {
 	if g.secondsSince(g.congestion.adjustedAt) >= capacityInterval {
 		g.congestion.adjustedAt = g.now
@@ -58,8 +60,8 @@
 	}
 }
 
-// objectiveSlack is the log latency inflation that the objectives leave, of the class that leaves least:
-// log(1 + objective · threads ÷ typical work + ObjectiveStretch).
+// objectiveSlack returns the log latency inflation that the latency objectives allow, for the class that
+// allows least: log(1 + objective · threads ÷ typical work + ObjectiveStretch).
 func (g *Gateway) objectiveSlack() float64 {
 	slack := math.Inf(1)
 	for i := range g.classes {
@@ -70,9 +72,10 @@
 	return slack
 }
 
-// hasCapacity keeps an endpoint below the load at which all work there slows down, in threads and memory.
+// hasCapacity reports whether an endpoint has the threads, the memory and, for a load, the table lock free
+// that a request needs. Above its capacity all queries on an endpoint slow down.
 func (g *Gateway) hasCapacity(q *request, e *endpoint) bool {
-	// A second load of a group would wait for the first.
+	// A second load of a group on one endpoint would wait for the first.
 	if q.class.LocksTables && (!g.inAffinitySubset(q.TableGroup, e) || e.holdsOwnTableLock(q.TableGroup)) {
 		return false
 	}
@@ -94,7 +97,8 @@
 	return e.threads == 0 && threads < capacity || e.threads+threads+q.class.threads <= capacity
 }
 
-// capacityFor is the threads that an endpoint may hold for a request to be sent there.
+// capacityFor returns the threads that an endpoint may hold, including the request's own, if the request is
+// sent there.
 func (g *Gateway) capacityFor(q *request, e *endpoint) float64 {
 	capacity := g.congestion.capacity * e.cores * g.relativeSpeed(e)
 	switch {
@@ -103,16 +107,17 @@
 	case q.work < g.queries.work.value:
 		capacity *= lightCapacityFactor
 	}
-	if k := g.reportConfidence(e); k > 0 { // what other gateways sent since the report is not seen yet
-		capacity *= 1 - staleReportReserve*(1-k)*(1-g.fleet.peerCoverage)
+	if confidence := g.reportConfidence(e); confidence > 0 { // the report lacks what peers sent since
+		capacity *= 1 - staleReportReserve*(1-confidence)*(1-g.fleet.peerCoverage)
 	}
 	return capacity
 }
 
-// mayClaim says whether this gateway may use an endpoint's free threads, free at the last report, where
-// peers have so many there. It claims only its share, against peers that do not gossip, of what that report
-// leaves free and of what has ended since, by chance where that is less than one query: all gateways that
-// gossip see the same free capacity and would fill it several times over.
+// mayClaim reports whether this gateway may use free threads of an endpoint for a request, where free is the
+// number at the last report and peerThreads is what peers have in flight there. The limit is the gateway's
+// share, among itself and the peers that do not gossip, of the threads that the report leaves free and of
+// those that queries have released since. claimDraw rounds the limit to whole queries at random. Without
+// the limit, all gateways that gossip would see the same free capacity and fill it several times over.
 func (g *Gateway) mayClaim(q *request, e *endpoint, peerThreads, free float64) bool {
 	if g.queries.latency.value > 0 {
 		queries := (peerThreads + e.threads) / g.queries.threads
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -2,23 +2,24 @@
 
 import "slices"
 
-// fleetSummary summarizes the healthy endpoints, as far as reported.
+// fleetSummary summarizes the healthy endpoints.
 type fleetSummary struct {
-	cores                float64             // of all
-	threads              float64             // on all; those not reported count as the mean
-	threadsPerCore       float64             // mean of those reported lately
-	threadsPerCoreByKind map[int]runningMean // the same by kind of machine; looked up only
-	reported             bool                // some were reported lately
-	everReported         bool                // some were reported ever
-	occupancyExcess      float64             // own attempts in flight over those expected
-	responseAge          float64             // mean seconds since an endpoint's last response
-	trustedEndpoints     int                 // not ejected
-	medianFaultShare     float64             // of all
-	peerCoverage         float64             // share of peers whose own attempts are known
+	cores                float64             // of all healthy endpoints
+	threads              float64             // on all; endpoints without a valid report count as the mean
+	threadsPerCore       float64             // over the endpoints with a valid report, see summarizeFleet
+	threadsPerCoreByKind map[int]runningMean // mean by kind of machine; looked up only
+	reported             bool                // an endpoint has a valid report
+	everReported         bool                // an endpoint has had a valid report at any time
+	occupancyExcess      float64             // own attempts in flight over those expected, at least 1
+	responseAge          float64             // mean seconds since a response, each at most reportLifetime
+	trustedEndpoints     int                 // endpoints that are not ejected
+	medianFaultShare     float64             // median of the endpoints' fault shares
+	peerCoverage         float64             // share of the peers whose own attempts are known by gossip
 }
 
-// summarizeFleet sums up the fleet. Its load shrinks to keep of itself while nothing is reported.
-func (g *Gateway) summarizeFleet(keep float64) {
+// summarizeFleet recomputes the fleet summary. While no endpoint has a valid report, the load of the fleet
+// shrinks to the share retention of its last value at each call.
+func (g *Gateway) summarizeFleet(retention float64) {
 	g.expireGossip()
 	f := fleetSummary{occupancyExcess: g.fleet.occupancyExcess, everReported: g.fleet.everReported,
 		threadsPerCoreByKind: map[int]runningMean{}, peerCoverage: g.gossip.coverage(g.settings.Peers - 1)}
@@ -46,10 +47,10 @@
 	f.threadsPerCore = g.fleet.threadsPerCore
 	if reportedCores > 0 {
 		f.threadsPerCore, f.reported, f.everReported = f.threads/reportedCores, true, true
-	} else { // a long time without reports must not keep a gateway from sending
-		f.threadsPerCore *= keep
-		if !f.everReported { // no endpoint reports: own threads over our share of the cores, over some time
-			f.threadsPerCore += (1 - keep) * g.threadsInFlight() / g.coreShare()
+	} else { // the load fades: a long time without reports must not keep the gateway from sending
+		f.threadsPerCore *= retention
+		if !f.everReported { // no endpoint reports: own threads over this gateway's share of cores, smoothed
+			f.threadsPerCore += (1 - retention) * g.threadsInFlight() / g.coreShare()
 		}
 	}
 	if slices.Sort(faultShares); len(faultShares) > 0 {
@@ -60,7 +61,8 @@
 	g.fleet = f
 }
 
-// threadsPerCoreOf is the mean of a kind's endpoints, where any was reported lately; else the fleet's.
+// threadsPerCoreOf returns the mean of the endpoints of a machine kind, or the fleet's mean if no endpoint of
+// the kind has a valid report.
 func (f *fleetSummary) threadsPerCoreOf(kind int) float64 {
 	if mean, ok := f.threadsPerCoreByKind[kind]; ok {
 		return mean.value
@@ -68,7 +70,7 @@
 	return f.threadsPerCore
 }
 
-// threadsInFlight counts own threads in flight, at all levels.
+// threadsInFlight counts own threads in flight at all priority levels.
 func (g *Gateway) threadsInFlight() (n float64) {
 	for _, t := range g.threads {
 		n += t
