--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -5,60 +5,62 @@
 	"slices"
 )
 
-// minPollInterval is the minimum seconds between two calls for the endpoint list.
+// minPollInterval is the minimum seconds between two polls of the endpoint list, also after a failed one.
 const minPollInterval = 1.0
 
-// endpointTable holds the endpoints of the list, and removed ones that still have attempts in flight.
+// endpointTable holds the endpoints of the endpoint list, and removed ones with attempts in flight.
 type endpointTable struct {
-	list     []*endpoint          // not removed, by ID
+	list     []*endpoint          // not removed, sorted by ID
 	byID     map[string]*endpoint // all
-	byWireID map[uint32]*endpoint // all, by their name in gossip; looked up only
+	byWireID map[uint32]*endpoint // all, by their ID in gossip; looked up only
 }
 
-// endpoint is what is known of one endpoint.
+// endpoint holds the row of one endpoint in the endpoint list and what the gateway knows of its load, health
+// and caches.
 type endpoint struct {
 	Endpoint
-	wireID          uint32 // name in gossip
+	wireID          uint32 // ID in gossip
 	cores, memoryMB float64
 
-	attempts  []*attempt // own, in flight
-	threads   float64    // of those
-	grantedMB float64    // of those
+	attempts  []*attempt // own attempts in flight
+	threads   float64    // threads of own attempts in flight
+	grantedMB float64    // memory grants of own attempts in flight
 
-	load              Load    // last report, ours or gossiped
-	loadAt            Micros  // its time; 0: there was none
-	unreportedThreads float64 // own threads sent since
-	unreportedMB      float64 // own grants sent since
-	gossipedThreads   float64 // of peers' attempts
-	gossipedMB        float64 // of peers' attempts
+	load              Load    // last load report, received here or by a peer
+	loadAt            Micros  // time of load; 0: there was no report
+	unreportedThreads float64 // threads of own attempts in flight that were sent after loadAt
+	unreportedMB      float64 // memory grants of those attempts
+	gossipedThreads   float64 // threads of peers' attempts, by gossip
+	gossipedMB        float64 // memory grants of peers' attempts, by gossip
 
-	reportArrivedAt Micros  // arrival of the last report, or renewal of claims, see mayClaim
-	claimedThreads  float64 // own threads sent since
-	claimDraw       float64 // drawn then, from 0 to 1
+	reportArrivedAt Micros  // arrival of the last load report, or later renewal of claims, see mayClaim
+	claimedThreads  float64 // own threads sent since reportArrivedAt
+	claimDraw       float64 // random number from 0 to 1, drawn at reportArrivedAt
 
-	lastResponse        Micros  // ours or gossiped
-	lastInflation       float64 // log latency inflation of that
-	lastWasFault        bool
+	lastResponse        Micros  // last response to this gateway or to a peer; at first the time of listing
+	lastInflation       float64 // log latency inflation of the last answer or cancelled attempt
+	lastWasFault        bool    // the last response was a fault
 	inflation           float64 // mean log latency inflation
-	faultShare          float64 // recent
+	faultShare          float64 // smoothed share of faults in the responses
 	cancelledUnanswered float64 // overdue attempts cancelled since the last response
 	ejected             bool
-	nextTrialAt         Micros // while ejected
+	nextTrialAt         Micros // next trial request while ejected
 
-	slowStartSince   Micros       // 0: no slow start
-	slowStart        []workBudget // for each class, during slow start
+	slowStartSince   Micros       // start of slow start; 0: no slow start
+	slowStart        []workBudget // budget of each class during slow start
 	slowStartBefore  Micros       // slowStartSince before a guessed restart
-	restartGuessedAt Micros       // seemed to restart then, the list does not say so; 0: did not
-	resetAt          Micros       // last broken connection here
-	drainUntil       Micros       // while draining, sticky requests may be sent until then
+	restartGuessedAt Micros       // time of a restart guessed from failed connections; 0: none
+	resetAt          Micros       // last time that a connection of this gateway broke
+	drainUntil       Micros       // end of sticky requests to the endpoint while it drains
 
 	cachedGroups       []int64         // table groups read last, newest first
-	tableLocks         map[byte]Micros // when loads of a group were seen last; looked up only
+	tableLocks         map[byte]Micros // by groupCode, when a load's lock was seen last; looked up only
 	healthCheckAt      Micros          // last health check
-	healthCheckPending bool            // that has not answered yet
+	healthCheckPending bool            // the last health check has no result yet
 }
 
-// handleEndpointUpdate takes a watch event of the endpoint list.
+// handleEndpointUpdate applies a watch event of the endpoint list. After a failed call the list is polled
+// again within minPollInterval.
 func (g *Gateway) handleEndpointUpdate(u EndpointUpdate) {
 	if u.Failed {
 		g.schedule.pollAt = min(g.schedule.pollAt, g.now+toMicros(minPollInterval))
@@ -70,7 +72,7 @@
 			e = g.addEndpoint(r)
 			e.slowStartSince, e.inflation = r.Started, g.congestion.inflation.value
 			g.restoreEndpoint(e)
-		} else if r.Started != e.Started { // restarted: nothing learned holds any more
+		} else if r.Started != e.Started { // after a restart nothing that was learned of the endpoint holds
 			e.slowStartSince, e.ejected, e.cachedGroups = max(r.Started, e.slowStartSince), false, nil
 			e.faultShare, e.inflation, e.restartGuessedAt = 0, g.congestion.inflation.value, 0
 		}
@@ -79,11 +81,11 @@
 		}
 		e.Endpoint = r
 	}
-	g.endpoints.sort()
+	g.endpoints.rebuildList()
 	g.summarizeFleet(1)
 }
 
-// markRemoved marks the endpoints that a complete list does not contain as removed.
+// markRemoved marks the endpoints as removed that are missing from a complete endpoint list.
 func (t *endpointTable) markRemoved(u EndpointUpdate) {
 	for _, e := range t.list {
 		if u.Complete && !slices.ContainsFunc(u.Endpoints, func(r Endpoint) bool { return r.ID == e.ID }) {
@@ -92,9 +94,9 @@
 	}
 }
 
-// sort lists the endpoints that are not removed, by ID. Removed ones are forgotten once no attempt
-// is in flight there.
-func (t *endpointTable) sort() {
+// rebuildList lists the endpoints that are not removed, sorted by ID, and deletes removed ones that have no
+// attempt in flight.
+func (t *endpointTable) rebuildList() {
 	clear(t.list)
 	t.list = t.list[:0]
 	for _, id := range slices.Sorted(maps.Keys(t.byID)) {
@@ -110,7 +112,7 @@
 	}
 }
 
-// addEndpoint registers a new endpoint.
+// addEndpoint adds an endpoint to the table.
 func (g *Gateway) addEndpoint(r Endpoint) *endpoint {
 	e := &endpoint{Endpoint: r, wireID: wireID(r.ID), cores: 1, lastResponse: g.now,
 		tableLocks: map[byte]Micros{}}
@@ -119,7 +121,7 @@
 	return e
 }
 
-// resize takes the size of an endpoint from its kind of machine, where that is known.
+// resize sets the endpoint's cores and memory to those of its machine kind, if the kind is known.
 func (e *endpoint) resize(kinds []Kind) {
 	if e.Kind >= 0 && e.Kind < len(kinds) {
 		e.cores, e.memoryMB = float64(max(kinds[e.Kind].Cores, 1)), kinds[e.Kind].MemoryMB
--- a/policy/memory_grants.go
+++ b/policy/memory_grants.go
@@ -2,17 +2,18 @@
 
 import "math"
 
-// MemoryMedian grants: factors over the estimated memory.
+// Memory grants: factors over the estimated memory.
 const (
-	reportedGrantMargin   = 1.75 // first factor: the fit may lie low, and a spill costs more than memory
-	unreportedGrantMargin = 2.5  // the same where no progress reports spills: nothing would correct it
-	defaultGrantFactor    = 1.25 // factor of endpoints that do not honor grants
-	swapGrantFactor       = 4.0  // further factor where endpoints swap: what exceeds the need is not lost
+	reportedGrantMargin   = 1.75 // initial factor: the fit may be too low, and a spill costs more than memory
+	unreportedGrantMargin = 2.5  // initial factor without progress reports: no spill is seen that corrects it
+	defaultGrantFactor    = 1.25 // factor that endpoints apply themselves where they do not honor grants
+	swapGrantFactor       = 4.0  // further factor where endpoints swap: memory granted in excess is not lost
 	grantQuantile         = 0.85 // share of attempts whose grant is to cover their need
 )
 
-// learnGrantMargin moves the margin by an answer that spilled or did not, as its progress reported; it
-// settles where grantQuantile of the attempts do not.
+// learnGrantMargin raises the class's grant margin after an answer whose progress reported a spill, and
+// lowers it after one whose progress reported none. The margin settles where grantQuantile of the attempts
+// do not spill.
 func (c *class) learnGrantMargin(a *attempt) {
 	if a.spilled {
 		c.grantMargin += medianStep * grantQuantile
@@ -21,8 +22,9 @@
 	}
 }
 
-// memoryGrant is the memory of one attempt in MB: the fitted estimate times the learned margin. Where grants
-// are not honored it is what endpoints grant by themselves.
+// memoryGrant returns the memory grant of an attempt in MB: the fitted estimate times the learned margin, at
+// most MaxGrantShare of the endpoint's memory. Where endpoints do not honor grants, it returns what they are
+// assumed to grant by themselves.
 func (g *Gateway) memoryGrant(q *request, e *endpoint) float64 {
 	if !g.settings.HonorsGrants {
 		return defaultGrantFactor * q.MemoryMB
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// Outlier detection: fault shares, ejection, trial requests.
+// Outlier detection by fault shares and missing responses: ejection and trial requests.
 const (
 	faultSmoothing    = 0.25 // weight of one result in an endpoint's fault share: two in a row are a pattern
-	ejectionMargin    = 0.4  // fault share over the fleet's median at which an endpoint is ejected
+	ejectionMargin    = 0.4  // fault share over the fleet's median above which an endpoint is ejected
 	readmissionMargin = 0.1  // fault share over the fleet's median below which it is readmitted
 	trialInterval     = 0.5  // seconds between trial requests to an ejected endpoint
-	maxMissedProgress = 3.0  // progress reports in a row that may be missing
-	unresponsiveAges  = 2.0  // multiple of the fleet's mean response age that is not yet unresponsive
-	minUnresponsive   = 0.6  // seconds without a response below which overdue attempts prove nothing (pauses)
+	maxMissedProgress = 3.0  // progress reports in a row that an attempt may miss
+	unresponsiveAges  = 2.0  // multiple of the fleet's mean response age added to minUnresponsive with gossip
+	minUnresponsive   = 0.6  // seconds without a response below which overdue attempts prove nothing: pauses
 )
 
-// Latency inflation: log of an answer's time over what its work would take on free cores.
+// Latency inflation: the log of an answer's latency over the time that its work takes on free cores.
 const (
 	inflationSmoothing     = 0.15 // weight of one answer in an endpoint's inflation
-	rareInflationSmoothing = 0.5  // the same where none came for as long as reports are believed
-	fleetInflationStep     = 0.2  // minimum step of the fleet's median: a few seconds of a small gateway
-	inflationTolerance     = 0.4  // log inflation over the fleet's that is noise
-	maxLogInflation        = 2.5  // maximum that one answer counts: bad plans are not the endpoint's fault
-	minSpeed               = 0.1  // minimum speed of a slow endpoint, so that its recovery is seen
+	rareInflationSmoothing = 0.5  // its weight after reportLifetime without a response of the endpoint
+	fleetInflationStep     = 0.2  // minimum step of the fleet's median: some seconds of a small gateway
+	inflationTolerance     = 0.4  // log inflation over the fleet's that counts as noise
+	maxLogInflation        = 2.5  // limit of one log inflation: bad plans are not the endpoint's fault
+	minSpeed               = 0.1  // minimum relative speed of a slow endpoint, so that its recovery is seen
 )
 
-// updateOutlier ejects and readmits an endpoint by its share of faults, by our results and by gossip, over
-// the fleet's median: faults that all endpoints have are not its own (a bad network), and there is nothing
-// better to send to.
+// updateOutlier ejects or readmits an endpoint by how far its fault share, from own results and from gossip,
+// exceeds the fleet's median. Faults that all endpoints show come from elsewhere, such as a bad network, and
+// leave no better endpoint to send to.
 func (g *Gateway) updateOutlier(e *endpoint) {
 	if !e.ejected && e.faultShare > ejectionMargin+g.fleet.medianFaultShare {
 		g.eject(e, "faults")
@@ -38,14 +38,16 @@
 	}
 }
 
-// eject keeps all but trial requests from an endpoint that fails fast (and looks idle), hangs or vanishes.
+// eject stops all but trial requests to an endpoint that fails fast (and so looks idle), hangs or vanishes.
+// The log line names the reason why.
 func (g *Gateway) eject(e *endpoint, why string) {
 	e.ejected, e.nextTrialAt = true, g.now+toMicros(trialInterval)
 	g.logLine("distrust %s: %s", e.ID, why)
 }
 
-// outlierAllows restricts ejected endpoints to trials with light repeatable queries, unless most are
-// ejected.
+// outlierAllows reports whether outlier detection lets a request go to an endpoint. An ejected endpoint gets
+// only trial requests, which are first attempts of light queries that may be repeated, unless more than half
+// of the endpoints are ejected or not healthy.
 func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
 	if !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) {
 		return true
@@ -54,15 +56,16 @@
 		q.work <= g.queries.work.value
 }
 
-// detectUnresponsive ejects an endpoint whose attempts in flight are all far past expectation, or that
-// misses progress reports of one. Where gateways gossip, the time without a response must exceed the
+// detectUnresponsive ejects an endpoint that has not responded for some time, if at least two attempts sent
+// since its last response are overdue (an attempt of twice the overdue age counts for two), or if an attempt
+// misses its progress reports. Where gateways gossip, the time without a response must also exceed the
 // fleet's usual one.
 func (g *Gateway) detectUnresponsive(e *endpoint) {
-	usual := 0.0 // seconds between responses of an endpoint
+	usualAge := 0.0 // usual seconds without a response of an endpoint, by gossip
 	if len(g.gossip.reports) > 0 {
-		usual = unresponsiveAges * g.fleet.responseAge
+		usualAge = unresponsiveAges * g.fleet.responseAge
 	}
-	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+usual {
+	if e.ejected || g.secondsSince(e.lastResponse) < minUnresponsive+usualAge {
 		return
 	}
 	overdue := e.cancelledUnanswered
@@ -72,13 +75,14 @@
 			overdue += math.Floor(min(age/(overdueFactor*a.expectedTime), 2))
 		}
 	}
-	if overdue >= 2 || g.missesProgress(e) { // two attempts, or one very old: one alone may be a bad plan
+	if overdue >= 2 || g.missesProgress(e) { // one overdue attempt alone may be a bad plan
 		e.faultShare = ejectionMargin
 		g.eject(e, "silent")
 	}
 }
 
-// missesProgress says that the progress reports of an attempt have stopped: a hung endpoint sends none.
+// missesProgress reports whether an attempt in flight has reported no progress for maxMissedProgress report
+// intervals: a hung endpoint sends no reports.
 func (g *Gateway) missesProgress(e *endpoint) bool {
 	limit := Micros(maxMissedProgress * float64(g.settings.ProgressInterval))
 	return g.settings.ProgressInterval > 0 && slices.ContainsFunc(e.attempts, func(a *attempt) bool {
@@ -86,18 +90,18 @@
 	})
 }
 
-// confirmAlive takes a response of an attempt: where that was sent before its endpoint seemed to restart,
-// the endpoint never did. It guards against networks that break single connections: each pair of them would
-// put an endpoint into slow start.
+// confirmAlive undoes a guessed restart of the endpoint when an attempt responds that was sent before it: the
+// attempt would not have survived a restart. Otherwise a network that breaks single connections would put an
+// endpoint into slow start whenever two break at once.
 func (e *endpoint) confirmAlive(a *attempt) {
 	if e.restartGuessedAt > a.sentAt {
 		e.slowStartSince, e.restartGuessedAt = e.slowStartBefore, 0
 	}
 }
 
-// recordInflation learns the log inflation x of an answer, for the endpoint and for the fleet, whose median
-// is followed in steps of at least fleetStep: lost answers and bad plans are fewer than half. It weighs
-// more for an endpoint that has not responded for some time.
+// recordInflation adds the log inflation x of an answer or of a cancelled attempt to the endpoint's mean and
+// to the fleet's median, whose minimum step is fleetStep. The median ignores lost answers and bad plans, as
+// they are fewer than half. In the mean, x weighs more if the endpoint has not responded for some time.
 func (g *Gateway) recordInflation(e *endpoint, x, fleetStep float64) {
 	frequent, rare := inflationSmoothing, rareInflationSmoothing
 	smoothing := frequent + (rare-frequent)*min(1, g.secondsSince(e.lastResponse)/reportLifetime)
@@ -106,11 +110,11 @@
 	e.inflation += (x - e.inflation) * smoothing
 }
 
-// clipInflation limits what one answer's log inflation counts.
+// clipInflation limits one answer's log inflation to ±maxLogInflation.
 func clipInflation(x float64) float64 { return max(-maxLogInflation, min(maxLogInflation, x)) }
 
-// relativeSpeed is an endpoint's speed relative to the fleet, as seen in answers. It guards against
-// endpoints that slow down, whatever the cause: a noisy neighbor, a failing disk, congestion.
+// relativeSpeed returns an endpoint's speed relative to the fleet, from minSpeed to 1, by the latency of its
+// answers. It covers endpoints that slow down for any cause: a noisy neighbor, a failing disk, congestion.
 func (g *Gateway) relativeSpeed(e *endpoint) float64 {
 	return min(1, max(minSpeed, math.Exp(g.congestion.inflation.value+inflationTolerance-e.inflation)))
 }
