--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -5,28 +5,29 @@
 	"testing"
 )
 
-// Gateways that see the same free capacity in a report do not fill it many times over.
+// Gateways that see the same free capacity in a report must not fill it several times over.
 func TestCommonReportIsNotClaimedByAll(t *testing.T) {
 	c := newSimulation(t, 80, 10, func(s *Settings) { s.CanHealthCheck = false }, nil)
 	c.run(10*sec, 2*sec/3) // 120 a second, 60 threads in flight on 80 cores
-	for e := range c.peak {
-		c.peak[e] = 0
+	for e := range c.peakThreads {
+		c.peakThreads[e] = 0
 	}
-	for i := 1; i < 10; i++ { // all but one endpoint drain: all gateways know the one
-		for k := range c.gs {
-			c.play(k, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprintf("e%02d", i), PlacementGroup: i / 2, State: Draining}}})
+	for i := 1; i < 10; i++ { // all endpoints but e00 drain, and all gateways know its load
+		for k := range c.gateways {
+			c.step(k, EndpointUpdate{Endpoints: []Endpoint{{ID: fmt.Sprintf("e%02d", i), PlacementGroup: i / 2, State: Draining}}})
 		}
 	}
 	c.run(4*sec, 2*sec/3)
-	if c.peak["e00"] > 40 {
-		t.Fatalf("%v threads on the one endpoint of 8 cores", c.peak["e00"])
+	if c.peakThreads["e00"] > 40 {
+		t.Fatalf("%v threads on the one endpoint of 8 cores", c.peakThreads["e00"])
 	}
-	if c.peak["e00"] < 6 {
-		t.Fatalf("only %v threads on the one endpoint of 8 cores", c.peak["e00"])
+	if c.peakThreads["e00"] < 6 {
+		t.Fatalf("only %v threads on the one endpoint of 8 cores", c.peakThreads["e00"])
 	}
 }
 
-// Queries in flight by an endpoint's report include attempts that timed out and still run.
+// The queries in flight that an endpoint reports use its capacity, since they include attempts that timed out
+// and still run.
 func TestReportedQueriesUseCapacity(t *testing.T) {
 	set := testSettings()
 	set.Peers = 1
@@ -36,11 +37,11 @@
 	b.step(AttemptResult{ID: q.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000, Load: &Load{Utilization: 0.2, InFlight: 40}})
 	b.now += 1000
 	if n := len(actionsOf[Send](b.step(b.request(1), b.request(1)))); n > 1 {
-		t.Fatalf("%d heavy queries sent to an endpoint that holds 40", n)
+		t.Fatalf("%d heavy queries sent to an endpoint that runs 40", n)
 	}
 }
 
-// Congestion shrinks the capacity; with nothing in flight no answer could ever grow it again.
+// A capacity that congestion has shrunk must recover without answers: with nothing in flight there are none.
 func TestCapacityRecoversWithNothingInFlight(t *testing.T) {
 	b := newSparseHarness(t, 4, nil)
 	b.step(b.request(0))
@@ -59,6 +60,6 @@
 		sent += len(actionsOf[Send](b.step(b.request(0))))
 	}
 	if sent == 0 {
-		t.Fatal("nothing is sent any more")
+		t.Fatal("no request sent after the capacity shrank")
 	}
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Queries that wait for disks leave cores idle: reports look fair while a gateway
-// of many has ten times its share in flight.
+// Queries that wait for disks leave cores idle: the reported utilization is moderate while one gateway of
+// many has ten times its share in flight. Its own attempts in flight must keep it from sending more.
 func TestOwnAttemptsRevealCongestionThatLooksIdle(t *testing.T) {
 	b := newSparseHarness(t, 10, nil)
 	sent := 0
@@ -15,9 +15,9 @@
 		sent += len(actionsOf[Send](b.step(b.request(1))))
 	}
 	if sent > 12 {
-		t.Fatalf("%d heavy queries in flight on a fiftieth of ten endpoints", sent)
+		t.Fatalf("%d heavy queries in flight from one of fifty gateways to ten endpoints", sent)
 	}
 	if sent < 2 {
-		t.Fatalf("only %d sent", sent)
+		t.Fatalf("only %d heavy queries sent", sent)
 	}
 }
