--- a/policy/endpoints_test.go
+++ b/policy/endpoints_test.go
@@ -5,32 +5,33 @@
 	"testing"
 )
 
-// Endpoints that are replaced, each by one with a new ID, leave nothing behind but attempts in flight.
+// When endpoints are replaced by others with new IDs, the gateway keeps only the listed ones and those that
+// have attempts in flight.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	b := newHarness(t, testSettings(), 3)
-	var out Send
+	var inFlight Send
 	for i := range 100 {
 		b.now += sec
 		b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: fmt.Sprintf("new%d", i)}}})
 		for _, s := range actionsOf[Send](b.step(b.request(0))) {
 			if i == 50 {
-				out = s
+				inFlight = s
 				continue
 			}
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
 	}
-	if out.Endpoint == "" || len(b.g.endpoints.byID) != 2 || len(b.g.endpoints.byWireID) != 2 || b.g.endpoints.byID[out.Endpoint] == nil {
-		t.Errorf("%d endpoints kept, want the one in the list and %q", len(b.g.endpoints.byID), out.Endpoint)
+	if inFlight.Endpoint == "" || len(b.g.endpoints.byID) != 2 || len(b.g.endpoints.byWireID) != 2 || b.g.endpoints.byID[inFlight.Endpoint] == nil {
+		t.Errorf("%d endpoints kept, want the one in the list and %q", len(b.g.endpoints.byID), inFlight.Endpoint)
 	}
-	b.step(AttemptResult{ID: out.ID, Endpoint: out.Endpoint, Final: true, Latency: 100000})
+	b.step(AttemptResult{ID: inFlight.ID, Endpoint: inFlight.Endpoint, Final: true, Latency: 100000})
 	if b.step(EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "last"}}}); len(b.g.endpoints.byID) != 1 {
-		t.Errorf("%d endpoints kept at last", len(b.g.endpoints.byID))
+		t.Errorf("%d endpoints kept after the last attempt, want 1", len(b.g.endpoints.byID))
 	}
 }
 
-// Where the list has to be polled, a call goes out at once, within the poll interval, and soon
-// after one that failed; elsewhere none does.
+// Where the endpoint list has to be polled, the gateway calls for it at the start, within each poll interval,
+// and soon after a failed call. Where the list is watched, it never calls.
 func TestEndpointListIsPolled(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.MaxPollInterval = true, 100*sec
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -6,8 +6,8 @@
 	"embershunt/policy"
 )
 
-// A dispatcher embeds a Gateway: it passes events on and carries out the
-// actions. The package knows no wire protocol.
+// A dispatcher embeds a Gateway: it passes events to Step and carries out the actions that Step returns. The
+// package knows no wire protocol.
 func Example() {
 	const second = policy.Micros(1e6)
 	g, err := policy.New(42, policy.Settings{
--- a/policy/memory_grants_test.go
+++ b/policy/memory_grants_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Queries short of memory spill; the margin grows with that and shrinks without.
+// Queries spill when their grant is too small: spills raise the grant margin, and answers without spills
+// lower it.
 func TestGrantMarginFollowsSpills(t *testing.T) {
 	for _, spill := range []bool{true, false} {
 		b := newHarness(t, testSettings(), 4)
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// An endpoint that fails at once samples idle; it must get trial requests only, and be
-// readmitted after it recovers. The same holds for one that rejects all.
+// An endpoint that fails or rejects all attempts at once looks idle. It must get trial requests only, and be
+// readmitted after it recovers.
 func TestFastFailuresAttractNoTraffic(t *testing.T) {
 	for _, code := range []Code{Failed, Rejected, ConnectionRefused, ConnectionReset} {
 		b := newHarness(t, testSettings(), 4)
-		bad, tries := 0, map[string]int{}
-		play := func(steps int, broken bool) (toBad, all int) {
+		bad, attempts := 0, map[string]int{}
+		run := func(steps int, broken bool) (toBad, all int) {
 			for range steps {
 				b.now += 20000
 				for _, s := range actionsOf[Send](b.step(b.request(0))) {
 					all++
-					o := AttemptResult{ID: s.ID, Attempt: tries[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
-					tries[s.ID]++
+					o := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
+					attempts[s.ID]++
 					if s.Endpoint == "e0" {
 						toBad++
 						if broken {
@@ -29,20 +29,20 @@
 			}
 			return toBad, all
 		}
-		play(50, false)
-		bad, all := play(300, true)
+		run(50, false)
+		bad, all := run(300, true)
 		if bad*10 > all {
 			t.Errorf("code %d: %d of %d sends to the failing endpoint", code, bad, all)
 		}
-		b.now += 20 * sec // past any slow start
-		play(300, false)
-		if good, all := play(200, false); good*8 < all {
+		b.now += 20 * sec // longer than a slow start
+		run(300, false)
+		if good, all := run(200, false); good*8 < all {
 			t.Errorf("code %d: %d of %d sends after it recovered", code, good, all)
 		}
 	}
 }
 
-// An endpoint that accepts work and answers nothing is found by its attempts in flight.
+// An endpoint that accepts attempts and answers none is ejected by its overdue attempts in flight.
 func TestUnresponsiveEndpointIsEjected(t *testing.T) {
 	b := newHarness(t, testSettings(), 4)
 	late := 0
@@ -65,7 +65,7 @@
 	}
 }
 
-// A pause of half a second, with every answer after it, is no fault.
+// A pause of half a second without any answer does not eject an endpoint.
 func TestShortPauseDoesNotEject(t *testing.T) {
 	b := newHarness(t, testSettings(), 2)
 	for range 20 {
@@ -79,26 +79,26 @@
 	}
 }
 
-// An endpoint with a bad plan that still reports progress is responsive.
+// An endpoint that runs a query with a bad plan is responsive as long as it reports progress.
 func TestProgressIsAResponse(t *testing.T) {
-	for _, noted := range []bool{true, false} {
+	for _, reported := range []bool{true, false} {
 		b := newSparseHarness(t, 1, func(s *Settings) { s.ProgressInterval, s.CanCancel = sec/2, false })
 		q := b.request(1)
 		q.Cost = sec / 2
 		b.step(q)
 		for range 8 {
 			b.runUntil(b.now + sec/2)
-			if noted {
+			if reported {
 				b.step(Progress{ID: q.ID, Endpoint: "e0", Kind: FractionDone, Value: 0.01})
 			}
 		}
-		if b.g.endpoints.list[0].ejected == noted {
-			t.Errorf("progress %v, ejected %v", noted, b.g.endpoints.list[0].ejected)
+		if b.g.endpoints.list[0].ejected == reported {
+			t.Errorf("progress %v, ejected %v", reported, b.g.endpoints.list[0].ejected)
 		}
 	}
 }
 
-// A hung endpoint reports no progress of its attempts.
+// A hung endpoint reports no progress of its attempts and is ejected for that, before any of them is overdue.
 func TestMissedProgressEjects(t *testing.T) {
 	s := testSettings()
 	s.ProgressInterval = sec / 2
@@ -107,7 +107,7 @@
 		e.lastResponse = b.now - 10*sec
 	}
 	q := b.request(1)
-	q.Cost = 20 * sec // nothing is overdue yet
+	q.Cost = 20 * sec // the attempt does not become overdue
 	at := actionsOf[Send](b.step(q))[0].Endpoint
 	for range 8 {
 		b.now += sec / 2
@@ -122,52 +122,52 @@
 	}
 }
 
-// A network that breaks single connections to all endpoints alike (seen on sockets: a fifth of the requests, on one day) shows
-// two of them broken at once now and then. That put endpoints into slow start and ejected them in turn, and kept queries queued
-// while the fleet was idle.
+// A network that breaks single connections to all endpoints alike (seen on sockets on one day, for a fifth of
+// the requests) breaks two at once now and then. That put endpoints into slow start and ejected them in turn,
+// and kept queries queued while the fleet was idle.
 func TestBadNetworkEjectsNoEndpoint(t *testing.T) {
 	b := newHarness(t, testSettings(), 6)
-	type out struct {
-		s    Send
-		till Micros
+	type openAttempt struct {
+		s      Send
+		endsAt Micros
 	}
-	var open []out
-	tries, cold, ejected, samples := map[string]int{}, 0, 0, 0
+	var open []openAttempt
+	attempts, inSlowStart, ejected, samples := map[string]int{}, 0, 0, 0
 	chance := rand.New(rand.NewPCG(1, 2))
 	for i := range 4000 {
 		b.now += 5000
 		sends := actionsOf[Send](b.step(b.request(i % 50 / 49)))
-		for len(open) > 0 && open[0].till <= b.now {
+		for len(open) > 0 && open[0].endsAt <= b.now {
 			s := open[0].s
 			open = open[1:]
-			o := AttemptResult{ID: s.ID, Attempt: tries[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
-			if tries[s.ID]++; chance.Float64() < 0.2 {
+			o := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Endpoint: s.Endpoint, Final: true, Latency: 100000}
+			if attempts[s.ID]++; chance.Float64() < 0.2 {
 				o.Code, o.Final = ConnectionReset, false
 			}
 			sends = append(sends, actionsOf[Send](b.step(o))...)
 		}
 		for _, s := range sends {
-			open = append(open, out{s, b.now + 100000})
+			open = append(open, openAttempt{s, b.now + 100000})
 		}
 		for _, e := range b.g.endpoints.list {
 			if samples++; e.slowStartSince > 0 && b.now-e.slowStartSince < b.g.settings.SlowStartDuration {
-				cold++
+				inSlowStart++
 			}
 			if e.ejected {
 				ejected++
 			}
 		}
 		if i == 500 {
-			cold, ejected, samples = 0, 0, 0
+			inSlowStart, ejected, samples = 0, 0, 0
 		}
 	}
-	if cold*3 > samples || ejected*6 > samples {
-		t.Errorf("of %d samples of endpoints %d were in slow start, %d ejected", samples, cold, ejected)
+	if inSlowStart*3 > samples || ejected*6 > samples {
+		t.Errorf("of %d samples of endpoints %d were in slow start, %d ejected", samples, inSlowStart, ejected)
 	}
 }
 
-// An endpoint whose connections all break has restarted: it is in slow start until the list says otherwise, and only an answer
-// or progress of an attempt sent before shows that it never did.
+// An endpoint of which two connections break at once counts as restarted and goes into slow start. Only an
+// answer or progress of an attempt sent before that shows that the endpoint did not restart.
 func TestOnlyEarlierAttemptsConfirmAlive(t *testing.T) {
 	b := newHarness(t, testSettings(), 1)
 	var sends []Send
@@ -193,11 +193,11 @@
 	}
 }
 
-// One broken connection is an answer lost, not a restart; two at once, or one that
-// cannot be made, may be a restart.
+// One broken connection is a lost answer and no restart. Two connections broken at once, or one that is
+// refused, may be a restart.
 func TestOneLostAnswerIsNoRestart(t *testing.T) {
 	b := newHarness(t, testSettings(), 1)
-	lose := func(code Code, n int) Micros {
+	slowStartAfter := func(code Code, n int) Micros {
 		var sends []Send
 		for range n {
 			sends = append(sends, actionsOf[Send](b.step(b.request(0)))...)
@@ -207,11 +207,11 @@
 		}
 		return b.g.endpoints.list[0].slowStartSince
 	}
-	if lose(ConnectionReset, 1) != 0 {
+	if slowStartAfter(ConnectionReset, 1) != 0 {
 		t.Error("in slow start after one broken connection")
 	}
 	b.now += sec
-	if lose(ConnectionReset, 2) == 0 {
+	if slowStartAfter(ConnectionReset, 2) == 0 {
 		t.Error("no slow start after two broken connections at once")
 	}
 }
--- a/policy/routing_test.go
+++ b/policy/routing_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A sticky request goes to its endpoint and nowhere else, also while that drains, as long as the grace allows; where that
-// endpoint cannot take it any more it is shed at once.
+// A sticky request goes to its endpoint and nowhere else, also while the endpoint drains, until the grace
+// ends. If the endpoint cannot take the request any more, the request is shed at once.
 func TestStickyRequests(t *testing.T) {
 	drain := func(b *harness, id string, s EndpointState) {
 		b.step(EndpointUpdate{Endpoints: []Endpoint{{ID: id, State: s}}})
@@ -11,7 +11,7 @@
 	cases := []struct {
 		name   string
 		before func(b *harness)
-		only   string
+		sticky string
 		sent   bool
 	}{
 		{"healthy", func(*harness) {}, "e2", true},
@@ -32,24 +32,24 @@
 			c.before(b)
 			for range 20 {
 				q := b.request(0)
-				q.StickyTo = c.only
+				q.StickyTo = c.sticky
 				acts := b.step(q)
-				sends, refused := actionsOf[Send](acts), actionsOf[Shed](acts)
-				if c.sent && (len(sends) != 1 || sends[0].Endpoint != c.only) || !c.sent && (len(sends) > 0 || len(refused) != 1) {
-					t.Fatalf("%v", acts)
+				sends, sheds := actionsOf[Send](acts), actionsOf[Shed](acts)
+				if c.sent && (len(sends) != 1 || sends[0].Endpoint != c.sticky) || !c.sent && (len(sends) > 0 || len(sheds) != 1) {
+					t.Fatalf("sticky request to %s: %v", c.sticky, acts)
 				}
 				for _, s := range sends {
 					b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 				}
 			}
-			if sends := actionsOf[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Endpoint == "e2" && c.only == "e2" {
-				t.Errorf("one that is not sticky: %v", sends)
+			if sends := actionsOf[Send](b.step(b.request(0))); len(sends) != 1 || c.name != "healthy" && sends[0].Endpoint == "e2" && c.sticky == "e2" {
+				t.Errorf("request that is not sticky: %v", sends)
 			}
 		})
 	}
 }
 
-// A request keeps its protocol at every attempt, also when no endpoint that speaks it is left.
+// A request is sent only to endpoints that speak its protocol, also when none of them is healthy any more.
 func TestProtocolIsKept(t *testing.T) {
 	g, err := New(1, changeSettings(Class{Name: "plain", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6}))
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	for _, a := range g.Step(now, []Event{EndpointUpdate{Endpoints: []Endpoint{{ID: "both", Protocols: 3, State: Draining}}}, Request{ID: "z", Protocol: 2, Deadline: now + 4e6}}) {
 		if s, ok := a.(Send); ok {
-			t.Errorf("sent to %s, which does not speak it", s.Endpoint)
+			t.Errorf("sent to %s, which does not speak the protocol", s.Endpoint)
 		}
 	}
 }
--- a/policy/table_affinity_test.go
+++ b/policy/table_affinity_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// loadSettings is testSettings with a class that loads table groups, which the light class waits for.
+// loadSettings returns testSettings with a class of loads, which lock their table group; the light class
+// waits for the lock.
 func loadSettings() Settings {
 	s := testSettings()
 	s.Classes[0].WaitsForTables = true
@@ -11,24 +12,24 @@
 	return s
 }
 
-// Loads of one group that were spread over all endpoints locked it everywhere, one after the other: lookups of that group
-// were blocked to their deadlines, on endpoints with a tenth of their cores in use.
+// Loads of one group that were spread over all endpoints locked the group on one endpoint after the other.
+// Lookups of the group were blocked until their deadlines, on endpoints with a tenth of their cores in use.
 func TestLoadsLeaveEndpointsToWaitingQueries(t *testing.T) {
 	const tables = 7
 	b := newHarness(t, loadSettings(), 6)
 	maxLocked, blocked, lookups := 0, 0, 0
-	type out struct {
-		s    Send
-		till Micros
+	type openLoad struct {
+		s      Send
+		endsAt Micros
 	}
-	var loads []out
+	var loads []openLoad
 	for i := range 2000 {
 		b.now += 5000
-		for len(loads) > 0 && loads[0].till <= b.now {
+		for len(loads) > 0 && loads[0].endsAt <= b.now {
 			s := loads[0].s
 			loads = loads[1:]
 			for _, next := range actionsOf[Send](b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 500000})) {
-				loads = append(loads, out{next, b.now + sec/2})
+				loads = append(loads, openLoad{next, b.now + sec/2})
 			}
 		}
 		q := b.request(0)
@@ -38,7 +39,7 @@
 		}
 		for _, s := range actionsOf[Send](b.step(q)) {
 			if i%20 == 0 {
-				loads = append(loads, out{s, b.now + sec/2})
+				loads = append(loads, openLoad{s, b.now + sec/2})
 				continue
 			}
 			lookups++
@@ -50,30 +51,31 @@
 			b.now += 1000
 			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: 100000})
 		}
-		held := map[string]int{}
+		loadsOn := map[string]int{}
 		for _, l := range loads {
-			if held[l.s.Endpoint]++; held[l.s.Endpoint] > 1 {
+			if loadsOn[l.s.Endpoint]++; loadsOn[l.s.Endpoint] > 1 {
 				t.Fatalf("two loads of one group on %s", l.s.Endpoint)
 			}
 		}
-		maxLocked = max(maxLocked, len(held))
+		maxLocked = max(maxLocked, len(loadsOn))
 	}
 	if maxLocked == 0 || maxLocked > 3 {
 		t.Errorf("loads locked their group on %d of 6 endpoints at once", maxLocked)
 	}
 	if lookups == 0 || blocked*50 > lookups {
-		t.Errorf("%d of %d lookups met a lock", blocked, lookups)
+		t.Errorf("%d of %d lookups were sent to an endpoint with a locked group", blocked, lookups)
 	}
 }
 
-// Gateways agree on the endpoints for loads of a group without gossip, and groups do not all have the same.
+// Gateways agree without gossip on the endpoints for the loads of a group, and not all groups have the same
+// endpoints.
 func TestAffinitySubsetsAreTheSameEverywhere(t *testing.T) {
 	a, b := newHarness(t, loadSettings(), 6), newHarness(t, loadSettings(), 6)
 	differ := false
 	for tables := range int64(20) {
 		for i, e := range a.g.endpoints.list {
 			if a.g.inAffinitySubset(tables, e) != b.g.inAffinitySubset(tables, b.g.endpoints.list[i]) {
-				t.Errorf("group %d, %s: two gateways do not agree", tables, e.ID)
+				t.Errorf("group %d, %s: two gateways disagree", tables, e.ID)
 			}
 			differ = differ || a.g.inAffinitySubset(tables, e) != a.g.inAffinitySubset(0, e)
 		}
@@ -83,15 +85,15 @@
 	}
 }
 
-// With one endpoint left there is no choice.
+// The only endpoint runs the loads of every group.
 func TestLoadGoesToTheOnlyEndpoint(t *testing.T) {
 	b := newHarness(t, loadSettings(), 1)
 	if len(actionsOf[Send](b.step(b.request(2)))) != 1 {
-		t.Error("not sent")
+		t.Error("load not sent to the only endpoint")
 	}
 }
 
-// A load locks its group on its endpoint: queries that wait for it go elsewhere.
+// A load locks its group on its endpoint: queries that wait for the lock go to other endpoints.
 func TestWaitingClassesAvoidTableLocks(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].WaitsForTables, s.Classes[1].LocksTables, s.Classes[1].Threads = true, true, 1
@@ -112,6 +114,6 @@
 		}
 	}
 	if there > 3 {
-		t.Fatalf("%d of 12 sent behind the load", there)
+		t.Fatalf("%d of 12 queries sent to the endpoint of the load", there)
 	}
 }
