--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -33,9 +33,9 @@
 }
 
 // adjust multiplies the capacity of all endpoints by capacityBackoff under congestion, whether of cores,
-// disks or memory, and divides it by that without congestion, if more than half of it is in use. One capacity
-// applies to the fleet, since one gateway of many seldom has an answer from a given endpoint; relativeSpeed
-// covers single slow endpoints.
+// disks or memory, and divides it by capacityBackoff without congestion, if more than half of it is in use.
+// One capacity applies to the fleet, since one gateway of many seldom has an answer from a given endpoint;
+// relativeSpeed covers single slow endpoints.
 func (c *congestion) adjust(f *fleetSummary) {
 	if c.inflation.value > shrinkSlackShare*c.slack {
 		c.capacity = max(c.capacity*capacityBackoff, minCapacity)
@@ -45,8 +45,7 @@
 	}
 }
 
-// relax moves inflation and capacity back towards their initial values, as far as one second without answers
-// does.
+// relax moves inflation and capacity back towards their initial values, by the decay of one second.
 func (c *congestion) relax() {
 	c.inflation.value *= idleRetention
 	c.capacity = initialCapacity + (c.capacity-initialCapacity)*idleRetention
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -44,7 +44,7 @@
 	faultShare          float64 // smoothed share of faults in the responses
 	cancelledUnanswered float64 // overdue attempts cancelled since the last response
 	ejected             bool
-	nextTrialAt         Micros // next trial request while ejected
+	nextTrialAt         Micros // earliest next trial request, while ejected
 
 	slowStartSince   Micros       // start of slow start; 0: no slow start
 	slowStart        []workBudget // budget of each class during slow start
@@ -59,8 +59,8 @@
 	healthCheckPending bool            // the last health check has no result yet
 }
 
-// handleEndpointUpdate applies a watch event of the endpoint list. After a failed call the list is polled
-// again within minPollInterval.
+// handleEndpointUpdate applies a watch event of the endpoint list. After a failed call, a list that has to be
+// polled is polled again within minPollInterval.
 func (g *Gateway) handleEndpointUpdate(u EndpointUpdate) {
 	if u.Failed {
 		g.schedule.pollAt = min(g.schedule.pollAt, g.now+toMicros(minPollInterval))
--- a/policy/health_check.go
+++ b/policy/health_check.go
@@ -4,7 +4,7 @@
 
 // Credit and timing of health checks. Requests earn the credit, so traffic bounds the number of checks.
 const (
-	healthChecksPerRequest = 0.6  // credit of a request at one thread a core; below, times its square
+	healthChecksPerRequest = 0.6  // credit of a request, times the square of threads a core (at most 1)
 	minHealthCheckShare    = 0.1  // minimum share of that, so that full endpoints are found at low load too
 	maxHealthCheckCredit   = 6.0  // maximum credit saved, in health checks
 	lightHealthCheckCredit = 3.0  // minimum credit for a light query; heavy queries gain more from a check
--- a/policy/load.go
+++ b/policy/load.go
@@ -74,7 +74,7 @@
 		estimate = (confidence*(threadsPerCore*e.cores-reportedOwn) + (1-confidence)*estimate) *
 			(1 - g.fleet.peerCoverage)
 	}
-	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage) // as if grants were equal
+	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage) // assumes grants like ours
 	return max(e.gossipedThreads, estimate), max(e.gossipedMB, estimateMB)
 }
 
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -13,7 +13,7 @@
 	trialInterval     = 0.5  // seconds between trial requests to an ejected endpoint
 	maxMissedProgress = 3.0  // progress reports in a row that an attempt may miss
 	unresponsiveAges  = 2.0  // multiple of the fleet's mean response age added to minUnresponsive with gossip
-	minUnresponsive   = 0.6  // seconds without a response below which overdue attempts prove nothing: pauses
+	minUnresponsive   = 0.6  // seconds without a response below which overdue attempts may be a pause
 )
 
 // Latency inflation: the log of an answer's latency over the time that its work takes on free cores.
@@ -39,7 +39,7 @@
 }
 
 // eject stops all but trial requests to an endpoint that fails fast (and so looks idle), hangs or vanishes.
-// The log line names the reason why.
+// The log line gives why as the reason.
 func (g *Gateway) eject(e *endpoint, why string) {
 	e.ejected, e.nextTrialAt = true, g.now+toMicros(trialInterval)
 	g.logLine("distrust %s: %s", e.ID, why)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -47,7 +47,8 @@
 }
 
 // isEligible reports whether a request may run on an endpoint at all: by sticky session, protocol, drain,
-// zone and machine kind, and by deduplication scope once an attempt may have run.
+// zone and machine kind, and by deduplication scope once an attempt may have run. A draining endpoint takes
+// only sticky requests, until drainUntil.
 func (g *Gateway) isEligible(q *request, e *endpoint) bool {
 	c := q.class
 	if q.StickyTo != "" && q.StickyTo != e.ID || q.Protocol&^e.Protocols != 0 ||
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -26,8 +26,9 @@
 
 // hasSlowStartCapacity reports whether a request is within this gateway's share of the work that a starting
 // endpoint can take; endpoints that are not in slow start have no such limit. Each class has a token bucket
-// that fills at the gateway's share of slowStartRate, never above zero, and starts at a random level below
-// zero. All gateways together therefore keep to the rate, however small the share of each.
+// that fills at the gateway's share of slowStartRate, less the margin of Chernoff's bound and split by the
+// demand of the classes. The bucket never fills above zero and starts at a random level below zero. All
+// gateways together therefore keep to the rate, however small the share of each.
 func (g *Gateway) hasSlowStartCapacity(q *request, e *endpoint) bool {
 	if e.slowStartSince == 0 || g.settings.SlowStartDuration == 0 || g.settings.OverloadMultiple == 0 {
 		return true
--- a/policy/table_affinity.go
+++ b/policy/table_affinity.go
@@ -10,7 +10,7 @@
 // Table affinity. A load locks its table group on its endpoint, and an endpoint caches the table groups that
 // were read there last.
 const (
-	lockedTablesWeight = 0.1 // factor for endpoints that may lock the group; squared where a load locks it
+	lockedTablesWeight = 0.1 // factor for endpoints in a group's affinity subset; squared under a lock
 	affinityShare      = 0.5 // share of the healthy endpoints, without ejected ones, for loads of a group
 	maxCachedGroups    = 4   // table groups assumed to be cached on an endpoint
 	cacheTolerance     = 0.1 // log of the time saved by caching up to which it counts as noise
@@ -49,8 +49,8 @@
 }
 
 // tablesLocked reports whether a load locks a table group on an endpoint: a load sent by this gateway, or
-// one seen within gossipLifetime in a progress report or in gossip. Queries that need the group would block
-// there.
+// one seen within gossipLifetime in a progress report or in gossip. Queries that wait for the lock would
+// block there.
 func (g *Gateway) tablesLocked(e *endpoint, tables int64) bool {
 	if e.holdsOwnTableLock(tables) {
 		return true
