--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -8,25 +8,25 @@
 // attempt is one send of a request to an endpoint.
 type attempt struct {
 	request      *request
-	number       int // 0 for the first of its request
+	number       int // index among the request's attempts, 0 for the first
 	endpoint     *endpoint
 	sentAt       Micros
-	expectedTime float64 // seconds
-	level        int
+	expectedTime float64 // run time, seconds
+	level        int     // priority level
 	grantMB      float64
-	uncontended  bool // sent to an endpoint with free cores
-	cached       bool // its table group was cached there
+	uncontended  bool // the endpoint had a free core when it was sent
+	cached       bool // the endpoint had its table group cached when it was sent
 	closed       bool
-	cancelled    bool
+	cancelled    bool // a Cancel was emitted
 
-	progressAt       Micros  // last progress report
-	reportedProgress bool    // one came with a share done
-	projectedTime    float64 // seconds in all, by that; 0: none
-	spilled          bool
-	waiting          bool // blocked for memory or a table lock
+	progressAt       Micros  // last progress report; 0: none
+	reportedProgress bool    // a report carried the share done
+	projectedTime    float64 // total seconds projected from the share done; 0: unknown
+	spilled          bool    // a report said that it spilled for lack of memory
+	waiting          bool    // reported as blocked on memory or a table lock
 }
 
-// sendAttempt starts an attempt at the level of lowest cost.
+// sendAttempt sends a request to an endpoint, at the priority level of least cost.
 func (g *Gateway) sendAttempt(q *request, e *endpoint) {
 	c := q.class
 	g.queue.remove(q)
@@ -54,7 +54,8 @@
 	g.emit(s)
 }
 
-// openAttempt puts a new attempt into the ledger.
+// openAttempt records a new attempt in the ledgers of its request, order key and endpoint. Every attempt of
+// a request but the first counts as a retry in the retry budget.
 func (g *Gateway) openAttempt(a *attempt) {
 	q, e := a.request, a.endpoint
 	if len(q.attempts) > 0 {
@@ -73,7 +74,8 @@
 	g.threads[a.level] += q.class.threads
 }
 
-// closeAttempt takes an attempt out of the ledger.
+// closeAttempt removes an ended attempt from the ledgers and records the request's first attempt that may
+// have run. The order key pauses for OrderingGap where the attempt may still run on the endpoint.
 func (g *Gateway) closeAttempt(a *attempt, code Code) {
 	q, e := a.request, a.endpoint
 	a.closed = true
@@ -98,7 +100,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, where that is allowed, and says whether it did.
+// cancelAttempt cancels an attempt and reports whether it did. It does not if attempts cannot be cancelled,
+// the answer is being streamed, or the attempt is closed or cancelled already.
 func (g *Gateway) cancelAttempt(a *attempt) bool {
 	if a.closed || a.cancelled || !g.settings.CanCancel || a.request.streamed {
 		return false
@@ -108,11 +111,12 @@
 	return true
 }
 
-// deadlineGuard is the time before a deadline at which the final answer is given.
+// deadlineGuard returns how long before its deadline a request gets its final answer: two timer intervals,
+// since the timer checks deadlines once in each.
 func (g *Gateway) deadlineGuard() Micros { return Micros(2 * timerInterval * microsPerSecond) }
 
-// openAttemptOf is an attempt in flight; nil if there is none.
-func (g *Gateway) openAttemptOf(id string, number int) *attempt {
+// findOpenAttempt returns a request's attempt by its number; nil if it is unknown or closed.
+func (g *Gateway) findOpenAttempt(id string, number int) *attempt {
 	q := g.ledger.requests[id]
 	if q == nil || number < 0 || number >= len(q.attempts) || q.attempts[number].closed {
 		return nil
@@ -120,15 +124,16 @@
 	return q.attempts[number]
 }
 
-// handleAttemptResult closes an attempt, learns from its result and decides what follows.
+// handleAttemptResult closes an attempt, learns from its result, and ends its request or queues it for a
+// retry. A result of an unknown or closed attempt is ignored.
 func (g *Gateway) handleAttemptResult(r AttemptResult) {
-	a := g.openAttemptOf(r.ID, r.Attempt)
+	a := g.findOpenAttempt(r.ID, r.Attempt)
 	if a == nil {
 		return
 	}
 	q, e := a.request, a.endpoint
 	g.closeAttempt(a, r.Code)
-	if r.Load != nil && (e.loadAt == 0 || *r.Load != e.load) { // an unchanged report may be an old one
+	if r.Load != nil && (e.loadAt == 0 || *r.Load != e.load) { // an unchanged report may be the old one
 		g.recordLoad(e, *r.Load, g.now)
 	}
 	g.learnFromResult(a, r)
@@ -142,12 +147,12 @@
 		return
 	}
 	q.restarting = false
-	g.queue.add(q) // sendQueued sends it again, or sheds it
+	g.queue.add(q) // sendQueued retries or sheds it
 	g.schedule.sendQueuedAt = g.now
 }
 
-// learnFromResult learns from a result: the class's estimates and waits, the endpoint's health. An endpoint
-// that rejects everything looks as idle as one that fails.
+// learnFromResult updates the class's estimates and queue waits and the endpoint's health from a result.
+// Rejections count as faults: an endpoint that rejects everything looks idle, like one that fails fast.
 func (g *Gateway) learnFromResult(a *attempt, r AttemptResult) {
 	switch r.Code {
 	case OK:
@@ -158,15 +163,16 @@
 	}
 }
 
-// learnFromAnswer learns from an answer's latency, and from its work where that is reported.
+// learnFromAnswer updates the estimates of class, endpoint and fleet from an answer's latency, and from its
+// work where the endpoint reports it.
 func (g *Gateway) learnFromAnswer(a *attempt, r AttemptResult) {
 	q, c, e := a.request, a.request.class, a.endpoint
-	e.nextTrialAt = g.now // the next trial may follow
+	e.nextTrialAt = g.now // an answered trial request permits the next one
 	took := max(seconds(r.Latency), minSeconds)
-	overEstimate := math.Log(took * c.threads / max(q.work, minSeconds))
-	c.recordDispersion(overEstimate)
-	inflation, work := clipInflation(overEstimate), 0.0
-	if r.WorkMicros > 0 { // reported work tells inflation from the error of the estimate
+	logRatio := math.Log(took * c.threads / max(q.work, minSeconds))
+	c.recordDispersion(logRatio)
+	inflation, work := clipInflation(logRatio), 0.0
+	if r.WorkMicros > 0 { // reported work separates inflation from the estimate's error
 		work = seconds(r.WorkMicros)
 		inflation = clipInflation(math.Log(took * c.threads / work))
 	} else if a.uncontended || c.workFit.count < minFitAnswers {
@@ -186,9 +192,9 @@
 	c.recordWait(a.level, wait)
 }
 
-// recordResponse takes a response of an endpoint; fault is 1 for a fault and 0 for an answer. The endpoint
-// may have restarted, before the endpoint list says so, where it refuses a connection or two break at once;
-// one broken connection alone may be a lost answer.
+// recordResponse updates an endpoint's health after a response; fault is 1 for a fault and 0 for an answer.
+// A refused connection, or two connections that break within timerInterval, are taken for a restart that the
+// endpoint list does not show yet: slow start begins. One broken connection alone may be a lost answer.
 func (g *Gateway) recordResponse(a *attempt, code Code, fault float64) {
 	e := a.endpoint
 	e.lastResponse, e.cancelledUnanswered, e.lastWasFault = g.now, 0, fault > 0
@@ -208,9 +214,10 @@
 	g.updateOutlier(e)
 }
 
-// handleProgress learns from a progress report: projected time, spills, waits.
+// handleProgress records an attempt's progress report: its projected time, a spill, or a wait for memory
+// or tables.
 func (g *Gateway) handleProgress(p Progress) {
-	a := g.openAttemptOf(p.ID, p.Attempt)
+	a := g.findOpenAttempt(p.ID, p.Attempt)
 	if a == nil {
 		return
 	}
--- a/policy/key_order.go
+++ b/policy/key_order.go
@@ -2,24 +2,25 @@
 
 import "slices"
 
-// keyOrder is the queue of one order key: its requests run one at a time, in order.
+// keyOrder is the state of one order key, whose requests run one at a time, in the order received.
 type keyOrder struct {
-	queue        []*request
+	queue        []*request // not done, in the order received
 	openAttempts int
-	pausedUntil  Micros // an attempt that may still run blocks the key until then
+	pausedUntil  Micros // end of the pause after an attempt that may still run
 }
 
-// keyOrders holds the order of each key; looked up only, but for questions about any of them.
+// keyOrders holds the state of each order key. It is ranged over only where the order of keys has no effect:
+// actions must not depend on the order of a map.
 type keyOrders map[int64]*keyOrder
 
-// isNext says that a request is first in its key's queue, and that no attempt of another is in flight or
-// may still run.
+// isNext reports whether a request is first in its key's queue and no attempt of another one is in flight or
+// may still run. A pause does not hold back the retries of a request.
 func (o *keyOrder) isNext(q *request, now Micros) bool {
 	return o.queue[0] == q && o.openAttempts <= q.openAttempts &&
 		(now >= o.pausedUntil || len(q.attempts) > 0)
 }
 
-// join appends a request to its key's queue, where it is ordered.
+// join appends a request to its key's queue, if it is ordered.
 func (k keyOrders) join(q *request) {
 	if !q.ordered() {
 		return
@@ -31,7 +32,7 @@
 	o.queue = append(o.queue, q)
 }
 
-// leave removes a request from its key's queue.
+// leave removes a request from its key's queue, if it is ordered.
 func (k keyOrders) leave(q *request) {
 	if q.ordered() {
 		o := k[q.OrderKey]
@@ -39,5 +40,5 @@
 	}
 }
 
-// ordered says that the request has to keep the order of its key.
+// ordered reports whether the request has to keep the order of its key.
 func (q *request) ordered() bool { return q.class.Ordered && q.HasOrderKey }
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,31 +2,37 @@
 
 import "math"
 
-// Retries of overdue attempts.
+// Detection and restart of overdue attempts.
 const (
-	overdueFactor      = 3.0 // times its expected time from which an attempt is overdue: bad plan, or lost
-	overdueDispersions = 2.0 // the same in mean deviations of the class's log times from its estimates
-	observedTimeShare  = 0.5 // share of a cancelled attempt's time that the next one is expected to take
-	minRestartGain     = 1.5 // expected times that a restart must save
-	minOverdueAge      = 0.3 // seconds below which no attempt is overdue by its plan
+	// An attempt is overdue (bad plan, or lost) past the larger of two multiples of its expected time:
+	// overdueFactor, and overdueDispersions mean deviations of the class's log times from its estimates.
+	overdueFactor      = 3.0
+	overdueDispersions = 2.0
+
+	// minRestartGain is the minimum projected time that an attempt still has to run: in expected times to be
+	// overdue, since a restart must save as much, and in multiples of the time left to be hopeless.
+	minRestartGain = 1.5
+
+	observedTimeShare = 0.5 // minimum share of a cancelled attempt's time that the next is expected to take
+	minOverdueAge     = 0.3 // seconds of age below which no attempt is restarted for a bad plan
 )
 
-// retryBudget counts requests and retries in a sliding window: retries may be RetryBudgetFloor plus
-// RetryBudgetRatio times the requests received within RetryBudgetWindow.
+// retryBudget holds the times of requests and retries in a sliding window, RetryBudgetWindow long. It allows
+// RetryBudgetFloor retries plus RetryBudgetRatio times the requests received in the window.
 type retryBudget struct {
 	receivedAt []Micros // requests received, oldest first
 	retriedAt  []Micros // retries sent, oldest first
 }
 
-// expire forgets what is older than the window. Requests count for a timer interval less than the window
-// and retries for one more: the budget then holds whichever way the ends of the window are read.
+// expire drops the times before the window. Requests are dropped a timer interval early and retries one late,
+// so that the budget holds whether or not the window is taken to include its ends.
 func (b *retryBudget) expire(now, window Micros) {
 	start := now - window
 	b.receivedAt = dropUntil(b.receivedAt, start+timerMicros)
 	b.retriedAt = dropUntil(b.retriedAt, start-timerMicros-1)
 }
 
-// dropUntil drops the leading times up to and including at.
+// dropUntil drops the leading times that are not after at.
 func dropUntil(times []Micros, at Micros) []Micros {
 	for len(times) > 0 && times[0] <= at {
 		times = times[1:]
@@ -34,7 +40,7 @@
 	return times
 }
 
-// withinRetryBudget says whether one more retry is within the retry budget.
+// withinRetryBudget reports whether the budget allows one more retry, after dropping expired times.
 func (g *Gateway) withinRetryBudget() bool {
 	s, b := &g.settings, &g.retryBudget
 	if s.RetryBudgetWindow == 0 {
@@ -44,7 +50,8 @@
 	return float64(len(b.retriedAt)+1) <= s.RetryBudgetFloor+s.RetryBudgetRatio*float64(len(b.receivedAt))
 }
 
-// mayStartAttempt says whether another attempt of the request is within the rules now.
+// mayStartAttempt reports whether the rules allow another attempt of the request now: the limit of attempts,
+// the key order, hedging, the class's effect and the retry budget.
 func (g *Gateway) mayStartAttempt(q *request) bool {
 	c := q.class
 	if q.done || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
@@ -64,69 +71,72 @@
 	return g.withinRetryBudget()
 }
 
-// overdueCheck is how an attempt compares with its expectation, in seconds.
+// overdueCheck compares an attempt with its expected time. Times are in seconds.
 type overdueCheck struct {
-	took     float64 // age, or the time projected by its progress
-	remains  float64 // until the final answer has to be given
-	overdue  bool
-	hopeless bool // at its pace it ends too late
+	took      float64 // age, or the total time projected from its progress
+	remaining float64 // until the final answer has to be given
+	overdue   bool
+	hopeless  bool // at its pace it ends too late
 }
 
-// compareWithExpected judges an attempt of an age in seconds. A progress report that time has proven
-// wrong does not count any more.
+// compareWithExpected compares an attempt of an age in seconds with its expected time. The time projected by
+// a progress report is ignored once the age exceeds overdueFactor times it: the report was wrong.
 func (g *Gateway) compareWithExpected(a *attempt, age float64) overdueCheck {
 	q, c := a.request, a.request.class
 	inflation := max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)
 	expected := max(q.work/c.threads*math.Exp(inflation), q.observedTime)
-	k := overdueCheck{took: age, remains: seconds(q.Deadline - g.deadlineGuard() - g.now),
+	check := overdueCheck{took: age, remaining: seconds(q.Deadline - g.deadlineGuard() - g.now),
 		overdue: age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expected}
 	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime {
-		k.took = a.projectedTime
-		k.overdue = a.projectedTime > overdueFactor*expected && a.projectedTime-age > minRestartGain*expected
-		k.hopeless = !k.overdue && a.projectedTime-age > minRestartGain*k.remains
+		check.took = a.projectedTime
+		check.overdue = a.projectedTime > overdueFactor*expected &&
+			a.projectedTime-age > minRestartGain*expected
+		check.hopeless = !check.overdue && a.projectedTime-age > minRestartGain*check.remaining
 	}
-	return k
+	return check
 }
 
-// checkOverdue restarts an attempt with a bad plan or a dead endpoint while a retry can still earn the
-// weight and the budget allows it. Estimates are rough, and a restart does not shorten a query: the time
-// that a cancelled attempt has shown is what the next one may take.
+// checkOverdue cancels an attempt that has a bad plan or whose endpoint is dead, so that its request is sent
+// again, if a retry can still end before the deadline and the rules allow it. A request whose attempt is
+// hopeless is shed or failed at once, if attempts can be cancelled. Estimates are rough, and a restart does
+// not shorten a query that is really long: the time of a cancelled attempt raises what the next one is
+// expected to take.
 func (g *Gateway) checkOverdue(a *attempt) {
 	age, q := g.secondsSince(a.sentAt), a.request
 	lost := a.endpoint.ejected && age > minUnresponsive && age > overdueFactor*a.expectedTime
-	k := g.compareWithExpected(a, age)
-	if k.hopeless && g.settings.CanCancel {
+	check := g.compareWithExpected(a, age)
+	if check.hopeless && g.settings.CanCancel {
 		g.shedOrFail(q)
 		return
 	}
-	if a.waiting || !lost && (!k.overdue || age < minOverdueAge) {
+	if a.waiting || !lost && (!check.overdue || age < minOverdueAge) {
 		return
 	}
-	if !g.mayRestart(q, k.remains) || !g.cancelAttempt(a) {
+	if !g.mayRestart(q, check.remaining) || !g.cancelAttempt(a) {
 		return
 	}
 	q.restarting = true
 	g.learnFromCancelled(a, age)
-	if k.overdue && !lost {
-		q.observedTime = k.took * observedTimeShare
+	if check.overdue && !lost {
+		q.observedTime = check.took * observedTimeShare
 	}
 }
 
-// mayRestart says whether a request may be sent again in place of an overdue attempt, where so many
-// seconds remain.
-func (g *Gateway) mayRestart(q *request, remains float64) bool {
+// mayRestart reports whether a request may be sent again in place of an overdue attempt; remaining is the
+// seconds until its final answer has to be given.
+func (g *Gateway) mayRestart(q *request, remaining float64) bool {
 	exhausted := len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent ||
 		!g.withinRetryBudget()
-	return !exhausted && !q.restarting && remains >= q.class.serviceTime(q.work)
+	return !exhausted && !q.restarting && remaining >= q.class.serviceTime(q.work)
 }
 
-// learnFromCancelled counts the age of a cancelled attempt as its time: it would have taken longer
-// still, and congestion must not be learned from quick answers alone.
+// learnFromCancelled records the age of a cancelled attempt as its latency. The attempt would have taken even
+// longer, but congestion must not be learned from quick answers alone.
 func (g *Gateway) learnFromCancelled(a *attempt, age float64) {
 	c, e := a.request.class, a.endpoint
-	x := math.Log(age * c.threads / max(a.request.work, minSeconds))
-	c.recordDispersion(x)
-	g.recordInflation(e, max(0, min(maxLogInflation, x)), fleetInflationStep)
+	logRatio := math.Log(age * c.threads / max(a.request.work, minSeconds))
+	c.recordDispersion(logRatio)
+	g.recordInflation(e, max(0, min(maxLogInflation, logRatio)), fleetInflationStep)
 	if a.sentAt >= e.lastResponse { // a restart must not hide that the endpoint does not respond
 		e.cancelledUnanswered++
 	}
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -1,43 +1,43 @@
 package policy
 
-// Smoothing of traffic rates and of means over own queries.
+// Smoothing of traffic rates and of means over this gateway's queries.
 const (
-	rateSmoothing = 0.3  // weight of one interval in a rate: about three seconds
+	rateSmoothing = 0.3  // weight of one interval in a rate: the last three seconds or so count
 	meanSmoothing = 0.02 // weight of one query in a mean
-	idleRetention = 0.8  // share left each second of a load or inflation that nothing reports any more
+	idleRetention = 0.8  // share of a load or inflation that is left after a second without reports
 )
 
-// traffic holds request rates, in requests a second: this gateway's and those of the mean gateway,
-// which start as ours and move towards what peers gossip.
+// traffic holds request rates in requests per second: this gateway's and those of the mean gateway, which
+// start as this gateway's and move towards the rates that peers gossip.
 type traffic struct {
-	received float64 // requests since the last interval
-	rate     float64 // here
+	received float64 // requests in the current interval
+	rate     float64 // of this gateway
 	meanRate float64 // of the mean gateway
 	share    float64 // this gateway's share of all traffic, as far as known
 	tenants  []tenant
 }
 
-// tenant is one tenant's traffic, in requests a second.
+// tenant holds one tenant's quota and rates, in requests per second.
 type tenant struct {
 	quota    float64 // over all gateways; 0: none
-	received float64 // requests since the last interval
-	rate     float64 // here
-	meanRate float64 // of the mean gateway
+	received float64 // requests in the current interval
+	rate     float64 // at this gateway
+	meanRate float64 // at the mean gateway
 }
 
-// queryMeans are means over own queries.
+// queryMeans holds means over this gateway's queries.
 type queryMeans struct {
-	threads      float64     // threads of a query in flight: long ones count for longer
-	grantMB      float64     // MB granted for each thread in flight
-	inFlight     float64     // own attempts in flight, over about five seconds
-	sentThreads  runningMean // threads of a query sent
+	threads      float64     // threads of a query in flight; long queries weigh more
+	grantMB      float64     // MB granted per thread in flight
+	inFlight     float64     // attempts in flight, averaged over about five seconds
+	sentThreads  runningMean // threads of a query when sent
 	work         runningMean // estimated work, seconds
-	latency      runningMean // seconds of an answered attempt
+	latency      runningMean // seconds from send to answer
 	responseTime runningMean // seconds from receipt to answer
 	earned       runningMean // weight earned by an answer
 }
 
-// count counts a request of a tenant, which may be unknown.
+// count counts a request of a tenant; an index out of range stands for an unknown tenant.
 func (t *traffic) count(tenant int) {
 	t.received++
 	if tenant >= 0 && tenant < len(t.tenants) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// updateRates turns what was counted in an interval of so many seconds into rates. The rate of the mean
-// gateway moves as fast as ours, so that the share is right at once when traffic starts.
+// updateRates updates the rates from the requests counted in an interval, in seconds. The rates of the mean
+// gateway move as fast as this gateway's, so that the share is right at once when traffic starts.
 func (t *traffic) updateRates(interval float64) {
 	t.rate += (t.received/interval - t.rate) * rateSmoothing
 	t.meanRate += (t.received/interval - t.meanRate) * rateSmoothing
@@ -59,7 +59,7 @@
 	}
 }
 
-// gossipRates are the rates to gossip: the mean gateway's by tenant, and in total.
+// gossipRates returns the rates to gossip, those of the mean gateway: for each tenant, then in total.
 func (t *traffic) gossipRates() (rates []float64) {
 	for _, n := range t.tenants {
 		rates = append(rates, n.meanRate)
@@ -67,7 +67,7 @@
 	return append(rates, t.meanRate)
 }
 
-// mergeRates moves the rates of the mean gateway towards a peer's.
+// mergeRates moves the rates of the mean gateway towards those that a peer gossips.
 func (t *traffic) mergeRates(rates []float64) {
 	for i := range t.tenants {
 		t.tenants[i].meanRate += (rates[i] - t.tenants[i].meanRate) * gossipRateSmoothing
@@ -75,8 +75,9 @@
 	t.meanRate += (rates[len(t.tenants)] - t.meanRate) * gossipRateSmoothing
 }
 
-// updateShare estimates this gateway's share of all traffic: own rate over the total by gossip; where
-// there is none, own demand in threads (rate · latency · threads) over all threads reported.
+// updateShare estimates this gateway's share of all traffic. With gossip, it is this gateway's rate over the
+// rate of all gateways. Without, it is this gateway's demand in threads (rate · latency · threads) over the
+// threads on all endpoints, where load is reported.
 func (g *Gateway) updateShare() {
 	t := &g.traffic
 	if len(g.gossip.reports) > 0 {
@@ -89,7 +90,8 @@
 	}
 }
 
-// updateQueryMeans takes the attempts in flight into the means: long ones count for longer.
+// updateQueryMeans updates the means of threads and grants from the attempts in flight. Long queries are in
+// flight at more updates, so they weigh more.
 func (g *Gateway) updateQueryMeans() {
 	n := g.attemptsInFlight()
 	if n == 0 {
@@ -100,11 +102,11 @@
 	g.queries.grantMB += (g.grantsInFlightMB()/g.threadsInFlight() - g.queries.grantMB) * weight
 }
 
-// trafficShare is our share of the traffic, at least an equal one: gateways with little traffic seldom
-// use theirs. When gateways are lost the rest take over their share.
+// trafficShare returns this gateway's share of the traffic, at least an equal one: gateways with little
+// traffic seldom use theirs. When gateways are lost, the others take over their share.
 func (g *Gateway) trafficShare() float64 { return max(g.traffic.share, 1/float64(g.settings.Peers)) }
 
-// coreShare is this gateway's share of the healthy endpoints' cores.
+// coreShare returns this gateway's share of the healthy endpoints' cores, at least one core.
 func (g *Gateway) coreShare() float64 {
 	return max(g.fleet.cores*g.trafficShare(), 1)
 }
