--- a/policy/change.go
+++ b/policy/change.go
@@ -6,99 +6,102 @@
 	"slices"
 )
 
-// Change takes new settings between two steps. It decides nothing: what was learned, and what is open
-// (order, budgets, drains, the endpoint list), stays under the new indexes of classes and tenants. Classes
-// and Tenants give for each new one the index of the old one that it continues, -1 for none. An open
-// request keeps the class it was received under where its rules differ now. Zones and kinds keep their
-// indexes: a setting may add kinds, never remove one. The error names what cannot change; nothing has
-// changed then.
+// Change applies new settings between two steps. It takes no actions: learned state, open requests, the order
+// of keys, budgets, drains and the endpoint list are kept, under the new indexes of classes and tenants.
+// classes and tenants hold, for each new class and tenant, the index of the old one that it continues, or -1.
+// An open request keeps the class that it was received under if the rules of its class differ now. Zones and
+// kinds keep their indexes: new settings may add kinds but not remove any. If an error is returned, it names
+// what cannot change, and nothing has changed.
 func (g *Gateway) Change(s Settings, classes, tenants []int) error {
 	if err := s.validate(); err != nil {
 		return err
 	}
 	if len(classes) != len(s.Classes) || len(tenants) != len(s.Tenants) {
-		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, there are %d and %d",
+		return fmt.Errorf("policy: Change: %d classes and %d tenants are mapped, the settings have %d and %d",
 			len(classes), len(tenants), len(s.Classes), len(s.Tenants))
 	}
 	if len(s.Kinds) < len(g.settings.Kinds) {
-		return fmt.Errorf("policy: Kinds: %d, there were %d", len(s.Kinds), len(g.settings.Kinds))
+		return fmt.Errorf("policy: Kinds: %d kinds, must be at least the present %d",
+			len(s.Kinds), len(g.settings.Kinds))
 	}
-	newClass, err := newNumbers("Classes", classes, len(g.classes))
+	newClassIndex, err := newIndexes("Classes", classes, len(g.classes))
 	if err != nil {
 		return err
 	}
-	newTenant, err := newNumbers("Tenants", tenants, len(g.traffic.tenants))
+	newTenantIndex, err := newIndexes("Tenants", tenants, len(g.traffic.tenants))
 	if err != nil {
 		return err
 	}
 	open := slices.DeleteFunc(slices.Clone(g.ledger.active), (*request).ended)
 	for _, q := range open {
-		if newClass[q.Class] < 0 {
-			return fmt.Errorf("policy: Classes: %q has open requests", g.classes[q.Class].Name)
+		if newClassIndex[q.Class] < 0 {
+			return fmt.Errorf("policy: Classes: class %q cannot be removed: it has open requests",
+				g.classes[q.Class].Name)
 		}
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
 	g.settings, g.ledger.active = s, open
 	g.replaceClasses(classes)
 	for _, q := range open {
-		q.Class = newClass[q.Class]
+		q.Class = newClassIndex[q.Class]
 		if c := &g.classes[q.Class]; sameRules(q.class.Class, c.Class) {
 			q.class = c
 		}
-		q.Tenant = renumber(newTenant, q.Tenant)
+		q.Tenant = remapIndex(newTenantIndex, q.Tenant)
 	}
 	g.replaceTenants(tenants)
-	for _, e := range g.endpoints.byID { // each by itself: the order does not matter
+	for _, e := range g.endpoints.byID { // independent of each other: the order has no effect
 		e.resize(s.Kinds)
-		e.renumberSlowStart(classes)
+		e.remapSlowStart(classes)
 	}
 	g.congestion.slack = g.objectiveSlack()
 	return nil
 }
 
-// replaceClasses puts the classes of the settings in force; each continues what was learned of an old one,
-// or begins with a common grant margin.
-func (g *Gateway) replaceClasses(from []int) {
+// replaceClasses replaces the classes by those of the settings. Each keeps the learned state of the old class
+// at its index in oldIndexes; a class without an old one starts with the grant margin of the first old class.
+func (g *Gateway) replaceClasses(oldIndexes []int) {
 	old := g.classes
-	g.classes = make([]class, len(from))
+	g.classes = make([]class, len(oldIndexes))
 	for i, c := range g.settings.Classes {
 		next := class{grantMargin: old[0].grantMargin}
-		if from[i] >= 0 {
-			next = old[from[i]]
+		if oldIndexes[i] >= 0 {
+			next = old[oldIndexes[i]]
 		}
 		next.threads, next.Class = float64(max(c.Threads, 1)), c
 		g.classes[i] = next
 	}
 }
 
-// replaceTenants puts the tenants of the settings in force; each continues the traffic of an old one.
-func (g *Gateway) replaceTenants(from []int) {
+// replaceTenants replaces the tenants by those of the settings. Each keeps the rates of the old tenant at its
+// index in oldIndexes, if any.
+func (g *Gateway) replaceTenants(oldIndexes []int) {
 	old := g.traffic.tenants
-	g.traffic.tenants = make([]tenant, len(from))
-	for i, f := range from {
-		if f >= 0 {
-			g.traffic.tenants[i] = old[f]
+	g.traffic.tenants = make([]tenant, len(oldIndexes))
+	for i, oldIndex := range oldIndexes {
+		if oldIndex >= 0 {
+			g.traffic.tenants[i] = old[oldIndex]
 		}
 		g.traffic.tenants[i].quota = g.settings.Tenants[i].Quota
 	}
 }
 
-// renumberSlowStart carries the budgets of an endpoint that has just started over to the new classes.
-func (e *endpoint) renumberSlowStart(from []int) {
+// remapSlowStart moves the budgets of an endpoint in slow start to the new indexes of their classes.
+func (e *endpoint) remapSlowStart(oldIndexes []int) {
 	old := e.slowStart
 	if old == nil {
 		return
 	}
-	e.slowStart = make([]workBudget, len(from))
-	for i, f := range from {
-		if f >= 0 && f < len(old) {
-			e.slowStart[i] = old[f]
+	e.slowStart = make([]workBudget, len(oldIndexes))
+	for i, oldIndex := range oldIndexes {
+		if oldIndex >= 0 && oldIndex < len(old) {
+			e.slowStart[i] = old[oldIndex]
 		}
 	}
 }
 
-// sameRules says that an open request may continue under a class's new form: all that the ledgers count is
-// equal.
+// sameRules reports whether an open request of class a may continue under class b: everything that the
+// ledgers and the rules of placement depend on is equal.
 func sameRules(a, b Class) bool {
 	return a.Threads == b.Threads && a.Effect == b.Effect && a.DedupScope == b.DedupScope &&
 		a.DedupWindow == b.DedupWindow && a.Ordered == b.Ordered && a.LocksTables == b.LocksTables &&
@@ -106,36 +109,37 @@
 		reflect.DeepEqual(a.Kinds, b.Kinds)
 }
 
-// newNumbers inverts "which old index" into "which new index", -1 for those that end.
-func newNumbers(field string, from []int, old int) ([]int, error) {
-	out := make([]int, old)
+// newIndexes inverts a mapping of new indexes to old ones: it returns the new index of each of oldCount old
+// ones, -1 for those that end. field names the mapping in errors.
+func newIndexes(field string, oldIndexes []int, oldCount int) ([]int, error) {
+	out := make([]int, oldCount)
 	for i := range out {
 		out[i] = -1
 	}
-	for i, f := range from {
+	for i, oldIndex := range oldIndexes {
 		switch {
-		case f < 0:
-		case f >= old || out[f] >= 0:
-			return nil, fmt.Errorf("policy: %s[%d]: continues %d, which is not there or continued already",
-				field, i, f)
+		case oldIndex < 0:
+		case oldIndex >= oldCount || out[oldIndex] >= 0:
+			return nil, fmt.Errorf("policy: %s[%d]: old index %d does not exist or is continued twice",
+				field, i, oldIndex)
 		default:
-			out[f] = i
+			out[oldIndex] = i
 		}
 	}
 	return out, nil
 }
 
-// renumber maps an index; one out of range stays.
-func renumber(to []int, i int) int {
-	if i < 0 || i >= len(to) {
+// remapIndex returns the new index of i; an index out of range stays as it is.
+func remapIndex(newIndex []int, i int) int {
+	if i < 0 || i >= len(newIndex) {
 		return i
 	}
-	return to[i]
+	return newIndex[i]
 }
 
-// Outstanding says what the rules count as outstanding: retries and requests received within the retry
-// budget's window, and whether any order key has an attempt in flight or pauses.
-func (g *Gateway) Outstanding() (retries, received int, orderKeyPaused bool) {
+// Outstanding returns the retries and the requests received within the retry budget's window, and whether any
+// order key has an attempt in flight or is paused.
+func (g *Gateway) Outstanding() (retries, received int, orderKeyBusy bool) {
 	since := g.now - g.settings.RetryBudgetWindow
 	for _, at := range g.retryBudget.retriedAt {
 		if at > since {
@@ -147,8 +151,8 @@
 			received++
 		}
 	}
-	for _, t := range g.keyOrders { // any of them: the order does not matter
-		orderKeyPaused = orderKeyPaused || t.openAttempts > 0 || g.now < t.pausedUntil
+	for _, o := range g.keyOrders { // any of them: the order has no effect
+		orderKeyBusy = orderKeyBusy || o.openAttempts > 0 || g.now < o.pausedUntil
 	}
-	return retries, received, orderKeyPaused
+	return retries, received, orderKeyBusy
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// LearnedVersion is the version of the stored form of Learned; another one is rejected.
+// LearnedVersion is the version of the stored form of Learned; Restore rejects any other.
 const LearnedVersion = 1
 
-// Learned is what a gateway has learned, apart from what is open: of its classes, of the fleet and of
-// single endpoints. The json tags are the stored form, in recordings and in files of what was learned: a
-// renamed field keeps its key.
+// Learned is the learned state of a gateway: of its classes, of the fleet and of single endpoints. Open
+// requests and attempts are not part of it. The json tags are the stored form, in recordings and in files of
+// learned state: a renamed field keeps its key.
 type Learned struct {
 	Version   int               `json:"Version"`
 	Classes   []LearnedClass    `json:"Classes"`
 	Fleet     LearnedFleet      `json:"Fleet"`
-	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the list
+	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the endpoint list
 }
 
-// Running is a running mean or median with the number of its values.
+// Running is the stored form of a running mean or median: its value and the number of values recorded.
 type Running struct {
 	Value float64 `json:"V"`
 	Count float64 `json:"N"`
 }
 
-// LearnedClass is what was learned of one class.
+// LearnedClass is the learned state of one class; class and levelPrices describe its fields.
 type LearnedClass struct {
 	Name            string                  `json:"Name"`
 	MeanWork        Running                 `json:"Mean"`
@@ -38,7 +38,8 @@
 	QueueWait       [priorityLevels]float64 `json:"Wait"`
 }
 
-// LearnedFleet is what was learned of all endpoints together and of own traffic.
+// LearnedFleet is the learned state of all endpoints together and of this gateway's queries and traffic;
+// cacheEffect, queryMeans, traffic and congestion describe its fields.
 type LearnedFleet struct {
 	CacheInflation [2]float64 `json:"Stretch"`
 	QueryThreads   float64    `json:"Threads"`
@@ -53,7 +54,7 @@
 	InFlight       float64    `json:"Open"`
 }
 
-// LearnedEndpoint is what was learned of one endpoint since its last start.
+// LearnedEndpoint is the learned state of one endpoint since its last start.
 type LearnedEndpoint struct {
 	ID         string  `json:"ID"`
 	Started    Micros  `json:"Started"`
@@ -61,7 +62,7 @@
 	FaultShare float64 `json:"Faults"`
 }
 
-// stored and restored are a running estimate's stored form, and back.
+// Conversions of running estimates to their stored form and back.
 func (m runningMean) stored() Running   { return Running{m.value, m.count} }
 func (m runningMedian) stored() Running { return Running{m.value, m.count} }
 func (r Running) mean() runningMean     { return runningMean{r.Value, r.Count} }
@@ -69,7 +70,7 @@
 func (f *powerFit) stored() [5]float64  { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
 func restoredFit(v [5]float64) powerFit { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
 
-// Learned returns what the gateway has learned so far.
+// Learned returns the gateway's learned state.
 func (g *Gateway) Learned() Learned {
 	l := Learned{Version: LearnedVersion, Fleet: LearnedFleet{
 		CacheInflation: g.cacheEffect.inflation,
@@ -93,7 +94,7 @@
 	return l
 }
 
-// learned is the stored form of what was learned of a class.
+// learned returns the stored form of a class's learned state.
 func (c *class) learned() LearnedClass {
 	return LearnedClass{
 		Name:            c.Name,
@@ -112,7 +113,7 @@
 	}
 }
 
-// restore takes what was learned of a class; prices and waits only where they still hold.
+// restore sets a class's learned state; prices and queue waits only where fresh says that they still hold.
 func (c *class) restore(l LearnedClass, fresh bool) {
 	c.meanWork = l.MeanWork.mean()
 	c.usualWork = l.UsualWork.mean()
@@ -128,15 +129,16 @@
 	}
 }
 
-// Restore takes what another gateway has learned. Classes of the same name are always restored; prices and
-// waits, the state of the fleet and of single endpoints only where fresh says that they still hold. It must
-// precede the first Step.
+// Restore sets the learned state of an earlier gateway; it must precede the first Step. Estimates of classes,
+// matched by name, means over queries and the effect of cached tables are always restored. Prices, queue
+// waits, traffic rates, attempts in flight, congestion and the state of single endpoints are restored only
+// where fresh says that they still hold.
 func (g *Gateway) Restore(l Learned, fresh bool) error {
 	if g.started || g.now != 0 {
-		return fmt.Errorf("policy: what was learned must be recalled before the first step")
+		return fmt.Errorf("policy: learned state must be restored before the first step")
 	}
 	if l.Version != LearnedVersion {
-		return fmt.Errorf("policy: what was learned has version %d, allowed is %d", l.Version, LearnedVersion)
+		return fmt.Errorf("policy: learned state has version %d, want version %d", l.Version, LearnedVersion)
 	}
 	for _, learned := range l.Classes {
 		for i := range g.classes {
@@ -163,15 +165,15 @@
 	return nil
 }
 
-// sameStartTolerance is how far two clocks may differ on the same start of an endpoint.
+// sameStartTolerance is the largest difference that two clocks may show for the same start of an endpoint.
 const sameStartTolerance = Micros(microsPerSecond)
 
-// restoreEndpoint gives a new endpoint what was learned of it before, if it has not restarted since.
+// restoreEndpoint restores the learned state of a newly listed endpoint, if it has not restarted since.
 func (g *Gateway) restoreEndpoint(e *endpoint) {
-	if k, ok := g.restored[e.ID]; ok {
+	if l, ok := g.restored[e.ID]; ok {
 		delete(g.restored, e.ID)
-		if d := k.Started - e.Started; d < sameStartTolerance && d > -sameStartTolerance {
-			e.inflation, e.faultShare = k.Inflation, k.FaultShare
+		if d := l.Started - e.Started; d < sameStartTolerance && d > -sameStartTolerance {
+			e.inflation, e.faultShare = l.Inflation, l.FaultShare
 		}
 	}
 }
