--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -2,36 +2,36 @@
 
 import "slices"
 
-// Gossip between gateways: load reports and own attempts, paid for by traffic.
+// Gossip between gateways: load reports and the sender's own attempts, at a rate bounded by traffic.
 const (
 	gossipInterval      = 0.25 // minimum seconds between two messages to one peer
-	gossipPerRequest    = 0.7  // messages for each request received
-	minGossipRate       = 1.0  // minimum messages a second, without traffic
-	gossipLifetime      = 1.0  // seconds for which a peer's own attempts and table locks count
-	gossipRateSmoothing = 0.5  // weight of a peer's rates against ours
+	gossipPerRequest    = 0.7  // messages per request received
+	minGossipRate       = 1.0  // minimum messages per second, where traffic is low
+	gossipLifetime      = 1.0  // seconds for which a peer's attempts and table locks count
+	gossipRateSmoothing = 0.5  // weight of a peer's rates in the mean gateway's
 )
 
-// gossipState is what peers gossiped lately, and when and to whom to gossip next.
+// gossipState holds the recent messages of peers, and when and to whom to send the next message.
 type gossipState struct {
-	reports  map[int]*peerReport // by peer; looked up only
+	reports  map[int]*peerReport // by index of the peer; never ranged over
 	arrivals []gossipArrival     // in the order received
 	nextAt   Micros              // next message to send
-	lastPeer int                 // the peer sent the last one, as an index that leaves out this gateway
+	lastPeer int                 // peer that the last one was sent to; 0 is the one after this gateway
 }
 
-// gossipArrival is one message received from a peer.
+// gossipArrival records the arrival of a message.
 type gossipArrival struct {
-	from int
+	from int // index of the peer
 	at   Micros
 }
 
-// peerReport is what a peer gossiped last of its own attempts.
+// peerReport holds a peer's own attempts, as its last message listed them.
 type peerReport struct {
-	at   Micros
-	rows []gossipRow
+	at   Micros      // arrival
+	rows []gossipRow // those with attempts of the peer
 }
 
-// coverage is the share of so many peers whose own attempts are known.
+// coverage returns the share of so many peers whose attempts are known.
 func (s *gossipState) coverage(peers int) float64 {
 	covered := 0.0
 	for _, a := range s.arrivals {
@@ -42,9 +42,9 @@
 	return min(covered, 1)
 }
 
-// sendGossip sends one peer the freshest of what is known of the endpoints, by ourselves or by gossip, and
-// our own attempts there. Its rate is bounded by own traffic. Peers take turns, from a random one: otherwise
-// all gateways would send to the same one.
+// sendGossip sends one peer the freshest load reports of endpoints, own or gossiped, and this gateway's
+// attempts there. The rate of messages is bounded by this gateway's traffic. The peers take turns, counted
+// from this gateway's own index and from a random start, so that not all gateways send to the same peer.
 func (g *Gateway) sendGossip() {
 	s, peers := &g.gossip, g.settings.Peers-1
 	pause := max(gossipInterval/float64(peers), 1/max(gossipPerRequest*g.traffic.rate, minGossipRate))
@@ -54,7 +54,8 @@
 	g.emit(SendGossip{To: to, Data: encodeGossip(g.traffic.gossipRates(), g.gossipRows())})
 }
 
-// gossipRows is what to gossip of the endpoints: what was reported within reportLifetime, freshest first.
+// gossipRows returns the rows to gossip, freshest first: those of endpoints that reported or responded within
+// reportLifetime or have attempts of this gateway.
 func (g *Gateway) gossipRows() []gossipRow {
 	var rows []gossipRow
 	for _, e := range g.endpoints.list {
@@ -74,7 +75,7 @@
 	return rows
 }
 
-// handleGossip takes a peer's message. What does not parse is skipped.
+// handleGossip merges a peer's message. A message that does not parse or is not from a peer is ignored.
 func (g *Gateway) handleGossip(m GossipReceived) {
 	if m.From < 0 || m.From >= g.settings.Peers || m.From == g.settings.PeerIndex {
 		return
@@ -92,8 +93,9 @@
 	}
 }
 
-// recordPeerRow takes one row of so many in a message, of an endpoint. Only what is fresher than our own
-// knowledge counts, and inflation and faults only in part.
+// recordPeerRow merges one row, on endpoint e, of a message with so many rows. Its load and its result count
+// only if they are fresher than what is known here, and its result only if it is later than the endpoint's
+// start. The step of the fleet's inflation is divided by rows: a message counts for about one answer.
 func (g *Gateway) recordPeerRow(e *endpoint, r gossipRow, rows int) {
 	at := g.now - r.age
 	if r.lockedGroup > 0 {
@@ -117,9 +119,9 @@
 	g.updateOutlier(e)
 }
 
-// recordPeerAttempts replaces what a peer gossiped of its own attempts.
+// recordPeerAttempts replaces a peer's own attempts by those in the rows of its message.
 func (g *Gateway) recordPeerAttempts(from int, rows []gossipRow) {
-	g.forgetGossip(from)
+	g.forgetPeerAttempts(from)
 	report := &peerReport{at: g.now}
 	g.gossip.reports[from] = report
 	g.gossip.arrivals = append(g.gossip.arrivals, gossipArrival{from, g.now})
@@ -132,8 +134,8 @@
 	}
 }
 
-// forgetGossip forgets what a peer gossiped of its own attempts.
-func (g *Gateway) forgetGossip(peer int) {
+// forgetPeerAttempts removes a peer's own attempts, as it gossiped them, from their endpoints.
+func (g *Gateway) forgetPeerAttempts(peer int) {
 	report := g.gossip.reports[peer]
 	if report == nil {
 		return
@@ -147,12 +149,12 @@
 	report.rows = nil
 }
 
-// expireGossip forgets what is older than gossipLifetime, unless the peer has gossiped since.
+// expireGossip removes the attempts of peers whose last message is older than gossipLifetime.
 func (g *Gateway) expireGossip() {
 	s := &g.gossip
 	for len(s.arrivals) > 0 && g.secondsSince(s.arrivals[0].at) > gossipLifetime {
 		if a := s.arrivals[0]; s.reports[a.from].at == a.at {
-			g.forgetGossip(a.from)
+			g.forgetPeerAttempts(a.from)
 		}
 		s.arrivals = s.arrivals[1:]
 	}
--- a/policy/gossip_codec.go
+++ b/policy/gossip_codec.go
@@ -6,23 +6,25 @@
 	"math"
 )
 
-// The wire form of gossip. A message is the number of rates (tenants and the total), the rates, then rows,
-// freshest first, as far as they fit. A row is a header (wire ID, flags, age), then the fields that its
-// flags name, a byte each. Gateways of other versions read it: it does not change.
+// The wire format of gossip. A message holds the number of rates (one byte), the rates (two bytes each, for
+// each tenant and in total) and the rows that fit, freshest first. A row is a header (wire ID, flags, age)
+// and the fields that its flags announce, a byte each. The format must not change: gateways of other
+// versions read it.
 const (
-	maxGossipBytes = 256 // limit of the wire for a message to a peer
-	rowHeaderBytes = 4
+	maxGossipBytes = 256 // the transport's limit on a message to a peer
+	rowHeaderBytes = 4   // wire ID (two bytes), flags, age
 
-	rateScale       = 256 // steps of one request a second
-	ageScale        = 32  // steps of a second
-	shareScale      = 100 // steps of a share of one
-	inflationScale  = 40  // steps of a log inflation of one
-	inflationOffset = 3   // added to it on the wire
-	threadScale     = 4   // steps of one thread
-	grantScale      = 255 // steps of an endpoint's whole memory
+	rateScale       = 256 // steps per request per second
+	ageScale        = 32  // steps per second
+	shareScale      = 100 // steps in a share of 1
+	inflationScale  = 40  // steps per unit of log inflation
+	inflationOffset = 3   // added to a log inflation on the wire, which holds no negative values
+	threadScale     = 4   // steps per thread
+	grantScale      = 255 // steps in an endpoint's whole memory
 )
 
-// The flags of a row: which fields follow its wire ID, flags and age.
+// The flags of a row. Each announces one field, except that hasOwnAttempts announces two, threads and granted
+// share, and isFault none.
 const (
 	hasUtilization = 1 << iota
 	hasInFlight
@@ -33,14 +35,14 @@
 	isFault
 )
 
-// gossipRow is one endpoint's entry in a message: the freshest report that the sender knows, its own
-// attempts there, and one table group that a load locks.
+// gossipRow is the row of one endpoint in a message: the freshest report that the sender knows, the sender's
+// own attempts there, and one table group that a load locks.
 type gossipRow struct {
 	wireID       uint32
-	age          Micros  // of the report and the last response, whichever is newer
-	utilization  float64 // reported; negative: not reported, as with the next two
+	age          Micros  // of the last report or the last response, whichever is newer
+	utilization  float64 // negative: not reported, as with the next two
 	inFlight     float64 // queries
-	memory       float64 // share granted
+	memory       float64 // share of the memory granted
 	inflation    float64 // log latency inflation of the last answer
 	fault        bool    // the last result was a fault
 	threads      float64 // of the sender's own attempts
@@ -48,17 +50,17 @@
 	lockedGroup  byte    // code of a table group that a load locks; 0: none
 }
 
-// wireID is the two-byte name of an endpoint in gossip.
+// wireID returns the name of an endpoint in gossip, a two-byte hash of its ID.
 func wireID(id string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return h.Sum32() >> 16
 }
 
-// toByte is x in steps of 1/scale, rounded and clamped to a byte.
+// toByte returns x in steps of 1/scale, rounded and clamped to a byte.
 func toByte(x, scale float64) byte { return byte(max(0, min(255, math.Round(x*scale)))) }
 
-// encodeGossip writes a message of the rows that fit.
+// encodeGossip returns a message with the rates and the leading rows that fit.
 func encodeGossip(rates []float64, rows []gossipRow) []byte {
 	data := []byte{byte(len(rates))}
 	for _, r := range rates {
@@ -66,10 +68,10 @@
 	}
 	for _, r := range rows {
 		var flags byte
-		var rest []byte
-		put := func(flag byte, has bool, bytes ...byte) {
-			if has {
-				flags, rest = flags|flag, append(rest, bytes...)
+		var fields []byte
+		put := func(flag byte, present bool, bytes ...byte) {
+			if present {
+				flags, fields = flags|flag, append(fields, bytes...)
 			}
 		}
 		put(hasUtilization, r.utilization >= 0, toByte(r.utilization, shareScale))
@@ -79,16 +81,16 @@
 		put(hasOwnAttempts, r.threads > 0, toByte(r.threads, threadScale), toByte(r.grantedShare, grantScale))
 		put(hasLockedGroup, r.lockedGroup > 0, r.lockedGroup)
 		put(isFault, r.fault)
-		if len(data)+rowHeaderBytes+len(rest) > maxGossipBytes {
+		if len(data)+rowHeaderBytes+len(fields) > maxGossipBytes {
 			break
 		}
 		data = append(data, byte(r.wireID>>8), byte(r.wireID), flags, toByte(seconds(r.age), ageScale))
-		data = append(data, rest...)
+		data = append(data, fields...)
 	}
 	return data
 }
 
-// decodeGossip reads a message of n rates; ok is false where it does not parse.
+// decodeGossip parses a message that has to have n rates; ok is false if it does not parse.
 func decodeGossip(data []byte, n int) (rates []float64, rows []gossipRow, ok bool) {
 	if len(data) < 1+2*n || int(data[0]) != n {
 		return nil, nil, false
@@ -106,7 +108,7 @@
 	return rates, rows, true
 }
 
-// decodeRow reads the first row of data; ok is false where it is cut short.
+// decodeRow parses the first row of data and returns the bytes after it; ok is false if the row is cut short.
 func decodeRow(data []byte) (r gossipRow, rest []byte, ok bool) {
 	if len(data) < rowHeaderBytes {
 		return gossipRow{}, nil, false
@@ -115,13 +117,13 @@
 	r = gossipRow{wireID: uint32(data[0])<<8 | uint32(data[1]), utilization: -1, inFlight: -1, memory: -1,
 		age: Micros(data[3]) * microsPerSecond / ageScale, fault: flags&isFault != 0}
 	data = data[rowHeaderBytes:]
-	cut := false
-	get := func(flag byte, scale, zero float64, to *float64) {
+	truncated := false
+	get := func(flag byte, scale, offset float64, to *float64) {
 		if flags&flag == 0 {
 			return
 		}
-		if cut = cut || len(data) == 0; !cut {
-			*to, data = float64(data[0])/scale+zero, data[1:]
+		if truncated = truncated || len(data) == 0; !truncated {
+			*to, data = float64(data[0])/scale+offset, data[1:]
 		}
 	}
 	var group float64
@@ -133,5 +135,5 @@
 	get(hasOwnAttempts, grantScale, 0, &r.grantedShare)
 	get(hasLockedGroup, 1, 0, &group)
 	r.lockedGroup = byte(group)
-	return r, data, !cut
+	return r, data, !truncated
 }
