--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -5,27 +5,28 @@
 	"testing"
 )
 
-// Estimates scatter tenfold; the fit must not take that for the work itself.
+// Estimates that scatter while the work does not must be shrunk; good estimates with a constant bias must
+// only be corrected for the bias.
 func TestWideEstimatesAreShrunk(t *testing.T) {
-	var f powerFit
+	var scattered powerFit
 	for i := range 300 {
 		off := float64(i%7-3) / 2 // log error of the estimate; the work is always one second
-		f.add(math.Exp(off), 1, fitSmoothing)
+		scattered.add(math.Exp(off), 1, fitSmoothing)
 	}
-	if w := f.predict(10, 0, initialSlope, 0); w > 1.5 {
-		t.Fatalf("work of %v from an estimate ten times too high", w)
+	if w := scattered.predict(10, 0, initialSlope, 0); w > 1.5 {
+		t.Fatalf("predicted %v s for an estimate ten times too high, the work is 1 s", w)
 	}
-	var g powerFit
+	var biased powerFit
 	for i := range 300 {
 		x := math.Exp(float64(i%7-3) / 2)
-		g.add(x, 2*x, fitSmoothing)
+		biased.add(x, 2*x, fitSmoothing)
 	}
-	if w := g.predict(10, 0, initialSlope, 0); math.Abs(w-20) > 2 {
-		t.Fatalf("work of %v from good estimates, biased by two", w)
+	if w := biased.predict(10, 0, initialSlope, 0); math.Abs(w-20) > 2 {
+		t.Fatalf("predicted %v s for an estimate of 10 s, the work is 20 s", w)
 	}
 }
 
-// The work that answers report is learned under any congestion.
+// Reported work is learned as it is where congestion doubles the latency.
 func TestReportedWorkIsLearned(t *testing.T) {
 	b := newSparseHarness(t, 4, nil)
 	for range 200 {
@@ -37,11 +38,11 @@
 		}
 	}
 	if c := &b.g.classes[0]; c.typicalWork() < 0.25 || c.typicalWork() > 0.35 {
-		t.Fatalf("work of 0.3 s is taken for %.2f", c.typicalWork())
+		t.Fatalf("typical work is %.2f s, reported work is 0.3 s", c.typicalWork())
 	}
 }
 
-// Estimates that are shrunk towards a class's middle understate its mean work.
+// Shrunk estimates understate a class's mean work, so its usual work is learned without shrinking.
 func TestUsualWorkIsNotShrunk(t *testing.T) {
 	b := newSparseHarness(t, 2, nil)
 	sum := 0.0
@@ -52,6 +53,6 @@
 		b.step(q)
 	}
 	if c := &b.g.classes[0]; c.usualWork.value < 0.9*sum/100 {
-		t.Fatalf("usual work %.2f s, it is %.2f", c.usualWork.value, sum/100)
+		t.Fatalf("usual work is %.2f s, the mean of the estimates is %.2f s", c.usualWork.value, sum/100)
 	}
 }
--- a/policy/gossip_codec_test.go
+++ b/policy/gossip_codec_test.go
@@ -9,14 +9,14 @@
 	rates, got, ok := decodeGossip(data, 2)
 	if !ok || len(got) != 2 || rates[0] != 1.5 || got[0].inFlight != 12 || got[0].lockedGroup != 9 || !got[1].fault ||
 		got[1].utilization >= 0 || got[0].age != sec/4 {
-		t.Fatalf("%v %v %v", rates, got, ok)
+		t.Fatalf("decoded rates %v, rows %v, ok %v", rates, got, ok)
 	}
-	for n := range len(data) { // cut anywhere: skipped, or whole rows only
+	for n := range len(data) { // a truncated message does not parse, or yields whole rows
 		if _, rows, ok := decodeGossip(data[:n], 2); ok && len(rows) > 1 {
-			t.Fatalf("%d bytes of %d read as %v", n, len(data), rows)
+			t.Fatalf("the first %d of %d bytes were parsed as rows %v", n, len(data), rows)
 		}
 	}
 	if _, _, ok := decodeGossip(data, 3); ok {
-		t.Fatal("read with another number of tenants")
+		t.Fatal("a message with another number of rates was parsed")
 	}
 }
--- a/policy/gossip_test.go
+++ b/policy/gossip_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Gossiped attempts use an endpoint's capacity, and are forgotten when gossip stops.
+// A peer's gossiped attempts count in the load of an endpoint, and no longer once the peer stops gossiping.
 func TestPeerAttemptsCountAndExpire(t *testing.T) {
 	s := testSettings()
 	s.CanGossip = true
@@ -13,17 +13,17 @@
 	}
 	messages := actionsOf[SendGossip](a.runUntil(a.now + sec))
 	if len(messages) == 0 || len(messages[0].Data) > 256 {
-		t.Fatalf("messages %v", messages)
+		t.Fatalf("want messages of at most 256 bytes, got %v", messages)
 	}
 	b.now = a.now
 	b.step(GossipReceived{From: 0, Data: messages[len(messages)-1].Data})
-	there := a.g.endpoints.list[0].threads // one query may have been sent since the message
-	if threads, _ := b.g.peerLoad(b.g.endpoints.list[0]); threads < there-4 || threads > there || threads == 0 {
-		t.Fatalf("gossip says %v threads, there are %v", threads, there)
+	want := a.g.endpoints.list[0].threads // one query may have been sent since the message
+	if threads, _ := b.g.peerLoad(b.g.endpoints.list[0]); threads < want-4 || threads > want || threads == 0 {
+		t.Fatalf("the endpoint has %v threads by gossip, the peer has %v there", threads, want)
 	}
 	b.runUntil(b.now + 5*sec)
 	if threads, _ := b.g.peerLoad(b.g.endpoints.list[0]); threads != 0 {
-		t.Fatal("a peer that stopped gossiping still counts")
+		t.Fatal("the attempts of a peer that stopped gossiping still count")
 	}
 }
 
--- a/policy/learned_test.go
+++ b/policy/learned_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// What a gateway has learned, stored and read again, is what the next one starts with, but for endpoints that have restarted
-// since, and for what is stale.
+// Learned state that was stored and read again is restored in the next gateway, except that of endpoints that
+// have restarted since, and what does not hold any more where the state is stale.
 func TestLearnedIsRestored(t *testing.T) {
 	b := newHarness(t, testSettings(), 4)
 	for i := range 600 {
 		b.now += 20000
 		for _, s := range actionsOf[Send](b.step(b.request(i % 2))) {
-			took := Micros(80000)
+			latency := Micros(80000)
 			if s.Endpoint == "e1" {
-				took = 400000
+				latency = 400000
 			}
-			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: took})
+			b.step(AttemptResult{ID: s.ID, Endpoint: s.Endpoint, Final: true, Latency: latency})
 		}
 	}
 	text, err := json.Marshal(b.g.Learned())
@@ -26,7 +26,7 @@
 	}
 	var l Learned
 	if err := json.Unmarshal(text, &l); err != nil || !reflect.DeepEqual(l, b.g.Learned()) {
-		t.Fatalf("read again it differs: %v", err)
+		t.Fatalf("the learned state differs after it was stored and read: %v", err)
 	}
 	start := func(l Learned, fresh bool, rows ...Endpoint) *Gateway {
 		t.Helper()
@@ -44,21 +44,21 @@
 	fresh, stale := start(l, true, rows...), start(l, false, rows...)
 	for _, g := range []*Gateway{fresh, stale} {
 		if got := g.Learned().Classes[0]; got.Fit != l.Classes[0].Fit || got.LatencyRatio != l.Classes[0].LatencyRatio || got.MeanWork != l.Classes[0].MeanWork {
-			t.Errorf("the class: %+v, want %+v", got, l.Classes[0])
+			t.Errorf("restored class %+v, want %+v", got, l.Classes[0])
 		}
 	}
-	slow := b.g.endpoints.byID["e1"].inflation
+	e1Inflation := b.g.endpoints.byID["e1"].inflation
 	inflation := func(g *Gateway, id string) float64 { return g.endpoints.byID[id].inflation }
-	if slow == 0 || inflation(fresh, "e1") != slow || inflation(stale, "e1") != 0 ||
+	if e1Inflation == 0 || inflation(fresh, "e1") != e1Inflation || inflation(stale, "e1") != 0 ||
 		inflation(fresh, "e2") != fresh.congestion.inflation.value {
-		t.Errorf("e1 was %v: fresh %v, stale %v; e2 restarted %v", slow, inflation(fresh, "e1"), inflation(stale, "e1"),
-			inflation(fresh, "e2"))
+		t.Errorf("inflation of e1 was %v, is %v if fresh, %v if stale; of e2, which restarted, %v",
+			e1Inflation, inflation(fresh, "e1"), inflation(stale, "e1"), inflation(fresh, "e2"))
 	}
 	if err := fresh.Restore(l, true); err == nil {
-		t.Error("restored after the first step")
+		t.Error("Restore after the first step: no error")
 	}
 	l.Version++
 	if g, _ := New(9, testSettings()); g.Restore(l, true) == nil {
-		t.Error("another version was restored")
+		t.Error("Restore of another version: no error")
 	}
 }
--- a/policy/retry_test.go
+++ b/policy/retry_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The requests that a retry budget counts are forgotten after its window, also while nothing is retried: eight bytes for each
-// request ever received were kept.
+// The retry budget must drop request times after its window even if nothing is retried: otherwise it
+// would keep eight bytes for each request ever received.
 func TestRetryBudgetForgetsOldRequests(t *testing.T) {
 	for _, window := range []Micros{0, 5 * sec} {
 		s := testSettings()
@@ -16,18 +16,19 @@
 			}
 		}
 		if limit := int(window/10000) + 200; len(b.g.retryBudget.receivedAt) > limit {
-			t.Errorf("window %d: %d of 5000 requests kept, at most %d in the window", window, len(b.g.retryBudget.receivedAt), limit)
+			t.Errorf("window of %d µs: %d of 5000 request times kept, want at most %d",
+				window, len(b.g.retryBudget.receivedAt), limit)
 		}
 	}
 }
 
-// A bad plan is random for each attempt: far past expectation it is cancelled and
-// restarted; under congestion that slows all alike it is not.
+// A bad plan is random for each attempt, so an attempt far past its expected time is cancelled and restarted.
+// It is not restarted under congestion, which slows all attempts alike.
 func TestBadPlanIsRestarted(t *testing.T) {
-	for _, slow := range []float64{0, 2} {
+	for _, inflation := range []float64{0, 2} {
 		b := newHarness(t, testSettings(), 2)
 		for _, e := range b.g.endpoints.list {
-			e.inflation, e.lastResponse = slow, b.now
+			e.inflation, e.lastResponse = inflation, b.now
 		}
 		q := b.request(0)
 		b.step(q)
@@ -35,13 +36,13 @@
 			e.lastResponse = b.now + 1 // answers of other attempts keep coming
 		}
 		acts := b.runUntil(b.now + 6*sec/10)
-		if n := len(actionsOf[Cancel](acts)); (n > 0) != (slow == 0) {
-			t.Errorf("inflation %v: %d cancelled", slow, n)
+		if n := len(actionsOf[Cancel](acts)); (n > 0) != (inflation == 0) {
+			t.Errorf("log inflation %v: %d attempts cancelled", inflation, n)
 		}
 	}
 }
 
-// Progress says that an attempt is nearly done, and then nothing comes: it is cancelled like one without progress.
+// An attempt that was reported as done but never answers is cancelled like one without progress reports.
 func TestStaleProgressDoesNotPreventRestart(t *testing.T) {
 	b := newHarness(t, testSettings(), 2)
 	s := actionsOf[Send](b.step(b.request(0)))[0]
@@ -51,12 +52,12 @@
 		e.lastResponse = b.now + 1 // answers of other attempts keep coming
 	}
 	if acts := b.runUntil(b.now + 6*sec/10); len(actionsOf[Cancel](acts)) == 0 {
-		t.Error("not cancelled")
+		t.Error("the attempt was not cancelled")
 	}
 }
 
-// A cancelled attempt shows how long its query may take: the next one is not
-// cancelled at the same point.
+// The time of a cancelled attempt raises what the next one is expected to take, so that the next one is not
+// cancelled at the same age.
 func TestRestartsWaitForObservedTime(t *testing.T) {
 	b := newSparseHarness(t, 4, func(s *Settings) { s.ProgressInterval, s.MaxAttempts = sec/2, 6 })
 	q := b.request(1)
@@ -79,16 +80,17 @@
 		b.runUntil(b.now + sec/10)
 	}
 	if cancelled != 1 {
-		t.Fatalf("%d attempts cancelled at the same pace", cancelled)
+		t.Fatalf("%d attempts cancelled at the same progress, want 1", cancelled)
 	}
 }
 
-// Queries that could no longer end in time kept their endpoints until the client gave up.
+// A query that can no longer end in time, by its progress, is cancelled and answered at once: otherwise it
+// would occupy its endpoint until the client gives up.
 func TestHopelessPaceIsShedAtOnce(t *testing.T) {
 	b := newSparseHarness(t, 4, func(s *Settings) { s.ProgressInterval = sec / 2 })
 	q := b.request(1)
 	q.Cost = 60 * sec
-	for i := range b.g.classes { // as if such queries were usual here
+	for i := range b.g.classes { // such queries are usual here
 		b.g.classes[i].meanWork.value, b.g.classes[i].meanWork.count = 60, 100
 	}
 	b.step(q)
@@ -103,6 +105,7 @@
 	}
 	acts = append(acts, b.runUntil(b.now+sec/10)...)
 	if finalAnswers(acts, q.ID) != 1 || len(actionsOf[Cancel](acts)) != 1 {
-		t.Fatalf("%d final answers, %d cancelled", finalAnswers(acts, q.ID), len(actionsOf[Cancel](acts)))
+		t.Fatalf("%d final answers and %d attempts cancelled, want one of each",
+			finalAnswers(acts, q.ID), len(actionsOf[Cancel](acts)))
 	}
 }
--- a/policy/stored_test.go
+++ b/policy/stored_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// storedSettings has a value of its own in every field, so that no two can be mistaken for each other.
+// storedSettings returns settings with a value of its own in every field that is neither a bool nor an enum,
+// so that no two fields can be mistaken for each other.
 func storedSettings() Settings {
 	return Settings{
 		Zone: 1, PeerIndex: 2, Peers: 3,
@@ -25,7 +26,7 @@
 	}
 }
 
-// storedLearned has a value of its own in every field.
+// storedLearned returns a learned state with a value of its own in every field.
 func storedLearned() Learned {
 	return Learned{
 		Version: 1,
@@ -38,9 +39,9 @@
 	}
 }
 
-// TestStoredForms holds the keys under which settings (in recordings) and what was learned (in recordings and learned files)
-// are stored. The golden files were written before any field was renamed: a rename that loses its key fails here, where
-// json.Unmarshal alone would pass over the key without an error.
+// TestStoredForms checks the keys under which settings (in recordings) and learned state (in recordings and
+// files) are stored. The golden files were written before any field was renamed: a rename that loses its key
+// fails here, while json.Unmarshal alone ignores an unknown key without an error.
 func TestStoredForms(t *testing.T) {
 	t.Run("settings", func(t *testing.T) { checkStored(t, "testdata/settings.json", storedSettings()) })
 	t.Run("learned", func(t *testing.T) { checkStored(t, "testdata/learned.json", storedLearned()) })
@@ -59,21 +60,21 @@
 		t.Errorf("%s: %v", file, err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s is read as\n%+v\nwanted\n%+v", file, got, want)
+		t.Errorf("%s: read as\n%+v\nwant\n%+v", file, got, want)
 	}
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, golden) {
-		t.Errorf("%s: written as\n%s\nwanted\n%s", file, text, golden)
+		t.Errorf("%s: written as\n%s\nwant\n%s", file, text, golden)
 	}
 	if field, zero := zeroField(reflect.ValueOf(want)); zero {
-		t.Errorf("%s: field %s has no value in this test: its key is not held", file, field)
+		t.Errorf("%s: field %s has no value in this test, so its key is not checked", file, field)
 	}
 }
 
-// zeroField names the first field without a value, however deep.
+// zeroField returns the path of the first field without a value, at any depth, and whether there is one.
 func zeroField(v reflect.Value) (string, bool) {
 	switch v.Kind() {
 	case reflect.Struct:
