--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -111,8 +111,8 @@
 	return true
 }
 
-// deadlineGuard returns how long before its deadline a request gets its final answer: two timer intervals,
-// since the timer checks deadlines once in each.
+// deadlineGuard returns how long before its deadline a request is to get its final answer: two timer
+// intervals, since the timer checks deadlines once in each.
 func (g *Gateway) deadlineGuard() Micros { return Micros(2 * timerInterval * microsPerSecond) }
 
 // findOpenAttempt returns a request's attempt by its number; nil if it is unknown or closed.
--- a/policy/change.go
+++ b/policy/change.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Change applies new settings between two steps. It takes no actions: learned state, open requests, the order
+// Change applies new settings between two steps. It emits no actions: learned state, open requests, the order
 // of keys, budgets, drains and the endpoint list are kept, under the new indexes of classes and tenants.
 // classes and tenants hold, for each new class and tenant, the index of the old one that it continues, or -1.
 // An open request keeps the class that it was received under if the rules of its class differ now. Zones and
@@ -137,8 +137,8 @@
 	return newIndex[i]
 }
 
-// Outstanding returns the retries and the requests received within the retry budget's window, and whether any
-// order key has an attempt in flight or is paused.
+// Outstanding returns the numbers of retries and of requests received within the retry budget's window, and
+// whether any order key has an attempt in flight or is paused.
 func (g *Gateway) Outstanding() (retries, received int, orderKeyBusy bool) {
 	since := g.now - g.settings.RetryBudgetWindow
 	for _, at := range g.retryBudget.retriedAt {
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -31,7 +31,7 @@
 	rows []gossipRow // those with attempts of the peer
 }
 
-// coverage returns the share of so many peers whose attempts are known.
+// coverage returns the share of peers whose attempts are known; peers is the number of all peers.
 func (s *gossipState) coverage(peers int) float64 {
 	covered := 0.0
 	for _, a := range s.arrivals {
@@ -93,9 +93,10 @@
 	}
 }
 
-// recordPeerRow merges one row, on endpoint e, of a message with so many rows. Its load and its result count
-// only if they are fresher than what is known here, and its result only if it is later than the endpoint's
-// start. The step of the fleet's inflation is divided by rows: a message counts for about one answer.
+// recordPeerRow merges one row, on endpoint e, of a message; rows is the number of rows in that message. The
+// row's load and result count only if they are fresher than what is known here, and the result only if it is
+// later than the endpoint's start. The step of the fleet's inflation is divided by rows: a message counts for
+// about one answer.
 func (g *Gateway) recordPeerRow(e *endpoint, r gossipRow, rows int) {
 	at := g.now - r.age
 	if r.lockedGroup > 0 {
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -73,7 +73,7 @@
 
 // overdueCheck compares an attempt with its expected time. Times are in seconds.
 type overdueCheck struct {
-	took      float64 // age, or the total time projected from its progress
+	duration  float64 // age, or the total time projected from its progress
 	remaining float64 // until the final answer has to be given
 	overdue   bool
 	hopeless  bool // at its pace it ends too late
@@ -85,10 +85,10 @@
 	q, c := a.request, a.request.class
 	inflation := max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)
 	expected := max(q.work/c.threads*math.Exp(inflation), q.observedTime)
-	check := overdueCheck{took: age, remaining: seconds(q.Deadline - g.deadlineGuard() - g.now),
+	check := overdueCheck{duration: age, remaining: seconds(q.Deadline - g.deadlineGuard() - g.now),
 		overdue: age > max(overdueFactor, math.Exp(overdueDispersions*c.dispersion))*expected}
 	if a.projectedTime > 0 && age <= overdueFactor*a.projectedTime {
-		check.took = a.projectedTime
+		check.duration = a.projectedTime
 		check.overdue = a.projectedTime > overdueFactor*expected &&
 			a.projectedTime-age > minRestartGain*expected
 		check.hopeless = !check.overdue && a.projectedTime-age > minRestartGain*check.remaining
@@ -118,7 +118,7 @@
 	q.restarting = true
 	g.learnFromCancelled(a, age)
 	if check.overdue && !lost {
-		q.observedTime = check.took * observedTimeShare
+		q.observedTime = check.duration * observedTimeShare
 	}
 }
 
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -45,24 +45,25 @@
 	}
 }
 
-// updateRates updates the rates from the requests counted in an interval, in seconds. The rates of the mean
-// gateway move as fast as this gateway's, so that the share is right at once when traffic starts.
+// updateRates updates the rates from the requests counted in an interval, whose length is in seconds. The
+// rates of the mean gateway move as fast as this gateway's, so that the share is right at once when traffic
+// starts.
 func (t *traffic) updateRates(interval float64) {
 	t.rate += (t.received/interval - t.rate) * rateSmoothing
 	t.meanRate += (t.received/interval - t.meanRate) * rateSmoothing
 	t.received = 0
 	for i := range t.tenants {
-		n := &t.tenants[i]
-		n.rate += (n.received/interval - n.rate) * rateSmoothing
-		n.meanRate += (n.received/interval - n.meanRate) * rateSmoothing
-		n.received = 0
+		tenant := &t.tenants[i]
+		tenant.rate += (tenant.received/interval - tenant.rate) * rateSmoothing
+		tenant.meanRate += (tenant.received/interval - tenant.meanRate) * rateSmoothing
+		tenant.received = 0
 	}
 }
 
 // gossipRates returns the rates to gossip, those of the mean gateway: for each tenant, then in total.
 func (t *traffic) gossipRates() (rates []float64) {
-	for _, n := range t.tenants {
-		rates = append(rates, n.meanRate)
+	for _, tenant := range t.tenants {
+		rates = append(rates, tenant.meanRate)
 	}
 	return append(rates, t.meanRate)
 }
