--- a/backend/platform_attempt.go
+++ b/backend/platform_attempt.go
@@ -14,37 +14,39 @@
 
 // Errors of attempts in the platform's protocol.
 var (
-	errNodeAtCapacity = errors.New("the node is full")
-	errNodeExpired    = errors.New("the node says that the request was over")
-	errNodeFailed     = errors.New("the node answers with an error")
-	errPoolExhausted  = errors.New("every connection to the node is in full use")
+	errNodeAtCapacity = errors.New("the node rejected the request: it is at capacity")
+	errNodeExpired    = errors.New("the node did not run the request: its time had passed")
+	errNodeFailed     = errors.New("the node answered with an error")
+	errPoolExhausted  = errors.New("connection limit reached, and no connection to the node takes another attempt")
 )
 
-// connectionError means that an attempt ended with its connection.
+// connectionError means that an attempt ended because its connection ended.
 type connectionError struct{ err error }
 
-// Error says what ended the connection.
-func (e *connectionError) Error() string { return "the connection ended: " + e.err.Error() }
+// Error returns the message, which includes why the connection ended.
+func (e *connectionError) Error() string { return "the connection to the node ended: " + e.err.Error() }
 
-// Unwrap is the error that ended it.
+// Unwrap returns the error that ended the connection.
 func (e *connectionError) Unwrap() error { return e.err }
 
-// platformAttempt makes an attempt in the platform's protocol. The reader of its connection fills in the answer; run waits for it.
+// platformAttempt makes an attempt in the platform's protocol. The reader goroutine of its connection stores the answer; run waits for
+// the answer.
 type platformAttempt struct {
 	*attempt
 	call    *lineproto.Request
-	changed chan struct{} // holds one token when the fields below have changed
+	changed chan struct{} // capacity 1; holds a value while awaitAnswer has a change to process
 
 	mu              sync.Mutex
 	result          lineproto.Result
 	done            bool
-	err             error         // of a done attempt; nil: the result is complete
-	conn            *platformConn // nil: the request is on none yet
-	written         bool          // at least in part
+	err             error         // set when done; nil: the result is complete
+	conn            *platformConn // nil: the attempt has no connection
+	written         bool          // at least a part of the request was written
 	progressReports int           // received so far
 }
 
-// maxPlatformConnAttempts bounds the connections tried for one attempt: the node may have closed pooled ones unnoticed.
+// maxPlatformConnAttempts bounds the connections tried for one attempt. More than one may be needed because the node may have closed
+// pooled connections, which is noticed only when they are used.
 const maxPlatformConnAttempts = 3
 
 // run implements protocolAttempt.
@@ -58,7 +60,7 @@
 	}
 	for range maxPlatformConnAttempts {
 		c, err := n.acquirePlatformConn(ctx, t)
-		if errors.Is(err, syscall.ECONNRESET) && ctx.Err() == nil { // a new connection was reset: the machine is up
+		if errors.Is(err, syscall.ECONNRESET) && ctx.Err() == nil { // a new connection was reset: the host is up
 			continue
 		}
 		if err != nil {
@@ -66,7 +68,7 @@
 		}
 		t.setConn(c)
 		written, err := t.sendRequest(ctx, n, c)
-		if t.unsent = written == 0; errors.Is(err, errNeverSent) { // the connection is as good as before
+		if t.unsent = written == 0; errors.Is(err, errNeverSent) { // the connection is unaffected
 			c.removeAttempt(t)
 			return nil, err
 		}
@@ -78,7 +80,7 @@
 			t.logEnd(c, err)
 			return result, err
 		}
-		t.reset() // nothing was written: another connection may do
+		t.reset() // nothing was written: try another connection
 		if ctx.Err() != nil {
 			return nil, errNeverSent
 		}
@@ -93,7 +95,7 @@
 	t.conn = c
 }
 
-// reset takes the attempt off a connection on which nothing was written.
+// reset detaches the attempt from a connection on which nothing was written.
 func (t *platformAttempt) reset() {
 	t.mu.Lock()
 	t.conn, t.done, t.err = nil, false, nil
@@ -104,9 +106,10 @@
 	}
 }
 
-// sendRequest writes the request, unless it may not start any more: establishing the connection or writing a command before it may
-// have taken long. Meanwhile the client may have disconnected, the deadline or the window of an idempotency key have passed, or the
-// node have begun to drain or left its address.
+// sendRequest writes the request and returns how many bytes were written. It first checks whether the attempt may still start, because
+// establishing the connection or waiting for another command's write may have taken long: meanwhile the client may have disconnected,
+// the deadline or the dedup window may have passed, or the node may have begun to drain, been removed or moved to another address.
+// errNeverSent means that nothing was written and that the connection is unaffected.
 func (t *platformAttempt) sendRequest(ctx context.Context, n *node, c *platformConn) (written int, err error) {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -118,8 +121,8 @@
 	if t.spec.HasResources {
 		q.MemoryMB, q.Priority = int64(t.spec.MemoryMB), t.spec.Priority
 	}
-	const headerSize = 200 // bytes, an estimate
-	written, err = c.writeRequestLocked(ctx, q.Append(make([]byte, 0, len(q.Text)+headerSize)))
+	const estimatedHeaderSize = 200 // bytes
+	written, err = c.writeRequestLocked(ctx, q.Append(make([]byte, 0, len(q.Text)+estimatedHeaderSize)))
 	switch {
 	case written > 0:
 		t.mu.Lock()
@@ -133,9 +136,9 @@
 	return written, err
 }
 
-// awaitAnswer waits for the answer and requests its further pages.
+// awaitAnswer waits for the complete result. When the first page has arrived it requests the other ones.
 func (t *platformAttempt) awaitAnswer(ctx context.Context, c *platformConn) (any, error) {
-	requested := false
+	pagesRequested := false
 	for {
 		select {
 		case <-t.changed:
@@ -149,26 +152,26 @@
 		switch {
 		case done && err == nil:
 			if pages > 1 {
-				_ = c.write(lineproto.AppendClose(nil, t.call.ID)) // the node discards its pages by itself, if later
+				_ = c.write(lineproto.AppendClose(nil, t.call.ID)) // if it is lost, the node discards the pages later by itself
 			}
 			c.removeAttempt(t)
 			return &t.result, nil
 		case done:
 			c.removeAttempt(t)
 			return nil, err
-		case pages > 1 && !requested:
-			requested = true
+		case pages > 1 && !pagesRequested:
+			pagesRequested = true
 			var b []byte
 			for i := 1; i < pages; i++ {
 				b = lineproto.AppendPage(b, t.call.ID, i)
 			}
-			_ = c.write(b) // an error ends the connection, and with it this attempt
+			_ = c.write(b) // if it fails, the attempt ends with its connection or at its deadline
 		}
 	}
 }
 
-// abandon tells the node that nobody waits any more. A connection on which an answer is overdue is not used again: the machine may
-// be gone.
+// abandon cancels the request on the node and detaches the attempt from its connection. A connection on which an attempt timed out
+// takes no more attempts, because the node's machine may be down.
 func (t *platformAttempt) abandon(ctx context.Context, c *platformConn) {
 	t.mu.Lock()
 	t.done = true
@@ -177,21 +180,22 @@
 		c.markRetired()
 	}
 	c.recordCancel(t)
-	if err := c.write(lineproto.AppendCancel(nil, t.call.ID)); err != nil { // closing the connection drops the request as well
+	if err := c.write(lineproto.AppendCancel(nil, t.call.ID)); err != nil { // closing the connection cancels the request as well
 		c.close(err)
 	}
 	c.removeAttempt(t)
 }
 
-// abandonedError is the cause of an abandoned attempt, with how far its answer had come.
+// abandonedError returns why the attempt was abandoned, with how much of its answer had arrived.
 func (t *platformAttempt) abandonedError(ctx context.Context) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return fmt.Errorf("%w, after %d notes and %d of %d pages", context.Cause(ctx), t.progressReports, t.result.ReceivedPages(), t.result.TotalPages())
+	return fmt.Errorf("%w, after %d progress reports and %d of %d pages", context.Cause(ctx), t.progressReports,
+		t.result.ReceivedPages(), t.result.TotalPages())
 }
 
-// connClosed ends the attempt with its connection. It ignores a connection on which nothing was written: the attempt may be on another
-// one by now.
+// connClosed ends the attempt after its connection was closed. It ignores a connection that the attempt has left because nothing was
+// written there: the attempt may be on another connection by now.
 func (t *platformAttempt) connClosed(c *platformConn, cause error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -209,7 +213,7 @@
 	}
 }
 
-// receive takes one answer of the node; an error ends the connection.
+// receive processes one answer of the node. After an error the connection must be closed.
 func (t *platformAttempt) receive(c *platformConn, a *lineproto.Answer) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,7 +221,7 @@
 		c.logDiscarded(a)
 		return nil
 	}
-	if load := platformLoad(a.Field("rep")); load != nil {
+	if load := parsePlatformLoad(a.Field("rep")); load != nil {
 		t.load = load
 	}
 	switch a.Kind {
@@ -225,7 +229,7 @@
 		return t.receivePage(a)
 	case lineproto.Progress:
 		t.progressReports++
-		if p, ok := platformProgress(a.Field("why"), a.Field("datum")); ok {
+		if p, ok := parsePlatformProgress(a.Field("why"), a.Field("datum")); ok {
 			p.ID, p.Attempt, p.Endpoint = t.spec.Query.ID, t.spec.Number, t.spec.Node
 			t.fleet.post.Notify(p)
 		}
@@ -237,8 +241,8 @@
 	return nil
 }
 
-// nodeError is the error that a node's answer means. Once the first page is there the request has run, whatever the node says of a
-// further page; t.mu is held.
+// nodeError returns the error for an answer of a kind that ends the attempt. Once the first page has arrived the request has run, so
+// that every such answer to the request for a further page means errNodeFailed. t.mu is held.
 func (t *platformAttempt) nodeError(kind lineproto.AnswerKind) error {
 	switch {
 	case t.result.Started():
@@ -281,8 +285,9 @@
 // cleanUp implements protocolAttempt.
 func (t *platformAttempt) cleanUp() {}
 
-// setPriority changes the priority of the request while its node has it. A command that waited behind another one must not reach the
-// node before the request, nor after its end, where it would mean a further attempt.
+// setPriority changes the priority of the request while it runs on its node. The command names the request only, so it must reach the
+// node neither before the request nor after its end, where it would apply to a later attempt. Since the command may have to wait for
+// the write of another one, this is checked when its turn comes.
 func (t *platformAttempt) setPriority(priority int) {
 	t.mu.Lock()
 	c := t.conn
@@ -290,10 +295,11 @@
 	if c == nil {
 		return
 	}
-	_ = c.writeIf(t.isRunning, lineproto.AppendSetPriority(nil, t.call.ID, priority)) // advice: losing it costs little
+	// Best effort: if the command is lost, the request keeps its old priority, which costs little.
+	_ = c.writeIf(t.isRunning, lineproto.AppendSetPriority(nil, t.call.ID, priority))
 }
 
-// isRunning tells that the request was written and has not ended.
+// isRunning reports whether the request was written, at least in part, and has not ended.
 func (t *platformAttempt) isRunning() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/backend/platform_connection.go
+++ b/backend/platform_connection.go
@@ -11,54 +11,54 @@
 	"embershunt/internal/lineproto"
 )
 
-// platformConn is one connection in the platform's protocol. Its reader belongs to the fleet's group.
+// platformConn is one connection to a node in the platform's protocol. Its reader goroutine belongs to the fleet's group.
 type platformConn struct {
 	fleet   *Fleet
-	id      int64 // in logs; no other connection of the fleet has it
+	id      int64 // in logs; unique within the fleet
 	pool    *platformPool
 	conn    net.Conn
 	writeMu sync.Mutex // held while one command is written
 
 	mu       sync.Mutex
 	attempts map[string]*platformAttempt // by request id
-	carried  requestIDs                  // of all attempts, past ones too: it carries one attempt of a request at most
+	carried  requestIDs                  // requests of all attempts, past ones too: a connection carries at most one attempt of a request
 	retired  bool                        // takes no more attempts
 	closed   bool
 
 	unreadCancels requestIDs               // cancelled requests whose cancel the node may not have read
-	barriers      map[string]chan struct{} // closed when the node has read the cancel of a request
+	barriers      map[string]chan struct{} // by request id; closed when the node has read the cancel of the request
 
-	discarded int // answers without an attempt; the reader's alone
+	discarded int // answers that belonged to no attempt; used by the reader goroutine only
 }
 
-// maxCarriedIDs bounds the requests that a connection remembers. One that has so many takes no more attempts and is closed when it is
-// idle.
+// maxCarriedIDs bounds the requests that a connection remembers. A connection that has reached it takes no more attempts and is closed
+// when it becomes idle.
 const maxCarriedIDs = 1024
 
-// newPlatformConn returns a connection that carries its first attempt.
+// newPlatformConn returns a connection with t as its first attempt.
 func newPlatformConn(f *Fleet, p *platformPool, conn net.Conn, t *platformAttempt) *platformConn {
 	c := &platformConn{fleet: f, id: f.platformConnSerial.Add(1), pool: p, conn: conn, attempts: map[string]*platformAttempt{}}
 	c.addAttempt(t)
 	return c
 }
 
-// takes tells whether an attempt may be added: the connection takes attempts, and has carried none of the same request before.
-func (c *platformConn) takes(t *platformAttempt) bool {
+// canAdd reports whether an attempt may be added: the connection takes attempts and has carried none of the same request before.
+func (c *platformConn) canAdd(t *platformAttempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.takesLocked(t)
+	return c.canAddLocked(t)
 }
 
-// takesLocked is takes; c.mu is held.
-func (c *platformConn) takesLocked(t *platformAttempt) bool {
+// canAddLocked is canAdd for callers that hold c.mu.
+func (c *platformConn) canAddLocked(t *platformAttempt) bool {
 	return !c.closed && !c.retired && !c.carried.contains(t.call.ID)
 }
 
-// addAttempt adds an attempt; false where the connection does not take it.
+// addAttempt adds an attempt; it returns false if the connection does not take the attempt.
 func (c *platformConn) addAttempt(t *platformAttempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.takesLocked(t) {
+	if !c.canAddLocked(t) {
 		return false
 	}
 	c.attempts[t.call.ID] = t
@@ -68,26 +68,26 @@
 	return true
 }
 
-// setReadDeadline sets until when the reader waits for an answer.
+// setReadDeadline sets until when the reader waits for an answer; the zero time means without limit.
 func (c *platformConn) setReadDeadline(at time.Time) {
 	_ = c.conn.SetReadDeadline(at) // fails only on a closed connection, which the reader notices
 }
 
-// attemptCount counts the attempts on the connection.
+// attemptCount returns the number of attempts on the connection.
 func (c *platformConn) attemptCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.attempts)
 }
 
-// markRetired has the connection take no more attempts: it is closed when it is idle.
+// markRetired makes the connection take no more attempts; it is closed when it becomes idle.
 func (c *platformConn) markRetired() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.retired = true
 }
 
-// markRetiredIfIdle retires a connection whose idle time is over; false where an attempt was added in that moment.
+// markRetiredIfIdle retires a connection whose idle timeout has passed; it returns false if an attempt was added at that moment.
 func (c *platformConn) markRetiredIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,8 @@
 	return true
 }
 
-// removeAttempt takes an attempt off the connection, which goes back to the pool where it can be used again.
+// removeAttempt removes an attempt from the connection. When that was the last attempt the connection goes back to the pool, or is
+// closed if it is retired or the pool is closed.
 func (c *platformConn) removeAttempt(t *platformAttempt) {
 	c.mu.Lock()
 	delete(c.attempts, t.call.ID)
@@ -122,11 +123,11 @@
 	}
 	c.closed = true
 	attempts := make([]*platformAttempt, 0, len(c.attempts))
-	for _, t := range c.attempts { // each by itself: the order does not matter
+	for _, t := range c.attempts { // each attempt ends on its own: the order does not matter
 		attempts = append(attempts, t)
 	}
 	c.mu.Unlock()
-	_ = c.conn.Close() // its attempts end with the cause
+	_ = c.conn.Close() // its attempts end with cause in any case
 	c.logClosed(len(attempts), cause)
 	c.fleet.platformConns.Add(-1)
 	c.pool.remove(c)
@@ -158,7 +159,7 @@
 		c.mu.Lock()
 		t := c.attempts[a.ID]
 		c.mu.Unlock()
-		if t == nil { // abandoned, answered before, or never requested here
+		if t == nil { // it was abandoned, answered before, or never sent on this connection
 			c.logDiscarded(&a)
 			continue
 		}
@@ -169,19 +170,20 @@
 	}
 }
 
-// Bounds of the writing of one command: a node that does not read must not hold the attempt for long. A request has less time: the
-// permission to start it is checked before it is written, and the limits that it keeps are extended by so much.
+// Limits on the time that the write of one command takes: a node that does not read must not block the attempt for long. A request has
+// less time: the permission to start it is checked before the write, and package permit tolerates a start that is this much later than
+// the deadline or the end of the dedup window (deadlineSlack).
 const (
 	commandWriteTimeout = time.Second
 	requestWriteTimeout = 50 * time.Millisecond
 )
 
-// write writes one command.
+// write writes one command within commandWriteTimeout.
 func (c *platformConn) write(b []byte) error {
 	return c.writeIf(func() bool { return true }, b)
 }
 
-// writeIf writes one command, unless it is not wanted any more when the commands before it have been written.
+// writeIf writes one command within commandWriteTimeout, if wanted returns true once the commands before it have been written.
 func (c *platformConn) writeIf(wanted func() bool, b []byte) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -193,7 +195,8 @@
 	return err
 }
 
-// writeRequestLocked writes a request within requestWriteTimeout, and no longer than ctx lasts; c.writeMu is held.
+// writeRequestLocked writes a request within requestWriteTimeout and returns how many bytes were written. The end of ctx interrupts the
+// write. c.writeMu is held.
 func (c *platformConn) writeRequestLocked(ctx context.Context, b []byte) (written int, err error) {
 	c.setWriteDeadline(time.Now().Add(requestWriteTimeout))
 	interrupted := make(chan struct{})
@@ -203,7 +206,7 @@
 	})
 	written, err = c.conn.Write(b)
 	if !stop() {
-		<-interrupted // it must not hit the next command
+		<-interrupted // otherwise its deadline could interrupt the write of the next command
 	}
 	return written, err
 }
--- a/backend/platform_health_check.go
+++ b/backend/platform_health_check.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// checkPlatformHealth pings a node on a connection of its own, which counts against the bound on connections like any other.
+// checkPlatformHealth pings a node on a new connection, which counts against MaxPlatformConns like any other.
 func (n *node) checkPlatformHealth(ctx context.Context, f *Fleet) policy.Code {
 	ctx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
 	defer cancel()
--- a/backend/platform_load_report.go
+++ b/backend/platform_load_report.go
@@ -7,13 +7,14 @@
 	"embershunt/policy"
 )
 
-// platformLoad reads a load report: name:value pairs separated by semicolons, with the names of the platform's settings or of its
-// protocol. A report that does not parse counts as none.
-func platformLoad(report string) *policy.Load {
+// parsePlatformLoad parses a load report: name:value pairs separated by semicolons, with the names of the platform's settings or of its
+// protocol. Other names are ignored. It returns nil if the report is empty or any value does not parse.
+func parsePlatformLoad(report string) *policy.Load {
 	if report == "" {
 		return nil
 	}
-	l := policy.Load{Utilization: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported, Disk: loadNotReported}
+	l := policy.Load{Utilization: loadNotReported, InFlight: loadNotReported, Queue: loadNotReported, Memory: loadNotReported,
+		Disk: loadNotReported}
 	for pair := range strings.SplitSeq(report, ";") {
 		name, value, _ := strings.Cut(pair, ":")
 		v, ok := parseFigure(value)
@@ -36,17 +37,17 @@
 	return &l
 }
 
-// maxFigure bounds the figures of a report that can be meant.
+// maxFigure is the exclusive upper limit of the figures of a report; a larger one cannot be a real measurement.
 const maxFigure = 1e9
 
-// parseFigure reads a figure of a report; NaN, negative and excessive ones are none.
+// parseFigure parses a figure of a report; ok is false for NaN, negative figures and those of maxFigure or more.
 func parseFigure(s string) (v float64, ok bool) {
 	v, err := strconv.ParseFloat(s, 64)
 	return v, err == nil && v >= 0 && v < maxFigure
 }
 
-// platformProgress reads a progress report of an attempt in flight; ok is false where it does not parse.
-func platformProgress(why, datum string) (p policy.Progress, ok bool) {
+// parsePlatformProgress parses a progress report of an attempt in flight; ok is false if the report does not parse.
+func parsePlatformProgress(why, datum string) (p policy.Progress, ok bool) {
 	const waitingForTables = 2 // the datum of a wait for tables; any other is a wait for memory
 	if p.Value, ok = parseFigure(datum); !ok {
 		return policy.Progress{}, false
--- a/backend/platform_load_report_test.go
+++ b/backend/platform_load_report_test.go
@@ -15,7 +15,7 @@
 		"util:-1":                    nil,
 		"util:NaN":                   nil,
 	} {
-		got := platformLoad(s)
+		got := parsePlatformLoad(s)
 		if (got == nil) != (want == nil) || got != nil && *got != *want {
 			t.Errorf("%q: %+v, want %+v", s, got, want)
 		}
--- a/backend/platform_pool.go
+++ b/backend/platform_pool.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// platformPool is the connections to one node in the platform's protocol. As long as descriptors last each attempt has a connection
-// of its own: what cannot be parsed ends all attempts on its connection.
+// platformPool holds the connections to one node in the platform's protocol. An answer that cannot be parsed ends all attempts on its
+// connection, so each attempt has a connection of its own until MaxPlatformConns, which saves file descriptors, is reached.
 //
 // Locks are taken in the order Fleet.mu, platformPool.mu, platformConn.mu.
 type platformPool struct {
@@ -21,8 +21,8 @@
 	closed bool
 }
 
-// acquirePlatformConn finds a connection for an attempt and adds the attempt to it: an idle one, a new one, or a busy one where
-// descriptors have run out.
+// acquirePlatformConn finds a connection for an attempt and adds the attempt to it: an idle connection, a new one, or a busy one if
+// MaxPlatformConns is reached.
 func (n *node) acquirePlatformConn(ctx context.Context, t *platformAttempt) (*platformConn, error) {
 	f, p := t.fleet, &n.platform
 	if c := p.takeIdle(t); c != nil {
@@ -51,7 +51,8 @@
 	return c, nil
 }
 
-// dialReserved establishes a reserved connection within the connect timeout; where that fails the reservation is given back.
+// dialReserved establishes a connection that reservePlatformConn has counted, within the connect timeout. If that fails the connection
+// is no longer counted.
 func (p *platformPool) dialReserved(ctx context.Context, f *Fleet) (net.Conn, error) {
 	dialCtx, cancel := context.WithTimeout(ctx, f.options.ConnectTimeout)
 	defer cancel()
@@ -66,14 +67,14 @@
 	case isLocalDialError(err):
 		return nil, errors.Join(errLocalDial, err)
 	}
-	if dialCtx.Err() != nil { // a node that does not answer a connect is not alive on older connections either
+	if dialCtx.Err() != nil { // a node that does not answer a connect will not answer on its idle connections either
 		p.closeIdle()
 	}
 	return nil, errors.Join(errNotConnected, err)
 }
 
-// reservePlatformConn counts one more connection against the bound; an idle connection, to whatever node, is closed to make room.
-// false: the bound is reached and no connection is idle.
+// reservePlatformConn counts one more connection against MaxPlatformConns. If the limit is reached it closes an idle connection to any
+// node to make room; it returns false if no connection is idle, or if others have taken the room.
 func (f *Fleet) reservePlatformConn() bool {
 	for range 2 {
 		if f.platformConns.Add(1) <= int64(f.options.MaxPlatformConns) {
@@ -93,7 +94,7 @@
 func (f *Fleet) takeAnyIdlePlatformConn() *platformConn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, n := range f.nodes { // any will do: the order does not matter
+	for _, n := range f.nodes { // any idle connection will do: the order does not matter
 		if c := n.platform.takeOldestIdle(); c != nil {
 			return c
 		}
@@ -101,10 +102,10 @@
 	return nil
 }
 
-// PlatformConns counts the connections to nodes in the platform's protocol.
+// PlatformConns returns the number of connections to nodes in the platform's protocol, those being established included.
 func (f *Fleet) PlatformConns() int64 { return f.platformConns.Load() }
 
-// takeIdle adds an attempt to the most recently used idle connection that takes it; nil if there is none.
+// takeIdle adds an attempt to the most recently used idle connection that takes the attempt; nil if there is none.
 func (p *platformPool) takeIdle(t *platformAttempt) *platformConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,14 +131,14 @@
 	return c
 }
 
-// shareBusy adds an attempt to the busy connection with the fewest attempts; nil where all have maxAttempts or do not take it.
+// shareBusy adds an attempt to the busy connection with the fewest attempts; nil if all have maxAttempts or do not take the attempt.
 func (p *platformPool) shareBusy(t *platformAttempt, maxAttempts int) *platformConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var best *platformConn
 	fewest := maxAttempts
 	for _, c := range p.busy {
-		if n := c.attemptCount(); n < fewest && c.takes(t) {
+		if n := c.attemptCount(); n < fewest && c.canAdd(t) {
 			best, fewest = c, n
 		}
 	}
@@ -147,7 +148,7 @@
 	return best
 }
 
-// addBusy adds a new connection that has an attempt; false where the pool is closed.
+// addBusy adds a new connection that has an attempt; it returns false if the pool is closed.
 func (p *platformPool) addBusy(c *platformConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -158,11 +159,11 @@
 	return true
 }
 
-// release moves a connection without attempts to the idle ones; false where the pool is closed.
+// release moves a connection without attempts to the idle connections; it returns false if the pool is closed.
 func (p *platformPool) release(c *platformConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.attemptCount() > 0 { // a new attempt shares it since
+	if c.attemptCount() > 0 { // another attempt has been added since
 		return true
 	}
 	if others := withoutConn(p.busy, c); len(others) < len(p.busy) {
@@ -178,6 +179,7 @@
 	p.idle, p.busy = withoutConn(p.idle, c), withoutConn(p.busy, c)
 }
 
+// withoutConn removes a connection from a list in place and returns the shortened list.
 func withoutConn(list []*platformConn, c *platformConn) []*platformConn {
 	return slices.DeleteFunc(list, func(o *platformConn) bool { return o == c })
 }
@@ -193,7 +195,7 @@
 	}
 }
 
-// close closes all connections; the pool takes no new ones.
+// close closes all connections; the pool accepts no new ones afterwards.
 func (p *platformPool) close() {
 	p.mu.Lock()
 	p.closed = true
--- a/backend/platform_request_ids_test.go
+++ b/backend/platform_request_ids_test.go
@@ -27,8 +27,8 @@
 		now := policy.Micros(i) * 1000
 		ids.add(fmt.Sprint(i), now, now+deadline)
 	}
-	if most := int((deadline + lateAnswerTime) / 1000); ids.size() > most || len(ids.until) != ids.size() {
-		t.Errorf("%d ids, %d times; want %d at most", ids.size(), len(ids.until), most)
+	if most := int((deadline + lateAnswerTime) / 1000); ids.size() > most || len(ids.expiresAt) != ids.size() {
+		t.Errorf("%d ids, %d times; want %d at most", ids.size(), len(ids.expiresAt), most)
 	}
 }
 
