--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -18,7 +18,7 @@
 // nodeBehavior is how a node handles a command.
 type nodeBehavior func(net.Conn, simulated.PlatformCommand)
 
-// answering answers each request with one answer.
+// answering returns a behavior that answers each request with one answer.
 func answering(kind, fields, body string) nodeBehavior {
 	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
@@ -27,12 +27,12 @@
 	}
 }
 
-// writing answers each command with a text, in which ID stands for the request's id.
+// writing returns a behavior that answers each command with a text, in which ID stands for the request's id.
 func writing(text string) nodeBehavior {
 	return func(c net.Conn, cmd simulated.PlatformCommand) { reply(c, strings.ReplaceAll(text, "ID", cmd.ID)) }
 }
 
-// paging answers with the first of three pages, and with answerPage where a further one is requested.
+// paging returns a behavior that answers a request with the first of three pages, and a command for a further page with answerPage.
 func paging(answerPage func(n int) string) nodeBehavior {
 	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		switch cmd.Verb {
@@ -44,12 +44,12 @@
 	}
 }
 
-// page is a further page of the request "id".
+// page returns page n of the request "id", as the node writes it.
 func page(n int) string {
 	return simulated.PlatformAnswer("id", "page", fmt.Sprintf("index=%d", n), fmt.Sprintf("p\t%d\t\n", n))
 }
 
-// duplicatePages answers with the further pages in another order, each twice.
+// duplicatePages answers like paging, but sends the further pages in another order, each twice.
 func duplicatePages(c net.Conn, cmd simulated.PlatformCommand) {
 	if cmd.Verb == "GET" {
 		paging(nil)(c, cmd)
@@ -58,7 +58,7 @@
 	}
 }
 
-// truncating closes the connection within an answer.
+// truncating returns a behavior that closes the connection in the middle of an answer.
 func truncating(t *testing.T) nodeBehavior {
 	return func(c net.Conn, cmd simulated.PlatformCommand) {
 		reply(c, cmd.ID+" data total=1 6\r\na\tb")
@@ -66,7 +66,8 @@
 	}
 }
 
-// The outcome of every way in which a node may end an attempt in the platform's protocol: conservative about what may have run.
+// Checks the outcome of every way in which a node may end an attempt in the platform's protocol. Unless it is proved that the request
+// did not run, the outcome must be one that means that it may have run.
 func TestPlatformAttemptOutcomes(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -78,28 +79,33 @@
 		{"no rows", answering("data", "total=1", ""), policy.OK, ""},
 		{"three pages", paging(page), policy.OK, "a|b|c;p|1|;p|2|;"},
 		{"pages in another order, each twice", duplicatePages, policy.OK, "a|b|c;p|1|;p|2|;"},
-		{"a duplicate, and an answer to an unknown request before it", writing(simulated.PlatformAnswer("other", "data", "total=1", "x\ty\tz\n") +
-			simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n") + simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
-		{"full", answering("full", "", ""), policy.Rejected, ""},
+		{"a duplicate, and an answer to an unknown request before it",
+			writing(simulated.PlatformAnswer("other", "data", "total=1", "x\ty\tz\n") +
+				simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n") +
+				simulated.PlatformAnswer("ID", "data", "total=1", "a\tb\tc\n")), policy.OK, "a|b|c;"},
+		{"at capacity", answering("full", "", ""), policy.Rejected, ""},
 		{"expired", answering("moot", "", ""), policy.NeverSent, ""},
 		{"failed", answering("failed", "", "what went wrong"), policy.Failed, ""},
-		{"a page that its node has lost", paging(func(int) string { return simulated.PlatformAnswer("id", "failed", "", "") }), policy.Failed, ""},
-		{"a page for which its node is full", paging(func(int) string { return simulated.PlatformAnswer("id", "full", "", "") }), policy.Failed, ""},
-		{"a page whose time is over", paging(func(int) string { return simulated.PlatformAnswer("id", "moot", "", "") }), policy.Failed, ""},
+		{"a page that the node has lost", paging(func(int) string { return simulated.PlatformAnswer("id", "failed", "", "") }),
+			policy.Failed, ""},
+		{"a page for which the node is at capacity", paging(func(int) string { return simulated.PlatformAnswer("id", "full", "", "") }),
+			policy.Failed, ""},
+		{"an expired page", paging(func(int) string { return simulated.PlatformAnswer("id", "moot", "", "") }), policy.Failed, ""},
 		{"a page beyond the last", paging(func(int) string { return page(7) }), policy.Failed, ""},
-		{"a page within a row", answering("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
+		{"a page that ends within a row", answering("data", "total=1", "a\tb\tc\nd\te"), policy.Failed, ""},
 		{"a row of two columns", answering("data", "total=1", "a\tb\n"), policy.Failed, ""},
-		{"noise in a row", answering("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
-		{"noise", writing("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
-		{"an endless line", writing(strings.Repeat("x", 100000)), policy.Failed, ""},
-		{"3 GB", writing("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"a row that is not UTF-8", answering("data", "total=1", "a\t\xff\xfe\tc\n"), policy.Failed, ""},
+		{"bytes that are not an answer", writing("\x00\x01\x02 noise\r\n"), policy.Failed, ""},
+		{"a line without an end", writing(strings.Repeat("x", 100000)), policy.Failed, ""},
+		{"a length of 3 GB", writing("ID data total=1 3000000000\r\n" + strings.Repeat("x", 100000)), policy.Failed, ""},
 		{"a negative length", writing("ID data total=1 -5\r\nabc\r\n"), policy.Failed, ""},
 		{"a length that does not fit", writing("ID data total=1 3\r\na\tb\tc\n\r\n"), policy.Failed, ""},
-		{"no total", answering("data", "", "a\tb\tc\n"), policy.Failed, ""},
-		{"truncated", truncating(t), policy.ConnectionReset, ""},
-		{"reset under a request", func(c net.Conn, _ simulated.PlatformCommand) { simulated.ResetConn(c) }, policy.ConnectionReset, ""},
+		{"no total in the first page", answering("data", "", "a\tb\tc\n"), policy.Failed, ""},
+		{"connection closed within an answer", truncating(t), policy.ConnectionReset, ""},
+		{"connection reset during a request", func(c net.Conn, _ simulated.PlatformCommand) { simulated.ResetConn(c) },
+			policy.ConnectionReset, ""},
 		{"no answer", func(net.Conn, simulated.PlatformCommand) {}, policy.TimedOut, ""},
-		{"a complete page and then nothing", paging(func(int) string { return "" }), policy.TimedOut, ""},
+		{"one complete page and no further one", paging(func(int) string { return "" }), policy.TimedOut, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -114,15 +120,16 @@
 			if end.Code != c.code || rowsOf(end.Result) != c.rows {
 				t.Errorf("code %d (%v), rows %q; want %d, %q", end.Code, end.Err, rowsOf(end.Result), c.code, c.rows)
 			}
-			if strings.Contains(c.name, "pages") && c.code == policy.OK && (end.Load == nil || end.Load.Utilization != 0.5 || end.Load.InFlight != 7) {
-				t.Errorf("load %+v", end.Load)
+			if strings.Contains(c.name, "pages") && c.code == policy.OK &&
+				(end.Load == nil || end.Load.Utilization != 0.5 || end.Load.InFlight != 7) {
+				t.Errorf("load %+v, want utilization 0.5 and 7 in flight", end.Load)
 			}
 		})
 	}
 }
 
-// A client that disconnects while its attempt connects, or an attempt whose deadline passes then, says nothing about the node: taken for
-// a refused connection it would put the node through a whole slow start.
+// An attempt that ends while it connects, because its client disconnects or its deadline passes, says nothing about the node. If it
+// counted as a refused connection the node would go through a complete slow start.
 func TestEndWhileConnectingIsNoFault(t *testing.T) {
 	for _, within := range []time.Duration{5 * time.Second, 20 * time.Millisecond} {
 		f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
@@ -139,14 +146,14 @@
 			f.Cancel("q-id", 0)
 		}
 		if end := f.end(); end.Code != policy.NeverSent {
-			t.Errorf("over within %v: code %d (%v), want %d", within, end.Code, end.Err, policy.NeverSent)
+			t.Errorf("attempt with a deadline in %v: code %d (%v), want %d", within, end.Code, end.Err, policy.NeverSent)
 		}
 	}
 }
 
-// What happens while a connection is established, or while a command before it is written, counts when the request is to be written:
-// then it must not start, and it is known that it never ran.
-func TestNothingStartsLate(t *testing.T) {
+// An attempt may lose the permission to start while its connection is established, or while it waits for the write of another command.
+// Its request must then not be written, and the attempt must be reported as never sent.
+func TestNoSendAfterPermissionEnds(t *testing.T) {
 	for name, change := range map[string]func(f *platformFleet, rows []nodelist.Node){
 		"the client disconnected": func(f *platformFleet, _ []nodelist.Node) { f.Cancel("q-id", 0) },
 		"the node drains": func(f *platformFleet, rows []nodelist.Node) {
@@ -169,10 +176,10 @@
 			}
 		},
 	} {
-		for blocking, block := range map[string]func(*platformFleet, *simulated.PlatformNode, time.Duration) func(){
+		for phase, block := range map[string]func(*platformFleet, *simulated.PlatformNode, time.Duration) func(){
 			"connecting": sendConnecting, "behind another command": sendBehindAnother,
 		} {
-			t.Run(name+", "+blocking, func(t *testing.T) {
+			t.Run(name+", "+phase, func(t *testing.T) {
 				node, err := simulated.NewPlatformNode("", func(conn net.Conn, cmd simulated.PlatformCommand) {
 					if cmd.Verb == "GET" && cmd.ID != "before" {
 						reply(conn, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
@@ -199,28 +206,29 @@
 	}
 }
 
-// Cases of TestNothingStartsLate that need settings of their own.
+// Cases of TestNoSendAfterPermissionEnds that need settings of their own.
 const (
-	windowOver   = "the window is over"
-	deadlineOver = "the deadline is over"
+	windowOver   = "the dedup window is over"
+	deadlineOver = "the deadline has passed"
 )
 
-// sendConnecting sends the attempt "id", whose connection is established when release is called: in the very moment in which it is
-// not wanted any more.
+// sendConnecting sends the attempt "id" and holds back its established connection until release is called, even if the attempt ends
+// before that.
 func sendConnecting(f *platformFleet, _ *simulated.PlatformNode, timeout time.Duration) (release func()) {
-	arrived, barrier := make(chan struct{}), make(chan struct{})
+	connected, proceed := make(chan struct{}), make(chan struct{})
 	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
 		conn, err := dialTCP(context.WithoutCancel(ctx), address)
-		close(arrived)
-		<-barrier
+		close(connected)
+		<-proceed
 		return conn, err
 	}
 	f.send("id", 0, "n0", timeout)
-	<-arrived
-	return func() { close(barrier) }
+	<-connected
+	return func() { close(proceed) }
 }
 
-// sendBehindAnother sends the attempt "id" on a connection on which a command is being written until release is called.
+// sendBehindAnother sends the attempt "id" on a connection that it shares with the attempt "before". The connection's write lock is held
+// until release is called, as if another command were being written.
 func sendBehindAnother(f *platformFleet, node *simulated.PlatformNode, timeout time.Duration) (release func()) {
 	f.send("before", 0, "n0", 5*time.Second)
 	for len(node.Commands()) == 0 {
@@ -235,11 +243,11 @@
 	return shared.writeMu.Unlock
 }
 
-// checkNeverSent waits for the end of the attempt "id" and checks that it was never sent, and is known as such.
+// checkNeverSent waits for the end of the attempt "id" and checks that its request was never sent and that its code says so.
 func checkNeverSent(t *testing.T, f *platformFleet, node *simulated.PlatformNode) {
 	t.Helper()
 	end := f.end()
-	for end.ID == "q-before" { // ends with its node
+	for end.ID == "q-before" { // the end of the other attempt does not matter
 		end = f.end()
 	}
 	if end.Code != policy.NeverSent {
@@ -247,13 +255,13 @@
 	}
 	for _, cmd := range node.Commands() {
 		if cmd.ID == "id" {
-			t.Errorf("the node got %+v", cmd)
+			t.Errorf("the node received %+v", cmd)
 		}
 	}
 }
 
-// A duplicate of an answer that arrives when its attempt is over is ignored: it goes neither to the next attempt on the connection nor to
-// the same query sent again.
+// A duplicate of an answer that arrives after the end of its attempt is ignored: it is not taken for the answer to a later attempt on the
+// connection.
 func TestDuplicateAnswerAfterTheEnd(t *testing.T) {
 	first := ""
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
@@ -262,10 +270,10 @@
 		}
 		if first == "" {
 			first = cmd.ID
-		} else { // half of the copy, then the rest with the next answer behind it
-			copied := simulated.PlatformAnswer(first, "data", "total=1", "old\t\t\n")
-			reply(c, copied[:11])
-			reply(c, copied[11:])
+		} else { // a duplicate in two parts; the next answer follows the second
+			duplicate := simulated.PlatformAnswer(first, "data", "total=1", "old\t\t\n")
+			reply(c, duplicate[:11])
+			reply(c, duplicate[11:])
 		}
 		reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", cmd.ID+"\t\t\n"))
 	})
@@ -281,12 +289,12 @@
 		}
 	}
 	if node.Accepted() != 1 {
-		t.Errorf("%d connections", node.Accepted())
+		t.Errorf("%d connections, want 1", node.Accepted())
 	}
 }
 
-// The end of a connection on which nothing was written may be noticed when the attempt is on another one already: that does not end the
-// attempt, which is not sent a second time while it runs.
+// The end of a connection on which nothing was written may be noticed after the attempt has moved to another connection. It must not end
+// the attempt, which might then be sent a second time while it runs.
 func TestLateCloseOfAnotherConnection(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.ID == "go" {
@@ -302,10 +310,10 @@
 	for len(node.Commands()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	out := f.attempt("q-id", 0).protocol.(*platformAttempt)
-	ended := newPlatformConn(f.Fleet, &f.nodes["n0"].platform, &net.TCPConn{}, out)
-	out.connClosed(ended, net.ErrClosed)
-	if err := out.receive(ended, &lineproto.Answer{ID: "id", Kind: lineproto.Failed}); err != nil {
+	running := f.attempt("q-id", 0).protocol.(*platformAttempt)
+	closedConn := newPlatformConn(f.Fleet, &f.nodes["n0"].platform, &net.TCPConn{}, running)
+	running.connClosed(closedConn, net.ErrClosed)
+	if err := running.receive(closedConn, &lineproto.Answer{ID: "id", Kind: lineproto.Failed}); err != nil {
 		t.Error(err)
 	}
 	f.send("go", 0, "n0", 5*time.Second) // on the same connection
@@ -314,7 +322,7 @@
 	}
 }
 
-// An abandoned request is dropped on its node, its late answer is ignored, and its id is not used again on the connection.
+// An abandoned request is cancelled on its node, its late answer is ignored, and its id is not used again on the connection.
 func TestAbandonedRequests(t *testing.T) {
 	got := make(chan simulated.PlatformCommand, 10)
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
@@ -350,11 +358,11 @@
 		t.Errorf("code %d, rows %q", end.Code, rowsOf(end.Result))
 	}
 	if node.Accepted() != 2 {
-		t.Errorf("%d connections: the id was used again where it had been abandoned", node.Accepted())
+		t.Errorf("%d connections, want 2: the id of an abandoned request must not be used again on its connection", node.Accepted())
 	}
 }
 
-// A priority that waits behind another command reaches the node neither before its request nor after the request's end.
+// A priority command that waits for the write of another command reaches the node neither before its request nor after the request's end.
 func TestPriorityOnlyWhileTheRequestRuns(t *testing.T) {
 	answer := make(chan struct{})
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
@@ -373,7 +381,7 @@
 	for _, when := range []func(){release, func() { close(answer); f.end(); request.conn.writeMu.Unlock() }} {
 		changed := make(chan struct{})
 		go func() { request.setPriority(3); close(changed) }()
-		for range 1000 { // it waits for the command before it
+		for range 1000 { // lets setPriority run until it waits for the write lock
 			runtime.Gosched()
 		}
 		when()
@@ -390,9 +398,9 @@
 	}
 	commands := node.Commands()
 	if commands[1].Verb != "GET" {
-		t.Errorf("the priority came before its request: %v", commands)
+		t.Errorf("the priority command came before its request: %v", commands)
 	}
 	if len(commands) > 4 || len(commands) == 4 && commands[2].Verb != "RANK" {
-		t.Errorf("the priority came again, after the end of its request: %v", commands)
+		t.Errorf("another priority command came after the end of its request: %v", commands)
 	}
 }
--- a/backend/platform_late_answer_test.go
+++ b/backend/platform_late_answer_test.go
@@ -10,17 +10,17 @@
 	"embershunt/simulated"
 )
 
-// lateNode answers the first attempt of a request with an error, and repeats a line about it when the next attempt is there, before it
-// answers that.
+// lateNode answers the first attempt of a request so that the attempt fails. When the next attempt arrives it sends another answer to the
+// first one before it answers the new one.
 type lateNode struct {
-	first, late string // what the first attempt is answered with, and what comes late
+	first, late string // the answer to the first attempt, and the one sent when the next attempt arrives
 
-	mu       sync.Mutex
-	earlier  net.Conn // of the first attempt
-	attempts int
+	mu        sync.Mutex
+	firstConn net.Conn // connection of the first attempt
+	attempts  int
 }
 
-// handle is a nodeBehavior.
+// handle implements nodeBehavior.
 func (l *lateNode) handle(c net.Conn, cmd simulated.PlatformCommand) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -29,27 +29,29 @@
 		reply(c, simulated.PlatformAnswer(cmd.ID, "failed", "", ""))
 	case cmd.Verb != "GET":
 	case l.attempts == 0:
-		l.attempts, l.earlier = 1, c
+		l.attempts, l.firstConn = 1, c
 		reply(c, l.first)
 	default:
 		l.attempts++
-		reply(l.earlier, l.late)
+		reply(l.firstConn, l.late)
 		reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=1", "a\tb\tc\n"))
 	}
 }
 
-// A retry goes to the same node under the same id. A line about the attempt before it that comes late must not be taken for the
-// retry's answer: not an error, which would open another attempt beside it, not rows, not the claim that nothing ran.
-func TestLateAnswerOfTheAttemptBefore(t *testing.T) {
+// A retry at the same node has the same request id. A late answer to the earlier attempt must not be taken for the retry's answer,
+// whether it is an error, which would start another attempt while the retry runs, rows, or the statement that nothing ran.
+func TestLateAnswerOfEarlierAttempt(t *testing.T) {
 	failed := simulated.PlatformAnswer("id", "failed", "", "")
 	threePages := simulated.PlatformAnswer("id", "data", "total=3", "x\ty\tz\n")
 	for name, node := range map[string]*lateNode{
-		"a second lost page": {first: threePages, late: failed},
-		"an error again":     {first: failed, late: failed},
-		"rows after all":     {first: failed, late: simulated.PlatformAnswer("id", "data", "total=1", "x\ty\tz\n")},
-		"full again":         {first: simulated.PlatformAnswer("id", "full", "", ""), late: simulated.PlatformAnswer("id", "full", "", "")},
-		"expired again":      {first: simulated.PlatformAnswer("id", "moot", "", ""), late: simulated.PlatformAnswer("id", "moot", "", "")},
-		"a page":             {first: threePages, late: simulated.PlatformAnswer("id", "page", "index=1", "x\ty\tz\n")},
+		"a second error for a page": {first: threePages, late: failed},
+		"an error again":            {first: failed, late: failed},
+		"rows after an error":       {first: failed, late: simulated.PlatformAnswer("id", "data", "total=1", "x\ty\tz\n")},
+		"at capacity again": {first: simulated.PlatformAnswer("id", "full", "", ""),
+			late: simulated.PlatformAnswer("id", "full", "", "")},
+		"expired again": {first: simulated.PlatformAnswer("id", "moot", "", ""),
+			late: simulated.PlatformAnswer("id", "moot", "", "")},
+		"a page": {first: threePages, late: simulated.PlatformAnswer("id", "page", "index=1", "x\ty\tz\n")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, err := simulated.NewPlatformNode("", node.handle)
@@ -60,7 +62,7 @@
 			f := newPlatformFleet(t, Options{}, server.Address())
 			f.send("id", 0, "n0", time.Second)
 			if end := f.end(); end.Code == policy.OK {
-				t.Fatal("the first attempt ended well")
+				t.Fatal("the first attempt succeeded")
 			}
 			f.send("id", 1, "n0", time.Second)
 			if end := f.end(); end.Code != policy.OK || rowsOf(end.Result) != "a|b|c;" {
@@ -70,7 +72,8 @@
 	}
 }
 
-// As above where all attempts share one connection, since descriptors have run out.
+// As TestLateAnswerOfEarlierAttempt, but all attempts share one connection because MaxPlatformConns is reached. The retry is not sent, as
+// the connection has carried the earlier attempt.
 func TestLateAnswerOnASharedConnection(t *testing.T) {
 	failed := simulated.PlatformAnswer("id", "failed", "", "")
 	node := &lateNode{first: failed, late: failed}
@@ -95,18 +98,18 @@
 	}
 	f.send("id", 1, "n0", time.Second)
 	if end := f.end(); end.Code != policy.NeverSent {
-		t.Errorf("code %d (%v), want %d: no connection is free of the attempt before", end.Code, end.Err, policy.NeverSent)
+		t.Errorf("code %d (%v), want %d: the only connection has carried the earlier attempt", end.Code, end.Err, policy.NeverSent)
 	}
 	f.Cancel("q-other", 0)
 	f.end()
 }
 
-// A retry at the node of an attempt that was cancelled waits until the node has read the cancel, which names the request: read behind the
-// retry it would cancel that.
-func TestRetryWaitsForTheCancelBefore(t *testing.T) {
-	for name, timeout := range map[string]time.Duration{"the node reads it late": 5 * time.Second, "the node reads no more": 5 * time.Second,
-		"the deadline comes first": 20 * time.Millisecond} {
-		reads := name == "the node reads it late"
+// A retry at the node of a cancelled attempt waits until the node has read the cancel. The cancel names the request, so a node that reads
+// the cancel after the retry would cancel the retry.
+func TestRetryWaitsForCancelOfEarlierAttempt(t *testing.T) {
+	for name, timeout := range map[string]time.Duration{"the node reads the cancel late": 5 * time.Second,
+		"the node never reads the cancel": 5 * time.Second, "the deadline passes first": 20 * time.Millisecond} {
+		nodeReads := name == "the node reads the cancel late"
 		t.Run(name, func(t *testing.T) {
 			got, read := make(chan struct{}, 2), make(chan struct{})
 			node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
@@ -114,7 +117,7 @@
 				case cmd.Verb == "PING":
 					reply(c, simulated.PlatformAnswer(cmd.ID, "well", "", ""))
 				case cmd.Verb != "GET":
-				case len(got) == 0: // reads on when it is told to
+				case len(got) == 0: // reads no further command until read is closed
 					got <- struct{}{}
 					<-read
 				default:
@@ -134,7 +137,7 @@
 			f.end()
 			f.send("id", 1, "n0", timeout)
 			want := policy.NeverSent
-			if reads {
+			if nodeReads {
 				want = policy.OK
 				close(read)
 			} else {
--- a/backend/platform_pool_test.go
+++ b/backend/platform_pool_test.go
@@ -16,7 +16,8 @@
 	"embershunt/simulated"
 )
 
-// What proves that nothing ran, and what does not: nobody listens, a new connection that is reset, a pooled one that the node has closed.
+// Checks the outcomes of attempts whose connections fail, and which of them prove that nothing ran: no process listens, a new connection is
+// reset, the node has closed a pooled connection.
 func TestOutcomesOfPlatformConnections(t *testing.T) {
 	serve := func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
@@ -29,18 +30,18 @@
 	}
 	address := node.Address()
 	f := newPlatformFleet(t, Options{}, address)
-	broken := 2
+	dialsToReset := 2
 	f.dialPlatform = func(ctx context.Context, address string) (net.Conn, error) {
-		if broken--; broken >= 0 {
+		if dialsToReset--; dialsToReset >= 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.ECONNRESET}
 		}
 		return dialTCP(ctx, address)
 	}
 	f.send("a", 0, "n0", time.Second)
 	if end := f.end(); end.Code != policy.OK {
-		t.Errorf("two new connections broke: code %d (%v)", end.Code, end.Err)
+		t.Errorf("two new connections were reset: code %d (%v)", end.Code, end.Err)
 	}
-	broken = maxPlatformConnAttempts
+	dialsToReset = maxPlatformConnAttempts
 	f.send("b", 0, "n0", time.Second) // on the pooled connection
 	if end := f.end(); end.Code != policy.OK || node.Accepted() != 1 {
 		t.Errorf("code %d (%v), %d connections", end.Code, end.Err, node.Accepted())
@@ -50,7 +51,7 @@
 		t.Errorf("a node that is not listed: code %d", end.Code)
 	}
 	node.Close()
-	broken = 0
+	dialsToReset = 0
 	f.send("d", 0, "n0", time.Second)
 	if end := f.end(); end.Code != policy.ConnectionRefused && end.Code != policy.ConnectionReset {
 		t.Errorf("nobody listens: code %d (%v)", end.Code, end.Err)
@@ -65,11 +66,11 @@
 	defer node.Close()
 	f.send("f", 0, "n0", time.Second)
 	if end := f.end(); end.Code != policy.OK {
-		t.Errorf("it is back: code %d (%v)", end.Code, end.Err)
+		t.Errorf("the node listens again: code %d (%v)", end.Code, end.Err)
 	}
 }
 
-// Health checks count against the bound on connections, and a connection that was closed makes room at once.
+// Health checks count against MaxPlatformConns, and a connection that was closed makes room at once.
 func TestEveryConnectionIsCounted(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
@@ -100,7 +101,7 @@
 	for f.PlatformConns() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	for i := range 20 { // each has to take the other node's idle connection
+	for i := range 20 { // each needs the room of the other node's idle connection
 		f.send(fmt.Sprintf("r%d", i), 0, fmt.Sprintf("n%d", i%2), time.Second)
 		if end := f.end(); end.Code != policy.OK {
 			t.Fatalf("attempt %d: code %d (%v)", i, end.Code, end.Err)
@@ -109,12 +110,12 @@
 	}
 }
 
-// Attempts share a connection only where the bound on connections is reached, never beyond the bound on attempts, and never with the same id.
+// Attempts share a connection only if MaxPlatformConns is reached, and at most MaxAttemptsPerConn of them share one.
 func TestAttemptsShareConnectionsAtTheBound(t *testing.T) {
-	hold := make(chan struct{})
+	lastReceived := make(chan struct{})
 	node, err := simulated.NewPlatformNode("", func(_ net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" && cmd.ID == "last" {
-			close(hold)
+			close(lastReceived)
 		}
 	})
 	if err != nil {
@@ -132,7 +133,7 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	<-hold
+	<-lastReceived
 	if node.Accepted() != 2 {
 		t.Errorf("%d connections for 4 attempts, want 2", node.Accepted())
 	}
@@ -142,11 +143,13 @@
 	}
 }
 
-// A node that takes the address of another inherits no connection, and one that was removed keeps none.
+// A node that takes over the address of another one does not inherit its connections, and a node that was removed keeps none. The progress
+// reports of the first attempt reach the policy.
 func TestNodeAtTheAddressOfAnother(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
-			reply(c, simulated.PlatformAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+simulated.PlatformAnswer(cmd.ID, "news", "why=w,datum=2", "")+
+			reply(c, simulated.PlatformAnswer(cmd.ID, "news", "why=p,datum=0.5", "")+
+				simulated.PlatformAnswer(cmd.ID, "news", "why=w,datum=2", "")+
 				simulated.PlatformAnswer(cmd.ID, "data", "total=1", ""))
 		}
 	})
@@ -157,7 +160,8 @@
 	f := newPlatformFleet(t, Options{}, node.Address())
 	f.send("a", 0, "n0", time.Second)
 	f.end()
-	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5}, {ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
+	want := []policy.Progress{{ID: "q-a", Endpoint: "n0", Kind: policy.FractionDone, Value: 0.5},
+		{ID: "q-a", Endpoint: "n0", Kind: policy.WaitingForTables, Value: 2}}
 	if fmt.Sprint(f.progress) != fmt.Sprint(want) {
 		t.Errorf("progress %v, want %v", f.progress, want)
 	}
@@ -171,11 +175,11 @@
 		time.Sleep(time.Millisecond)
 	}
 	if f.nodes["n0"] != nil || f.nodes["n1"] != nil || len(f.attempts) > 0 {
-		t.Error("something is left of nodes that were removed")
+		t.Error("removed nodes or their attempts are still recorded")
 	}
 }
 
-// timeoutConn holds a read whose deadline has passed until proceed is closed.
+// timeoutConn delays the return of the first read that times out until proceed is closed.
 type timeoutConn struct {
 	net.Conn
 	timedOut, proceed chan struct{}
@@ -194,7 +198,7 @@
 	return n, err
 }
 
-// The idle time of a connection may pass in the moment in which an attempt is added to it: the attempt goes on.
+// The idle timeout of a connection may pass at the moment at which an attempt is added to it. The attempt must continue.
 func TestIdleTimeoutAsAnAttemptIsAdded(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", answering("data", "total=1", "a\tb\tc\n"))
 	if err != nil {
--- a/backend/platform_request_ids_test.go
+++ b/backend/platform_request_ids_test.go
@@ -10,7 +10,7 @@
 	"embershunt/simulated"
 )
 
-// An id is remembered while an attempt of its request may start or a late answer may come, and memory is bounded by that time.
+// An id is remembered while an attempt of its request may start or a late answer may arrive, which bounds how many ids are kept.
 func TestRequestIDs(t *testing.T) {
 	const deadline policy.Micros = 5_000_000
 	var ids requestIDs
@@ -28,12 +28,12 @@
 		ids.add(fmt.Sprint(i), now, now+deadline)
 	}
 	if most := int((deadline + lateAnswerTime) / 1000); ids.size() > most || len(ids.expiresAt) != ids.size() {
-		t.Errorf("%d ids, %d times; want %d at most", ids.size(), len(ids.expiresAt), most)
+		t.Errorf("%d ids, %d expiry times; want at most %d", ids.size(), len(ids.expiresAt), most)
 	}
 }
 
-// A connection that has carried as many requests as it can remember is replaced.
-func TestConnectionIsReplacedWhenItRemembersTooMuch(t *testing.T) {
+// A connection that has carried maxCarriedIDs requests is replaced by a new one.
+func TestConnectionIsReplacedAtMaxCarriedIDs(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", answering(string(lineproto.Data), "total=1", ""))
 	if err != nil {
 		t.Fatal(err)
