--- a/backend/platform_connection.go
+++ b/backend/platform_connection.go
@@ -172,7 +172,7 @@
 
 // Limits on the time that the write of one command takes: a node that does not read must not block the attempt for long. A request has
 // less time: the permission to start it is checked before the write, and package permit tolerates a start that is this much later than
-// the deadline or the end of the dedup window (deadlineSlack).
+// the deadline or the end of the dedup window.
 const (
 	commandWriteTimeout = time.Second
 	requestWriteTimeout = 50 * time.Millisecond
