--- a/backend/attempt.go
+++ b/backend/attempt.go
@@ -16,7 +16,7 @@
 	"embershunt/session"
 )
 
-// Errors of attempts in any protocol. What a node answers is an error of its protocol.
+// Errors of attempts in any protocol. Errors that a node returns have types of their own in each protocol.
 var (
 	errNotConnected  = errors.New("no connection to the node in time")
 	errUnknownNode   = errors.New("the node is not in the list")
@@ -26,8 +26,8 @@
 	errNeverSent     = errors.New("over before anything was sent")
 )
 
-// attempt is one attempt in flight, whatever its protocol: created by Send, released to the client by ForwardResponse, ended by
-// its node, its deadline or Cancel, reported with one dispatch.AttemptEnded.
+// attempt is one attempt in flight in any protocol. Send creates it, ForwardResponse lets its response go to the client, and its
+// node, its deadline or Cancel ends it. Its end is reported with exactly one dispatch.AttemptEnded.
 type attempt struct {
 	fleet     *Fleet
 	spec      dispatch.Attempt
@@ -35,10 +35,10 @@
 	ctx       context.Context // ends with the attempt
 	cancel    context.CancelCauseFunc
 	forward   chan struct{} // closed when the response may be forwarded
-	timer     *time.Timer   // of the attempt's own deadline
-	load      *policy.Load  // of the node's latest load report; nil: none was received
-	notRun    bool          // the node proved that nothing ran
-	unsent    bool          // nothing that could run has been written yet
+	timer     *time.Timer   // fires at the attempt's own deadline
+	load      *policy.Load  // latest load report of the node; nil: none was received
+	notRun    bool          // the node reported that nothing ran
+	unsent    bool          // nothing that the node could run has been written yet
 
 	cancelledAt atomic.Int64 // when the attempt was cancelled or its client disconnected, by the dispatcher's clock; 0: neither
 	workMicros  int64        // CPU time that the node reports
@@ -47,14 +47,14 @@
 	protocol protocolAttempt
 }
 
-// protocolAttempt makes one attempt in one protocol.
+// protocolAttempt carries out an attempt in one protocol.
 type protocolAttempt interface {
-	// run makes the attempt and returns when it is over; result is the part of the response that was not streamed.
+	// run carries out the attempt and returns when it has ended; result is the part of the response that was not streamed.
 	run(ctx context.Context, n *node) (result any, err error)
-	// classify maps an error that is neither a timeout nor a cancellation to an outcome. It is conservative: unless it is proved
-	// that nothing ran, the query may have run.
+	// classify maps an error that is neither a timeout nor a cancellation to an outcome. rejected means that the node rejected the
+	// statement itself. It is conservative: unless it is proved that nothing ran, the query may have run.
 	classify(err error) (code policy.Code, rejected bool)
-	// cleanUp removes what the attempt left on the node. It runs after the attempt's end was reported.
+	// cleanUp removes state that the attempt left on the node. It runs after the attempt's end was reported.
 	cleanUp()
 }
 
@@ -64,7 +64,7 @@
 	_ protocolAttempt = (*platformAttempt)(nil)
 )
 
-// newProtocolAttempt returns the implementation for the protocol of a query's work.
+// newProtocolAttempt returns the implementation for the protocol of the attempt's query.
 func (t *attempt) newProtocolAttempt() protocolAttempt {
 	switch call := t.spec.Query.Work.(type) {
 	case *flightwire.Call:
@@ -92,14 +92,14 @@
 		ended := t.execute(ctx)
 		t.timer.Stop()
 		cancel(nil)
-		f.forget(t)
+		f.removeAttempt(t)
 		f.post.Post(ended)
 		t.protocol.cleanUp()
 		return nil
 	})
 }
 
-// attempt finds an attempt in flight by its query and number; nil where there is none.
+// attempt returns an attempt in flight by its query's id and its number; nil if there is none.
 func (f *Fleet) attempt(id string, number int) *attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// forget removes an attempt that has ended.
-func (f *Fleet) forget(t *attempt) {
+// removeAttempt removes an attempt that has ended from those in flight.
+func (f *Fleet) removeAttempt(t *attempt) {
 	id := t.spec.Query.ID
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,7 +123,8 @@
 	}
 }
 
-// ForwardResponse implements dispatch.Fleet. From now on only the query's deadline holds, which the ledger enforces.
+// ForwardResponse implements dispatch.Fleet. It stops the timer of the attempt's own deadline: from now on only the query's deadline
+// applies, which the ledger enforces.
 func (f *Fleet) ForwardResponse(id string, number int) {
 	if t := f.attempt(id, number); t != nil {
 		t.timer.Stop()
@@ -139,7 +140,7 @@
 	}
 }
 
-// execute makes the attempt and reports how it ended.
+// execute carries out the attempt and returns the event that reports its end.
 func (t *attempt) execute(ctx context.Context) dispatch.AttemptEnded {
 	result, err := t.runOnNode(ctx)
 	ended := dispatch.AttemptEnded{ID: t.spec.Query.ID, Number: t.spec.Number, Latency: time.Since(t.startedAt).Microseconds(),
@@ -148,7 +149,7 @@
 	return ended
 }
 
-// runOnNode holds the node while the attempt runs there.
+// runOnNode runs the attempt on its node, which is not closed before the attempt has ended.
 func (t *attempt) runOnNode(ctx context.Context) (any, error) {
 	n := t.fleet.acquire(t.spec.Node)
 	if n == nil {
@@ -159,7 +160,8 @@
 }
 
 // classifyOutcome maps the end of an attempt to its outcome. It is conservative about what may have run: only a connection that
-// was never established, a request that was never written and an explicit answer of the node prove that nothing ran.
+// was never established, a request that was never written and an explicit answer of the node prove that nothing ran. rejected means
+// that the node rejected the statement itself, so that no other node is tried.
 func (t *attempt) classifyOutcome(ctx context.Context, err error) (code policy.Code, rejected bool) {
 	cause := context.Cause(ctx)
 	switch {
@@ -167,17 +169,17 @@
 		return policy.OK, false
 	case t.notRun:
 		return policy.Rejected, false
-	case errors.Is(err, session.ErrStateMissing): // as if the node had rejected it: no other node has the session's state either
+	case errors.Is(err, session.ErrStateMissing): // counts as a rejected statement: no other node has the session's state either
 		return policy.Failed, true
 	case errors.Is(err, errNotConnected), errors.Is(err, errUnknownNode), errors.Is(err, errWrongProtocol):
 		return policy.ConnectionRefused, false
-	case errors.Is(err, errNeverSent), errors.Is(err, errLocalDial): // whatever the cause: it says nothing about the node
+	case errors.Is(err, errNeverSent), errors.Is(err, errLocalDial): // even after a timeout: it says nothing about the node
 		return policy.NeverSent, false
 	case errors.Is(cause, errTimedOut) && t.unsent:
 		return policy.ConnectionRefused, false
 	case errors.Is(cause, errTimedOut):
 		return policy.TimedOut, false
-	case cause != nil: // cancelled, or the fleet closes
+	case cause != nil: // cancelled, or the fleet is closing
 		return policy.Cancelled, false
 	}
 	return t.protocol.classify(err)
--- a/backend/dial.go
+++ b/backend/dial.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// A peer that vanished without a reset is detected by TCP itself. HTTP/2 pings would detect it too, but a gRPC server takes more
-// than one in five minutes for abuse unless it is configured otherwise, and closes the connection.
+// TCP itself detects a peer that disappeared without a reset. HTTP/2 pings would detect it too, but a gRPC server by default treats
+// more than one ping in five minutes as abuse and closes the connection.
 const (
-	unacknowledgedTimeout = 10 * time.Second // for data that the peer does not acknowledge
-	keepAliveIdle         = 10 * time.Second // without traffic before the first keep-alive probe
-	keepAliveInterval     = 3 * time.Second
-	keepAliveCount        = 3 // unanswered probes before the connection is closed
+	unacknowledgedTimeout = 10 * time.Second // TCP_USER_TIMEOUT: how long sent data may stay unacknowledged
+	keepAliveIdle         = 10 * time.Second // time without traffic before the first keep-alive probe
+	keepAliveInterval     = 3 * time.Second  // between two probes
+	keepAliveCount        = 3                // unanswered probes before the connection is closed
 )
 
-// dialTCP connects with keep-alive and a bound on how long data may stay unacknowledged.
+// dialTCP connects to an address, with keep-alive probes and, on Linux, a limit on how long sent data may stay unacknowledged.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	d := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
@@ -27,11 +27,11 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// expired is a time long past: as a deadline it makes blocked reads and writes of a connection return at once.
+// expired is a time in the past: as a deadline it makes blocked reads and writes of a connection return at once.
 var expired = time.Unix(1, 0)
 
-// interruptOnDone makes blocked reads and writes of a connection return when ctx ends. stop ends that; it returns false where ctx
-// has ended already, and the connection's deadlines are in the past.
+// interruptOnDone makes blocked reads and writes of a connection return when ctx ends. stop cancels this; it returns false if ctx has
+// already ended, in which case the connection's deadlines are, or soon will be, in the past.
 func interruptOnDone(ctx context.Context, c net.Conn) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
 		_ = c.SetDeadline(expired) // fails only on a closed connection, on which nothing blocks
--- a/backend/dial_other.go
+++ b/backend/dial_other.go
@@ -7,5 +7,5 @@
 	"time"
 )
 
-// limitUnacknowledged does nothing on this system: its own retransmission limit holds.
+// limitUnacknowledged does nothing on systems other than Linux, whose own retransmission limit applies.
 func limitUnacknowledged(syscall.RawConn, time.Duration) error { return nil }
--- a/backend/drain_delay.go
+++ b/backend/drain_delay.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// drainDelays measures for how long after a drain notice a node was still sent new work.
+// drainDelays measures how long after a drain notice attempts were still sent to the node.
 type drainDelays struct {
 	mu           sync.Mutex
-	notifiedAt   map[string]time.Time // by node, of those that drain or were removed
+	notifiedAt   map[string]time.Time // time of the drain notice, by id of a node that drains or was removed
 	longestDelay time.Duration
 }
 
-// Bounds of the drain notices that are remembered.
+// Bounds of the drain notices that are kept.
 const (
 	drainNoticeLifetime = time.Hour
 	maxDrainNotices     = 256
 )
 
-// record records that a node drains, or that it does not drain any more. A repeated notice does not restart the measurement.
-func (d *drainDelays) record(node string, draining bool) {
+// recordNotice records that a node drains or was removed, or with draining false that it is healthy. A repeated notice does not
+// restart the measurement.
+func (d *drainDelays) recordNotice(node string, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !draining {
@@ -36,8 +37,8 @@
 	}
 }
 
-// expire drops notices that are too old and makes room for one more, so that memory stays bounded while node names change; d.mu is
-// held.
+// expire removes notices older than drainNoticeLifetime, and the oldest one if there would be more than maxDrainNotices: names of
+// nodes change, and without these limits the map would grow forever. d.mu is held.
 func (d *drainDelays) expire(now time.Time) {
 	oldest := ""
 	for id, at := range d.notifiedAt {
@@ -52,7 +53,7 @@
 	}
 }
 
-// recordSend records that an attempt is sent to a node.
+// recordSend measures the delay of an attempt that is sent to a node after the node's drain notice.
 func (d *drainDelays) recordSend(node string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -61,7 +62,7 @@
 	}
 }
 
-// longest is the longest delay seen so far.
+// longest returns the longest delay measured so far.
 func (d *drainDelays) longest() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/backend/fleet.go
+++ b/backend/fleet.go
@@ -1,8 +1,9 @@
 // Package backend manages the query nodes as one dispatcher sees them: the node list, connection pools, attempts and their
-// outcomes, load reports, health checks. It decides nothing: commands come from the dispatch loop, observations go back to it.
+// outcomes, load reports, health checks. It makes no routing decisions: it executes commands of the dispatch loop and reports its
+// observations to the loop.
 //
-// Three protocols are spoken: Flight SQL over gRPC (flight_*.go), the ClickHouse native protocol (native_*.go) and the platform's
-// line protocol (platform_*.go). What they share is in attempt.go, node.go, fleet.go, list.go, drain.go and permission_audit.go.
+// It supports three protocols: Flight SQL over gRPC (flight_*.go), the ClickHouse native protocol (native_*.go) and the platform's
+// line protocol (platform_*.go). The other files serve all three.
 package backend
 
 import (
@@ -28,19 +29,19 @@
 	Log                 *slog.Logger
 	Clock               dispatch.Clock
 	ConnectTimeout      time.Duration     // a connection that is not established by then counts as refused; default 250 ms
-	HealthCheckTimeout  time.Duration     // of a health check; default 500 ms
-	MaxFrame            int               // bytes of one message from a node; default 16 MiB
-	DialOptions         []grpc.DialOption // credentials; default: plain text
-	NativeUser          string            // for the native protocol
+	HealthCheckTimeout  time.Duration     // of a health check, and of calls whose answer is not used; default 500 ms
+	MaxFrame            int               // limit of one message in bytes; default 16 MiB
+	DialOptions         []grpc.DialOption // such as credentials; default: plain text
+	NativeUser          string            // for the native protocol, as NativePassword
 	NativePassword      string
-	Headers             []string      // keys and values in turn, sent with every gRPC call
-	MaxPlatformConns    int           // connections to nodes in the platform's protocol, all together; default 256
-	MaxAttemptsPerConn  int           // attempts that share one of them when all are open; default 100
-	PlatformIdleTimeout time.Duration // one without an attempt is closed after this; default 10 s
-	DrainGrace          time.Duration // after a drain notice statements of sticky sessions may start for this long; nothing else starts from then on
+	Headers             []string      // alternating keys and values, sent with the gRPC calls of every attempt
+	MaxPlatformConns    int           // limit of connections in the platform's protocol, to all nodes together; default 256
+	MaxAttemptsPerConn  int           // limit of attempts that share a platform connection once MaxPlatformConns is reached; default 100
+	PlatformIdleTimeout time.Duration // a platform connection without an attempt is closed after this time; default 10 s
+	DrainGrace          time.Duration // how long after a drain notice statements of sticky sessions may still start; other queries may not
 }
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values by the defaults.
 func (o *Options) setDefaults() {
 	o.ConnectTimeout = cmp.Or(o.ConnectTimeout, 250*time.Millisecond)
 	o.HealthCheckTimeout = cmp.Or(o.HealthCheckTimeout, 500*time.Millisecond)
@@ -53,10 +54,10 @@
 	}
 }
 
-// Poster takes what the fleet observes; *dispatch.Loop is one.
+// Poster receives the fleet's events; *dispatch.Loop implements it.
 type Poster interface{ Post(dispatch.Event) }
 
-// poster posts events of the policy as well.
+// poster is a Poster that accepts events of the policy as well.
 type poster struct{ Poster }
 
 // Notify implements peers.Receiver.
@@ -68,8 +69,8 @@
 	clock   dispatch.Clock
 	options Options
 	post    poster
-	group   *errgroup.Group // every goroutine of the fleet
-	ctx     context.Context // ends with Close
+	group   *errgroup.Group // has every goroutine of the fleet
+	ctx     context.Context // cancelled by Close
 	stop    context.CancelFunc
 
 	onNodes      func([]nodelist.Node)                                       // see OnNodes; nil: not set
@@ -79,14 +80,14 @@
 
 	mu             sync.Mutex
 	closed         bool
-	nodes          map[string]*node
-	listAcceptedAt policy.Micros         // when the list in force was accepted; 0: there is none
-	attempts       map[string][]*attempt // in flight, by query
-	sessionConns   map[string]*sessionConn
+	nodes          map[string]*node        // by id; removed nodes too while calls use them
+	listAcceptedAt policy.Micros           // when the present list was accepted; 0: none has been
+	attempts       map[string][]*attempt   // in flight, by query id
+	sessionConns   map[string]*sessionConn // idle ones, by session
 
 	listFailures       atomic.Int64
 	platformConns      atomic.Int64 // open or reserved connections in the platform's protocol
-	platformConnSerial atomic.Int64 // id of the latest of them
+	platformConnSerial atomic.Int64 // id of the newest connection in the platform's protocol
 	discardedAnswers   atomic.Int64 // see DiscardedAnswers
 	drainDelays        drainDelays
 	audit              permit.Audit
@@ -102,21 +103,22 @@
 		nodes: map[string]*node{}, attempts: map[string][]*attempt{}, sessionConns: map[string]*sessionConn{}}
 }
 
-// Bind sets who receives the fleet's events.
+// Bind sets the receiver of the fleet's events.
 func (f *Fleet) Bind(p Poster) { f.post = poster{p} }
 
-// Go runs a goroutine that belongs to the fleet, such as a watch on the node list. It must end with ctx.
+// Go runs a goroutine that Close waits for, such as a watch on the node list. run must return when ctx ends.
 func (f *Fleet) Go(run func(ctx context.Context)) {
 	f.group.Go(func() error { run(f.ctx); return nil })
 }
 
-// OnFetch sets what WatchEndpoints and FetchEndpoints call: it polls the list's source again and must not block.
+// OnFetch sets the function that WatchEndpoints and FetchEndpoints call. It polls the source of the node list again and must not
+// block.
 func (f *Fleet) OnFetch(refetch func()) { f.refetch = refetch }
 
-// OnNodes sets who is notified of each node list that comes into force; it must not block.
+// OnNodes sets the function that is called with each node list that takes effect; it must not block.
 func (f *Fleet) OnNodes(notify func([]nodelist.Node)) { f.onNodes = notify }
 
-// WatchEndpoints implements dispatch.Fleet. The list's source keeps the watch; polling it again renews the watch.
+// WatchEndpoints implements dispatch.Fleet. The source of the node list keeps the watch; polling the source again renews it.
 func (f *Fleet) WatchEndpoints() { f.FetchEndpoints() }
 
 // FetchEndpoints implements dispatch.Fleet.
@@ -126,8 +128,8 @@
 	}
 }
 
-// OnGossip sets what carries gossip messages to other dispatchers; it must not block. Without it gossip is off, which the policy's
-// settings say as well.
+// OnGossip sets the function that sends gossip messages to other dispatchers; it must not block. Without it gossip is off, and the
+// policy's settings must have it off too.
 func (f *Fleet) OnGossip(send func(peer int, data []byte)) { f.sendGossip = send }
 
 // SendGossip implements dispatch.Fleet.
@@ -137,23 +139,23 @@
 	}
 }
 
-// MaxSendDelayAfterDrain is the longest time from a drain notice to a later send to that node; 0 where nothing was sent. Sends that
-// are withheld before their first byte leaves (permit.Sending) count too.
+// MaxSendDelayAfterDrain returns the longest time from a drain notice to a later send to that node; 0 if nothing was sent. Sends that
+// are withheld before their first byte is written (permit.Sending) count too.
 func (f *Fleet) MaxSendDelayAfterDrain() time.Duration { return f.drainDelays.longest() }
 
-// Audit counts attempts that were not permitted at the moment at which they would have started, and those that started against a
-// rule.
+// Audit returns the counts of attempts that were not permitted when they would have started, and of those that started in violation
+// of a rule.
 func (f *Fleet) Audit() *permit.Audit { return &f.audit }
 
-// ListFailures counts the node lists that could not be fetched or used.
+// ListFailures returns the number of node lists that could not be fetched or used.
 func (f *Fleet) ListFailures() int64 { return f.listFailures.Load() }
 
-// Close cancels everything, waits for it to end and closes the connections.
+// Close cancels all attempts and other calls, waits until they have ended and closes the connections.
 func (f *Fleet) Close() error {
 	f.stop()
 	f.mu.Lock()
 	f.closed = true
-	for _, n := range f.nodes { // the group waits for their readers
+	for _, n := range f.nodes { // ends their readers, which the group waits for
 		n.platform.close()
 	}
 	f.mu.Unlock()
@@ -171,7 +173,7 @@
 	return err
 }
 
-// spawn runs a goroutine for callers that may call while the fleet closes; then it runs nothing and returns false.
+// spawn starts a goroutine of the fleet's group. It may be called while the fleet closes: it then starts nothing and returns false.
 func (f *Fleet) spawn(run func()) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +183,7 @@
 	return !f.closed
 }
 
-// acquire holds a node for one call; nil where it is not known. Each acquire is followed by release.
+// acquire returns a node and keeps it open for one call, until release; nil if the node is not known.
 func (f *Fleet) acquire(id string) *node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +194,7 @@
 	return n
 }
 
-// release ends the hold of a call on a node, and closes the node where it was removed meanwhile and no other call holds it.
+// release ends the use of a node by one call. It closes the node if it was removed and no other call uses it.
 func (f *Fleet) release(n *node) {
 	f.mu.Lock()
 	n.users--
--- a/backend/flight_attempt.go
+++ b/backend/flight_attempt.go
@@ -17,24 +17,24 @@
 	"embershunt/policy"
 )
 
-// Errors of answers over Flight SQL.
+// Errors of a node's answers over Flight SQL.
 var (
 	errNoSchema      = errors.New("the answer ended before its schema")
 	errEndpointCount = errors.New("the node answers from several endpoints or from none, which is not supported")
 )
 
-// flightAttempt makes an attempt over Flight SQL.
+// flightAttempt carries out an attempt over Flight SQL.
 type flightAttempt struct {
 	*attempt
 	call           *flightwire.Call
-	stats          callStats
+	stats          callStats // of all its calls
 	conn           *grpc.ClientConn
-	preparedHandle []byte // of a prepared statement created on the node; nil: none
+	preparedHandle []byte // of the prepared statement that the attempt created on the node; nil: none
 }
 
 // run implements protocolAttempt.
 func (t *flightAttempt) run(ctx context.Context, n *node) (any, error) {
-	conn, err := n.flightReady(ctx, &t.fleet.options)
+	conn, err := n.awaitFlightConn(ctx, &t.fleet.options)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 		}
 		return policy.Failed, false
 	}
-	switch s.Code() { // the node rejects the statement itself: another node would answer the same
+	switch s.Code() { // these reject the statement itself: another node would answer the same
 	case codes.InvalidArgument, codes.NotFound, codes.AlreadyExists, codes.PermissionDenied,
 		codes.FailedPrecondition, codes.OutOfRange, codes.Unimplemented:
 		return policy.Failed, true
@@ -85,7 +85,7 @@
 	return policy.Failed, false
 }
 
-// cleanUp implements protocolAttempt: it closes the prepared statement created on the node, if there is one.
+// cleanUp implements protocolAttempt. It closes the prepared statement that the attempt created on the node, if any.
 func (t *flightAttempt) cleanUp() {
 	if t.preparedHandle == nil {
 		return
@@ -96,7 +96,7 @@
 		Body: flightwire.StatementCommand("ActionClosePreparedStatementRequest", t.preparedHandle)}.Encode())
 }
 
-// headers are the call headers of the attempt, the same in each of its calls.
+// headers returns the call headers of the attempt, which are the same in each of its calls.
 func (t *flightAttempt) headers() metadata.MD {
 	md := metadata.MD{flightwire.HeaderQuery: {t.spec.Query.ID}, flightwire.HeaderAttempt: {strconv.Itoa(t.spec.Number)}}
 	if t.spec.HasResources {
@@ -113,7 +113,7 @@
 	return md
 }
 
-// query runs a query: GetFlightInfo, then DoGet on the same node.
+// query runs a query and forwards its answer to the client: GetFlightInfo, then DoGet on the same node.
 func (t *flightAttempt) query(ctx context.Context, command []byte) error {
 	info, err := t.unary(ctx, flightwire.MethodGetInfo, flightwire.Descriptor(command))
 	if err != nil {
@@ -133,7 +133,7 @@
 	return t.forwardFrames(ctx, s)
 }
 
-// update runs an update: DoPut with the command in the first message.
+// update runs an update and returns its PutResult: DoPut with the command in the first message.
 func (t *flightAttempt) update(ctx context.Context, command []byte, params [][]byte) ([]byte, error) {
 	s, err := t.stream(ctx, flightwire.MethodDoPut, withDescriptor(command, params)...)
 	if err != nil {
@@ -142,7 +142,7 @@
 	return t.receiveOne(s)
 }
 
-// action runs an action and returns the body of its Result, empty where it has none.
+// action runs an action and returns the body of its Result, which is empty if the node sends no Result.
 func (t *flightAttempt) action(ctx context.Context) (any, error) {
 	s, err := t.stream(ctx, flightwire.MethodDoAction, t.call.Action.Encode())
 	if err != nil {
@@ -158,8 +158,8 @@
 	return flightwire.Field(answer, 1)
 }
 
-// prepare creates a prepared statement on the node and returns the body of its ActionCreatePreparedStatementResult. The node's
-// handle is closed when the attempt is over.
+// prepare creates a prepared statement on the node and returns the body of its ActionCreatePreparedStatementResult. cleanUp closes
+// the statement when the attempt has ended.
 func (t *flightAttempt) prepare(ctx context.Context) ([]byte, error) {
 	request := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, t.call.Text), 2, t.call.Tx)
 	create := flightwire.Action{Type: "CreatePreparedStatement",
@@ -184,8 +184,8 @@
 	return c.Body, err
 }
 
-// bind creates a prepared statement on the node and binds the parameters there. It returns the command that runs it, and for an
-// update the parameters to send with the command.
+// bind creates a prepared statement on the node and returns the command that runs it. For a query it binds the parameters on the
+// node; for an update it returns the parameters, which are sent with the command.
 func (t *flightAttempt) bind(ctx context.Context) (command []byte, params [][]byte, err error) {
 	if _, err = t.prepare(ctx); err != nil {
 		return nil, nil, err
@@ -202,14 +202,15 @@
 	if err != nil && !errors.Is(err, errNoSchema) { // an answer is optional here
 		return nil, nil, err
 	}
-	if handle := reboundHandle(answer); handle != nil {
+	if handle := replacementHandle(answer); handle != nil {
 		command = flightwire.StatementCommand("CommandPreparedStatementQuery", handle)
 	}
 	return command, nil, nil
 }
 
-// reboundHandle is the handle by which a node replaces the one that parameters were bound to; nil where it keeps that.
-func reboundHandle(answer []byte) []byte {
+// replacementHandle returns the statement handle in a node's answer to a binding of parameters, which replaces the handle that they
+// were bound to; nil if the node keeps that handle.
+func replacementHandle(answer []byte) []byte {
 	result, err := flightwire.Field(answer, 1)
 	if err != nil || len(result) == 0 {
 		return nil
@@ -221,7 +222,7 @@
 	return handle
 }
 
-// withDescriptor puts a command's descriptor in front of FlightData messages.
+// withDescriptor adds a command's descriptor to the first of the FlightData messages, or returns a message with the descriptor alone.
 func withDescriptor(command []byte, data [][]byte) [][]byte {
 	head := flightwire.AppendBytes(nil, 1, flightwire.Descriptor(command))
 	if len(data) == 0 {
--- a/backend/flight_call.go
+++ b/backend/flight_call.go
@@ -13,16 +13,17 @@
 	"embershunt/internal/flightwire"
 )
 
-// callStats is what the gRPC transport reports of an attempt's calls. It separates "may have run" from "never sent".
+// callStats holds what the gRPC transport reports of an attempt's calls. It tells an attempt that may have run from one that was
+// never sent.
 type callStats struct {
-	headerSent      atomic.Bool // a request header went to the transport, in any call of the attempt
-	trailerReceived atomic.Bool // the node itself ended the last call
+	headerSent      atomic.Bool // request headers were passed to the transport, in any call of the attempt
+	trailerReceived atomic.Bool // the node ended the latest call itself, with trailers
 }
 
 // callStatsKey is the context key of a *callStats.
 type callStatsKey struct{}
 
-// callStatsHandler fills the callStats of each call's context.
+// callStatsHandler updates the callStats in each call's context.
 type callStatsHandler struct{}
 
 var _ stats.Handler = callStatsHandler{}
@@ -53,12 +54,12 @@
 // HandleConn implements stats.Handler.
 func (callStatsHandler) HandleConn(context.Context, stats.ConnStats) {}
 
-// unary makes one call with one answer.
+// unary makes a unary call and returns its answer.
 func (t *flightAttempt) unary(ctx context.Context, method string, request []byte) ([]byte, error) {
 	var answer flightwire.Frame
 	var trailer metadata.MD
 	err := t.conn.Invoke(ctx, method, flightwire.NewFrame(request), &answer, grpc.Trailer(&trailer))
-	t.readTrailer(trailer)
+	t.recordTrailer(trailer)
 	if err != nil {
 		return nil, err
 	}
@@ -66,8 +67,8 @@
 	return append([]byte(nil), answer.Bytes()...), nil
 }
 
-// readTrailer takes what a call's trailers report: the node's load, and whether nothing ran.
-func (t *flightAttempt) readTrailer(trailer metadata.MD) {
+// recordTrailer records what a call's trailers report: the node's load, and that nothing ran.
+func (t *flightAttempt) recordTrailer(trailer metadata.MD) {
 	if l := flightLoad(trailer); l != nil {
 		t.load = l
 	}
@@ -78,7 +79,7 @@
 
 var bidirectional = &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}
 
-// stream opens a call and sends its requests.
+// stream opens a streaming call, sends its requests and closes the sending side.
 func (t *flightAttempt) stream(ctx context.Context, method string, requests ...[]byte) (grpc.ClientStream, error) {
 	s, err := t.conn.NewStream(ctx, bidirectional, method)
 	if err != nil {
@@ -95,7 +96,8 @@
 	return s, nil
 }
 
-// streamError returns the status of a failed stream: a send that fails with io.EOF leaves it to the next receive.
+// streamError returns the error of a stream on which a send failed. After a send that failed with io.EOF the next receive has the
+// status.
 func (t *flightAttempt) streamError(s grpc.ClientStream, err error) error {
 	if errors.Is(err, io.EOF) {
 		var f flightwire.Frame
@@ -104,29 +106,30 @@
 			err = io.ErrUnexpectedEOF
 		}
 	}
-	t.readTrailer(s.Trailer())
+	t.recordTrailer(s.Trailer())
 	return err
 }
 
-// receiveFrame receives one frame and checks its envelope.
+// receiveFrame receives one frame and checks that its envelope can be parsed.
 func (t *flightAttempt) receiveFrame(s grpc.ClientStream, f *flightwire.Frame) error {
 	err := s.RecvMsg(f)
 	if err != nil {
-		t.readTrailer(s.Trailer())
+		t.recordTrailer(s.Trailer())
 		return err
 	}
 	_, err = f.Envelope()
 	return err
 }
 
-// receiveOne receives the first answer of a stream and reads on to its clean end. errNoSchema: it ended without an answer.
+// receiveOne returns the first message of a stream, which it reads to its end. It returns errNoSchema if the stream ended without a
+// message.
 func (t *flightAttempt) receiveOne(s grpc.ClientStream) ([]byte, error) {
 	var answer []byte
 	for i := 0; ; i++ {
 		var f flightwire.Frame
 		err := s.RecvMsg(&f)
 		if err != nil {
-			t.readTrailer(s.Trailer())
+			t.recordTrailer(s.Trailer())
 			if !errors.Is(err, io.EOF) {
 				return nil, err
 			}
@@ -142,8 +145,8 @@
 	}
 }
 
-// forwardFrames forwards an answer to the client. The first frame is held back until the next one or the end is there: a schema
-// alone commits to nothing, and while the client has seen nothing another node may still answer.
+// forwardFrames forwards an answer to the client. The first frame, which has only the schema, is held back until the second frame or
+// the end of the stream arrives: as long as the client has received nothing, another attempt may still answer the query.
 func (t *flightAttempt) forwardFrames(ctx context.Context, s grpc.ClientStream) error {
 	var first, next flightwire.Frame
 	defer first.Free()
@@ -177,7 +180,8 @@
 	return err
 }
 
-// callDiscardingAnswer makes a call whose answer and errors are of no interest: what it does is advice, or will expire by itself.
+// callDiscardingAnswer makes a call and ignores its answer and errors. It is for calls whose loss does no harm: the node takes them as
+// advice, or what they release expires by itself.
 func callDiscardingAnswer(ctx context.Context, conn *grpc.ClientConn, method string, request []byte) {
 	s, err := conn.NewStream(ctx, bidirectional, method)
 	if err != nil || s.SendMsg(flightwire.NewFrame(request)) != nil || s.CloseSend() != nil {
--- a/backend/flight_connection.go
+++ b/backend/flight_connection.go
@@ -12,15 +12,15 @@
 	"embershunt/internal/flightwire"
 )
 
-// One gRPC connection to a node carries all its calls: there is no pool.
+// All calls to a node share one gRPC connection, so there is no pool.
 
-// flightBackoff is how gRPC reconnects in the background. A call that waits resets it, see flightReady.
-var flightBackoff = grpc.ConnectParams{MinConnectTimeout: time.Second,
+// flightConnectParams sets how gRPC reconnects in the background. awaitFlightConn resets the backoff.
+var flightConnectParams = grpc.ConnectParams{MinConnectTimeout: time.Second,
 	Backoff: backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second}}
 
-// flightDial returns the node's connection, created by the first call; nil where the node is closed. It does not wait: the
-// connection is established in the background.
-func (n *node) flightDial(o *Options) (*grpc.ClientConn, error) {
+// openFlightConn returns the node's connection, which the first call creates; nil if the node is closed. It does not wait: gRPC
+// establishes the connection in the background.
+func (n *node) openFlightConn(o *Options) (*grpc.ClientConn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.flightConn != nil || n.closed {
@@ -33,7 +33,7 @@
 		grpc.WithDisableServiceConfig(), grpc.WithDisableRetry(), grpc.WithNoProxy(),
 		grpc.WithIdleTimeout(0),
 		grpc.WithContextDialer(dialTCP),
-		grpc.WithConnectParams(flightBackoff),
+		grpc.WithConnectParams(flightConnectParams),
 	}
 	if len(o.DialOptions) == 0 {
 		options = append(options, grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -46,12 +46,13 @@
 	return conn, nil
 }
 
-// flightReady waits until the connection is established, for the connect timeout at most. Where it fails nothing was sent.
-func (n *node) flightReady(ctx context.Context, o *Options) (*grpc.ClientConn, error) {
+// awaitFlightConn returns the node's connection once it is established; it waits for the connect timeout at most. If it fails, nothing
+// was sent.
+func (n *node) awaitFlightConn(ctx context.Context, o *Options) (*grpc.ClientConn, error) {
 	if n.flightAddress == "" {
 		return nil, errWrongProtocol
 	}
-	conn, err := n.flightDial(o)
+	conn, err := n.openFlightConn(o)
 	if err != nil || conn == nil {
 		return nil, errNotConnected
 	}
@@ -69,7 +70,7 @@
 		case connectivity.Shutdown:
 			return nil, errNotConnected
 		case connectivity.TransientFailure:
-			if attempted { // it was refused: waiting longer would only hold the query
+			if attempted { // the connection was refused: waiting longer would only delay the query
 				return nil, errNotConnected
 			}
 			conn.ResetConnectBackoff()
--- a/backend/flight_health_check.go
+++ b/backend/flight_health_check.go
@@ -10,9 +10,9 @@
 	"embershunt/policy"
 )
 
-// checkFlightHealth makes a gRPC health check (grpc.health.v1), whose trailers carry the load report.
+// checkFlightHealth makes a gRPC health check (grpc.health.v1) and returns its outcome and the load report in its trailers.
 func (n *node) checkFlightHealth(ctx context.Context, o *Options) (policy.Code, *policy.Load) {
-	conn, err := n.flightReady(ctx, o)
+	conn, err := n.awaitFlightConn(ctx, o)
 	if err != nil {
 		return policy.ConnectionRefused, nil
 	}
--- a/backend/flight_session.go
+++ b/backend/flight_session.go
@@ -13,14 +13,14 @@
 	"embershunt/internal/flightwire"
 )
 
-// releaseTimeout bounds the time for a node to end a session's state.
+// releaseTimeout bounds how long a node may take to release a session's state.
 const releaseTimeout = 2 * time.Second
 
-// Release implements frontend.Releaser: it asks a node to end what it holds of a session: its transaction where the node's handle
-// of that is known, else all that it holds under the session's name. done is told whether the node did; it is not called when the
-// fleet closes.
+// Release implements frontend.Releaser. It ends a session's state: it closes the session's native connection if there is one.
+// Otherwise it asks the node to roll back the transaction with this handle or, if handle is nil, to release all state under the
+// session's name. done receives whether that succeeded; it is not called once the fleet is closing.
 func (f *Fleet) Release(node, session string, handle []byte, done func(ok bool)) {
-	if f.dropSession(session) {
+	if f.closeSessionConn(session) {
 		f.spawn(func() { done(true) })
 		return
 	}
@@ -32,7 +32,8 @@
 	f.spawn(func() { done(f.doAction(node, session, action) == nil) })
 }
 
-// doAction runs one action on a node and waits for its end. A node that holds nothing of the session any more is no error.
+// doAction runs one action for a session on a node and waits until it has ended. It is not an error if the node has no state of the
+// session any more (NOT_FOUND).
 func (f *Fleet) doAction(node, session string, a flightwire.Action) error {
 	n := f.acquire(node)
 	if n == nil {
@@ -41,7 +42,7 @@
 	defer f.release(n)
 	ctx, cancel := context.WithTimeout(f.ctx, releaseTimeout)
 	defer cancel()
-	conn, err := n.flightReady(ctx, &f.options)
+	conn, err := n.awaitFlightConn(ctx, &f.options)
 	if err != nil {
 		return err
 	}
@@ -53,7 +54,7 @@
 	if err = s.SendMsg(flightwire.NewFrame(a.Encode())); err == nil {
 		err = s.CloseSend()
 	}
-	for err == nil || errors.Is(err, io.EOF) { // a send that fails with io.EOF leaves the status to the receive
+	for err == nil || errors.Is(err, io.EOF) { // after a send that failed with io.EOF the receive has the status
 		var m flightwire.Frame
 		if err = s.RecvMsg(&m); errors.Is(err, io.EOF) {
 			return nil
--- a/backend/flight_session_test.go
+++ b/backend/flight_session_test.go
@@ -2,5 +2,6 @@
 
 import "embershunt/frontend"
 
-// The frontends find a session's state released through this interface; this package must not import them outside of tests.
+// Fleet must implement the interface through which the frontends release a session's state. The check is in a test because this package
+// must not import the frontends.
 var _ frontend.Releaser = (*Fleet)(nil)
--- a/backend/health_check.go
+++ b/backend/health_check.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// HealthCheck implements dispatch.Fleet. The result is reported as a policy.HealthCheckResult.
+// HealthCheck implements dispatch.Fleet. It reports its result as a policy.HealthCheckResult.
 func (f *Fleet) HealthCheck(id string) {
 	f.group.Go(func() error {
 		startedAt := time.Now()
@@ -19,7 +19,8 @@
 	})
 }
 
-// checkHealth checks a node in one of its protocols: the platform's if it speaks that, else gRPC, else the native one.
+// checkHealth checks a node over one of its protocols: the platform's if the node supports it, otherwise gRPC, otherwise the native
+// protocol.
 func (f *Fleet) checkHealth(id string) (policy.Code, *policy.Load) {
 	n := f.acquire(id)
 	if n == nil {
--- a/backend/list.go
+++ b/backend/list.go
@@ -9,8 +9,8 @@
 	"embershunt/policy"
 )
 
-// SetNodes puts a complete node list in force: nodes that are missing from it are removed. A list that cannot be used changes
-// nothing and is reported to the policy as a failed fetch.
+// SetNodes applies a complete node list: nodes that are missing from it are removed. An invalid list changes nothing and is reported
+// to the policy as a failed fetch.
 func (f *Fleet) SetNodes(nodes []nodelist.Node) error {
 	if err := nodelist.Check(nodes); err != nil {
 		f.ListFailed(err)
@@ -24,7 +24,7 @@
 		listed[n.ID] = true
 		event.Endpoints = append(event.Endpoints, policy.Endpoint{ID: n.ID, Zone: n.Zone, Kind: n.Kind, PlacementGroup: n.PlacementGroup,
 			State: n.State, Weight: n.Weight, Started: f.recordNode(n), Protocols: n.Protocols()})
-		f.drainDelays.record(n.ID, n.State != policy.Healthy)
+		f.drainDelays.recordNotice(n.ID, n.State != policy.Healthy)
 	}
 	unused := f.removeUnlisted(listed, now)
 	f.listAcceptedAt = now
@@ -39,14 +39,14 @@
 	return nil
 }
 
-// removeUnlisted marks the nodes that are not in a list as removed, and returns those that no call holds: they are to be closed
-// outside of f.mu, which is held.
+// removeUnlisted marks the nodes that are not in a list as removed, and returns those that no call uses. The caller, which holds f.mu,
+// closes them after it has released f.mu.
 func (f *Fleet) removeUnlisted(listed map[string]bool, now policy.Micros) (unused []*node) {
 	for _, id := range slices.Sorted(maps.Keys(f.nodes)) {
 		if n := f.nodes[id]; !listed[id] {
 			n.removed = true
 			n.recordState(now, false)
-			f.drainDelays.record(id, true)
+			f.drainDelays.recordNotice(id, true)
 			if n.users == 0 {
 				unused = append(unused, n)
 				delete(f.nodes, id)
@@ -56,14 +56,15 @@
 	return unused
 }
 
-// ListFailed reports to the policy that the node list cannot be fetched or read; the last good one stays in force.
+// ListFailed logs, counts and reports to the policy that the node list could not be fetched or used. The last good list stays in effect.
 func (f *Fleet) ListFailed(err error) {
 	f.log.Warn("node list update failed; the last good list stays in effect", "error", err)
 	f.listFailures.Add(1)
 	f.post.Notify(policy.EndpointUpdate{Failed: true})
 }
 
-// recordNode adds or updates the node of a row, and returns when it started by the dispatcher's clock; f.mu is held.
+// recordNode adds or updates the node of a row and returns the node's start time by the dispatcher's clock. A node whose addresses
+// changed is replaced by a new one. f.mu is held.
 func (f *Fleet) recordNode(row nodelist.Node) policy.Micros {
 	n := f.nodes[row.ID]
 	var startedAt policy.Micros
@@ -91,7 +92,8 @@
 	return startedAt
 }
 
-// clockTime converts a wall time to the dispatcher's clock; 0 where it is unknown or before the clock's start.
+// clockTime converts wall time to the dispatcher's clock; 0 if it is unknown or before the clock's zero. A time in the future counts as
+// now.
 func (f *Fleet) clockTime(t time.Time) policy.Micros {
 	if t.IsZero() {
 		return 0
@@ -100,11 +102,12 @@
 	return min(max(now-time.Since(t).Microseconds(), 0), now)
 }
 
-// maxListDelay is the longest time from the start of a node to the first list that has it.
+// maxListDelay is the longest time that is assumed between the start of a node and the first list that has it.
 const maxListDelay = 5 * time.Second
 
-// startTime is when a node started, by the dispatcher's clock. A node that the previous list did not have started at most
-// maxListDelay before that list, whatever the wall clock says; f.mu is held.
+// startTime returns when a node started, by the dispatcher's clock; 0 if that is unknown or before the clock's zero. A node that the
+// previous list did not have counts as started maxListDelay before that list at the earliest, which limits the effect of a wall clock
+// that is wrong or was stepped. f.mu is held.
 func (f *Fleet) startTime(row nodelist.Node) policy.Micros {
 	at := f.clockTime(row.Started)
 	if at > 0 && f.listAcceptedAt > 0 && f.nodes[row.ID] == nil {
--- a/backend/native_connection.go
+++ b/backend/native_connection.go
@@ -10,24 +10,24 @@
 	"embershunt/internal/native"
 )
 
-// nativeConn is one connection to a node's native port. It carries one query at a time.
+// nativeConn is a connection to a node's native port. It carries one query at a time.
 type nativeConn struct {
-	conn      net.Conn
-	r         *native.Reader
-	w         *bufio.Writer
-	key       nativeKey
-	idleSince time.Time // when it was last put into the pool
-	used      bool      // it has carried a query
-	awaitPong bool      // a ping was sent before the present query: what comes before its pong belongs to the query before
+	conn        net.Conn
+	r           *native.Reader
+	w           *bufio.Writer
+	key         nativeKey
+	idleSince   time.Time // when it was last put into the pool
+	used        bool      // it has carried a query
+	pongPending bool      // packets belong to the previous query until the pong for sendQuery's ping arrives
 }
 
-// nativeKey is what a query needs of a connection: its client's revision and database.
+// nativeKey identifies the connections that a query can use: those with its client's protocol revision and database.
 type nativeKey struct {
 	revision int
 	database string
 }
 
-// dialNative establishes a connection. Where it fails nothing was sent.
+// dialNative establishes a connection within the connect timeout. If it fails, no query was sent.
 func (n *node) dialNative(ctx context.Context, o *Options, key nativeKey) (*nativeConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, o.ConnectTimeout)
 	defer cancel()
@@ -45,10 +45,10 @@
 	return c, nil
 }
 
-// errOlderRevision means that a node's packets would have another form than the client's.
+// errOlderRevision means that the node's protocol revision is older than the client's, whose packets have a different format.
 var errOlderRevision = errors.New("the node speaks an older revision")
 
-// handshake exchanges hellos and records the node's revision.
+// handshake exchanges Hello packets and records the node's protocol revision.
 func (c *nativeConn) handshake(o *Options, n *node) error {
 	hello := native.Hello{Name: "embershunt", Major: 1, Revision: c.key.revision, Database: c.key.database,
 		User: o.NativeUser, Password: o.NativePassword}
@@ -80,34 +80,35 @@
 	return c.w.Flush()
 }
 
-// errStaleAnswer means that a node sent more of an answer than belongs to it. The protocol's answers have no id: what comes late would
-// be taken for the next query's.
+// errStaleAnswer means that a node sent further packets after the end of an answer. Answers have no id in this protocol, so that late
+// packets would be taken for the answer to the next query.
 var errStaleAnswer = errors.New("the node sent more of the answer before")
 
-// sendQuery writes a query's packets. On a connection that has carried another query a ping goes first, in the same write: its pong
-// separates the two answers.
+// sendQuery writes a query's packets. On a connection that has carried another query it writes a ping before them and flushes both
+// together: the pong separates the two answers.
 func (c *nativeConn) sendQuery(packets ...[]byte) error {
-	if c.awaitPong = c.used; c.used {
+	if c.pongPending = c.used; c.used {
 		packets = append([][]byte{{native.ClientPing}}, packets...)
 	}
 	c.used = true
 	return c.send(packets...)
 }
 
-// readAnswer reads the next packet of the present query's answer.
+// readAnswer reads the next packet of the present query's answer. It returns errStaleAnswer if a packet of the previous one arrives
+// instead of the pong.
 func (c *nativeConn) readAnswer(revision int) (native.Packet, error) {
 	p, err := c.r.ReadServer(revision)
-	if err != nil || !c.awaitPong {
+	if err != nil || !c.pongPending {
 		return p, err
 	}
 	if p.Code != native.ServerPong {
 		return p, errStaleAnswer
 	}
-	c.awaitPong = false
+	c.pongPending = false
 	return c.r.ReadServer(revision)
 }
 
-// reusable tells that the connection is still up and that nothing has arrived on it since the last answer.
+// reusable reports whether the connection is still up and nothing has arrived on it since the last answer.
 func (c *nativeConn) reusable() bool { return !c.r.Buffered() && reusable(c.conn) }
 
 // close closes the connection at once.
@@ -115,24 +116,24 @@
 	_ = c.conn.Close() // nothing on it is needed any more
 }
 
-// cancelTimeout bounds the write of a cancel packet.
+// cancelTimeout limits the write of a cancel packet.
 const cancelTimeout = 20 * time.Millisecond
 
-// abandon sends the node a cancel, as far as that can be written at once, and closes the connection: what is still to come on it
-// would be taken for the next answer.
-func (c *nativeConn) abandon() {
+// cancelAndClose sends a cancel packet, if it can be written within cancelTimeout, and closes the connection: packets of the old answer
+// that are still to arrive would be taken for the next answer.
+func (c *nativeConn) cancelAndClose() {
 	_ = c.conn.SetDeadline(time.Now().Add(cancelTimeout))            // fails only on a closed connection, where the write fails as well
-	_, _ = c.conn.Write(native.PutUvarint(nil, native.ClientCancel)) // the close ends the query as well, if later
+	_, _ = c.conn.Write(native.PutUvarint(nil, native.ClientCancel)) // if this fails, the close ends the query later
 	c.close()
 }
 
-// NativeRevision is the newest revision of the native protocol that every node speaks, as far as is known; 0 where nothing is.
-// Clients must be held to it: one of a newer revision finds no connection to an older node.
+// NativeRevision returns the newest revision of the native protocol that every node supports whose revision is known; 0 if none is.
+// Frontends must not offer clients a newer one: a query with it gets no connection to an older node.
 func (f *Fleet) NativeRevision() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	oldest := int64(0)
-	for _, n := range f.nodes { // a minimum: the order does not matter
+	for _, n := range f.nodes { // a minimum, whatever the order
 		if r := n.nativeRevision.Load(); r > 0 && !n.removed && (oldest == 0 || r < oldest) {
 			oldest = r
 		}
--- a/backend/native_health_check.go
+++ b/backend/native_health_check.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// checkNativeHealth sends a Ping on a connection like those of queries, and waits for its Pong.
+// checkNativeHealth sends a Ping on a connection of the pool that queries use, and waits for the Pong.
 func (n *node) checkNativeHealth(ctx context.Context, o *Options) policy.Code {
 	key := nativeKey{revision: native.NewestRevision}
 	if r := int(n.nativeRevision.Load()); r >= native.OldestRevision {
--- a/backend/native_late_answer_test.go
+++ b/backend/native_late_answer_test.go
@@ -67,7 +67,7 @@
 		}
 		queries++
 		_, _ = conn.Write(answer)
-		answer = (&native.Exception{Code: tooManyQueries, Name: "DB::Exception", Message: "DB::Exception: full"}).Encode()
+		answer = (&native.Exception{Code: tooManyQueriesCode, Name: "DB::Exception", Message: "DB::Exception: full"}).Encode()
 	}
 }
 
--- a/backend/native_load_report.go
+++ b/backend/native_load_report.go
@@ -7,18 +7,19 @@
 	"embershunt/policy"
 )
 
-// Nodes report no load in the native protocol, only how far a query is and what it costs.
+// In the native protocol nodes do not report their load, only the progress and the cost of a query.
 
 // progressInterval is the shortest time between two progress reports of one attempt.
 const progressInterval = 100 * time.Millisecond
 
-// readProgress is how many of its rows a node has read, and when that was last reported.
+// readProgress holds how many rows of a query a node has read, and when that was last reported to the policy.
 type readProgress struct {
-	read, total uint64 // rows; total 0: the node does not know
+	read, total uint64 // rows; total 0: the node does not know how many there are
 	reportedAt  time.Time
 }
 
-// reportProgress reports the share of its rows that a node has read, where it knows how many there are.
+// reportProgress adds a node's progress packet and reports to the policy what fraction of the query's rows the node has read. It reports
+// nothing if the total is unknown or smaller than the rows read, or within progressInterval of the last report.
 func (t *nativeAttempt) reportProgress(p native.Progress) {
 	t.progress.read += p.Rows
 	t.progress.total += p.Total
@@ -31,7 +32,8 @@
 		Kind: policy.FractionDone, Value: float64(t.progress.read) / float64(t.progress.total)})
 }
 
-// recordCost adds what a node reports of a query's CPU time and memory; a report that does not parse is ignored.
+// recordCost adds the CPU time, and records the peak memory, that a node reports for the query. It ignores a report that cannot be
+// parsed.
 func (t *nativeAttempt) recordCost(r *native.Reader, block []byte) {
 	p, err := r.ReadProfile(block, t.call.Revision)
 	if err != nil {
--- a/backend/native_pool.go
+++ b/backend/native_pool.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Bounds of a node's pool of idle connections.
+// Limits of a node's pool of idle connections.
 const (
 	maxNativeIdleConns = 64
 	nativeIdleTimeout  = 30 * time.Second
 )
 
-// acquireNativeConn returns a pooled connection or establishes one. Where it fails nothing was sent.
+// acquireNativeConn returns a pooled connection or establishes a new one. If it fails, no query was sent.
 func (n *node) acquireNativeConn(ctx context.Context, o *Options, key nativeKey) (*nativeConn, error) {
 	if n.nativeAddress == "" {
 		return nil, errWrongProtocol
@@ -22,8 +22,8 @@
 	return n.dialNative(ctx, o, key)
 }
 
-// takeIdleNative takes a pooled connection that is still up; nil if there is none. One on which something arrived meanwhile, or
-// which the node has closed, is not used.
+// takeIdleNative takes a usable connection out of the pool; nil if there is none. It closes connections that were idle for too long,
+// that the node has closed or on which something has arrived.
 func (n *node) takeIdleNative(key nativeKey) *nativeConn {
 	for {
 		c := n.popIdleNative(key)
@@ -34,7 +34,7 @@
 	}
 }
 
-// popIdleNative takes the most recently used connection of a key out of the pool, so that the others may expire; nil if there is
+// popIdleNative takes the most recently used connection with a key out of the pool, so that the others can expire; nil if there is
 // none.
 func (n *node) popIdleNative(key nativeKey) *nativeConn {
 	n.mu.Lock()
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// releaseNativeConn puts a connection on which nothing is unfinished into the pool.
+// releaseNativeConn puts a connection without an unfinished answer into the pool. It closes the connection if the pool is full or the
+// node is closed.
 func (n *node) releaseNativeConn(c *nativeConn) {
 	c.idleSince = time.Now()
 	n.mu.Lock()
@@ -60,13 +61,14 @@
 	n.nativeIdleConns = append(n.nativeIdleConns, c)
 }
 
-// sessionConn is the connection to a node on which a session's state lives.
+// sessionConn is a connection whose server side has a session's state.
 type sessionConn struct {
 	node *node
 	conn *nativeConn
 }
 
-// takeSessionConn takes a session's connection if it is still up; nil where there is none.
+// takeSessionConn takes a session's connection out of the cache; nil if there is none. It closes a connection that is down, or that is to
+// another node or has another protocol revision.
 func (f *Fleet) takeSessionConn(session string, n *node, key nativeKey) *nativeConn {
 	if session == "" {
 		return nil
@@ -85,7 +87,8 @@
 	return s.conn
 }
 
-// cacheSessionConn stores a session's connection for its next statement.
+// cacheSessionConn stores a session's connection for its next statement. It closes the connection if the fleet is closing or the node is
+// no longer in use.
 func (f *Fleet) cacheSessionConn(session string, n *node, c *nativeConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,8 +99,8 @@
 	f.sessionConns[session] = &sessionConn{n, c}
 }
 
-// dropSession closes a session's connection, which ends all state on it; false where there is none.
-func (f *Fleet) dropSession(session string) bool {
+// closeSessionConn closes a session's connection, which ends the session's state; false if there is no idle connection.
+func (f *Fleet) closeSessionConn(session string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sessionConns[session]
--- a/backend/permission_audit.go
+++ b/backend/permission_audit.go
@@ -6,7 +6,8 @@
 	"embershunt/permit"
 )
 
-// checkSendPermitted decides, at the moment at which an attempt would start on a node, whether it may.
+// checkSendPermitted decides whether an attempt may start on a node, at the moment when it would start. It counts an attempt that may
+// not.
 func (t *attempt) checkSendPermitted(ctx context.Context, n *node) permit.Reason {
 	return t.fleet.audit.Check(permit.Sending{
 		Now: t.fleet.clock.Now(), Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore,
@@ -17,14 +18,14 @@
 	}.Send())
 }
 
-// auditStart checks an attempt that has started against the rules, with what became known since the permission was given. A
-// violation is counted and logged.
+// auditStart checks an attempt that has started against the rules, with what has become known since it was permitted. It counts and logs
+// a violation.
 func (t *attempt) auditStart(n *node) {
 	at := t.fleet.clock.Now()
 	sent := permit.Sent{At: at, Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore, DisconnectedAt: t.cancelledAt.Load(),
 		DrainNotifiedAt: n.drainNotifiedAt.Load(), Grace: t.fleet.options.DrainGrace.Microseconds()}
-	if why := sent.Violation(); t.fleet.audit.Violate(why) {
-		t.fleet.log.Error("rule violated", "rule", why.String(), "query", t.spec.Query.ID, "attempt", t.spec.Number, "node", t.spec.Node,
+	if rule := sent.Violation(); t.fleet.audit.Violate(rule) {
+		t.fleet.log.Error("rule violated", "rule", rule.String(), "query", t.spec.Query.ID, "attempt", t.spec.Number, "node", t.spec.Node,
 			"notified_ms_ago", (at-sent.DrainNotifiedAt)/1000)
 	}
 }
--- a/backend/resources.go
+++ b/backend/resources.go
@@ -6,8 +6,9 @@
 	"embershunt/internal/flightwire"
 )
 
-// SetResources implements dispatch.Fleet: it changes the memory and priority of a query's attempts in flight. The platform's
-// protocol has a command for the priority; other nodes get a Flight action. It is advice: losing it costs little.
+// SetResources implements dispatch.Fleet. It changes the memory and priority of a query's attempts in flight: the priority alone with a
+// command of the platform's protocol, both with a Flight action for attempts in other protocols. Nodes treat the change as advice, so
+// that a lost one does little harm.
 func (f *Fleet) SetResources(id string, memoryMB float64, priority int) {
 	body := flightwire.AppendBytes(nil, 1, id)
 	body = flightwire.AppendVarint(body, 2, uint64(priority)+1)
@@ -28,8 +29,8 @@
 	}
 }
 
-// sendResources sends the attempt's node the action that changes a query's resources. The action names the query alone: it ends with
-// the attempt, so that it does not change those of a further one.
+// sendResources sends the action that changes a query's resources to the attempt's node. The action names the query but not the attempt,
+// so the call is cancelled when the attempt ends: it must not change the resources of a later attempt.
 func (t *attempt) sendResources(request []byte) {
 	f := t.fleet
 	ctx, cancel := context.WithTimeout(t.ctx, f.options.HealthCheckTimeout)
@@ -39,7 +40,7 @@
 		return
 	}
 	defer f.release(n)
-	if conn, err := n.flightDial(&f.options); err == nil && conn != nil && ctx.Err() == nil {
+	if conn, err := n.openFlightConn(&f.options); err == nil && conn != nil && ctx.Err() == nil {
 		callDiscardingAnswer(ctx, conn, flightwire.MethodDoAction, request)
 	}
 }
--- a/backend/reusable_other.go
+++ b/backend/reusable_other.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// reusable is false on systems without MSG_PEEK: there each connection serves one query only.
+// reusable returns false on systems without MSG_PEEK, where each connection therefore serves one query only.
 func reusable(net.Conn) bool { return false }
--- a/backend/reusable_unix.go
+++ b/backend/reusable_unix.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// reusable reports whether a pooled connection is still up with no byte to read on it. A read with a deadline in the past returns
-// before it looks at the socket, so the socket is peeked at instead (recv(2), MSG_PEEK on a non-blocking socket).
+// reusable reports whether a pooled connection is still up and has no data to read. It peeks at the socket (recv(2) with MSG_PEEK on a
+// non-blocking socket), because a read with a deadline in the past returns before it looks at the socket.
 func reusable(c net.Conn) bool {
 	t, ok := c.(syscall.Conn)
 	if !ok {
