--- a/backend/dial_errors_test.go
+++ b/backend/dial_errors_test.go
@@ -11,7 +11,8 @@
 	"embershunt/policy"
 )
 
-// A connect that fails because of this machine says nothing about the node and proves that nothing ran; a refused connection is the node's.
+// A dial that fails because of this machine proves that nothing was sent and says nothing about the node, so the attempt ends as
+// NeverSent. An error that concerns the node (refused, unreachable, timed out) ends it as ConnectionRefused.
 func TestLocalConnectErrors(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Code{syscall.EMFILE: policy.NeverSent, syscall.ENFILE: policy.NeverSent, syscall.ENOBUFS: policy.NeverSent,
 		syscall.EADDRNOTAVAIL: policy.NeverSent, syscall.ENETUNREACH: policy.NeverSent, syscall.ECONNREFUSED: policy.ConnectionRefused,
@@ -25,7 +26,7 @@
 			t.Errorf("%v: code %d (%v), want %d", errno, end.Code, end.Err, want)
 		}
 		if n := f.PlatformConns(); n != 0 {
-			t.Errorf("%v: %d connections counted", errno, n)
+			t.Errorf("%v: %d connections counted, want 0", errno, n)
 		}
 	}
 }
--- a/backend/fleet_test.go
+++ b/backend/fleet_test.go
@@ -14,17 +14,18 @@
 	"embershunt/policy"
 )
 
-// platformFleet is a fleet with nodes that speak the platform's protocol: n0, n1 and so on.
+// platformFleet is a fleet whose nodes n0, n1 and so on speak the platform's protocol.
 type platformFleet struct {
 	*Fleet
 	t        *testing.T
 	events   eventRecorder
 	clock    dispatch.Clock
-	progress []policy.Progress // reported before the last end
+	progress []policy.Progress // reports received so far by end
 
-	startBefore policy.Micros // of the attempts sent
+	startBefore policy.Micros // StartBefore of the attempts that send starts
 }
 
+// newPlatformFleet returns a fleet with a node at each address. The test's cleanup closes the fleet.
 func newPlatformFleet(t *testing.T, o Options, addresses ...string) *platformFleet {
 	t.Helper()
 	f := &platformFleet{t: t, clock: dispatch.NewClock(), events: eventRecorder{make(chan dispatch.Event, 10000)}}
@@ -40,7 +41,7 @@
 	return f
 }
 
-// closeFleet closes a fleet at the end of its test.
+// closeFleet closes a fleet and fails the test on an error.
 func closeFleet(t *testing.T, f *Fleet) {
 	t.Helper()
 	if err := f.Close(); err != nil {
@@ -48,7 +49,7 @@
 	}
 }
 
-// setNodes puts a node list in force.
+// setNodes applies a node list.
 func (f *platformFleet) setNodes(nodes []nodelist.Node) {
 	f.t.Helper()
 	if err := f.SetNodes(nodes); err != nil {
@@ -56,14 +57,14 @@
 	}
 }
 
-// send starts an attempt of the query "q-"+id.
-func (f *platformFleet) send(id string, n int, node string, within time.Duration) {
+// send starts attempt n of the query "q-"+id with a timeout.
+func (f *platformFleet) send(id string, n int, node string, timeout time.Duration) {
 	now := f.clock.Now()
 	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
-		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + within.Microseconds(), StartBefore: f.startBefore})
+		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + timeout.Microseconds(), StartBefore: f.startBefore})
 }
 
-// end waits for the end of an attempt.
+// end waits for the end of an attempt, and collects the progress reports before it.
 func (f *platformFleet) end() dispatch.AttemptEnded {
 	f.t.Helper()
 	ctx, cancel := context.WithTimeout(f.t.Context(), 5*time.Second)
@@ -71,7 +72,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			f.t.Fatal("no end in 5 s")
+			f.t.Fatal("no attempt ended within 5 s")
 		case ev := <-f.events.events:
 			switch ev := ev.(type) {
 			case dispatch.AttemptEnded:
@@ -85,7 +86,7 @@
 	}
 }
 
-// rowsOf writes a result's rows in one line.
+// rowsOf returns a result's rows as text on one line.
 func rowsOf(r any) string {
 	result, ok := r.(*lineproto.Result)
 	if !ok {
@@ -96,15 +97,16 @@
 	return b.String()
 }
 
-// eventRecorder records the events of a fleet.
+// eventRecorder is a Poster that puts the events of a fleet into a channel.
 type eventRecorder struct{ events chan dispatch.Event }
 
-func (t eventRecorder) Post(ev dispatch.Event) { t.events <- ev }
+// Post implements Poster.
+func (r eventRecorder) Post(ev dispatch.Event) { r.events <- ev }
 
-// reply writes an answer as a node; the fleet may have closed the connection, which the test sees by the attempt's end.
+// reply writes a node's answer. It ignores errors: the fleet may have closed the connection, which shows in the attempt's end.
 func reply(c io.Writer, answer string) { _, _ = io.WriteString(c, answer) }
 
-// closeConn closes a connection as a node.
+// closeConn closes a node's connection or listener and fails the test on an error.
 func closeConn(t *testing.T, c io.Closer) {
 	if err := c.Close(); err != nil {
 		t.Error(err)
--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -17,12 +17,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// discardSink takes an answer and drops it.
+// discardSink discards an answer.
 type discardSink struct{}
 
+// Pass implements native.Sink.
 func (s *discardSink) Pass([]byte, bool) error { return nil }
 
-// runNativeAttempt sends one attempt to one node, and returns its progress reports and its end.
+// runNativeAttempt sends one attempt to a node, and returns its progress reports and its end.
 func runNativeAttempt(t *testing.T, address string, call native.Call, timeout time.Duration) (progress []policy.Progress, end dispatch.AttemptEnded) {
 	t.Helper()
 	clock := dispatch.NewClock()
@@ -43,7 +44,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			t.Fatal("no end in 5 s")
+			t.Fatal("the attempt did not end within 5 s")
 		case ev := <-recorder.events:
 			switch ev := ev.(type) {
 			case dispatch.ResponseReady:
@@ -59,7 +60,8 @@
 	}
 }
 
-// The outcome of every way in which an attempt over the native protocol ends: conservative about what may have run.
+// Each way in which an attempt over the native protocol can end has the right outcome. A query counts as not run only if that is proved:
+// a wrong outcome would let a retry repeat its effect.
 func TestNativeAttemptOutcomes(t *testing.T) {
 	const insert = "INSERT INTO events (id, name) VALUES"
 	rows := [][]byte{native.EndOfData()}
@@ -74,16 +76,16 @@
 	}{
 		{"an answer", simulated.Faults{}, false, "SELECT 1 /* rows=10 */", nil, policy.OK, false},
 		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.ConnectionRefused, false},
-		{"rejected", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
+		{"rejected by a full node", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
 		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
-		{"a wrong statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
-		{"silent", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
+		{"a rejected statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
+		{"no answer", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
 		{"an update without an answer", simulated.Faults{LoseAnswers: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
 		{"a truncated answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
-		{"rows taken", simulated.Faults{}, false, insert, rows, policy.OK, false},
-		{"silent before it took a row: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
-		{"rows taken and no answer", simulated.Faults{LoseAnswers: true}, false, insert, rows, policy.TimedOut, false},
-		{"rows taken and failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
+		{"an INSERT", simulated.Faults{}, false, insert, rows, policy.OK, false},
+		{"an INSERT without a sample block: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
+		{"an INSERT without an answer", simulated.Faults{LoseAnswers: true}, false, insert, rows, policy.TimedOut, false},
+		{"an INSERT that failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,10 +99,10 @@
 				n.Crash()
 			}
 			_, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
-			if c.text == insert && c.fault.Hang { // reported well before the attempt's own timeout
+			if c.text == insert && c.fault.Hang { // must be reported well before the attempt's own timeout
 				_, end = runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
 				if end.Latency > 2e6 {
-					t.Errorf("reported after %d us", end.Latency)
+					t.Errorf("the missing sample block was reported after %d us, want at most 2 s", end.Latency)
 				}
 			}
 			if end.Code != c.code || end.StatementRejected != c.rejected {
@@ -110,7 +112,7 @@
 	}
 }
 
-// What a node reports of a query's progress and cost reaches the policy.
+// A node's reports of a query's progress and cost reach the policy.
 func TestNativeProgressAndCost(t *testing.T) {
 	n := simulated.NewNode("n", simulated.Model{}, 1)
 	if err := n.Start("127.0.0.1:0", false); err != nil {
@@ -131,7 +133,7 @@
 	}
 }
 
-// A node that closes the connection while rows are written to it ends the attempt, and the writer with it.
+// A node that closes the connection while the rows of an INSERT are written to it ends the attempt and the goroutine that writes.
 func TestNodeClosesDuringAnUpload(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -148,18 +150,18 @@
 	large := make([]byte, 32<<20)
 	_, end := runNativeAttempt(t, l.Addr().String(), native.Call{Query: native.Query{Text: "INSERT INTO t VALUES"}, Data: [][]byte{large}}, 4*time.Second)
 	if end.Code != policy.ConnectionReset {
-		t.Errorf("code %d, want that the connection broke (%v)", end.Code, end.Err)
+		t.Errorf("code %d, want %d for a broken connection (%v)", end.Code, policy.ConnectionReset, end.Err)
 	}
 }
 
-// acceptPartOfUpload serves one connection as a node that closes it when so many bytes of an INSERT's rows were read.
+// acceptPartOfUpload serves one connection as a node that closes it after reading the given number of bytes of an INSERT's rows.
 func acceptPartOfUpload(l net.Listener, bytes int64) error {
 	conn, err := l.Accept()
 	if err != nil {
 		return err
 	}
 	r := native.NewReader(conn, 1<<20)
-	noColumns := []byte{native.ServerData, 0, 0, 0, 0} // a sample block without columns will do here
+	noColumns := []byte{native.ServerData, 0, 0, 0, 0} // a sample block without columns suffices
 	for _, step := range []func() error{
 		func() error { _, err := r.ReadHello(); return err },
 		func() error {
--- a/backend/native_late_answer_test.go
+++ b/backend/native_late_answer_test.go
@@ -12,11 +12,12 @@
 	"embershunt/policy"
 )
 
-// lateNativeNode answers a connection's first query with an error, and later ones with the word that it is full. The end of an answer
-// comes behind the first error, or when more has arrived on the connection.
+// lateNativeNode answers a connection's first query with an exception, which ends the answer, and later queries with
+// TOO_MANY_SIMULTANEOUS_QUERIES. It sends a superfluous end-of-stream packet after the first exception: together with it, or once the
+// next packet has arrived on the connection.
 type lateNativeNode struct {
 	net.Listener
-	atOnce bool
+	endsWithException bool // sends the superfluous packet with the exception
 }
 
 // serve serves connections until the listener is closed.
@@ -30,7 +31,7 @@
 	}
 }
 
-// serveConn serves one connection to its end.
+// serveConn serves one connection until it is closed.
 func (n *lateNativeNode) serveConn(conn net.Conn) {
 	defer func() { _ = conn.Close() }() // the dispatcher may have closed it
 	r := native.NewReader(conn, 1<<20)
@@ -42,7 +43,7 @@
 		return
 	}
 	answer := (&native.Exception{Code: 241, Name: "DB::Exception", Message: "DB::Exception: memory"}).Encode()
-	if n.atOnce {
+	if n.endsWithException {
 		answer = append(answer, native.ServerEndOfStream)
 	}
 	for queries := 0; ; {
@@ -50,8 +51,8 @@
 		if err != nil {
 			return
 		}
-		if queries == 1 && !n.atOnce {
-			_, _ = conn.Write([]byte{native.ServerEndOfStream}) // a failure shows at the other end
+		if queries == 1 && !n.endsWithException {
+			_, _ = conn.Write([]byte{native.ServerEndOfStream}) // a failed write shows in the attempt's end
 		}
 		switch code {
 		case native.ClientPing:
@@ -71,19 +72,20 @@
 	}
 }
 
-// What a node sends behind the end of an answer is not taken for the answer to the next query on the connection.
+// A packet that a node sends after the end of an answer is not taken for the answer to the next query on the connection. An end-of-stream
+// packet would make that query look successful.
 func TestLateNativeAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		atOnce bool
-		code   policy.Code
-	}{"with the answer before": {true, policy.Failed}, "when the next query comes": {false, policy.Failed}} {
+		endsWithException bool
+		code              policy.Code
+	}{"late packet with the previous answer": {true, policy.Failed}, "late packet when the next query arrives": {false, policy.Failed}} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer closeConn(t, l)
-			go (&lateNativeNode{l, c.atOnce}).serve()
+			go (&lateNativeNode{l, c.endsWithException}).serve()
 			f := New(Options{Clock: dispatch.NewClock(), ConnectTimeout: 200 * time.Millisecond})
 			recorder := eventRecorder{make(chan dispatch.Event, 100)}
 			f.Bind(recorder)
@@ -100,7 +102,7 @@
 	}
 }
 
-// sendNative sends an attempt of one query and waits for its end.
+// sendNative sends an attempt of a query and waits for its end.
 func sendNative(t *testing.T, f *Fleet, recorder eventRecorder, number int) dispatch.AttemptEnded {
 	t.Helper()
 	call := native.Call{Query: native.Query{Text: "SELECT 1", ID: "q", Info: []byte{0}, Stage: 2}, Revision: native.NewestRevision, Sink: &discardSink{},
@@ -112,7 +114,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			t.Fatal("no end in 5 s")
+			t.Fatal("the attempt did not end within 5 s")
 		case ev := <-recorder.events:
 			if ended, ok := ev.(dispatch.AttemptEnded); ok {
 				return ended
--- a/backend/permission_audit_test.go
+++ b/backend/permission_audit_test.go
@@ -12,7 +12,8 @@
 	"embershunt/simulated"
 )
 
-// Attempts that are not permitted are counted by reason; one that starts against a rule is a violation.
+// An attempt that is not permitted is withheld and counted by reason. An attempt that has started in violation of a rule is counted as a
+// violation.
 func TestAttemptsAreAudited(t *testing.T) {
 	node, err := simulated.NewPlatformNode("", func(conn net.Conn, cmd simulated.PlatformCommand) {
 		if cmd.Verb == "GET" {
