--- a/session/action.go
+++ b/session/action.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// Action is something for the caller to do.
+// Action is an output of a Machine, for the caller to carry out.
 type Action interface{ isAction() }
 
 // The actions, to be carried out in order.
 type (
-	// Run runs a statement on the node that holds the session's state, or anywhere where StickyTo is "".
+	// Run sends a statement to the node StickyTo, which holds the session's state, or to any node if StickyTo is "".
 	Run struct {
 		ID       string // of the session
 		Serial   uint64 // of the statement
 		StickyTo string
-		DrainsIn Micros // how long the node still accepts the session's statements; 0: it is not to drain
+		DrainsIn Micros // how long the node still accepts the session's statements; 0: no drain is under way or announced
 	}
-	// Reject answers a statement that is not run.
+	// Reject answers a statement that must not run.
 	Reject struct {
 		ID         string
 		Serial     uint64
 		Reason     Reason
 		State      State  // of the session
-		RetryAfter Micros // when the client may begin a new session; 0: no advice
+		RetryAfter Micros // how long the client should wait before a new session or, for ReasonNodesUnknown, a retry; 0: no advice
 	}
-	// Cancel cancels a running statement whose session has ended.
+	// Cancel cancels a running statement whose session is ending.
 	Cancel struct {
 		ID         string
 		Serial     uint64
 		Reason     Reason
-		RetryAfter Micros
+		RetryAfter Micros // as in Reject
 	}
-	// Stick says that the session is sticky to a node from now on, for its token.
+	// Stick reports that the session is sticky to a node from now on. Its fields go into the session's token.
 	Stick struct {
 		ID      string
 		Node    string
 		Started time.Time // of the node
 		Since   Micros    // when the session's state was created
 	}
-	// Unstick says that no node holds state of the session any more.
+	// Unstick reports that no node holds state of the session any more.
 	Unstick struct{ ID string }
-	// Release asks a node to roll back and drop what it holds of a session. Its end is a Released event.
+	// Release asks a node to roll back the session's transaction and drop its state. The caller reports the outcome as a
+	// Released event.
 	Release struct {
 		ID, Node string
 	}
--- a/session/admission.go
+++ b/session/admission.go
@@ -1,6 +1,7 @@
 package session
 
-// nodeListRetryAfter is when a client that came before the first node list may try again.
+// nodeListRetryAfter is the retry-after, in microseconds, for a client that resumes a session before the first node list has
+// arrived.
 const nodeListRetryAfter = Micros(500e3)
 
 // statementReceived runs a statement or rejects it.
@@ -10,14 +11,15 @@
 		m.firstStatement(ev)
 		return
 	}
-	if reason := m.rejection(s, ev); reason != "" {
+	if reason := m.rejectionReason(s, ev); reason != "" {
 		m.reject(ev, reason, s)
 		return
 	}
 	m.run(s, ev)
 }
 
-// firstStatement admits a statement of a session that is not known. One that creates no state runs without a session.
+// firstStatement runs or rejects a statement of a session that is not known. A statement that creates no state runs without
+// adding a session.
 func (m *Machine) firstStatement(ev StatementReceived) {
 	rejected := Reject{ID: ev.ID, Serial: ev.Serial}
 	switch {
@@ -39,10 +41,10 @@
 	m.emit(rejected)
 }
 
-// rejection is the reason why a statement of a known session must not run; "" where it may.
-func (m *Machine) rejection(s *clientSession, ev StatementReceived) Reason {
+// rejectionReason returns why a statement of a known session must not run, or "" if it may run.
+func (m *Machine) rejectionReason(s *clientSession, ev StatementReceived) Reason {
 	switch {
-	case s.ended():
+	case s.endingOrEnded():
 		return s.reason
 	case s.running != nil:
 		return ReasonBusy
@@ -61,13 +63,13 @@
 // reject rejects a statement of a known session.
 func (m *Machine) reject(ev StatementReceived, reason Reason, s *clientSession) {
 	rejected := Reject{ID: ev.ID, Serial: ev.Serial, Reason: reason, State: s.state}
-	if s.ended() {
+	if s.endingOrEnded() {
 		rejected.RetryAfter = s.retryAfter
 	}
 	m.emit(rejected)
 }
 
-// run runs a statement where the state of its session is.
+// run runs a statement on the node that holds its session's state, or on any node where there is none yet.
 func (m *Machine) run(s *clientSession, ev StatementReceived) {
 	s.running, s.lastActivity = &ev, m.now
 	m.emit(Run{ID: ev.ID, Serial: ev.Serial, StickyTo: s.node, DrainsIn: m.drainsIn(s)})
--- a/session/drain.go
+++ b/session/drain.go
@@ -1,6 +1,7 @@
 package session
 
-// drainsIn is how long a session's node still accepts its statements; 0 where the node is not to drain.
+// drainsIn returns how long a session's node still accepts the session's statements, at least 1; 0 if the node neither drains
+// nor has an announced drain.
 func (m *Machine) drainsIn(s *clientSession) Micros {
 	n := m.nodes[s.node]
 	switch {
@@ -12,13 +13,15 @@
 	return max(n.drainAt+m.limits.DrainGrace-m.now, 1)
 }
 
-// drainGraceExpired says whether the session's node accepts no statement any more.
+// drainGraceExpired reports whether the session's node has been draining for at least Limits.DrainGrace: no new statement may
+// go there.
 func (m *Machine) drainGraceExpired(s *clientSession) bool {
 	n := m.nodes[s.node]
 	return n != nil && n.drainingSince > 0 && m.now >= n.drainingSince+m.limits.DrainGrace
 }
 
-// updateDrain notes whether a listed node drains, or will. restarted: the drain is of a new incarnation.
+// updateDrain records from a row of the node list whether the node drains and when an announced drain begins. restarted says
+// that the row is of a new incarnation, whose grace begins anew.
 func (m *Machine) updateDrain(n *node, listed Node, restarted bool) {
 	n.drainAt = 0
 	if listed.DrainsIn > 0 {
@@ -30,7 +33,7 @@
 	case n.drainingSince == 0 || restarted:
 		n.drainingSince = m.now
 		for _, s := range n.sessions {
-			if !s.ended() {
+			if !s.endingOrEnded() {
 				m.scheduleTimeout(s)
 			}
 		}
--- a/session/event.go
+++ b/session/event.go
@@ -5,40 +5,40 @@
 	"time"
 )
 
-// Kind is what a statement does to its session.
+// Kind is the effect of a statement on its session's state.
 type Kind int
 
 // The kinds of statements.
 const (
-	Plain       Kind = iota
-	Begin            // begins a transaction
-	Commit           // must not run twice
-	Rollback         // ends a transaction without effect
-	CreateState      // creates a temporary table, or sets an option that only the node knows
-	DropState        // drops it
+	Plain       Kind = iota // neither creates nor drops state
+	Begin                   // begins a transaction
+	Commit                  // ends a transaction; must not run twice
+	Rollback                // ends a transaction without effect
+	CreateState             // creates a temporary table, or sets an option that only the node stores
+	DropState               // drops a temporary table or resets an option
 )
 
-// String names the kind in logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string {
 	return [...]string{"plain", "begin", "commit", "rollback", "make", "drop"}[k]
 }
 
-// createsState says whether a node may hold state after the statement that it did not hold before.
+// createsState reports whether a node may hold new state after a statement of the kind.
 func (k Kind) createsState() bool { return k == Begin || k == CreateState }
 
-// Outcome is how a statement ended.
+// Outcome classifies how a statement ended.
 type Outcome int
 
 // The outcomes.
 const (
 	OK           Outcome = iota
-	NotRun               // it surely did not run
+	NotRun               // it is certain that the statement did not run
 	NodeError            // the node answered with an error
-	Unknown              // it may have run
-	StateMissing         // it did not run: the node holds no state of the session
+	Unknown              // the statement may have run
+	StateMissing         // the statement did not run: the node holds no state of the session
 )
 
-// ErrStateMissing is the cause of an answer whose outcome is StateMissing.
+// ErrStateMissing is the error of an attempt whose node holds no state of the session; its outcome is StateMissing.
 var ErrStateMissing = errors.New("the node has nothing of this session any more")
 
 // Event is an input of a Machine.
@@ -50,51 +50,51 @@
 	StatementReceived struct {
 		ID            string // of the session
 		Serial        uint64 // of the statement, never used twice
-		Tenant        string // by name: indexes change with the settings
+		Tenant        string // by name, because the indexes of tenants change with the settings
 		Kind          Kind
 		Name          string // of the table or option, for CreateState and DropState
-		ReadOnly      bool   // it changes nothing, not even within a transaction
-		HasToken      bool   // its client has a token: it must not run where the state is not
-		OutlivesState bool   // the session goes on without its state, as a connection does
+		ReadOnly      bool   // the statement changes nothing, not even within a transaction
+		HasToken      bool   // the client presented a token: the statement must run on the node that holds the state or not at all
+		OutlivesState bool   // the session goes on when its state is dropped, as that of a connection does
 	}
-	// StatementEnded is the end of a statement that was run.
+	// StatementEnded reports the end of a statement for which the machine emitted a Run.
 	StatementEnded struct {
 		ID      string
 		Serial  uint64
 		Node    string    // of its last attempt; "": nothing was sent
-		Started time.Time // of that node when it was sent
+		Started time.Time // start time of that node's incarnation when the statement was sent
 		Outcome Outcome
 	}
-	// Resumed is a session from a token that the caller has checked: another dispatcher made it, or this one before a
-	// restart.
+	// Resumed is a session read from a token that the caller has verified. Another dispatcher issued the token, or this
+	// one before a restart.
 	Resumed struct {
 		ID            string
 		Tenant        string
 		Node          string
-		Started       time.Time // of the node, when the state was created
-		Since         Micros    // when the state was created; may be below 0
+		Started       time.Time // start time of the node's incarnation that holds the state
+		Since         Micros    // when the state was created; negative if that was before the zero of the caller's clock
 		InTransaction bool
 		Tables        []string
 	}
-	// ClientClosed says that the client has closed its session or has disconnected.
+	// ClientClosed reports that the client has closed its session or has disconnected.
 	ClientClosed struct{ ID string }
 	// NodeListUpdated puts a node list in force.
 	NodeListUpdated struct{ Nodes []Node }
-	// Released is the end of a Release.
+	// Released reports the outcome of a Release.
 	Released struct {
 		ID string
-		OK bool
+		OK bool // the node has released the state
 	}
-	// TimerFired lets timers expire; Machine.Next says when it is due.
+	// TimerFired expires the timers that are due; Machine.Next returns when the next one is.
 	TimerFired struct{}
 )
 
-// Node is a row of the node list.
+// Node is one row of a node list.
 type Node struct {
 	ID       string
 	Draining bool
-	Started  time.Time // zero: long ago
-	DrainsIn Micros    // until an announced drain; 0: none
+	Started  time.Time // when the node's incarnation started; zero: the list gives none
+	DrainsIn Micros    // time until an announced drain begins; 0: none is announced
 }
 
 func (StatementReceived) isEvent() {}
--- a/session/machine.go
+++ b/session/machine.go
@@ -1,6 +1,6 @@
-// Package session decides the life of client sessions whose state one query node holds: transactions, temporary tables,
-// options that only that node knows. It is free of I/O, clock and goroutine: events go in, actions come out. The caller carries
-// the actions out and makes the tokens (docs/design-session.md).
+// Package session manages client sessions whose state is on a single query node: transactions, temporary tables and options that
+// only that node stores. It does no I/O, reads no clock and starts no goroutine: events go in, actions come out. The caller
+// carries out the actions and issues the tokens (docs/design-session.md).
 package session
 
 import (
@@ -12,30 +12,30 @@
 // Micros is a point in time or a duration, in microseconds of the caller's clock.
 type Micros = policy.Micros
 
-// State is the state of a session.
+// State is the phase that a session is in.
 //
 //	state    followed by  when
 //	Free     Sticky       a statement has created state, or a token of another dispatcher is resumed
-//	Free     Ending       it may have created state that cannot be used, or the client closes while it runs
+//	Free     Ending       its first statement may have created state that cannot be used, or the client closes while that runs
 //	Sticky   Ending       a timeout, the client or the loss of its node or of its state ends it
-//	Sticky   Expired      its transaction is done and no table is left
-//	Ending   Lost         the node has released the state, or cannot be asked to: see clientSession.endState
-//	Ending   Expired      likewise
+//	Sticky   Expired      its transaction is done and it has no table or option left
+//	Ending   Lost         the node has released the state or cannot do so, or all attempts failed; clientSession.endState is Lost
+//	Ending   Expired      likewise, where clientSession.endState is Expired
 //
-// A session is forgotten, that is Free again, when it has nothing to keep: a Free one whose statement created no state, a Sticky
-// one that outlives its state when the state is dropped, a Lost or Expired one after Limits.Retention.
+// The machine forgets a session, which counts as Free again, in three cases: the statement of a Free session created no state; a
+// Sticky session that outlives its state has no state left; a Lost or Expired session has been retained for Limits.Retention.
 type State int
 
 // The states.
 const (
-	Free    State = iota // no node holds state of it
-	Sticky               // a node holds state of it
+	Free    State = iota // no node holds state of the session, as far as the machine knows
+	Sticky               // a node holds state of the session
 	Ending               // the node is being asked to release the state
-	Lost                 // its state is lost or unknown
-	Expired              // ended by a timeout, by its client or with its transaction
+	Lost                 // ended: the state is lost or unknown
+	Expired              // ended by a timeout, by the client or with the transaction
 )
 
-// String names the state in logs.
+// String returns the name of the state for logs.
 func (s State) String() string {
 	return [...]string{"free", "pinned", "ending", "lost", "expired"}[s]
 }
@@ -43,17 +43,17 @@
 // Machine holds the sessions of one dispatcher. It is not safe for concurrent use.
 type Machine struct {
 	limits      Limits
-	now         Micros   // of the step under way
-	actions     []Action // of the step under way
+	now         Micros   // time of the current step
+	actions     []Action // emitted so far in the current step
 	sessions    map[string]*clientSession
 	nodes       map[string]*node
-	hasNodeList bool           // a node list has come
-	reserved    int            // sessions with state, and those whose first statement may create it
-	tenants     map[string]int // those of reserved, by tenant
+	hasNodeList bool           // a node list has been applied
+	reserved    int            // sessions counted in the limits: with state, or with a running first statement that may create it
+	tenants     map[string]int // reserved, by tenant
 	timers      timerQueue
 }
 
-// New returns a machine without sessions.
+// New returns a machine without sessions and without a node list.
 func New(l Limits) *Machine {
 	return &Machine{limits: l, sessions: map[string]*clientSession{}, nodes: map[string]*node{}, tenants: map[string]int{}}
 }
@@ -61,7 +61,7 @@
 // Step applies one event and returns the actions to carry out, in order.
 func (m *Machine) Step(now Micros, ev Event) []Action {
 	m.now, m.actions = now, nil
-	m.expireTimers() // a session whose time is over has ended before the event
+	m.expireTimers() // a session that has timed out ends before the event is applied
 	switch ev := ev.(type) {
 	case StatementReceived:
 		m.statementReceived(ev)
@@ -85,13 +85,15 @@
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// Next is when TimerFired is due; ok is false where no timer is set.
+// Next returns when TimerFired is due; ok is false if no timer is set.
 func (m *Machine) Next() (at Micros, ok bool) { return m.timers.next() }
 
-// WithState counts the sessions with state.
+// WithState returns the number of sessions counted in the limits: those with state, and those whose running first statement may
+// create it.
 func (m *Machine) WithState() int { return m.reserved }
 
-// Status counts the sessions known, those with state, and the latter by node.
+// Status returns the number of known sessions, the number that WithState returns, and the number of sessions with state on each
+// node.
 func (m *Machine) Status() (known, withState int, byNode map[string]int) {
 	byNode = map[string]int{}
 	for id, n := range m.nodes {
@@ -102,7 +104,7 @@
 	return len(m.sessions), m.reserved, byNode
 }
 
-// State is the state of a session, with the reason of its end; Free where it is not known.
+// State returns the state of a session and the reason of its end. A session that is not known is Free.
 func (m *Machine) State(id string) (State, Reason) {
 	if s := m.sessions[id]; s != nil {
 		return s.state, s.reason
@@ -110,7 +112,7 @@
 	return Free, ""
 }
 
-// statementEnded applies the end of a statement to its session.
+// statementEnded applies the end of a statement to its session. It ignores a statement that is not the running one.
 func (m *Machine) statementEnded(ev StatementEnded) {
 	s := m.sessions[ev.ID]
 	if s == nil || s.running == nil || s.running.Serial != ev.Serial {
@@ -120,7 +122,7 @@
 	s.running, s.lastActivity = nil, m.now
 	switch {
 	case s.state == Ending:
-		m.endedWhileEnding(s, statement, ev)
+		m.statementEndedWhileEnding(s, statement, ev)
 	case ev.Outcome == StateMissing:
 		m.end(s, Lost, ReasonStateMissing)
 	case statement.Kind.createsState():
@@ -130,12 +132,13 @@
 	}
 }
 
-// endedWhileEnding releases the state of a session that ended while a statement ran, with what that statement has created.
-func (m *Machine) endedWhileEnding(s *clientSession, statement StatementReceived, ev StatementEnded) {
+// statementEndedWhileEnding releases the state of a session whose end began while the statement was running, including the state
+// that the statement has created.
+func (m *Machine) statementEndedWhileEnding(s *clientSession, statement StatementReceived, ev StatementEnded) {
 	mayHaveRun := ev.Outcome == OK || ev.Outcome == Unknown
 	if statement.Kind.createsState() && s.node == "" && ev.Node != "" && mayHaveRun {
 		m.placeOn(s, ev)
-		s.inTransaction = true
+		s.inTransaction = true // makes releaseState ask the node, whichever kind of state this is
 	}
 	if statement.Kind == Commit && ev.Outcome == Unknown {
 		s.reason = ReasonCommitUnknown
@@ -143,9 +146,9 @@
 	m.releaseState(s)
 }
 
-// stateCreated applies the end of a Begin or CreateState: from the first one on the session is sticky to its node.
+// stateCreated applies the end of a Begin or CreateState. The first that succeeds makes the session sticky to its node.
 func (m *Machine) stateCreated(s *clientSession, statement StatementReceived, ev StatementEnded) {
-	if ev.Outcome == Unknown && ev.Node != "" { // the node may hold state of an unknown kind
+	if ev.Outcome == Unknown && ev.Node != "" { // the node may hold new state, which has to be released
 		if s.node == "" {
 			m.placeOn(s, ev)
 		}
@@ -154,7 +157,7 @@
 		return
 	}
 	if ev.Outcome != OK {
-		m.forgetWithoutState(s)
+		m.endIfStateless(s)
 		return
 	}
 	first := s.node == ""
@@ -166,7 +169,7 @@
 	} else {
 		s.addTable(statement.Name)
 	}
-	if reason := m.lossOf(s); reason != "" {
+	if reason := m.lossReason(s); reason != "" {
 		m.end(s, Lost, reason)
 		return
 	}
@@ -183,7 +186,7 @@
 	m.scheduleTimeout(s)
 }
 
-// stateUsed applies the end of a statement that creates no state.
+// stateUsed applies the end of a statement of a kind that creates no state.
 func (m *Machine) stateUsed(s *clientSession, statement StatementReceived, ev StatementEnded) {
 	answered := ev.Outcome == OK || ev.Outcome == NodeError
 	switch {
@@ -198,18 +201,18 @@
 	case statement.Kind == DropState && ev.Outcome == OK:
 		delete(s.tables, statement.Name)
 	}
-	m.forgetWithoutState(s)
+	m.endIfStateless(s)
 }
 
-// forgetWithoutState forgets a session that has no state any more, or lets it expire where its client must be told; any other
-// stays sticky.
-func (m *Machine) forgetWithoutState(s *clientSession) {
+// endIfStateless ends a session that has no state left. It forgets a session that never had state or that outlives its state; any
+// other expires, so that its client can be told. A session that still has state stays sticky.
+func (m *Machine) endIfStateless(s *clientSession) {
 	if s.hasState() {
 		s.state = Sticky
 		m.scheduleTimeout(s)
 		return
 	}
-	if s.node == "" { // it never had state
+	if s.node == "" { // no statement has created state
 		m.forget(s)
 		return
 	}
@@ -222,13 +225,14 @@
 	m.retainEnded(s)
 }
 
-// forget removes a session without state.
+// forget removes a session that has no state on a node.
 func (m *Machine) forget(s *clientSession) {
 	m.freeReservation(s)
 	delete(m.sessions, s.id)
 }
 
-// resume adopts a session whose state was created through another dispatcher, or before a restart of this one.
+// resume adds a session whose state was created through another dispatcher, or before a restart of this one. It ignores a
+// session that is known already and, before the first node list, every session.
 func (m *Machine) resume(ev Resumed) {
 	if m.sessions[ev.ID] != nil || !m.hasNodeList {
 		return
@@ -240,7 +244,7 @@
 	}
 	s.state = Sticky
 	m.attach(s)
-	if reason := m.lossOf(s); reason != "" {
+	if reason := m.lossReason(s); reason != "" {
 		m.end(s, Lost, reason)
 		return
 	}
@@ -254,10 +258,10 @@
 	}
 }
 
-// end begins the end of a session; endState follows once its node has released the state. A running statement is cancelled, and
-// the release waits for its end.
+// end begins to end a session, which enters endState once its node has released the state. It cancels a running statement; the
+// state is released when that statement has ended.
 func (m *Machine) end(s *clientSession, endState State, reason Reason) {
-	if s.ended() {
+	if s.endingOrEnded() {
 		return
 	}
 	s.state, s.endState, s.reason = Ending, endState, reason
@@ -268,7 +272,8 @@
 	m.releaseState(s)
 }
 
-// retainEnded completes the end of a session: it is retained, without its state, so that its client can be told the reason.
+// retainEnded completes the end of a session. The machine retains it without state for Limits.Retention, so that its client can
+// be told the reason.
 func (m *Machine) retainEnded(s *clientSession) {
 	m.freeReservation(s)
 	s.state, s.lastActivity = s.endState, m.now
--- a/session/memory_test.go
+++ b/session/memory_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// BenchmarkIdleSessions reports what one idle sticky session costs in memory, out of 100,000 on 76 nodes, and the time of a
-// list that takes one of these nodes away.
+// BenchmarkIdleSessions measures the memory for one idle sticky session, out of 100,000 on 76 nodes, and the time to apply a node
+// list that removes one of these nodes.
 func BenchmarkIdleSessions(b *testing.B) {
 	const sessions, nodes = 100000, 76
-	heap := func() int64 {
+	heapBytes := func() int64 {
 		var m runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc)
 	}
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		m := New(Limits{IdleTimeout: 300 * sec, MaxAge: 3600 * sec, DrainGrace: 2 * sec, Retention: 60 * sec, RetrySpread: 5 * sec})
 		var all NodeListUpdated
 		for i := range nodes {
@@ -31,12 +31,12 @@
 			m.Step(Micros(i), StatementReceived{ID: id, Serial: uint64(i), Kind: Begin})
 			m.Step(Micros(i), StatementEnded{ID: id, Serial: uint64(i), Node: n.ID, Started: n.Started, Outcome: OK})
 		}
-		b.ReportMetric(float64(heap()-before)/sessions, "B/session")
+		b.ReportMetric(float64(heapBytes()-before)/sessions, "B/session")
 		begin := time.Now()
-		acts := m.Step(sec, NodeListUpdated{Nodes: all.Nodes[1:]})
+		actions := m.Step(sec, NodeListUpdated{Nodes: all.Nodes[1:]})
 		b.ReportMetric(float64(time.Since(begin).Microseconds()), "us/lost-node")
 		if n := m.WithState(); n != sessions-(sessions+nodes-1)/nodes {
-			b.Fatalf("%d with state, %d actions", n, len(acts))
+			b.Fatalf("%d sessions with state, %d actions", n, len(actions))
 		}
 		runtime.KeepAlive(m)
 	}
--- a/session/nodes.go
+++ b/session/nodes.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// node is what is known of a node that is listed or has sessions.
+// node holds the state of a query node that is in the node list or has attached sessions.
 type node struct {
-	listed        bool
-	started       time.Time
-	drainingSince Micros // when the list first said that it drains; 0: it does not
-	drainAt       Micros // when an announced drain begins; 0: none
-	sessions      []*clientSession
+	listed        bool             // it is in the latest node list
+	started       time.Time        // start time of its incarnation, by the list
+	drainingSince Micros           // when a list first showed that it drains; 0: it does not drain
+	drainAt       Micros           // when an announced drain begins; 0: none is announced
+	sessions      []*clientSession // attached, in no particular order; clientSession.nodeIndex is the index
 }
 
-// nodeOf returns a node, added where it is not known.
+// nodeOf returns the node with an ID and adds it if it is not known.
 func (m *Machine) nodeOf(id string) *node {
 	n := m.nodes[id]
 	if n == nil {
@@ -32,14 +32,15 @@
 	m.attach(s)
 }
 
-// attach adds a session to its node's.
+// attach adds a session to the sessions of its node.
 func (m *Machine) attach(s *clientSession) {
 	n := m.nodeOf(s.node)
 	s.nodeIndex = len(n.sessions)
 	n.sessions = append(n.sessions, s)
 }
 
-// detach removes a session from its node's; the last one takes its index.
+// detach removes a session from the sessions of its node; the last of them takes its index. It forgets a node that is not listed
+// and has no session left.
 func (m *Machine) detach(s *clientSession) {
 	if n := m.nodes[s.node]; n != nil && s.nodeIndex >= 0 {
 		last := len(n.sessions) - 1
@@ -53,8 +54,9 @@
 	s.nodeIndex = -1
 }
 
-// lossOf is the reason why the state of an attached session is lost with its node; "" where it is not.
-func (m *Machine) lossOf(s *clientSession) Reason {
+// lossReason returns why the state of an attached session is lost: its node left the list or was restarted. It returns "" if
+// neither is the case.
+func (m *Machine) lossReason(s *clientSession) Reason {
 	n := m.nodes[s.node]
 	switch {
 	case !n.listed:
@@ -65,7 +67,7 @@
 	return ""
 }
 
-// nodeListUpdated applies a node list: drains begin, and the sessions of restarted and removed nodes end.
+// nodeListUpdated applies a node list: it records drains and ends the sessions of nodes that were restarted or removed.
 func (m *Machine) nodeListUpdated(ev NodeListUpdated) {
 	m.hasNodeList = true
 	listed := map[string]bool{}
@@ -75,7 +77,7 @@
 		restarted := n.listed && !n.started.Equal(row.Started)
 		n.listed, n.started = true, row.Started
 		m.updateDrain(n, row, restarted)
-		m.loseEarlierIncarnation(n)
+		m.endSessionsOfEarlierIncarnation(n)
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.nodes)) {
 		if n := m.nodes[id]; n != nil && n.listed && !listed[id] {
@@ -84,32 +86,33 @@
 	}
 }
 
-// removeNode ends the sessions of a node that left the list. It stays known while one of them has a statement running.
+// removeNode ends the sessions of a node that left the list. The node stays known while one of its sessions has a statement
+// running.
 func (m *Machine) removeNode(id string, n *node) {
 	n.listed = false
-	m.loseAll(slices.Clone(n.sessions), ReasonNodeRemoved)
+	m.endLostSessions(slices.Clone(n.sessions), ReasonNodeRemoved)
 	if len(n.sessions) == 0 {
 		delete(m.nodes, id)
 	}
 }
 
-// loseEarlierIncarnation ends the sessions whose state a node held before it was restarted.
-func (m *Machine) loseEarlierIncarnation(n *node) {
+// endSessionsOfEarlierIncarnation ends the sessions whose state a node held before it was restarted.
+func (m *Machine) endSessionsOfEarlierIncarnation(n *node) {
 	var lost []*clientSession
 	for _, s := range n.sessions {
 		if !s.nodeStarted.Equal(n.started) {
 			lost = append(lost, s)
 		}
 	}
-	m.loseAll(lost, ReasonNodeRestarted)
+	m.endLostSessions(lost, ReasonNodeRestarted)
 }
 
-// loseAll ends sessions whose state is lost together, in the order of their ids; their clients are told to retry one after
-// another.
-func (m *Machine) loseAll(lost []*clientSession, reason Reason) {
+// endLostSessions ends, in the order of their IDs, sessions that have lost their state at the same time. Their retry-after values
+// are spread evenly over Limits.RetrySpread, so that the clients do not return all at once.
+func (m *Machine) endLostSessions(lost []*clientSession, reason Reason) {
 	slices.SortFunc(lost, func(a, b *clientSession) int { return strings.Compare(a.id, b.id) })
 	for i, s := range lost {
-		if s.state == Ending && s.running == nil { // no node is left that could release it
+		if s.state == Ending && s.running == nil { // no node holds the state any more, so there is nothing to wait for
 			m.retainEnded(s)
 			continue
 		}
--- a/session/timers.go
+++ b/session/timers.go
@@ -1,16 +1,17 @@
 package session
 
-// timerQueue is a binary heap of timers by time. A session may have more than one: all but the one at its timerAt are void. The
-// order of equal times is that of this heap: sessions end in it.
+// timerQueue is a binary min-heap of timers, ordered by time. A session may have several timers in it; only the one whose time is
+// the session's timerAt is valid. Timers with equal times expire in heap order, which the order of add and popDue calls
+// determines: sessions that time out together end in that order.
 type timerQueue struct{ timers []timer }
 
-// timer is when something is due for a session.
+// timer is the time at which a timeout, a release request or the end of the retention may be due for a session.
 type timer struct {
 	at        Micros
 	sessionID string
 }
 
-// next is the time of the first timer.
+// next returns the time of the earliest timer; ok is false if there is none.
 func (q *timerQueue) next() (at Micros, ok bool) {
 	if len(q.timers) == 0 {
 		return 0, false
@@ -30,7 +31,7 @@
 	}
 }
 
-// popDue removes the first timer that is due.
+// popDue removes and returns the earliest timer if it is due.
 func (q *timerQueue) popDue(now Micros) (timer, bool) {
 	if len(q.timers) == 0 || q.timers[0].at > now {
 		return timer{}, false
@@ -54,7 +55,7 @@
 	}
 }
 
-// reschedule sets a session's timer, unless an earlier one is set.
+// reschedule sets a session's timer, unless it is already set to the same or an earlier time.
 func (m *Machine) reschedule(s *clientSession, at Micros) {
 	if at = max(at, 1); s.timerAt != 0 && s.timerAt <= at {
 		return
@@ -63,14 +64,14 @@
 	m.timers.add(at, s.id)
 }
 
-// scheduleTimeout sets a session's timer to its next timeout.
+// scheduleTimeout sets a session's timer to its next timeout, if it has one.
 func (m *Machine) scheduleTimeout(s *clientSession) {
 	if at, ok := m.nextTimeout(s); ok {
 		m.reschedule(s, at)
 	}
 }
 
-// nextTimeout is when a session ends without another event.
+// nextTimeout returns when a session times out if no other event arrives; ok is false if no timeout applies.
 func (m *Machine) nextTimeout(s *clientSession) (at Micros, ok bool) {
 	l := m.limits
 	if l.IdleTimeout > 0 && s.running == nil {
@@ -85,7 +86,7 @@
 	return at, ok
 }
 
-// expireTimers does what is due.
+// expireTimers handles the timers that are due and skips those that are no longer valid.
 func (m *Machine) expireTimers() {
 	for {
 		t, ok := m.timers.popDue(m.now)
@@ -99,7 +100,7 @@
 	}
 }
 
-// timerExpired does what is due for one session, by its state.
+// timerExpired handles the timer of a session: what is due depends on the session's state.
 func (m *Machine) timerExpired(s *clientSession) {
 	switch s.state {
 	case Lost, Expired:
@@ -110,7 +111,7 @@
 		}
 	case Ending:
 		switch {
-		case s.running != nil: // its end goes on with the statement's
+		case s.running != nil: // the session's end continues when the statement has ended
 		case s.releaseAttempts < maxReleaseAttempts:
 			m.releaseState(s)
 		default:
@@ -121,8 +122,8 @@
 	}
 }
 
-// applyTimeouts ends a session that has timed out, or sets its timer again. A statement that runs when the grace of a drain is
-// over may end: its end sets the timer again.
+// applyTimeouts ends a session that has timed out, or sets its timer again. A statement that is running when the drain grace
+// expires may finish; its end sets the timer again.
 func (m *Machine) applyTimeouts(s *clientSession) {
 	at, ok := m.nextTimeout(s)
 	if !ok {
