--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -19,40 +19,42 @@
 	"embershunt/control/configv1"
 )
 
-// host is a dispatcher's store file and control module, and what it has acknowledged.
-type host struct {
+// testDispatcher stands in for a dispatcher: it has a store file, starts control modules from it and records the acknowledged sets.
+type testDispatcher struct {
 	t     *testing.T
 	path  string
 	store *Store
-	acked map[uint64]bool
-	onAck func() // called at each acknowledgement; may be nil
+	acked map[uint64]bool // by set number
+	onAck func()          // called at each acknowledgement; may be nil
 }
 
-func (h *host) local() config.File {
+// local returns the settings that are not streamed.
+func (d *testDispatcher) local() config.File {
 	c, err := config.Parse("local", []byte(`{"any_user": true, "control": {"address": "127.0.0.1:1", "cluster": "c"},
 	  "kinds": [{"name": "k", "cores": 8}], "classes": [{"name": "lookup", "aim": "1s", "deadline": "2s"}]}`))
 	if err != nil {
-		h.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	return c.File
 }
 
-// start starts the dispatcher from the newest intact version, whose number it returns.
-func (h *host) start() (*control.Module, uint64) {
+// start opens the store and returns a control module that starts from the newest intact version, and the number of that version's
+// set; 0 if there is none.
+func (d *testDispatcher) start() (*control.Module, uint64) {
 	var err error
-	if h.store, err = Open(h.path, 5); err != nil {
-		h.t.Fatal(err)
+	if d.store, err = Open(d.path, 5); err != nil {
+		d.t.Fatal(err)
 	}
-	set, _, err := h.store.Last()
+	set, _, err := d.store.Last()
 	if err != nil {
 		set = control.Set{}
 	}
-	return control.New(control.DefaultBounds(), h.local(), set), set.Number
+	return control.New(control.DefaultBounds(), d.local(), set), set.Number
 }
 
-// offer plays a set until all actions are carried out, or the first maxActions of them.
-func (h *host) offer(m *control.Module, s control.Set, maxActions int) {
-	n := 0
+// offer offers a set to the module and carries out the actions that follow, but no more than maxActions. Log actions do not count.
+func (d *testDispatcher) offer(m *control.Module, s control.Set, maxActions int) {
+	carriedOut := 0
 	queue := []control.Event{}
 	for k, p := range s.Resources() {
 		queue = append(queue, control.Offered{Kind: control.Kind(k), Version: "v", Nonce: fmt.Sprint(k), Message: p})
@@ -64,28 +66,29 @@
 			if _, ok := a.(control.Log); ok {
 				continue
 			}
-			if n == maxActions {
+			if carriedOut == maxActions {
 				return
 			}
-			n++
+			carriedOut++
 			switch a := a.(type) {
 			case control.Store:
-				queue = append(queue, control.Stored{Number: a.Set.Number, Err: h.store.Put(a.Set)})
+				queue = append(queue, control.Stored{Number: a.Set.Number, Err: d.store.Put(a.Set)})
 			case control.Apply:
 				queue = append(queue, control.Applied{Number: a.Set.Number})
 			case control.Ack:
-				h.acked[s.Number] = true
-				if h.onAck != nil {
-					h.onAck()
+				d.acked[s.Number] = true
+				if d.onAck != nil {
+					d.onAck()
 				}
 			case control.Nack:
-				h.t.Fatalf("refused: %v", a.Reasons)
+				d.t.Fatalf("set %d is rejected: %v", s.Number, a.Reasons)
 			}
 		}
 	}
 }
 
-// runChild runs this test binary as a child process, in which TestMain calls child; it returns its output.
+// runChild runs this test binary as a child process, in which TestMain calls child, and returns the child's output. Except in mode
+// "full" the child must end by SIGKILL.
 func runChild(t *testing.T, path, mode string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
@@ -109,17 +112,17 @@
 	os.Exit(m.Run())
 }
 
-// validSet is a set that a dispatcher accepts.
+// validSet returns set n with a valid class, so that a dispatcher accepts it.
 func validSet(n uint64) control.Set {
 	s := set(n)
 	s.Classes.Classes = []*configv1.Class{{Name: "lookup", AimUs: 1e6, DeadlineUs: 2e6}}
 	return s
 }
 
-// child accepts set 2, prints each acknowledgement and kills itself after as many actions as mode says; in mode "full" it
-// writes to a store whose file may not grow.
+// child runs in the child process. It offers set 2, prints each acknowledgement and kills itself after the number of actions that
+// mode gives. In mode "full" it instead writes a set to a store whose file cannot grow, and prints the error.
 func child(mode, path string) {
-	h := &host{t: &testing.T{}, path: path, acked: map[uint64]bool{}}
+	d := &testDispatcher{t: &testing.T{}, path: path, acked: map[uint64]bool{}}
 	if mode == "full" {
 		signal.Ignore(syscall.SIGXFSZ)
 		s, err := Open(path, 3)
@@ -145,9 +148,9 @@
 		fmt.Println("mode:", err)
 		return
 	}
-	m, _ := h.start()
-	h.onAck = func() { fmt.Println("ack") }
-	h.offer(m, validSet(2), maxActions)
+	m, _ := d.start()
+	d.onAck = func() { fmt.Println("ack") }
+	d.offer(m, validSet(2), maxActions)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGKILL); err != nil {
 		fmt.Println("kill:", err)
 		return
@@ -159,30 +162,30 @@
 // set or the new one, never without one that was acknowledged; offered again, the new set is accepted or acknowledged as
 // active.
 func TestKilledAtEveryStep(t *testing.T) {
-	for point := 0; point <= 7; point++ { // store, apply, five acknowledgements
+	for point := 0; point <= 7; point++ { // 7 actions: store, apply and five acknowledgements
 		t.Run(fmt.Sprintf("after %d steps", point), func(t *testing.T) {
-			h := &host{t: t, path: filepath.Join(t.TempDir(), "s.db"), acked: map[uint64]bool{}}
-			m, _ := h.start()
-			h.offer(m, validSet(1), 99)
-			closeStore(t, h.store)
-			acked := strings.Contains(runChild(t, h.path, fmt.Sprint(point)), "ack")
-			m, number := h.start()
-			defer closeStore(t, h.store)
+			d := &testDispatcher{t: t, path: filepath.Join(t.TempDir(), "s.db"), acked: map[uint64]bool{}}
+			m, _ := d.start()
+			d.offer(m, validSet(1), 99)
+			closeStore(t, d.store)
+			acked := strings.Contains(runChild(t, d.path, fmt.Sprint(point)), "ack")
+			m, number := d.start()
+			defer closeStore(t, d.store)
 			if acked != (point > 2) {
-				t.Errorf("acknowledged: %v", acked)
+				t.Errorf("acknowledged before the kill: %v", acked)
 			}
 			if want := uint64(min(point, 1) + 1); number != want {
 				t.Errorf("restarted with set %d, want %d", number, want)
 			}
-			h.acked[2] = false
-			if h.offer(m, validSet(2), 99); !h.acked[2] || m.Active().Number != 2 {
-				t.Errorf("offered again: acknowledged %v, active is %d", h.acked[2], m.Active().Number)
+			d.acked[2] = false
+			if d.offer(m, validSet(2), 99); !d.acked[2] || m.Active().Number != 2 {
+				t.Errorf("set 2 offered again: acknowledged %v, active set is %d", d.acked[2], m.Active().Number)
 			}
 		})
 	}
 }
 
-// A failed write is an error; the version before stays in the store.
+// A failed Put returns an error, and the version before stays in the store.
 func TestWriteFailures(t *testing.T) {
 	cases := map[string]func(t *testing.T, path string) string{
 		"closed": func(t *testing.T, path string) string {
@@ -202,7 +205,7 @@
 			}()
 			return fmt.Sprint((&Store{db: db, maxVersions: 3}).Put(validSet(2)))
 		},
-		"full": func(t *testing.T, path string) string { return runChild(t, path, "full") }, // the file may not grow
+		"full": func(t *testing.T, path string) string { return runChild(t, path, "full") }, // RLIMIT_FSIZE stops the file growing
 	}
 	for name, put := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -213,14 +216,14 @@
 			}
 			closeStore(t, s)
 			if output := put(t, path); output == "<nil>" || strings.Contains(output, "put: <nil>") || strings.Contains(output, "limit:") {
-				t.Errorf("written: %s", output)
+				t.Errorf("Put did not fail: %s", output)
 			} else {
 				t.Log(strings.TrimSpace(output))
 			}
 			s = open(t, path)
 			defer closeStore(t, s)
 			if got, damaged, err := s.Last(); err != nil || got.Number != 1 || len(damaged) > 0 {
-				t.Errorf("%d, %v, %v", got.Number, damaged, err)
+				t.Errorf("Last after a failed Put: set %d, damaged %v, error %v; want set 1", got.Number, damaged, err)
 			}
 		})
 	}
--- a/store/record.go
+++ b/store/record.go
@@ -13,8 +13,8 @@
 	"embershunt/internal/flightwire"
 )
 
-// A record is a format version, a checksum (xxHash64 of what follows, big endian) and the set as protobuf fields: its number
-// as field 1, the five resources as fields 2 to 6.
+// A record consists of a format version (1 byte), a checksum (xxHash64 of the body, 8 bytes, big endian) and the body. The body
+// is the set as protobuf fields: its number as field 1 and its five resources as fields 2 to 6, in the order of control.Kind.
 const (
 	formatVersion  = 1
 	checksumOffset = 1 // bytes
@@ -25,12 +25,13 @@
 	lastResourceField  = 6
 )
 
+// encode returns the record of a set.
 func encode(set control.Set) ([]byte, error) {
 	body := flightwire.AppendVarint(nil, numberField, set.Number)
 	for i, m := range set.Resources() {
 		b, err := proto.Marshal(m)
 		if err != nil {
-			return nil, fmt.Errorf("store: %w", err)
+			return nil, fmt.Errorf("store: encode %s of set %d: %w", control.Kind(i), set.Number, err)
 		}
 		body = flightwire.AppendBytes(body, i+firstResourceField, b)
 	}
@@ -38,18 +39,18 @@
 	return append(record, body...), nil
 }
 
-// decode returns the set of a record. An error says what is wrong with the record.
+// decode returns the set in a record. Its errors say how the record is damaged, without naming it: Damaged adds the entry.
 func decode(record []byte) (control.Set, error) {
 	if len(record) < bodyOffset {
-		return control.Set{}, fmt.Errorf("%d bytes, a record has %d or more", len(record), bodyOffset)
+		return control.Set{}, fmt.Errorf("truncated record: %d bytes, minimum is %d", len(record), bodyOffset)
 	}
 	if record[0] != formatVersion {
-		return control.Set{}, fmt.Errorf("format %d, known is %d", record[0], formatVersion)
+		return control.Set{}, fmt.Errorf("unknown record format %d, supported is %d", record[0], formatVersion)
 	}
-	body := bytes.Clone(record[bodyOffset:]) // bbolt's memory is valid during the transaction only
+	body := bytes.Clone(record[bodyOffset:]) // the memory that bbolt returns is valid only during the transaction
 	stored := binary.BigEndian.Uint64(record[checksumOffset:bodyOffset])
 	if sum := xxhash.Sum64(body); sum != stored {
-		return control.Set{}, fmt.Errorf("checksum %016x, written was %016x", sum, stored)
+		return control.Set{}, fmt.Errorf("checksum mismatch: computed %016x, stored %016x", sum, stored)
 	}
 	fields, varints, err := flightwire.Fields(body)
 	if err != nil {
@@ -60,10 +61,10 @@
 	resources := set.Resources()
 	for _, f := range fields {
 		if f.Number < firstResourceField || f.Number > lastResourceField {
-			return control.Set{}, fmt.Errorf("field %d, known are 1 to 6", f.Number)
+			return control.Set{}, fmt.Errorf("unknown field %d, known are 1 to 6", f.Number)
 		}
 		if err := proto.Unmarshal(f.Value, resources[f.Number-firstResourceField]); err != nil {
-			return control.Set{}, fmt.Errorf("field %d: %w", f.Number, err)
+			return control.Set{}, fmt.Errorf("field %d (%s): %w", f.Number, control.Kind(f.Number-firstResourceField), err)
 		}
 	}
 	return set, nil
--- a/store/record_test.go
+++ b/store/record_test.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestRecordOfTheBuildBefore reads a stored version that the build before any rename wrote, value by value, and holds that
-// this build writes the same bytes.
-func TestRecordOfTheBuildBefore(t *testing.T) {
+// TestRecordOfEarlierBuild guards the stored format against renames in the code: it decodes a record that a build from before any
+// rename wrote, compares it value by value, and checks that encode still writes the same bytes.
+func TestRecordOfEarlierBuild(t *testing.T) {
 	text, err := os.ReadFile("testdata/record.hex")
 	if err != nil {
 		t.Fatal(err)
@@ -26,14 +26,14 @@
 	}
 	want := set(7)
 	if got.Number != want.Number {
-		t.Errorf("number %d, wanted %d", got.Number, want.Number)
+		t.Errorf("number %d, want %d", got.Number, want.Number)
 	}
-	for i, part := range want.Resources() {
-		if !proto.Equal(got.Resources()[i], part) {
-			t.Errorf("part %d is read as %v, wanted %v", i, got.Resources()[i], part)
+	for i, resource := range want.Resources() {
+		if !proto.Equal(got.Resources()[i], resource) {
+			t.Errorf("resource %d is read as %v, want %v", i, got.Resources()[i], resource)
 		}
 	}
 	if again, err := encode(want); err != nil || string(again) != string(record) {
-		t.Errorf("written as %x, %v; before it was %x", again, err, record)
+		t.Errorf("encoded as %x, error %v; the earlier build wrote %x", again, err, record)
 	}
 }
--- a/store/store.go
+++ b/store/store.go
@@ -1,6 +1,6 @@
-// Package store persists the versions of the settings that a dispatcher has accepted. It is one file (bbolt), synced before
-// a version is acknowledged. Each version has a checksum of its own: a damaged one is detected and skipped in favour of the
-// one before it.
+// Package store persists the versions of the settings that a dispatcher has accepted. The store is a single bbolt file. Put syncs
+// it, so that a version is on disk before the dispatcher acknowledges it. Each version has its own checksum: a damaged version is
+// detected, and the newest intact one before it is used instead.
 package store
 
 import (
@@ -15,48 +15,49 @@
 	"embershunt/control"
 )
 
-// Store is an open store. Its methods are safe for concurrent use.
+// Store is an open store file. Its methods are safe for concurrent use.
 type Store struct {
 	db          *bbolt.DB
 	maxVersions int
 }
 
-// minVersions is the least number of versions to keep: the newest may be damaged.
+// minVersions is the smallest number of versions to keep. It is 2 because the newest version may be damaged.
 const minVersions = 2
 
-// lockTimeout bounds the wait for a file that another process has open.
+// lockTimeout limits how long Open waits for the lock of a file that another process has open.
 const lockTimeout = time.Second
 
-// ErrNotFound is the error where no intact version is stored.
-var ErrNotFound = errors.New("store: no good version")
+// ErrNotFound means that the store has no intact version or, from Get, none with the given number.
+var ErrNotFound = errors.New("store: no intact version")
 
-// Damaged is a version that cannot be decoded. It is an error.
+// Damaged is the error for a stored version that cannot be decoded.
 type Damaged struct {
-	Entry uint64 // sequence number, from 1
-	Err   error
+	Entry uint64 // sequence number of the version in the file, from 1
+	Err   error  // how the record is damaged
 }
 
-// Error names the entry and what is wrong with it.
+// Error names the entry and says how it is damaged.
 func (d Damaged) Error() string { return fmt.Sprintf("store: entry %d: %v", d.Entry, d.Err) }
 
-// Unwrap is the error of decoding.
+// Unwrap returns Err.
 func (d Damaged) Unwrap() error { return d.Err }
 
-var bucket = []byte("versions") // sequence number (8 bytes, big endian) to record
+// versionsBucket maps the sequence number of a version (8 bytes, big endian) to its record.
+var versionsBucket = []byte("versions")
 
-// Open opens or creates the file of a store that keeps the newest maxVersions versions, two at least. A file that another
-// process has open is an error after a second.
+// Open opens or creates the file of a store that keeps the newest maxVersions versions, but at least minVersions. It returns an
+// error if another process keeps the file open for longer than lockTimeout.
 func Open(path string, maxVersions int) (*Store, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists(bucket)
+		_, err := tx.CreateBucketIfNotExists(versionsBucket)
 		return err
 	})
 	if err != nil {
-		_ = db.Close() // the error of the transaction is the one to report
+		_ = db.Close() // the transaction's error is the one to report
 		return nil, fmt.Errorf("store: %s: %w", path, err)
 	}
 	return &Store{db: db, maxVersions: max(maxVersions, minVersions)}, nil
@@ -65,15 +66,15 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Put stores a set as the newest version and drops the oldest ones over the limit. When it returns without an error, the
-// set is on disk.
+// Put stores a set as the newest version and deletes the oldest versions in excess of maxVersions. When it returns without an
+// error, the set is on disk.
 func (s *Store) Put(set control.Set) error {
 	record, err := encode(set)
 	if err != nil {
 		return err
 	}
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
+		b := tx.Bucket(versionsBucket)
 		n, err := b.NextSequence()
 		if err != nil {
 			return err
@@ -85,6 +86,7 @@
 	})
 }
 
+// dropOldest deletes the oldest versions in excess of maxVersions.
 func (s *Store) dropOldest(b *bbolt.Bucket) error {
 	var keys [][]byte
 	c := b.Cursor()
@@ -100,10 +102,10 @@
 	return nil
 }
 
-// Forget deletes the newest version if it has this number or is damaged.
+// Forget deletes the newest version if its set has the given number or if it is damaged.
 func (s *Store) Forget(number uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(bucket).Cursor()
+		c := tx.Bucket(versionsBucket).Cursor()
 		k, v := c.Last()
 		if k == nil {
 			return nil
@@ -115,12 +117,13 @@
 	})
 }
 
-// Last returns the newest intact version, and the damaged ones that are newer. The error is ErrNotFound if there is none.
+// Last returns the newest intact version and the damaged versions that are newer. If no version is intact, the error is
+// ErrNotFound.
 func (s *Store) Last() (control.Set, []Damaged, error) {
 	var damaged []Damaged
 	var found *control.Set
 	err := s.db.View(func(tx *bbolt.Tx) error {
-		c := tx.Bucket(bucket).Cursor()
+		c := tx.Bucket(versionsBucket).Cursor()
 		for k, v := c.Last(); k != nil; k, v = c.Prev() {
 			set, err := decode(v)
 			if err == nil {
@@ -140,7 +143,7 @@
 	return *found, damaged, nil
 }
 
-// Get returns the newest intact version with a number. The error is ErrNotFound if there is none.
+// Get returns the newest intact version with the given set number. If there is none, the error wraps ErrNotFound.
 func (s *Store) Get(number uint64) (control.Set, error) {
 	all, err := s.All()
 	if err != nil {
@@ -155,14 +158,14 @@
 }
 
 // All returns the intact versions, the oldest first.
-func (s *Store) All() (out []control.Set, err error) {
+func (s *Store) All() (sets []control.Set, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucket).ForEach(func(_, v []byte) error {
+		return tx.Bucket(versionsBucket).ForEach(func(_, v []byte) error {
 			if set, err := decode(v); err == nil {
-				out = append(out, set)
+				sets = append(sets, set)
 			}
 			return nil
 		})
 	})
-	return out, err
+	return sets, err
 }
