--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -1,4 +1,4 @@
-// Package clock waits for durations.
+// Package clock provides a sleep that a context can interrupt.
 package clock
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Sleep waits for a duration; it returns false where ctx ends first. A duration of zero or less does not wait.
+// Sleep waits for d and returns true, or returns false as soon as ctx ends. If d is zero or less, Sleep does not wait and returns
+// false only if ctx has already ended.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs makes the structured logger of the programs: slog as the API, zap behind it.
+// Package logs creates the structured logger of the programs: slog is the API, zap writes the output.
 package logs
 
 import (
@@ -9,20 +9,21 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger to standard error. Level is debug, info, warn or error; format is json or console.
+// New returns a logger that writes to standard error, and a function that flushes it. Level is debug, info, warn or error; format
+// is json or console.
 func New(level, format string) (*slog.Logger, func(), error) {
-	at, err := zapcore.ParseLevel(level)
+	parsedLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, err
 	}
 	c := zap.NewProductionConfig()
-	c.Level, c.Encoding = zap.NewAtomicLevelAt(at), format
+	c.Level, c.Encoding = zap.NewAtomicLevelAt(parsedLevel), format
 	c.EncoderConfig.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	c.Sampling = nil // a fault that repeats is logged each time
+	c.Sampling = nil // sampling would drop messages that repeat, and each fault must be logged each time
 	z, err := c.Build()
 	if err != nil {
 		return nil, nil, err
 	}
-	// Sync fails on terminals and pipes, which hold nothing back.
+	// Sync returns an error on terminals and pipes, which have nothing to flush; the error is ignored.
 	return slog.New(zapslog.NewHandler(z.Core())), func() { _ = z.Sync() }, nil
 }
--- a/internal/seal/seal.go
+++ b/internal/seal/seal.go
@@ -1,5 +1,6 @@
-// Package seal makes tokens that only holders of a key can make: tickets, prepared handles, bearer tokens and session
-// cookies. A token is signed, not encrypted: whoever holds it may read it. Any dispatcher with the same key takes it.
+// Package seal issues and verifies tokens that are authenticated with a secret key: tickets, prepared statement handles, bearer
+// tokens, session cookies, and handles of transactions and savepoints. A token is not encrypted: whoever holds it can read its
+// payload. Every dispatcher with the same key accepts it.
 package seal
 
 import (
@@ -15,7 +16,7 @@
 	"embershunt/internal/flightwire"
 )
 
-// Purpose keeps tokens of one use from being taken for another.
+// Purpose is what a token is used for. It is part of the token, so that a token for one purpose is not accepted for another.
 type Purpose byte
 
 // The purposes.
@@ -28,28 +29,32 @@
 	Savepoint
 )
 
-// String names what a token is used for.
+// String returns the name of the purpose for messages, including those to clients.
 func (p Purpose) String() string {
-	return [...]string{"token", "ticket", "prepared statement handle", "bearer token", "session cookie", "transaction", "savepoint"}[min(p, 6)]
+	return [...]string{"token", "ticket", "prepared statement handle", "bearer token", "session cookie", "transaction",
+		"savepoint"}[min(p, 6)]
 }
 
 const (
-	version = 1
-	macSize = 32
+	version = 1  // of the token format; the first byte of a token
+	macSize = 32 // bytes, at the end of a token
 	// KeySize is the length of a key in bytes.
 	KeySize = 32
 )
 
-// Errors of Open. A forged token and one of another key cannot be told apart.
+// Errors of Open. ErrForged also stands for a token made with an unknown key, which Open cannot tell from a forged one.
 var (
 	ErrForged  = errors.New("not made by this service, or by one with another key")
 	ErrExpired = errors.New("expired")
 )
 
-// Sealer signs with its first key and takes tokens of all.
-type Sealer struct{ hashers []*sync.Pool } // of *blake3.Hasher, one pool a key: a hasher is large
+// Sealer makes tokens with its first key and accepts tokens made with any of its keys. It is safe for concurrent use.
+type Sealer struct {
+	hashers []*sync.Pool // one pool of *blake3.Hasher for each key; pooled because a hasher is large
+}
 
-// New returns a Sealer; keys are KeySize bytes each. Without a key it makes one that dies with the process.
+// New returns a Sealer. Each key has KeySize bytes. Without keys New generates a random one, whose tokens no other process accepts,
+// nor this one after a restart.
 func New(keys ...[]byte) (*Sealer, error) {
 	if len(keys) == 0 {
 		k := make([]byte, KeySize)
@@ -59,11 +64,11 @@
 	s := &Sealer{}
 	for i, k := range keys {
 		if len(k) != KeySize {
-			return nil, fmt.Errorf("key %d has %d bytes, allowed is %d", i, len(k), KeySize)
+			return nil, fmt.Errorf("key %d has %d bytes, want %d", i, len(k), KeySize)
 		}
 		s.hashers = append(s.hashers, &sync.Pool{New: func() any {
 			h, err := blake3.NewKeyed(k)
-			if err != nil { // the length was checked
+			if err != nil { // cannot happen: the key has the right length
 				panic(err)
 			}
 			return h
@@ -72,17 +77,17 @@
 	return s, nil
 }
 
-// mac is the keyed hash of a token's body.
+// mac returns the keyed hash of a token's body, the part before the MAC.
 func mac(pool *sync.Pool, body []byte) (sum [macSize]byte) {
 	h := pool.Get().(*blake3.Hasher)
 	h.Reset()
-	_, _ = h.Write(body) // a hash takes everything
+	_, _ = h.Write(body) // a hash never returns an error
 	h.Sum(sum[:0])
 	pool.Put(h)
 	return sum
 }
 
-// Seal returns a token that holds payload until a time.
+// Seal returns a token that carries payload and is valid for a purpose until expires, at a resolution of one millisecond.
 func (s *Sealer) Seal(p Purpose, expires time.Time, payload []byte) []byte {
 	body := []byte{version, byte(p)}
 	body = flightwire.AppendVarint(body, 1, uint64(expires.UnixMilli()))
@@ -91,18 +96,18 @@
 	return append(body, sum[:]...)
 }
 
-// Open returns a token's payload. Every error wraps ErrForged or ErrExpired.
+// Open verifies a token and returns its payload. Every error wraps ErrForged or ErrExpired.
 func (s *Sealer) Open(p Purpose, now time.Time, token []byte) ([]byte, error) {
 	if len(token) < 2+macSize || token[0] != version || token[1] != byte(p) {
 		return nil, fmt.Errorf("%s of %d bytes: %w", p, len(token), ErrForged)
 	}
 	body, sum := token[:len(token)-macSize], token[len(token)-macSize:]
-	good := 0
+	valid := 0 // 1: the MAC matches a key
 	for _, pool := range s.hashers {
 		want := mac(pool, body)
-		good |= subtle.ConstantTimeCompare(sum, want[:])
+		valid |= subtle.ConstantTimeCompare(sum, want[:])
 	}
-	if good == 0 {
+	if valid == 0 {
 		return nil, fmt.Errorf("%s of %d bytes: %w", p, len(token), ErrForged)
 	}
 	fields, varints, err := flightwire.Fields(body[2:])
