--- a/session/machine.go
+++ b/session/machine.go
@@ -35,7 +35,7 @@
 	Expired              // ended by a timeout, by the client or with the transaction
 )
 
-// String returns the name of the state for logs.
+// String returns the name of the state. Clients of Flight SQL get it in the metadata of an error.
 func (s State) String() string {
 	return [...]string{"free", "pinned", "ending", "lost", "expired"}[s]
 }
