--- a/classify/classify.go
+++ b/classify/classify.go
@@ -1,5 +1,5 @@
-// Package classify derives the traits of a query that the decision module needs: class, tenant, cost, memory, order key
-// and group of tables. It is free of I/O and clocks: rules and facts in, traits out.
+// Package classify derives the traits of a query that the policy needs: class, tenant, cost, memory, order key and table
+// group. Classification does no I/O and reads no clock: the result depends on the Table and the Facts only.
 package classify
 
 import (
@@ -10,32 +10,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Facts are what a frontend knows of a query.
+// Facts holds what a frontend knows about a query before classification.
 type Facts struct {
 	User         string
-	Header       func(name string) string // a call header, "" where absent; names in lower case
-	Option       func(name string) string // a session option, "" where absent
+	Header       func(name string) string // returns a call header, "" if absent; names are in lower case
+	Option       func(name string) string // returns a session option, "" if absent
 	Statement    string
 	Command      string // name of the protocol's command, such as CommandGetTables
-	Token        string // deduplication token of an INSERT, "" where absent
-	DescribeOnly bool   // the statement is not run: only its parameters or columns are described
+	Token        string // deduplication token of an INSERT, "" if absent
+	DescribeOnly bool   // the statement is not executed, only its parameters or columns are described
 }
 
-// Traits are the properties of a query that decisions depend on.
+// Traits holds the properties of a query that the policy decides by.
 type Traits struct {
-	Class    int           // index into Table.Classes or above, see Table.Updates
-	Tenant   int           // index into Table.Tenants
-	Cost     time.Duration // work of all threads; 0: unknown
+	Class    int           // index into Table.Classes, or a derived class from Table.Updates or Table.Keyed
+	Tenant   int           // index into Table.Tenants; 0 if no rule or hint gives a tenant
+	Cost     time.Duration // work summed over all threads; 0: unknown
 	MemoryMB float64       // 0: unknown
-	Tables   int64         // group of tables; 0: none
-	Key      int64         // order key, if HasKey
+	Tables   int64         // hash of the table group; 0: none
+	Key      int64         // hash of the order key, if HasKey
 	HasKey   bool
-	Retry    bool   // the client says that the query is a retry
-	Rule     string // name of the rule that gave the class; "" where none did
-	Hinted   bool   // a hint comment or header gave the class
+	Retry    bool   // the client marked the query as a retry
+	Rule     string // name of the rule that set the class; "" if none did
+	Hinted   bool   // a hint comment or header set the class
 }
 
-// Rule gives traits to queries that meet all of its conditions. An empty condition is met by every query.
+// Rule sets traits of queries that match all of its conditions. An empty condition matches every query.
 type Rule struct {
 	Name      string
 	User      *regexp.Regexp
@@ -44,27 +44,27 @@
 	Value     *regexp.Regexp
 	Statement *regexp.Regexp
 	Command   *regexp.Regexp
-	Class     int // -1: the rule gives none
-	Tenant    int // -1: the rule gives none
+	Class     int // index into Table.Classes; -1: the rule sets no class
+	Tenant    int // index into Table.Tenants; -1: the rule sets no tenant
 	Cost      time.Duration
 	MemoryMB  float64
-	Key       string // source of the order key: "user", "header:NAME", "option:NAME", "statement"
-	Tables    string // source of the group of tables: the same, or "from" for the first table that the statement names
+	Key       string // source of the order key: "user", "statement", "from", "header:NAME" or "option:NAME"; see sourceValue
+	Tables    string // source of the table group, with the same values
 }
 
-// Table is the complete configuration of classification.
+// Table holds the complete configuration of the classification.
 type Table struct {
-	Rules   []Rule // the first that matches gives a trait, later ones give those still open
+	Rules   []Rule // each trait comes from the first matching rule that sets it
 	Classes []string
 	Tenants []string
-	Updates []int // for each class that of its updates
-	Keyed   []int // for each class that of its inserts with a token; nil or -1: none, they are updates
-	Default int   // class of queries without one
-	Hints   bool  // hint comments and headers may state class, cost, memory and key
+	Updates []int // by class: the class of its updates
+	Keyed   []int // by class: the class of its inserts with a deduplication token; nil or -1: they count as updates
+	Default int   // class of queries that no hint or rule gives a class
+	Hints   bool  // hint comments and headers may set traits; see hintNames
 }
 
-// harmlessCost is the cost of a query that runs nothing.
-const harmlessCost = time.Millisecond
+// describeCost is the cost of a query that only describes a statement and executes nothing.
+const describeCost = time.Millisecond
 
 // Classify derives the traits of a query. The error is a *BadHintError.
 func (t *Table) Classify(f Facts) (Traits, error) {
@@ -84,8 +84,8 @@
 	}
 	out.Tenant = max(out.Tenant, 0)
 	switch {
-	case f.DescribeOnly: // unordered, and of next to no cost
-		out.Key, out.HasKey, out.Cost, out.MemoryMB = 0, false, harmlessCost, 0
+	case f.DescribeOnly: // not ordered and nearly free, since nothing is executed
+		out.Key, out.HasKey, out.Cost, out.MemoryMB = 0, false, describeCost, 0
 	case f.Token != "" && t.Keyed != nil && t.Keyed[out.Class] >= 0 && IsInsert(f.Statement):
 		out.Class = t.Keyed[out.Class]
 	case !IsRead(f.Statement) && f.Statement != "":
@@ -94,7 +94,7 @@
 	return out, nil
 }
 
-// matches tells whether a query meets all conditions.
+// matches reports whether a query meets all conditions of the rule.
 func (r *Rule) matches(f Facts) bool {
 	if r.User != nil && !r.User.MatchString(f.User) || r.Statement != nil && !r.Statement.MatchString(f.Statement) ||
 		r.Command != nil && !r.Command.MatchString(f.Command) {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// apply sets the traits that are still open.
+// apply sets the traits that hints and earlier rules have left unset.
 func (r *Rule) apply(f Facts, out *Traits) {
 	if out.Class < 0 && r.Class >= 0 {
 		out.Class, out.Rule = r.Class, r.Name
@@ -137,7 +137,8 @@
 	}
 }
 
-// sourceValue is the text that an order key or a group of tables is derived from; "" where there is none.
+// sourceValue returns the text that an order key or a table group is derived from, "" if there is none. The source "from"
+// is the first table that the statement names.
 func sourceValue(source string, f Facts) string {
 	kind, name, _ := strings.Cut(source, ":")
 	switch kind {
@@ -155,5 +156,6 @@
 	return ""
 }
 
-// hashName is the number of a name: never 0, and below 2^53, as on the bench's wire.
+// hashName returns the hash of a name: never 0, which means unset, and below 2^53 like the keys on the platform wire, which
+// are JSON numbers.
 func hashName(s string) int64 { return int64(xxhash.Sum64String(s)>>11) | 1 }
--- a/classify/classify_test.go
+++ b/classify/classify_test.go
@@ -10,7 +10,7 @@
 
 func TestClassify(t *testing.T) {
 	table := &Table{Classes: []string{"lookup", "report"}, Tenants: []string{"motor", "travel"}, Hints: true,
-		Updates: []int{2, 1, 2}, // what a lookup writes is a class of its own
+		Updates: []int{2, 1, 2}, // updates of "lookup" have a class of their own
 		Rules: []Rule{
 			{Name: "brokers", User: regexp.MustCompile("^broker-"), Class: -1, Tenant: 1},
 			{Name: "sums", Statement: regexp.MustCompile(`(?i)group by`), Class: 1, Tenant: -1, Cost: time.Second, Tables: "from"},
@@ -35,14 +35,14 @@
 		f    Facts
 		want Traits
 	}{
-		{"the default", facts("u", "SELECT 1"), Traits{}},
-		{"two rules together", facts("broker-7", "SELECT a FROM Policy GROUP BY a"),
+		{"default class", facts("u", "SELECT 1"), Traits{}},
+		{"traits of two rules", facts("broker-7", "SELECT a FROM Policy GROUP BY a"),
 			Traits{Class: 1, Tenant: 1, Cost: time.Second, Rule: "sums", Tables: hashName("policy")}},
 		{"a header", facts("u", "SELECT 1", "h:x-kind", "rare"), Traits{Class: 1, Rule: "by header"}},
 		{"a header that does not match", facts("u", "SELECT 1", "h:x-kind", "often"), Traits{}},
-		{"an option gives a key", facts("u", "SELECT 1", "o:policy", "P1"), Traits{Key: hashName("P1"), HasKey: true}},
+		{"order key from an option", facts("u", "SELECT 1", "o:policy", "P1"), Traits{Key: hashName("P1"), HasKey: true}},
 		{"an update", facts("u", "DELETE FROM t"), Traits{Class: 2}},
-		{"a hint precedes rules", facts("u", "SELECT a GROUP BY a /* class=lookup cost_ms=20 tenant=travel other=x */"),
+		{"a hint takes precedence over rules", facts("u", "SELECT a GROUP BY a /* class=lookup cost_ms=20 tenant=travel other=x */"),
 			Traits{Tenant: 1, Cost: 20 * time.Millisecond, Hinted: true}},
 		{"a hint header", facts("u", "SELECT 1", "h:embershunt-class", "report", "h:embershunt-memory-mb", "64"),
 			Traits{Class: 1, MemoryMB: 64, Hinted: true}},
@@ -62,10 +62,11 @@
 		})
 	}
 	var bad *BadHintError
-	if _, err := table.Classify(facts("u", "SELECT 1 /* class=nobody */")); !errors.As(err, &bad) || !strings.Contains(err.Error(), "lookup, report") {
+	if _, err := table.Classify(facts("u", "SELECT 1 /* class=nobody */")); !errors.As(err, &bad) ||
+		!strings.Contains(err.Error(), "lookup, report") {
 		t.Errorf("a hint with an unknown class: %v", err)
 	}
 	if _, err := table.Classify(facts("u", "SELECT 1 /* cost_ms=NaN */")); !errors.As(err, &bad) {
-		t.Errorf("a cost that is no number: %v", err)
+		t.Errorf("a hint whose cost is NaN: %v", err)
 	}
 }
--- a/classify/connection.go
+++ b/classify/connection.go
@@ -2,24 +2,24 @@
 
 import "strings"
 
-// ConnectionEffect is what a statement changes on the connection that it runs on.
+// ConnectionEffect says what a statement changes in the state of its connection.
 type ConnectionEffect int
 
-// The effects. Unsupported can be neither replayed on another connection nor undone by itself.
+// The effects. The change by an Unsupported statement cannot be repeated on another connection, nor undone separately.
 const (
 	LeavesNothing ConnectionEffect = iota
 	SetsOptions                    // SET name = value, ...
 	SetsDatabase                   // USE name
 	CreatesTable                   // CREATE TEMPORARY TABLE name
 	DropsTable                     // DROP TABLE name: temporary or not
-	Unsupported                    // SET ROLE, transactions, temporary views and so on
+	Unsupported                    // SET ROLE, transactions, temporary objects other than tables
 )
 
-// Option is one name and value of a SET, as text.
+// Option holds one assignment of a SET statement. Quotes around the value are removed.
 type Option struct{ Name, Value string }
 
-// OnConnection returns the effect of a statement of the ClickHouse dialect on its connection, the name of the database or
-// table, and the options.
+// OnConnection returns the effect of a statement in the ClickHouse dialect on its connection, the name of the database or
+// table that is set, created or dropped, and the options of a SET.
 func OnConnection(statement string) (effect ConnectionEffect, name string, options []Option) {
 	s := scanner{text: statement}
 	switch s.keyword() {
@@ -42,7 +42,7 @@
 	return LeavesNothing, "", nil
 }
 
-// create scans what follows CREATE.
+// create scans the rest of a statement after CREATE.
 func (s *scanner) create() (ConnectionEffect, string) {
 	keyword := s.keyword()
 	if keyword == "OR" { // REPLACE
@@ -64,7 +64,7 @@
 	return CreatesTable, s.qualifiedName(name)
 }
 
-// drop scans what follows DROP.
+// drop scans the rest of a statement after DROP.
 func (s *scanner) drop() (ConnectionEffect, string) {
 	keyword := s.keyword()
 	if keyword == "TEMPORARY" {
@@ -81,7 +81,8 @@
 	return DropsTable, s.qualifiedName(name)
 }
 
-// qualifiedName scans the rest of a name that begins with first; the result is in lower case and without quotes.
+// qualifiedName scans the qualifiers that follow first, the first part of a name. It returns the whole name in lower case
+// and without quotes.
 func (s *scanner) qualifiedName(first string) string {
 	name := unquoteName(strings.ToLower(first))
 	for s.peek() == '.' {
@@ -92,7 +93,7 @@
 	return name
 }
 
-// setOptions scans what follows SET.
+// setOptions scans the rest of a statement after SET.
 func (s *scanner) setOptions() (ConnectionEffect, []Option) {
 	var options []Option
 	for {
@@ -113,7 +114,8 @@
 	}
 }
 
-// optionValue scans a value up to a comma, which more reports, a semicolon or the end.
+// optionValue scans a value up to a comma, a semicolon or the end. It sets more if the value ends with a comma, and ok to
+// false if the scanner finds an invalid token.
 func (s *scanner) optionValue() (value string, more, ok bool) {
 	for {
 		kind, text := s.next()
--- a/classify/hints.go
+++ b/classify/hints.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// HeaderPrefix begins the call headers that state what a hint comment may: embershunt-class and so on.
+// HeaderPrefix is the prefix of the call headers that carry hints, such as embershunt-class. They are the same hints as in
+// a hint comment, with "-" in place of "_".
 const HeaderPrefix = "embershunt-"
 
-// hintNames are the names of hints.
+// hintNames lists the hints that a comment or a header may give.
 var hintNames = []string{"class", "tenant", "cost_ms", "memory_mb", "key", "tables", "retry"}
 
-// BadHintError is the error of a hint with an invalid value.
+// BadHintError reports a hint with an invalid value.
 type BadHintError struct{ Name, Value, Allowed string }
 
-// Error names the hint, its value and the values that are allowed.
+// Error returns the hint, its value and the allowed values.
 func (e *BadHintError) Error() string {
 	return fmt.Sprintf("hint %s=%q: allowed: %s", e.Name, e.Value, e.Allowed)
 }
@@ -48,7 +49,8 @@
 	return out
 }
 
-// applyHints applies the hint comment and then the hint headers; what the comment states, a header does not change.
+// applyHints applies the hint comment and then the hint headers. A header does not change a trait that the comment has set,
+// except retry, where the header wins.
 func (t *Table) applyHints(f Facts, out *Traits) error {
 	comment := parseHints(f.Statement)
 	if err := t.applyHintsFrom(func(name string) string { return comment[name] }, out); err != nil {
@@ -60,7 +62,7 @@
 	return t.applyHintsFrom(func(name string) string { return f.Header(HeaderPrefix + strings.ReplaceAll(name, "_", "-")) }, out)
 }
 
-// applyHintsFrom applies the hints of one source, whose value is "" for a hint that it does not have.
+// applyHintsFrom applies the hints of one source. The function value returns "" for a hint that the source does not have.
 func (t *Table) applyHintsFrom(value func(name string) string, out *Traits) error {
 	for _, name := range hintNames {
 		if v := value(name); v != "" {
@@ -72,13 +74,14 @@
 	return nil
 }
 
+// applyHint sets the trait of one hint, unless an earlier hint has set it; retry is always set.
 func (t *Table) applyHint(name, value string, out *Traits) error {
 	switch name {
 	case "class":
 		out.Hinted = true
-		return chooseHinted(name, value, t.Classes, &out.Class)
+		return setIndexByName(name, value, t.Classes, &out.Class)
 	case "tenant":
-		return chooseHinted(name, value, t.Tenants, &out.Tenant)
+		return setIndexByName(name, value, t.Tenants, &out.Tenant)
 	case "cost_ms", "memory_mb":
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !inRange(v, 0, 1e9) {
@@ -103,8 +106,9 @@
 	return nil
 }
 
-// chooseHinted sets index to that of the value among names, unless it is set already.
-func chooseHinted(name, value string, names []string, index *int) error {
+// setIndexByName sets index to the position of value in names, unless index is set already. An unknown value is an error in
+// both cases.
+func setIndexByName(name, value string, names []string, index *int) error {
 	i := slices.Index(names, value)
 	if i < 0 {
 		return &BadHintError{name, value, strings.Join(names, ", ")}
@@ -115,5 +119,5 @@
 	return nil
 }
 
-// inRange is false for NaN.
+// inRange reports whether v is between low and high, both included; it is false for NaN.
 func inRange(v, low, high float64) bool { return v >= low && v <= high }
--- a/classify/scanner.go
+++ b/classify/scanner.go
@@ -2,17 +2,18 @@
 
 import "strings"
 
+// tokenKind says what a token of a statement is.
 type tokenKind int
 
 const (
 	tokenEnd     tokenKind = iota
-	tokenInvalid           // a quote or comment that does not end, or whose end is in doubt
+	tokenInvalid           // a quoted string or comment that does not end, or whose end depends on the dialect
 	tokenWord
 	tokenQuoted
 	tokenOther // a single character
 )
 
-// scanner splits a statement into words, quoted strings and single characters, and skips comments.
+// scanner splits a statement into words, quoted strings and single characters. It skips white space and comments.
 type scanner struct {
 	text   string
 	offset int
@@ -25,7 +26,7 @@
 	return c == '_' || c == '$' || c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= 0x80
 }
 
-// peek is the next character that is no space; 0 at the end.
+// peek returns the next character that is not white space, without consuming it; 0 at the end.
 func (s *scanner) peek() byte {
 	for i := s.offset; i < len(s.text); i++ {
 		if c := s.text[i]; !isSpace(c) {
@@ -60,12 +61,13 @@
 	return tokenEnd, ""
 }
 
-// invalid ends the scan.
+// invalid returns an invalid token and ends the scan: later calls of next return tokenEnd.
 func (s *scanner) invalid() (tokenKind, string) {
 	s.offset = len(s.text)
 	return tokenInvalid, ""
 }
 
+// word scans a word; rest is the text from the offset on, as in the skip methods.
 func (s *scanner) word(rest string) string {
 	n := 1
 	for n < len(rest) && isWordByte(rest[n]) {
@@ -75,6 +77,7 @@
 	return rest[:n]
 }
 
+// skipLine skips a line comment.
 func (s *scanner) skipLine(rest string) {
 	end := strings.IndexByte(rest, '\n')
 	if end < 0 {
@@ -84,8 +87,9 @@
 	}
 }
 
-// skipBlockComment skips a block comment, and keeps the first one as the hint. It is false for one that does not end, for
-// a nested one, whose end depends on the dialect, and for /*! ... */, whose content some servers run.
+// skipBlockComment skips a block comment and keeps the content of the first one as the hint. It returns false for a comment
+// that does not end, for a nested comment, whose end depends on the dialect, and for /*! ... */, whose content some servers
+// execute.
 func (s *scanner) skipBlockComment(rest string) bool {
 	end := strings.Index(rest[2:], "*/")
 	if end < 0 {
@@ -102,8 +106,8 @@
 	return true
 }
 
-// quoted scans a quoted string; a doubled quote stands for itself. A backslash before a quote makes the end doubtful, for
-// dialects differ: the token is invalid, and the statement counts as an update.
+// quoted scans a quoted string, in which a doubled quote stands for a single one. If a backslash precedes a quote, the end
+// of the string depends on the dialect: the token is invalid, and the statement counts as an update.
 func (s *scanner) quoted(quote byte) (tokenKind, string) {
 	begin := s.offset
 	for i := s.offset + 1; i < len(s.text); i++ {
@@ -125,7 +129,7 @@
 	return s.invalid()
 }
 
-// keyword is the next token as text, a word in upper case; "" at the end.
+// keyword returns the text of the next token, with words in upper case; "" at the end and for an invalid token.
 func (s *scanner) keyword() string {
 	kind, text := s.next()
 	switch kind {
@@ -137,5 +141,5 @@
 	return text
 }
 
-// unquoteName strips the quotes of identifiers.
+// unquoteName strips double quotes and backquotes, which enclose identifiers.
 func unquoteName(s string) string { return strings.Trim(s, "\"`") }
--- a/classify/statement.go
+++ b/classify/statement.go
@@ -2,20 +2,20 @@
 
 import "strings"
 
-// readKeywords may start a statement that only reads.
+// readKeywords are the first keywords of statements that may be reads.
 var readKeywords = map[string]bool{"SELECT": true, "WITH": true, "SHOW": true, "DESCRIBE": true, "DESC": true,
 	"EXPLAIN": true, "VALUES": true, "TABLE": true}
 
-// writeKeywords make a statement an update wherever they are unquoted: a WITH may lead to an INSERT, a SELECT may write
-// INTO, an EXPLAIN ANALYZE may run what it explains, and a second statement may follow the first.
+// writeKeywords make a statement an update wherever they occur unquoted: an INSERT may follow a WITH, a SELECT may write
+// INTO a table, an EXPLAIN ANALYZE may execute the statement that it explains, and a second statement may follow the first.
 var writeKeywords = map[string]bool{"INSERT": true, "UPDATE": true, "DELETE": true, "MERGE": true, "INTO": true,
 	"CREATE": true, "DROP": true, "ALTER": true, "TRUNCATE": true, "REPLACE": true, "UPSERT": true, "GRANT": true,
 	"REVOKE": true, "CALL": true, "COPY": true, "LOAD": true, "SET": true, "BEGIN": true, "COMMIT": true,
 	"ROLLBACK": true, "LOCK": true, "VACUUM": true, "ATTACH": true, "DETACH": true, "OPTIMIZE": true, "EXEC": true,
 	"EXECUTE": true, "DO": true, "RENAME": true, "KILL": true, "SYSTEM": true, "USE": true}
 
-// IsRead tells whether a statement certainly only reads. A doubtful one counts as an update: a read taken for an update
-// costs a retry, an update taken for a read may run twice. Functions with side effects cannot be recognized.
+// IsRead reports whether a statement certainly only reads. In doubt it counts as an update: a read taken for an update
+// loses a retry at worst, while an update taken for a read may run twice. Functions with side effects are not recognized.
 func IsRead(statement string) bool {
 	s := scanner{text: statement}
 	first := true
@@ -44,8 +44,7 @@
 	}
 }
 
-// IsInsert tells whether a statement certainly is one INSERT and nothing else, so that a deduplication token covers all of
-// its effect.
+// IsInsert reports whether a statement certainly is a single INSERT, so that a deduplication token covers its whole effect.
 func IsInsert(statement string) bool {
 	s := scanner{text: statement}
 	for first, ended := true, false; ; {
@@ -62,8 +61,8 @@
 	}
 }
 
-// InsertsClientData tells whether a statement is an INSERT whose rows follow from the client: it ends with VALUES or
-// FORMAT and a name, or has neither VALUES nor SELECT.
+// InsertsClientData reports whether a statement is an INSERT whose rows the client sends after it. Such a statement either
+// ends with VALUES or has none of VALUES, SELECT and WITH; the latter covers INSERT INTO t FORMAT name.
 func InsertsClientData(statement string) bool {
 	s := scanner{text: statement}
 	first, hasSource, last := "", false, ""
@@ -83,7 +82,8 @@
 	return first == "INSERT" && (!hasSource || last == "VALUES")
 }
 
-// StripComments is a statement without its comments and with single spaces; an invalid one is unchanged.
+// StripComments returns a statement without its comments and with one space between tokens. An invalid statement is returned
+// unchanged.
 func StripComments(statement string) string {
 	s := scanner{text: statement}
 	var b strings.Builder
@@ -102,7 +102,8 @@
 	}
 }
 
-// firstTable is the name after the first FROM, INTO, UPDATE or JOIN, without quotes; "" if there is none.
+// firstTable returns the first table name that follows FROM, INTO, UPDATE or JOIN, in lower case and without quotes; "" if
+// there is none.
 func firstTable(statement string) string {
 	s := scanner{text: statement}
 	for {
@@ -122,7 +123,7 @@
 	}
 }
 
-// tableName scans a name with its qualifiers, in lower case and without quotes; "" if none follows.
+// tableName scans a name with its qualifiers. It returns the name in lower case and without quotes, "" if no name follows.
 func (s *scanner) tableName() string {
 	name := ""
 	for {
--- a/classify/statement_test.go
+++ b/classify/statement_test.go
@@ -37,15 +37,17 @@
 }
 
 func TestIsInsert(t *testing.T) {
-	for statement, want := range map[string]bool{"INSERT INTO t VALUES": true, " /* c */ insert into t select 1;": true, "INSERT INTO t VALUES (1); DROP TABLE t": false,
-		"SELECT 1": false, "": false, "INSERT INTO t VALUES ('x": false} {
+	for statement, want := range map[string]bool{"INSERT INTO t VALUES": true, " /* c */ insert into t select 1;": true,
+		"INSERT INTO t VALUES (1); DROP TABLE t": false, "SELECT 1": false, "": false, "INSERT INTO t VALUES ('x": false} {
 		if got := IsInsert(statement); got != want {
-			t.Errorf("IsInsert(%s) is %v", statement, got)
+			t.Errorf("IsInsert(%q) = %v", statement, got)
 		}
 	}
 }
 
-// A statement that counts as a read has no write keyword outside of quotes and comments; nothing panics.
+// FuzzStatement checks that no statement makes the scanner panic. It also guards against a read that hides the text after
+// it, for example behind an unterminated quote: with a DELETE appended, the statement must not count as a read anymore.
+// Statements with - or # are exempt, since a line comment at their end may hide the DELETE.
 func FuzzStatement(f *testing.F) {
 	f.Add("SELECT 'a' /* class=x */ FROM t -- c\n")
 	f.Add("WITH a AS (SELECT 1) DELETE FROM t")
@@ -53,7 +55,7 @@
 		parseHints(s)
 		firstTable(s)
 		if IsRead(s) && IsRead(s+"; DELETE FROM t") && !strings.ContainsAny(s, "-#") {
-			t.Errorf("%q hides what follows it", s)
+			t.Errorf("IsRead(%q) stays true with an appended DELETE", s)
 		}
 	})
 }
