--- a/config/classes.go
+++ b/config/classes.go
@@ -7,13 +7,15 @@
 	"embershunt/policy"
 )
 
-// UpdatesSuffix ends the name of the class that a class's updates fall in, where their effect differs.
+// UpdatesSuffix is appended to the name of a class to name the derived class of its updates. There is one if the effect of the
+// updates differs from the effect of the class.
 const UpdatesSuffix = " (updates)"
 
-// KeyedSuffix ends the name of the class that a class's inserts with a deduplication token fall in.
+// KeyedSuffix is appended to the name of a class to name the derived class of its inserts with a deduplication token. There is
+// one if the class has a dedup window and its updates are unsafe.
 const KeyedSuffix = " (keyed)"
 
-// The words of a class's effect.
+// The values of Class.Effect and Class.Updates.
 const (
 	effectSafe   = "safe"
 	effectKeyed  = "keyed"
@@ -26,8 +28,8 @@
 	dedupScopes = map[string]policy.DedupScope{"all": policy.DedupFleet, "hall": policy.DedupZone, "cell": policy.DedupPlacementGroup}
 )
 
-// buildClasses checks the classes and derives the policy's: those of the file in their order, then the ones that updates and
-// inserts with a deduplication token fall in. It returns false where there are none.
+// buildClasses checks the classes and builds the classes of the policy: those of the file in their order, then the derived
+// classes of updates and of inserts with a deduplication token. It returns false if the file has no classes.
 func (c *Config) buildClasses(v validator, kinds []string) bool {
 	f := &c.File
 	var derived []policy.Class
@@ -41,7 +43,7 @@
 	}
 	v.unique("classes", c.Classes.Classes)
 	if len(f.Classes) == 0 {
-		v.violation("classes", "none", "at least one class")
+		v.addViolation("classes", "none", "at least one class")
 		return false
 	}
 	for i := range derived {
@@ -54,8 +56,8 @@
 	return true
 }
 
-// deriveClasses appends the classes of a class's updates and keyed inserts, where their effect differs from its own, and
-// enters their places in the classification.
+// deriveClasses appends to derived the classes for the updates and the keyed inserts of class i, if their effect differs from
+// the effect of the class. It enters their indexes in the classification table.
 func (c *Config) deriveClasses(i int, class *Class, built policy.Class, derived []policy.Class) []policy.Class {
 	next := func() int { return len(c.File.Classes) + len(derived) }
 	updates, keyed := i, -1
@@ -66,7 +68,7 @@
 	}
 	if class.Updates == effectKeyed {
 		keyed = updates
-	} else if class.Updates == effectUnsafe && class.DedupWindow > 0 { // nodes remember tokens
+	} else if class.Updates == effectUnsafe && class.DedupWindow > 0 { // nodes remember deduplication tokens
 		keyed = next()
 		built.Name, built.Effect = class.Name+KeyedSuffix, policy.IdempotentByKey
 		derived = append(derived, built)
@@ -76,10 +78,11 @@
 	return derived
 }
 
+// validate checks the fields of a class; at is its path.
 func (k *Class) validate(v validator, at string) {
-	v.duration(at+".deadline", k.Deadline, time.Millisecond, longest)
-	v.duration(at+".aim", k.LatencyObjective, time.Millisecond, longest)
-	v.duration(at+".window", k.DedupWindow, 0, longest)
+	v.duration(at+".deadline", k.Deadline, time.Millisecond, maxDuration)
+	v.duration(at+".aim", k.LatencyObjective, time.Millisecond, maxDuration)
+	v.duration(at+".window", k.DedupWindow, 0, maxDuration)
 	v.inRange(at+".worth", k.PriorityWeight, 0, 1e9)
 	v.inRange(at+".late_worth", k.LateWeight, 0, 1)
 	v.inRange(at+".aim_stretch", k.ObjectiveStretch, 0, 1000)
@@ -87,20 +90,21 @@
 	k.validateEffect(v, at, ".effect", k.Effect)
 	k.validateEffect(v, at, ".updates", k.Updates)
 	if _, ok := dedupScopes[k.DedupScope]; !ok {
-		v.violation(at+".group", quoted(k.DedupScope), "all, hall, cell")
+		v.addViolation(at+".group", quoted(k.DedupScope), "all, hall, cell")
 	}
 }
 
+// validateEffect checks an effect in the given field. The effect "keyed" needs a dedup window.
 func (k *Class) validateEffect(v validator, at, field, effect string) {
 	if _, ok := effects[effect]; !ok {
-		v.violation(at+field, quoted(effect), "safe, keyed, unsafe")
+		v.addViolation(at+field, quoted(effect), "safe, keyed, unsafe")
 	}
 	if effect == effectKeyed && k.DedupWindow == 0 {
-		v.violation(at+".window", "none", "how long nodes remember a key, since the class is keyed")
+		v.addViolation(at+".window", "none", "how long nodes remember a key, which keyed classes need")
 	}
 }
 
-// policyClass is the class as the policy knows it, by the indexes of zones and kinds.
+// policyClass returns the class for the policy, which refers to zones and kinds by index.
 func (k *Class) policyClass(v validator, at string, zones, kinds []string) policy.Class {
 	built := policy.Class{
 		Name:             k.Name,
--- a/config/config.go
+++ b/config/config.go
@@ -8,15 +8,15 @@
 	"embershunt/policy"
 )
 
-// Config is a configuration in effect.
+// Config is a validated configuration with all defaults, and what is derived from it.
 type Config struct {
 	File     File
 	Settings policy.Settings
 	Classes  classify.Table
-	Keys     [][]byte
+	Keys     [][]byte // decoded File.Keys
 }
 
-// Load reads and validates a file.
+// Load reads and validates a configuration file. An error about its content is *Violations.
 func Load(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,7 +25,7 @@
 	return Parse(path, text)
 }
 
-// FromFile validates a configuration that was made in memory.
+// FromFile validates a configuration that was built in memory. An error about its content is *Violations.
 func FromFile(f File) (*Config, error) {
 	text, err := json.Marshal(f)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return Parse(f.Name, text)
 }
 
-// Parse validates a configuration. Its error is *Violations.
+// Parse reads and validates a configuration; name stands for the file in errors. The error is *Violations.
 func Parse(name string, text []byte) (*Config, error) {
 	c := &Config{}
 	d, err := parse(name, text, &c.File)
@@ -49,5 +49,5 @@
 	return c, nil
 }
 
-// Effective is the configuration with all defaults, as JSON.
+// Effective returns the configuration with all defaults as JSON.
 func (c *Config) Effective() ([]byte, error) { return json.MarshalIndent(c.File, "", "  ") }
--- a/config/decode.go
+++ b/config/decode.go
@@ -1,5 +1,5 @@
-// Package config reads the dispatcher's configuration: one file, JSON with comments. It is validated as a whole; every
-// violation is reported at once, with its place, what was found and what is allowed.
+// Package config reads the dispatcher's configuration: one file of JSON with comments. The file is validated as a whole, and
+// all violations are reported together, each with its position, the value found and the values allowed.
 package config
 
 import (
@@ -15,56 +15,57 @@
 	"github.com/tailscale/hujson"
 )
 
-// maxViolations bounds the list: a file that is no configuration at all would fill pages.
+// maxViolations limits the list of violations: a file that is not a configuration at all would fill pages.
 const maxViolations = 100
 
-// Bounds of a file; the parser recurses on its depth.
+// Limits of a file. The nesting is limited because the parser recurses on it.
 const (
-	maxBytes = 16 << 20
-	maxDepth = 64
+	maxFileBytes    = 16 << 20
+	maxNestingDepth = 64
 )
 
-// decoder reads a syntax tree into a struct and remembers where each field stood.
+// decoder decodes a syntax tree into a struct and records the offset of each field, for the positions of violations.
 type decoder struct {
 	text       []byte
-	places     map[string]int // byte offset by path
+	offsets    map[string]int // byte offset by path
 	violations []Violation
 }
 
-// place turns an offset into line and column, in bytes, from 1.
-func (d *decoder) place(offset int) (line, column int) {
+// position returns the line and column of a byte offset; both start at 1, and columns count bytes.
+func (d *decoder) position(offset int) (line, column int) {
 	offset = min(max(offset, 0), len(d.text))
 	before := string(d.text[:offset])
 	return strings.Count(before, "\n") + 1, offset - strings.LastIndexByte(before, '\n')
 }
 
-// violation adds a Violation at a path, with the nearest place known at or above it.
-func (d *decoder) violation(path, found, allowed string) {
-	if len(d.violations) >= maxViolations || slices.ContainsFunc(d.violations, func(m Violation) bool { return m.Field == path && path != "" }) {
-		return // one mistake a field: others mostly follow from it
+// addViolation adds a Violation at a path. Its position is that of the path, or else of the closest known parent.
+func (d *decoder) addViolation(path, found, allowed string) {
+	if len(d.violations) >= maxViolations ||
+		slices.ContainsFunc(d.violations, func(v Violation) bool { return v.Field == path && path != "" }) {
+		return // one violation per field: others mostly follow from it
 	}
-	at, ok := d.places[path]
-	for up := path; !ok && up != ""; at, ok = d.places[up] {
-		if i := strings.LastIndexAny(up, ".["); i >= 0 {
-			up = up[:i]
+	offset, ok := d.offsets[path]
+	for parent := path; !ok && parent != ""; offset, ok = d.offsets[parent] {
+		if i := strings.LastIndexAny(parent, ".["); i >= 0 {
+			parent = parent[:i]
 		} else {
-			up = ""
+			parent = ""
 		}
 	}
-	m := Violation{Field: path, Found: found, Allowed: allowed}
-	m.Line, m.Column = d.place(at)
-	d.violations = append(d.violations, m)
+	v := Violation{Field: path, Found: found, Allowed: allowed}
+	v.Line, v.Column = d.position(offset)
+	d.violations = append(d.violations, v)
 }
 
 // Decode reads JSON with comments into v, which points to a struct whose fields have json tags. Unknown fields are
-// mistakes; check, if given, may add more by path. The error is *Violations.
-func Decode(file string, text []byte, v any, check func(wrong func(path, found, allowed string))) error {
+// violations. If check is not nil, it is called after decoding and can add violations by path. The error is *Violations.
+func Decode(file string, text []byte, v any, check func(addViolation func(path, found, allowed string))) error {
 	d, err := parse(file, text, v)
 	if err != nil {
 		return err
 	}
 	if check != nil {
-		check(d.violation)
+		check(d.addViolation)
 	}
 	if len(d.violations) > 0 {
 		return &Violations{file, d.violations}
@@ -72,44 +73,46 @@
 	return nil
 }
 
-// parse reads text into v, which points to a struct.
+// parse decodes text into v, which points to a struct. Violations of single fields are left in the decoder; the error is
+// *Violations, for text that cannot be parsed at all.
 func parse(file string, text []byte, v any) (*decoder, error) {
-	d := &decoder{text: text, places: map[string]int{}}
-	if len(text) > maxBytes {
-		return d, &Violations{file, []Violation{{Found: fmt.Sprintf("%d bytes", len(text)), Allowed: "16 MiB at most"}}}
+	d := &decoder{text: text, offsets: map[string]int{}}
+	if len(text) > maxFileBytes {
+		return d, &Violations{file, []Violation{{Found: fmt.Sprintf("%d bytes", len(text)), Allowed: "at most 16 MiB"}}}
 	}
-	if depth(text) > maxDepth {
+	if nestingDepth(text) > maxNestingDepth {
 		return d, &Violations{file, []Violation{{Found: "brackets nested deeper than 64", Allowed: "64 levels at most"}}}
 	}
 	tree, err := hujson.Parse(text)
 	if err != nil {
 		return d, &Violations{file, []Violation{syntaxViolation(err)}}
 	}
-	d.value("", tree, reflect.ValueOf(v).Elem())
+	d.decodeValue("", tree, reflect.ValueOf(v).Elem())
 	return d, nil
 }
 
-// syntaxViolation takes the place out of the parser's message, where it has one.
+// syntaxViolation converts an error of the parser. It moves the position out of the message, if there is one.
 func syntaxViolation(err error) Violation {
-	m := Violation{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
+	v := Violation{Found: err.Error(), Allowed: "JSON with comments and trailing commas"}
 	i := strings.Index(err.Error(), "line ")
 	if i < 0 {
-		return m
+		return v
 	}
 	var line, column int
 	if n, _ := fmt.Sscanf(err.Error()[i:], "line %d, column %d", &line, &column); n < 2 {
-		return m
+		return v
 	}
-	m.Line, m.Column = line, column
+	v.Line, v.Column = line, column
 	if _, after, ok := strings.Cut(err.Error()[i:], ": "); ok {
-		m.Found = after
+		v.Found = after
 	}
-	return m
+	return v
 }
 
-// depth is the deepest nesting of brackets outside of strings, roughly: the parser recurses on it.
-func depth(text []byte) int {
-	now, deepest, inString := 0, 0, false
+// nestingDepth returns the deepest nesting of brackets outside of strings. It is an estimate, since it does not recognize
+// comments.
+func nestingDepth(text []byte) int {
+	depth, deepest, inString := 0, 0, false
 	for i := 0; i < len(text); i++ {
 		switch c := text[i]; {
 		case inString && c == '\\':
@@ -118,17 +121,17 @@
 			inString = !inString
 		case inString:
 		case c == '{' || c == '[':
-			now++
-			deepest = max(deepest, now)
+			depth++
+			deepest = max(deepest, depth)
 		case c == '}' || c == ']':
-			now--
+			depth--
 		}
 	}
 	return deepest
 }
 
-// shown is a value as a violation quotes it, cut where it is long.
-func shown(v hujson.Value) string {
+// excerpt returns the text of a value for a violation, on one line and cut after 40 bytes.
+func excerpt(v hujson.Value) string {
 	v.Standardize()
 	s := strings.Join(strings.Fields(string(v.Pack())), " ")
 	if len(s) > 40 {
@@ -137,101 +140,104 @@
 	return s
 }
 
-// value reads one value into the field that it stands for.
-func (d *decoder) value(path string, v hujson.Value, into reflect.Value) {
-	d.places[path] = v.StartOffset
+// decodeValue decodes one value into a field.
+func (d *decoder) decodeValue(path string, v hujson.Value, into reflect.Value) {
+	d.offsets[path] = v.StartOffset
 	if lit, ok := v.Value.(hujson.Literal); ok && string(lit) == "null" && into.Kind() != reflect.Struct {
-		return // as if it were absent, so that what configcheck prints can be read again
+		return // like an absent field, so that the output of configcheck is valid input
 	}
 	if into.Type() == durationType {
-		d.duration(path, v, into)
+		d.decodeDuration(path, v, into)
 		return
 	}
 	switch into.Kind() {
 	case reflect.Struct:
-		d.object(path, v, into)
+		d.decodeObject(path, v, into)
 	case reflect.Pointer:
 		into.Set(reflect.New(into.Type().Elem()))
-		d.value(path, v, into.Elem())
+		d.decodeValue(path, v, into.Elem())
 	case reflect.Slice:
-		d.list(path, v, into)
+		d.decodeArray(path, v, into)
 	default:
-		d.scalar(path, v, into)
+		d.decodeScalar(path, v, into)
 	}
 }
 
-func (d *decoder) list(path string, v hujson.Value, into reflect.Value) {
+// decodeArray decodes an array into a slice.
+func (d *decoder) decodeArray(path string, v hujson.Value, into reflect.Value) {
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.violation(path, shown(v), "a list")
+		d.addViolation(path, excerpt(v), "an array")
 		return
 	}
 	into.Set(reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements)))
 	for i, e := range array.Elements {
-		d.value(fmt.Sprintf("%s[%d]", path, i), e, into.Index(i))
+		d.decodeValue(fmt.Sprintf("%s[%d]", path, i), e, into.Index(i))
 	}
 }
 
-// scalar reads a text, a truth value or a number.
-func (d *decoder) scalar(path string, v hujson.Value, into reflect.Value) {
+// decodeScalar decodes a string, a boolean or a number.
+func (d *decoder) decodeScalar(path string, v hujson.Value, into reflect.Value) {
 	switch into.Kind() {
 	case reflect.String:
 		s, ok := literal[string](v)
 		if !ok {
-			d.violation(path, shown(v), "a text in quotes")
+			d.addViolation(path, excerpt(v), "a string")
 			return
 		}
 		into.SetString(s)
 	case reflect.Bool:
 		b, ok := literal[bool](v)
 		if !ok {
-			d.violation(path, shown(v), "true or false")
+			d.addViolation(path, excerpt(v), "true or false")
 			return
 		}
 		into.SetBool(b)
 	case reflect.Int:
 		f, ok := literal[float64](v)
 		if !ok || f != math.Trunc(f) || math.Abs(f) > 1<<53 {
-			d.violation(path, shown(v), "a whole number")
+			d.addViolation(path, excerpt(v), "an integer")
 			return
 		}
 		into.SetInt(int64(f))
 	case reflect.Float64:
 		f, ok := literal[float64](v)
 		if !ok {
-			d.violation(path, shown(v), "a number")
+			d.addViolation(path, excerpt(v), "a number")
 			return
 		}
 		into.SetFloat(f)
 	default:
-		panic("config: a field of type " + into.Type().String())
+		panic("config: field of unsupported type " + into.Type().String())
 	}
 }
 
-// literal reads a literal as T; ok is false for null and for what is no T.
+// literal decodes a literal as T; ok is false for null and for a value of another type.
 func literal[T any](v hujson.Value) (out T, ok bool) {
-	lit, is := v.Value.(hujson.Literal)
-	if !is || string(lit) == "null" {
+	lit, isLiteral := v.Value.(hujson.Literal)
+	if !isLiteral || string(lit) == "null" {
 		return out, false
 	}
 	return out, json.Unmarshal(lit, &out) == nil
 }
 
-func (d *decoder) duration(path string, v hujson.Value, into reflect.Value) {
+// decodeDuration decodes a string such as "250ms" into a Duration.
+func (d *decoder) decodeDuration(path string, v hujson.Value, into reflect.Value) {
 	s, ok := literal[string](v)
 	if ok {
-		if span, err := time.ParseDuration(s); err == nil {
-			into.SetInt(int64(span))
+		if duration, err := time.ParseDuration(s); err == nil {
+			into.SetInt(int64(duration))
 			return
 		}
 	}
-	d.violation(path, shown(v), `a span of time in quotes, such as "250ms", "5s" or "10m"`)
+	d.addViolation(path, excerpt(v), `a duration in quotes, such as "250ms", "5s" or "10m"`)
 }
 
-func (d *decoder) object(path string, v hujson.Value, into reflect.Value) {
+// decodeObject decodes an object into a struct. Unknown and duplicate fields are violations.
+func (d *decoder) decodeObject(path string, v hujson.Value, into reflect.Value) {
 	object, ok := v.Value.(*hujson.Object)
 	if !ok {
-		d.violation(path, shown(v), "an object in braces")
+		d.addViolation(path, excerpt(v), "an object")
 		return
 	}
 	fields, names := map[string]int{}, []string{}
@@ -253,13 +259,13 @@
 		i, known := fields[name]
 		switch {
 		case !known:
-			d.places[at] = m.Name.StartOffset
-			d.violation(at, "the field "+strconv.Quote(name), "one of "+strings.Join(names, ", "))
+			d.offsets[at] = m.Name.StartOffset
+			d.addViolation(at, "the field "+strconv.Quote(name), "one of "+strings.Join(names, ", "))
 		case seen[name]:
-			d.places[at] = m.Name.StartOffset
-			d.violation(at, "the field a second time", "each field once")
+			d.offsets[at] = m.Name.StartOffset
+			d.addViolation(at, "a duplicate field", "each field once")
 		default:
-			d.value(at, m.Value, into.Field(i))
+			d.decodeValue(at, m.Value, into.Field(i))
 		}
 		seen[name] = true
 	}
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// or sets a value where it is zero.
-func or[T comparable](p *T, v T) {
+// setDefault sets a value that is zero.
+func setDefault[T comparable](p *T, v T) {
 	var zero T
 	if *p == zero {
 		*p = v
 	}
 }
 
-// setDefaults gives every field that was left out its default.
+// setDefaults sets the default of each field that is absent or zero.
 func (f *File) setDefaults() {
-	or(&f.Name, "dispatcher")
+	setDefault(&f.Name, "dispatcher")
 	if len(f.Zones) == 0 {
 		f.Zones = []string{"hall"}
 	}
-	or(&f.Zone, f.Zones[0])
-	or(&f.Peers, 1)
-	or(&f.Listen.FlightSQL, "127.0.0.1:32010")
+	setDefault(&f.Zone, f.Zones[0])
+	setDefault(&f.Peers, 1)
+	setDefault(&f.Listen.FlightSQL, "127.0.0.1:32010")
 	if len(f.Classes) > 0 {
-		or(&f.Default, f.Classes[0].Name)
+		setDefault(&f.Default, f.Classes[0].Name)
 	}
 	for i := range f.Classes {
 		f.Classes[i].setDefaults()
@@ -36,65 +36,65 @@
 }
 
 func (k *Class) setDefaults() {
-	or(&k.Effect, effectSafe)
-	or(&k.Updates, effectUnsafe)
-	or(&k.DedupScope, "all")
-	or(&k.Threads, 1)
-	or(&k.PriorityWeight, 1)
+	setDefault(&k.Effect, effectSafe)
+	setDefault(&k.Updates, effectUnsafe)
+	setDefault(&k.DedupScope, "all")
+	setDefault(&k.Threads, 1)
+	setDefault(&k.PriorityWeight, 1)
 }
 
 func (l *Limits) setDefaults() {
-	or(&l.Attempts, 3)
-	or(&l.MaxInFlight, 20000)
-	or(&l.MaxRetryAfter, Duration(2*time.Second))
-	or(&l.DrainGrace, Duration(2*time.Second))
-	or(&l.OrderingGap, Duration(time.Second))
-	or(&l.SlowStartFloor, 0.34)
-	or(&l.SlowStartDuration, Duration(15*time.Second))
-	or(&l.OverloadMultiple, 2)
-	or(&l.OverloadDuration, Duration(2*time.Second))
-	or(&l.OverQuotaWeight, 0.05)
+	setDefault(&l.Attempts, 3)
+	setDefault(&l.MaxInFlight, 20000)
+	setDefault(&l.MaxRetryAfter, Duration(2*time.Second))
+	setDefault(&l.DrainGrace, Duration(2*time.Second))
+	setDefault(&l.OrderingGap, Duration(time.Second))
+	setDefault(&l.SlowStartFloor, 0.34)
+	setDefault(&l.SlowStartDuration, Duration(15*time.Second))
+	setDefault(&l.OverloadMultiple, 2)
+	setDefault(&l.OverloadDuration, Duration(2*time.Second))
+	setDefault(&l.OverQuotaWeight, 0.05)
 }
 
 func (s *Sending) setDefaults() {
-	or(&s.GrantShare, 0.4)
-	or(&s.Shortage, "trim")
-	or(&s.Connect, Duration(250*time.Millisecond))
-	or(&s.MaxFrame, 16<<20)
+	setDefault(&s.GrantShare, 0.4)
+	setDefault(&s.Shortage, "trim")
+	setDefault(&s.Connect, Duration(250*time.Millisecond))
+	setDefault(&s.MaxFrame, 16<<20)
 }
 
 func (f *Front) setDefaults() {
-	or(&f.ResponseMargin, Duration(10*time.Millisecond))
-	or(&f.TicketLife, Duration(10*time.Minute))
-	or(&f.PreparedLife, Duration(24*time.Hour))
-	or(&f.BearerLife, Duration(time.Hour))
-	or(&f.SchemaLife, Duration(5*time.Minute))
-	or(&f.MaxSchemas, 4096)
-	or(&f.MaxStatement, 2<<20)
-	or(&f.MaxParams, 256<<10)
-	or(&f.MaxInsertBytes, 64<<20)
-	or(&f.MaxBufferedInsertBytes, 512<<20)
+	setDefault(&f.ResponseMargin, Duration(10*time.Millisecond))
+	setDefault(&f.TicketLife, Duration(10*time.Minute))
+	setDefault(&f.PreparedLife, Duration(24*time.Hour))
+	setDefault(&f.BearerLife, Duration(time.Hour))
+	setDefault(&f.SchemaLife, Duration(5*time.Minute))
+	setDefault(&f.MaxSchemas, 4096)
+	setDefault(&f.MaxStatement, 2<<20)
+	setDefault(&f.MaxParams, 256<<10)
+	setDefault(&f.MaxInsertBytes, 64<<20)
+	setDefault(&f.MaxBufferedInsertBytes, 512<<20)
 }
 
 func (s *Sessions) setDefaults() {
-	or(&s.Max, 100000)
-	or(&s.Idle, Duration(5*time.Minute))
-	or(&s.Age, Duration(time.Hour))
-	or(&s.RetrySpread, Duration(5*time.Second))
-	or(&s.Retention, Duration(time.Minute))
+	setDefault(&s.Max, 100000)
+	setDefault(&s.Idle, Duration(5*time.Minute))
+	setDefault(&s.Age, Duration(time.Hour))
+	setDefault(&s.RetrySpread, Duration(5*time.Second))
+	setDefault(&s.Retention, Duration(time.Minute))
 }
 
 func (k *Control) setDefaults() {
-	or(&k.KeepVersions, 10)
-	or(&k.Floor, 0.5)
-	or(&k.FloorCount, 1)
-	or(&k.RelistAfter, Duration(time.Minute))
-	or(&k.Reconnect, Duration(30*time.Second))
+	setDefault(&k.KeepVersions, 10)
+	setDefault(&k.Floor, 0.5)
+	setDefault(&k.FloorCount, 1)
+	setDefault(&k.RelistAfter, Duration(time.Minute))
+	setDefault(&k.Reconnect, Duration(30*time.Second))
 }
 
 func (l *Log) setDefaults() {
-	or(&l.Level, "info")
-	or(&l.Format, "json")
-	or(&l.MaxDecisionBytes, 1<<30)
-	or(&l.LearnedInterval, Duration(5*time.Second))
+	setDefault(&l.Level, "info")
+	setDefault(&l.Format, "json")
+	setDefault(&l.MaxDecisionBytes, 1<<30)
+	setDefault(&l.LearnedInterval, Duration(5*time.Second))
 }
--- a/config/duration.go
+++ b/config/duration.go
@@ -7,18 +7,18 @@
 
 var durationType = reflect.TypeFor[Duration]()
 
-// Duration is a span of time, written as a string such as "250ms".
+// Duration is a time.Duration that is written as a string such as "250ms".
 type Duration time.Duration
 
-// D is the span as the standard library has it.
+// D returns the duration as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// MarshalText writes it as it is read.
+// MarshalText returns the form that UnmarshalText and the decoder accept.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads it as it is written in a file, for command lines.
+// UnmarshalText parses the form used in files. Command line parsers call it; files are read by the decoder.
 func (d *Duration) UnmarshalText(text []byte) error {
-	span, err := time.ParseDuration(string(text))
-	*d = Duration(span)
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -8,43 +8,43 @@
 	"embershunt/policy"
 )
 
-// states are the words of a row's state.
-var states = map[string]policy.EndpointState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
+// nodeStates maps the values of Node.State.
+var nodeStates = map[string]policy.EndpointState{"": policy.Healthy, "healthy": policy.Healthy, "draining": policy.Draining,
 	"gone": policy.Removed}
 
-// validateNodes checks rows of a node list.
+// validateNodes checks the rows of a node list; path is the path of the list.
 func (c *Config) validateNodes(v validator, path string, rows []Node) {
 	for i := range rows {
 		at := fmt.Sprintf("%s[%d]", path, i)
-		if _, err := c.node(&rows[i]); err != nil {
-			v.violation(at, err.Error(), "a node with name, address and, where given, a known hall, kind and state")
+		if _, err := c.listNode(&rows[i]); err != nil {
+			v.addViolation(at, err.Error(), "a node with a name, an address and, if given, a known hall, kind and state")
 		}
 	}
 }
 
-// node turns a row of the file into one of the node list; the error names what is wrong with it.
-func (c *Config) node(n *Node) (nodelist.Node, error) {
+// listNode converts a row of a file into a node of the node list. The error names the first invalid field.
+func (c *Config) listNode(n *Node) (nodelist.Node, error) {
 	out := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, PlacementGroup: n.PlacementGroup, Weight: n.Weight}
-	state, ok := states[n.State]
+	state, ok := nodeStates[n.State]
 	if !ok {
-		return out, fmt.Errorf("state %q of node %q: allowed are healthy, draining, gone", n.State, n.Name)
+		return out, fmt.Errorf("node %q has the unknown state %q, allowed are healthy, draining, gone", n.Name, n.State)
 	}
 	out.State = state
 	if n.Name == "" || n.Address == "" && n.Native == "" {
-		return out, fmt.Errorf("node %q at %q: name and address are needed", n.Name, n.Address)
+		return out, fmt.Errorf("node %q at %q: a name and an address are required", n.Name, n.Address)
 	}
-	for _, at := range []struct {
+	for _, timestamp := range []struct {
 		field, text string
 		into        *time.Time
 	}{{"started", n.Started, &out.Started}, {"drain_at", n.DrainAt, &out.DrainAt}} {
-		if at.text == "" {
+		if timestamp.text == "" {
 			continue
 		}
-		t, err := time.Parse(time.RFC3339Nano, at.text)
+		t, err := time.Parse(time.RFC3339Nano, timestamp.text)
 		if err != nil {
-			return out, fmt.Errorf("%s %q of node %q: wanted is RFC 3339", at.field, at.text, n.Name)
+			return out, fmt.Errorf("%s of node %q is %q, which is not an RFC 3339 time", timestamp.field, n.Name, timestamp.text)
 		}
-		*at.into = t
+		*timestamp.into = t
 	}
 	var err error
 	if out.Zone, err = c.Names().Zone(n.Zone); err == nil {
@@ -53,7 +53,7 @@
 	return out, err
 }
 
-// Names are the zones and kinds that rows of a node list may name.
+// Names returns the zones and kinds that rows of a node list may refer to.
 func (c *Config) Names() nodelist.Names {
 	names := nodelist.Names{Zones: c.File.Zones}
 	for _, k := range c.File.Kinds {
@@ -62,12 +62,12 @@
 	return names
 }
 
-// Nodes are the rows of the configuration's own list.
+// Nodes returns the nodes that the configuration file itself lists.
 func (c *Config) Nodes() []nodelist.Node {
 	out := make([]nodelist.Node, 0, len(c.File.Nodes.List))
 	for i := range c.File.Nodes.List {
-		n, err := c.node(&c.File.Nodes.List[i])
-		if err == nil { // checked when the file was read
+		n, err := c.listNode(&c.File.Nodes.List[i])
+		if err == nil { // never fails: the rows were validated when the file was read
 			out = append(out, n)
 		}
 	}
@@ -89,7 +89,7 @@
 	}
 	out := make([]nodelist.Node, len(list.Nodes))
 	for i := range list.Nodes {
-		out[i], _ = c.node(&list.Nodes[i]) // checked just now
+		out[i], _ = c.listNode(&list.Nodes[i]) // validated above
 	}
 	return out, nil
 }
--- a/config/platform.go
+++ b/config/platform.go
@@ -13,14 +13,14 @@
 	"embershunt/policy"
 )
 
-// Platform is what the platform tells a dispatcher.
+// Platform is the validated configuration that the platform supplies to a dispatcher.
 type Platform struct {
 	Name         string
 	Listen       string
 	Seed         uint64
-	Cores        float64 // processors, also parts of one
+	Cores        float64 // processors, may be fractional
 	MemoryMB     float64
-	Sockets      int // descriptors
+	Sockets      int // number of file descriptors
 	PeerListen   string
 	Peers        []string
 	Resolver     string
@@ -30,7 +30,7 @@
 	SocketLimits wire.SocketLimits
 }
 
-// platformFile is the form of the file; keys that it lacks here are skipped.
+// platformFile is the JSON form of the platform's file. Unknown keys are ignored.
 type platformFile struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
@@ -47,10 +47,10 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// MinSockets is the least number of descriptors a dispatcher can be run with.
+// MinSockets is the minimum number of file descriptors for a dispatcher.
 const MinSockets = 64
 
-// LoadPlatform reads and checks the platform's file as a whole.
+// LoadPlatform reads and validates the platform's file. An error names the file.
 func LoadPlatform(path string) (*Platform, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return p, nil
 }
 
-// ParsePlatform checks the platform's file as a whole. An error names the place, what was found and what is allowed.
+// ParsePlatform validates the text of the platform's file. The error describes the first violations found: the field, the value
+// found and the values allowed.
 func ParsePlatform(text []byte) (*Platform, error) {
 	var f platformFile
 	if err := json.Unmarshal(text, &f); err != nil {
@@ -75,9 +76,9 @@
 	}
 	p := &Platform{Name: f.Name, Listen: f.Listen, Cores: f.Limits.Cores, MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets,
 		PeerListen: f.PeerListen, Peers: f.Peers, Resolver: f.Resolver}
-	address := func(place, value string) error {
+	checkAddress := func(field, value string) error {
 		if _, err := netip.ParseAddrPort(value); err != nil {
-			return fmt.Errorf("%s: found %q; allowed: ADDRESS:PORT", place, value)
+			return fmt.Errorf("%s: found %q; allowed: ADDRESS:PORT", field, value)
 		}
 		return nil
 	}
@@ -85,7 +86,7 @@
 	if p.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fmt.Errorf("seed: found %q; allowed: up to 16 hex digits", f.Seed)
 	}
-	if err := errors.Join(address("listen", f.Listen), address("resolver", f.Resolver)); err != nil {
+	if err := errors.Join(checkAddress("listen", f.Listen), checkAddress("resolver", f.Resolver)); err != nil {
 		return nil, err
 	}
 	switch {
@@ -106,14 +107,14 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if s.CanGossip {
-		if err := address("peer_listen", f.PeerListen); err != nil {
+		if err := checkAddress("peer_listen", f.PeerListen); err != nil {
 			return nil, err
 		}
 		if len(f.Peers) != s.Peers {
 			return nil, fmt.Errorf("peers: found %d; allowed: %d, as in settings.peersTotal", len(f.Peers), s.Peers)
 		}
 		for i, a := range f.Peers {
-			if err := address(fmt.Sprintf("peers[%d]", i), a); err != nil {
+			if err := checkAddress(fmt.Sprintf("peers[%d]", i), a); err != nil {
 				return nil, err
 			}
 		}
--- a/config/platform_test.go
+++ b/config/platform_test.go
@@ -28,7 +28,7 @@
 		p.Settings.PeerIndex != 1 || p.Settings.DrainGrace != 1e6 || p.Settings.Classes[0].Name != "lookup" || p.Names.Kinds[0] != "std" {
 		t.Errorf("%+v", p)
 	}
-	// A mistake is told with its place, what was found and what is allowed.
+	// An error names the invalid field, the value found and the values allowed.
 	for _, c := range [][3]string{
 		{`"name":"n3",`, `"name":"n3",,`, "byte "},
 		{`"listen":"127.0.0.4:7001"`, `"listen":"here"`, `listen: found "here"; allowed`},
@@ -47,7 +47,7 @@
 	} {
 		text := strings.Replace(platformFile, c[0], c[1], 1)
 		if text == platformFile {
-			t.Fatalf("%s is not in the file", c[0])
+			t.Fatalf("%s is not in platformFile", c[0])
 		}
 		if _, err := config.ParsePlatform([]byte(text)); err == nil || !strings.Contains(err.Error(), c[2]) {
 			t.Errorf("%s: %v, want %q", c[1], err, c[2])
--- a/config/rules.go
+++ b/config/rules.go
@@ -7,19 +7,19 @@
 	"embershunt/classify"
 )
 
-// buildRules checks the rules and compiles them for the classification.
+// buildRules validates the rules and compiles them for the classification.
 func (c *Config) buildRules(v validator) {
 	names := make([]string, len(c.File.Rules))
 	for i := range c.File.Rules {
 		rule := &c.File.Rules[i]
 		names[i] = rule.Name
-		c.Classes.Rules = append(c.Classes.Rules, rule.build(v, fmt.Sprintf("rules[%d]", i), &c.Classes))
+		c.Classes.Rules = append(c.Classes.Rules, rule.compile(v, fmt.Sprintf("rules[%d]", i), &c.Classes))
 	}
 	v.unique("rules", names)
 }
 
-// build compiles one rule; classes and tenants are looked up in the table.
-func (r *Rule) build(v validator, at string, table *classify.Table) classify.Rule {
+// compile validates and compiles one rule; at is its path. Classes and tenants are looked up in the table.
+func (r *Rule) compile(v validator, at string, table *classify.Table) classify.Rule {
 	built := classify.Rule{
 		Name:      r.Name,
 		User:      v.pattern(at+".user", r.User),
@@ -42,16 +42,16 @@
 		built.Tenant = v.indexOf(at+".tenant", r.Tenant, table.Tenants)
 	}
 	if r.Value != "" && (r.Header == "") == (r.Option == "") {
-		v.violation(at+".value", "a pattern", "one of header and option beside it")
+		v.addViolation(at+".value", "a pattern", "together with either header or option")
 	}
 	validateSource(v, at+".key", r.Key)
 	validateSource(v, at+".tables", r.Tables)
-	v.duration(at+".cost", r.Cost, 0, longest)
+	v.duration(at+".cost", r.Cost, 0, maxDuration)
 	v.inRange(at+".memory_mb", r.MemoryMB, 0, 1e9)
 	return built
 }
 
-// validateSource checks where an order key or a group of tables is taken from: a part of the call, or a header or option by name.
+// validateSource checks the source of an order key or a table group: a part of the call, or the name of a header or option.
 func validateSource(v validator, path, source string) {
 	kind, name, named := strings.Cut(source, ":")
 	switch {
@@ -59,6 +59,6 @@
 	case !named && (kind == "user" || kind == "statement" || kind == "from"):
 	case named && name != "" && (kind == "header" || kind == "option"):
 	default:
-		v.violation(path, quoted(source), "user, statement, from, header:NAME, option:NAME")
+		v.addViolation(path, quoted(source), "user, statement, from, header:NAME, option:NAME")
 	}
 }
--- a/config/settings.go
+++ b/config/settings.go
@@ -6,12 +6,13 @@
 	"embershunt/policy"
 )
 
+// shortages maps the values of Sending.Shortage.
 var shortages = map[string]policy.Shortage{"queue": policy.ShortageQueues, "trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 
-// micros is a duration in the policy's unit.
+// micros returns the duration in microseconds, the unit of the policy.
 func (d Duration) micros() policy.Micros { return d.D().Microseconds() }
 
-// policySettings are the policy's settings but for kinds, tenants and classes.
+// policySettings returns the settings of the policy, except for kinds, tenants and classes.
 func (c *Config) policySettings(zone int) policy.Settings {
 	f, l, s := &c.File, &c.File.Limits, &c.File.Sending
 	return policy.Settings{
@@ -48,7 +49,7 @@
 	}
 }
 
-// buildKinds checks the kinds of machine and returns their names.
+// buildKinds validates the kinds of machine, adds them to the settings of the policy and returns their names.
 func (c *Config) buildKinds(v validator) (names []string) {
 	for i, k := range c.File.Kinds {
 		names = append(names, k.Name)
@@ -58,11 +59,12 @@
 	}
 	v.unique("kinds", names)
 	if len(names) == 0 {
-		v.violation("kinds", "none", "at least one kind of machine")
+		v.addViolation("kinds", "none", "at least one kind of machine")
 	}
 	return names
 }
 
+// buildTenants validates the tenants and adds them to the classification and the settings of the policy.
 func (c *Config) buildTenants(v validator) {
 	for i, t := range c.File.Tenants {
 		c.Classes.Tenants = append(c.Classes.Tenants, t.Name)
--- a/config/validate.go
+++ b/config/validate.go
@@ -10,15 +10,15 @@
 	"embershunt/policy"
 )
 
-// Bounds that several sections share.
+// Limits shared by several sections.
 const (
 	maxDispatchers = 10_000
 	maxSessions    = 10_000_000
-	longest        = 24 * time.Hour // of deadlines, objectives and idle times
+	maxDuration    = 24 * time.Hour // of deadlines, objectives, dedup windows, costs, idle times and ages
 )
 
-// validate checks what the types alone cannot say, a section at a time, and derives what the policy and the classification are
-// given.
+// validate checks what the types do not express, section by section, and builds the settings of the policy and the
+// classification table.
 func (c *Config) validate(v validator) {
 	zone := c.validateIdentity(v)
 	c.validateKeys(v)
@@ -39,12 +39,13 @@
 	if len(v.violations) > 0 {
 		return
 	}
-	if _, err := policy.New(0, c.Settings); err != nil { // should the checks above miss something
-		v.violation("", err.Error(), "what the module takes")
+	if _, err := policy.New(0, c.Settings); err != nil { // in case the checks above miss something
+		v.addViolation("", err.Error(), "settings that the policy accepts")
 	}
 }
 
-// validateIdentity checks who the dispatcher is and where it listens; it returns the index of its zone.
+// validateIdentity checks the zone, the index among the peers and the addresses of the dispatcher. It returns the index of its
+// zone, 0 if the zone is unknown.
 func (c *Config) validateIdentity(v validator) (zone int) {
 	f := &c.File
 	v.unique("halls", f.Zones)
@@ -57,12 +58,12 @@
 	return max(zone, 0)
 }
 
-// validateKeys decodes the sealing keys.
+// validateKeys validates and decodes the sealing keys.
 func (c *Config) validateKeys(v validator) {
 	for i, text := range c.File.Keys {
 		key, ok := hexKey(text)
 		if !ok {
-			v.violation(fmt.Sprintf("keys[%d]", i), fmt.Sprintf("%d characters", len(text)), "64 hex digits (32 bytes)")
+			v.addViolation(fmt.Sprintf("keys[%d]", i), fmt.Sprintf("%d characters", len(text)), "64 hex digits (32 bytes)")
 		}
 		c.Keys = append(c.Keys, key)
 	}
@@ -71,19 +72,19 @@
 func (c *Config) validateUsers(v validator) {
 	f := &c.File
 	if f.AnyUser == (len(f.Users) > 0) {
-		v.violation("users", fmt.Sprintf("%d users and any_user %v", len(f.Users), f.AnyUser), "either users or any_user: true")
+		v.addViolation("users", fmt.Sprintf("%d users and any_user %v", len(f.Users), f.AnyUser), "either users or any_user: true")
 	}
 	for i, u := range f.Users {
 		if u.Name == "" || strings.Contains(u.Name, ":") {
-			v.violation(fmt.Sprintf("users[%d].name", i), quoted(u.Name), "a name without a colon")
+			v.addViolation(fmt.Sprintf("users[%d].name", i), quoted(u.Name), "a name without a colon")
 		}
 		if _, err := bcrypt.Cost([]byte(u.Bcrypt)); err != nil {
-			v.violation(fmt.Sprintf("users[%d].bcrypt", i), fmt.Sprintf("%d characters", len(u.Bcrypt)), "a bcrypt hash ($2a$...)")
+			v.addViolation(fmt.Sprintf("users[%d].bcrypt", i), fmt.Sprintf("%d characters", len(u.Bcrypt)), "a bcrypt hash ($2a$...)")
 		}
 	}
 }
 
-// validateNodeSource wants exactly one source of the node list.
+// validateNodeSource checks that the node list has exactly one source, and validates that source.
 func (c *Config) validateNodeSource(v validator) {
 	n := &c.File.Nodes
 	sources := 0
@@ -93,7 +94,7 @@
 		}
 	}
 	if sources != 1 {
-		v.violation("nodes", fmt.Sprintf("%d sources", sources), "exactly one of file, eds, list; or control in their place")
+		v.addViolation("nodes", fmt.Sprintf("%d sources", sources), "exactly one of file, eds, list; or control in their place")
 	}
 	if c.File.Control != nil {
 		c.File.Control.validate(v)
@@ -101,7 +102,7 @@
 	if n.EDS != nil {
 		v.address("nodes.eds.address", n.EDS.Address)
 		if n.EDS.Cluster == "" {
-			v.violation("nodes.eds.cluster", "none", "the name of the cluster to watch")
+			v.addViolation("nodes.eds.cluster", "none", "the name of the cluster to watch")
 		}
 	}
 	c.validateNodes(v, "nodes.list", n.List)
@@ -110,24 +111,24 @@
 func (k *Control) validate(v validator) {
 	v.address("control.address", k.Address)
 	if k.Cluster == "" {
-		v.violation("control.cluster", "none", "the name of the node list to watch")
+		v.addViolation("control.cluster", "none", "the name of the node list to watch")
 	}
 	if k.Floor < 0 || k.Floor > 1 || k.FloorCount < 0 || k.KeepVersions < 2 || k.KeepVersions > 1000 {
-		v.violation("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.KeepVersions),
+		v.addViolation("control", fmt.Sprintf("floor %v, floor_count %d, keep %d", k.Floor, k.FloorCount, k.KeepVersions),
 			"floor 0 to 1, floor_count 0 or more, keep 2 to 1000")
 	}
 	if _, ok := hexKey(k.OperatorKey); !ok && k.OperatorKey != "" {
-		v.violation("control.operator_key", fmt.Sprintf("%d characters", len(k.OperatorKey)), "64 hex digits, or none")
+		v.addViolation("control.operator_key", fmt.Sprintf("%d characters", len(k.OperatorKey)), "64 hex digits (32 bytes), or empty")
 	}
 	if k.RelistAfter < 0 || k.Reconnect < 0 {
-		v.violation("control", "a span under 0", "relist_after and reconnect_most of 0 or more")
+		v.addViolation("control", "a negative duration", "relist_after and reconnect_most of 0 or more")
 	}
 }
 
 func (c *Config) validateSending(v validator) {
 	s := &c.File.Sending
 	if _, ok := shortages[s.Shortage]; !ok {
-		v.violation("sending.shortage", quoted(s.Shortage), "queue, trim, swap")
+		v.addViolation("sending.shortage", quoted(s.Shortage), "queue, trim, swap")
 	}
 	v.inRange("sending.grant_share", s.GrantShare, 0.01, 1)
 	v.count("sending.max_frame_bytes", s.MaxFrame, 64<<10, 1<<30)
@@ -151,7 +152,7 @@
 	v.duration("limits.cold_span", l.OverloadDuration, time.Millisecond, time.Hour)
 }
 
-// maxTokenLife bounds the time for which clients may hold tickets, handles and tokens.
+// maxTokenLife is the longest validity allowed of tickets, prepared statement handles, bearer tokens and cached schemas.
 const maxTokenLife = 30 * 24 * time.Hour
 
 func (c *Config) validateFront(v validator) {
@@ -173,8 +174,8 @@
 	v.count("sessions.most", s.Max, 1, maxSessions)
 	v.count("sessions.per_tenant", s.PerTenant, 0, maxSessions)
 	v.count("sessions.per_node", s.PerNode, 0, maxSessions)
-	v.duration("sessions.idle", s.Idle, 10*time.Millisecond, longest)
-	v.duration("sessions.age", s.Age, 10*time.Millisecond, longest)
+	v.duration("sessions.idle", s.Idle, 10*time.Millisecond, maxDuration)
+	v.duration("sessions.age", s.Age, 10*time.Millisecond, maxDuration)
 	v.duration("sessions.spread", s.RetrySpread, 0, time.Hour)
 	v.duration("sessions.keep", s.Retention, 0, time.Hour)
 }
--- a/config/violation.go
+++ b/config/violation.go
@@ -5,40 +5,40 @@
 	"strings"
 )
 
-// Violation is one thing wrong with a file.
+// Violation describes one invalid value or syntax error in a file.
 type Violation struct {
-	Line, Column int // from 1; 0 where the whole file is meant
-	Field        string
+	Line, Column int    // from 1; 0 for the file as a whole
+	Field        string // path, such as classes[0].aim; empty for the file as a whole
 	Found        string
 	Allowed      string
 }
 
-// String reads as "LINE:COLUMN: FIELD: found X, allowed: Y".
-func (m Violation) String() string {
+// String returns "LINE:COLUMN: FIELD: found X, allowed: Y".
+func (v Violation) String() string {
 	where := ""
-	if m.Line > 0 {
-		where = fmt.Sprintf("%d:%d: ", m.Line, m.Column)
+	if v.Line > 0 {
+		where = fmt.Sprintf("%d:%d: ", v.Line, v.Column)
 	}
-	if m.Field != "" {
-		where += m.Field + ": "
+	if v.Field != "" {
+		where += v.Field + ": "
 	}
-	if m.Found != "" {
-		where += "found " + m.Found + ", "
+	if v.Found != "" {
+		where += "found " + v.Found + ", "
 	}
-	return where + "allowed: " + m.Allowed
+	return where + "allowed: " + v.Allowed
 }
 
-// Violations is the error of a file with at least one.
+// Violations is the error of a file that has at least one Violation.
 type Violations struct {
 	File string
 	All  []Violation
 }
 
-// Error has one line for each violation, led by the name of the file.
-func (m *Violations) Error() string {
-	lines := make([]string, len(m.All))
-	for i, one := range m.All {
-		lines[i] = m.File + ":" + one.String()
+// Error returns one line per violation, each prefixed with the name of the file.
+func (v *Violations) Error() string {
+	lines := make([]string, len(v.All))
+	for i, violation := range v.All {
+		lines[i] = v.File + ":" + violation.String()
 	}
 	return strings.Join(lines, "\n")
 }
