--- a/control/events.go
+++ b/control/events.go
@@ -7,27 +7,27 @@
 	"embershunt/nodelist"
 )
 
-// LiveState is the dispatcher's state at the moment of a decision, as far as the safety checks need it.
+// LiveState is the part of the dispatcher's current state that the safety checks compare a set with.
 type LiveState struct {
 	InFlight        map[string]int // queries without a final answer, by class
-	Retries         int            // retries within the window of the retry budget
-	Received        int            // queries received within it
-	OrderKeyResting bool           // an order key is in its ordering gap, or may be
+	Retries         int            // retries sent within the window of the retry budget
+	Received        int            // queries received within the same window
+	OrderKeyResting bool           // an order key has an attempt in flight or is in its ordering gap
 }
 
-// Event is an input of the module.
+// Event is an input of Module.Step.
 type Event interface{ isEvent() }
 
-// The events.
+// The events that Step accepts.
 type (
-	// Offered is one resource of one response of the control service. Err is why it cannot be decoded; Message and
-	// Nodes are empty then.
+	// Offered is one resource, or one node list, from a response of the control service. Err is set where it cannot be
+	// decoded; Message and Nodes are empty then.
 	Offered struct {
 		Kind    Kind
 		Version string // of the response, opaque
 		Nonce   string
-		Message proto.Message   // for the kinds of settings
-		Nodes   []nodelist.Node // for Nodes
+		Message proto.Message   // for all kinds but Nodes
+		Nodes   []nodelist.Node // for the kind Nodes
 		Err     error
 		Live    LiveState
 	}
@@ -41,13 +41,14 @@
 		Number uint64
 		Err    error
 	}
-	// StreamLost is the end of the stream: responses without a reply will be sent again on the next one.
+	// StreamLost reports the end of the stream. The service sends responses without a reply again on the next stream.
 	StreamLost struct{}
-	// Override exempts one set number from the safety checks, once. The caller has authenticated the operator.
+	// Override exempts the set or the node list with this number from the safety checks. It is used up when the set becomes
+	// active or the node list is accepted. The caller has authenticated the operator.
 	Override struct{ Number uint64 }
-	// Pin holds the settings at the active set until it is switched off.
+	// Pin with On set keeps the active set until a Pin without it: other sets that are offered are rejected.
 	Pin struct{ On bool }
-	// RollBack activates an earlier set, which the caller has read from the store.
+	// RollBack activates and pins an earlier set, which the caller has read from the store.
 	RollBack struct {
 		Set  Set
 		Live LiveState
@@ -62,17 +63,17 @@
 func (Pin) isEvent()        {}
 func (RollBack) isEvent()   {}
 
-// Action is an output of the module: something that the caller carries out.
+// Action is an output of Module.Step, which the caller carries out.
 type Action interface{ isAction() }
 
-// The actions, to be carried out in order.
+// The actions. The caller carries them out in the order that Step returns them in.
 type (
 	// Ack acknowledges a response.
 	Ack struct {
 		Kind           Kind
 		Version, Nonce string
 	}
-	// Nack rejects a response with the reasons; Version is the last one acknowledged.
+	// Nack rejects a response. Version is the last one acknowledged for the kind, as xDS requires.
 	Nack struct {
 		Kind           Kind
 		Version, Nonce string
@@ -87,14 +88,14 @@
 	}
 	// DeleteSet deletes a stored set that could not be activated.
 	DeleteSet struct{ Number uint64 }
-	// ApplyNodeList activates a node list.
+	// ApplyNodeList activates a complete node list.
 	ApplyNodeList struct{ Nodes []nodelist.Node }
-	// NodeListRejected reports to the decision module that a node list was rejected.
+	// NodeListRejected reports a rejected node list to the decision module (package policy).
 	NodeListRejected struct{ Reasons []string }
-	// Renew opens a new stream: a response that was rejected may be accepted now, and a service sends a version only
-	// once a stream.
+	// Renew replaces the stream by a new one: a set that was rejected may be accepted now, and a service sends each
+	// version only once on a stream.
 	Renew struct{}
-	// Log is a line for the operators.
+	// Log is a log line for operators.
 	Log struct{ Text string }
 )
 
--- a/control/fileparts.go
+++ b/control/fileparts.go
@@ -5,8 +5,8 @@
 	"embershunt/control/configv1"
 )
 
-// FileParts are the streamed parts of a configuration, as a control service reads them from a file. Fields left out mean
-// the defaults.
+// FileParts are the streamed parts of a configuration, as a control service reads them from a file. A field that is left
+// out has its default.
 type FileParts struct {
 	Classes     []config.Class  `json:"classes"`
 	Default     string          `json:"default_class"`
@@ -19,7 +19,7 @@
 	Front       config.Front    `json:"front"` // all but schema_life, schema_most, max_insert_bytes and held_insert_bytes
 }
 
-// Set is the version number n of the settings with these parts: the inverse of Merge.
+// Set returns the parts as the set with number n. It is the inverse of Merge.
 func (f FileParts) Set(n uint64) Set {
 	s := Set{Number: n, Classes: f.classes(n), Tenants: &configv1.Tenants{Set: n}, Limits: f.limits(n),
 		Classification: f.classification(n),
--- a/control/merge.go
+++ b/control/merge.go
@@ -7,10 +7,10 @@
 	"embershunt/control/configv1"
 )
 
-// Merge is the configuration of a file with a set merged in.
+// Merge returns the configuration of a file with a set merged in, or the error of an invalid configuration.
 func Merge(local config.File, s Set) (*config.Config, error) { return config.FromFile(merge(local, s)) }
 
-// merge puts the resources of a set in place of what a file says of them.
+// merge returns a copy of a file whose streamed parts are replaced by the resources of a set.
 func merge(local config.File, s Set) config.File {
 	f := local
 	mergeClasses(&f, s.Classes)
@@ -22,7 +22,7 @@
 	mergeFronts(&f.Front, s.Fronts)
 	f.Rules, f.NoHints = nil, s.Classification.GetNoHints()
 	for _, r := range s.Classification.GetRules() {
-		f.Rules = append(f.Rules, ruleOf(r))
+		f.Rules = append(f.Rules, ruleFromProto(r))
 	}
 	return f
 }
@@ -31,20 +31,24 @@
 	f.Classes, f.Default = nil, classes.GetDefaultClass()
 	for _, c := range classes.GetClasses() {
 		f.Classes = append(f.Classes, config.Class{Name: c.GetName(), PriorityWeight: c.GetWorth(), LateWeight: c.GetLateWorth(),
-			LatencyObjective: duration(c.GetAimUs()), ObjectiveStretch: c.GetAimStretch(), Deadline: duration(c.GetDeadlineUs()),
-			Threads: int(c.GetThreads()), Effect: c.GetEffect(), Updates: c.GetUpdates(), DedupScope: c.GetGroup(),
-			DedupWindow: duration(c.GetWindowUs()), Ordered: c.GetInTurn(), Zones: c.GetHalls(), Kinds: c.GetKinds(),
+			LatencyObjective: durationFromMicros(c.GetAimUs()), ObjectiveStretch: c.GetAimStretch(),
+			Deadline: durationFromMicros(c.GetDeadlineUs()), Threads: int(c.GetThreads()),
+			Effect: c.GetEffect(), Updates: c.GetUpdates(), DedupScope: c.GetGroup(),
+			DedupWindow: durationFromMicros(c.GetWindowUs()), Ordered: c.GetInTurn(), Zones: c.GetHalls(), Kinds: c.GetKinds(),
 			LocksTables: c.GetLoads(), WaitsForTables: c.GetWaits()})
 	}
 }
 
-// mergeLimits merges the limits; the number of dispatchers and the kinds of machine stay the file's where left out.
+// mergeLimits replaces the limits. The number of dispatchers and the kinds of machine keep the file's values where the set
+// leaves them out; this dispatcher's own number is lowered to fit a smaller number of dispatchers.
 func mergeLimits(f *config.File, l *configv1.Limits) {
-	f.Limits = config.Limits{Attempts: int(l.GetAttempts()), MaxInFlight: int(l.GetHeld()), MaxRetryAfter: duration(l.GetComeBackUs()),
-		Hedging: l.GetSecondCopies(), DrainGrace: duration(l.GetDrainGraceUs()), OrderingGap: duration(l.GetTurnRestUs()),
-		RetryBudgetFloor: l.GetBudgetFree(), RetryBudgetRatio: l.GetBudgetShare(), RetryBudgetWindow: duration(l.GetBudgetSpanUs()),
-		SlowStartFloor: l.GetColdFrom(), SlowStartDuration: duration(l.GetColdForUs()), OverloadMultiple: l.GetColdMultiple(),
-		OverloadDuration: duration(l.GetColdSpanUs()), OverQuotaWeight: l.GetOverShareWorth()}
+	f.Limits = config.Limits{Attempts: int(l.GetAttempts()), MaxInFlight: int(l.GetHeld()),
+		MaxRetryAfter: durationFromMicros(l.GetComeBackUs()), Hedging: l.GetSecondCopies(),
+		DrainGrace: durationFromMicros(l.GetDrainGraceUs()), OrderingGap: durationFromMicros(l.GetTurnRestUs()),
+		RetryBudgetFloor: l.GetBudgetFree(), RetryBudgetRatio: l.GetBudgetShare(),
+		RetryBudgetWindow: durationFromMicros(l.GetBudgetSpanUs()), SlowStartFloor: l.GetColdFrom(),
+		SlowStartDuration: durationFromMicros(l.GetColdForUs()), OverloadMultiple: l.GetColdMultiple(),
+		OverloadDuration: durationFromMicros(l.GetColdSpanUs()), OverQuotaWeight: l.GetOverShareWorth()}
 	if n := int(l.GetDispatchers()); n > 0 {
 		f.Peers = n
 		f.Number = min(f.Number, n-1)
@@ -57,16 +61,17 @@
 	}
 }
 
-// mergeFronts merges the frontend settings; those left out stay the file's.
+// mergeFronts replaces the frontend settings; those that the set leaves out keep the file's values.
 func mergeFronts(f *config.Front, r *configv1.Fronts) {
-	setNonZero(&f.ResponseMargin, duration(r.GetWayBackUs()))
-	setNonZero(&f.TicketLife, duration(r.GetTicketLifeUs()))
-	setNonZero(&f.PreparedLife, duration(r.GetPreparedLifeUs()))
-	setNonZero(&f.BearerLife, duration(r.GetBearerLifeUs()))
+	setNonZero(&f.ResponseMargin, durationFromMicros(r.GetWayBackUs()))
+	setNonZero(&f.TicketLife, durationFromMicros(r.GetTicketLifeUs()))
+	setNonZero(&f.PreparedLife, durationFromMicros(r.GetPreparedLifeUs()))
+	setNonZero(&f.BearerLife, durationFromMicros(r.GetBearerLifeUs()))
 	setNonZero(&f.MaxStatement, int(r.GetMaxStatementBytes()))
 	setNonZero(&f.MaxParams, int(r.GetMaxParameterBytes()))
 }
 
+// setNonZero sets *p to v unless v is the zero value, which means that the field was left out.
 func setNonZero[T comparable](p *T, v T) {
 	var zero T
 	if v != zero {
@@ -74,11 +79,12 @@
 	}
 }
 
-func ruleOf(r *configv1.Rule) config.Rule {
+func ruleFromProto(r *configv1.Rule) config.Rule {
 	return config.Rule{Name: r.GetName(), User: r.GetUser(), Header: r.GetHeader(), Option: r.GetOption(), Value: r.GetValue(),
 		Statement: r.GetStatement(), Command: r.GetCommand(), Class: r.GetClass(), Tenant: r.GetTenant(),
-		Cost: duration(r.GetCostUs()), MemoryMB: r.GetMemoryMb(), Key: r.GetKey(), Tables: r.GetTables()}
+		Cost: durationFromMicros(r.GetCostUs()), MemoryMB: r.GetMemoryMb(), Key: r.GetKey(), Tables: r.GetTables()}
 }
 
-// duration converts microseconds.
-func duration(us int64) config.Duration { return config.Duration(time.Duration(us) * time.Microsecond) }
+func durationFromMicros(us int64) config.Duration {
+	return config.Duration(time.Duration(us) * time.Microsecond)
+}
--- a/control/model_test.go
+++ b/control/model_test.go
@@ -8,16 +8,16 @@
 	"pgregory.net/rapid"
 )
 
-// model is a simple model of the module, which checks each action against it.
+// model is a simple model of Module: it holds the expected state and checks the actions of each step against it.
 type model struct {
 	*rapid.T
 	module                    *Module
 	active, storing, applying uint64         // set numbers; 0: none
 	replies                   map[string]int // by nonce
-	responses                 int            // sent so far, which makes their nonces
+	responses                 int            // number of responses sent so far; the nonce of each is its number
 }
 
-// step plays an event and checks the actions.
+// step passes an event to the module and checks the actions that it returns.
 func (m *model) step(ev Event) {
 	for _, a := range m.module.Step(0, ev) {
 		switch a := a.(type) {
@@ -25,7 +25,7 @@
 			m.store(a.Set)
 		case Apply:
 			if a.Set.Number != m.storing {
-				m.Fatalf("set %d is applied, stored was %d", a.Set.Number, m.storing)
+				m.Fatalf("set %d is applied, the set stored is %d", a.Set.Number, m.storing)
 			}
 			m.applying, m.storing = m.storing, 0
 		case Ack:
@@ -33,7 +33,7 @@
 		case Nack:
 			m.replies[a.Nonce]++
 			if len(a.Reasons) == 0 {
-				m.Fatal("rejected without a reason")
+				m.Fatal("a response is rejected without a reason")
 			}
 		}
 	}
@@ -44,12 +44,13 @@
 	}
 }
 
+// store checks a Store action and records the set as being stored.
 func (m *model) store(s Set) {
 	if m.storing != 0 || m.applying != 0 {
 		m.Fatalf("set %d is stored during another update", s.Number)
 	}
 	if s.Number <= m.active {
-		m.Fatalf("set %d after %d", s.Number, m.active)
+		m.Fatalf("set %d is stored while %d is active", s.Number, m.active)
 	}
 	if s.Classes.Classes[0].DeadlineUs == 0 {
 		m.Fatal("an invalid set is stored")
@@ -57,13 +58,13 @@
 	m.storing = s.Number
 }
 
-// offer plays one resource of a set.
+// offer passes one resource of a set to the module.
 func (m *model) offer(s Set, k Kind) {
 	m.responses++
 	m.step(Offered{Kind: k, Version: fmt.Sprint(s.Number), Nonce: fmt.Sprint(m.responses), Message: s.Resources()[k]})
 }
 
-// completeStore and completeApply end what is under way, if anything is, with or without an error.
+// completeStore completes the Store action in progress, if any, with or without an error.
 func (m *model) completeStore(fails bool) {
 	if m.storing == 0 {
 		return
@@ -76,6 +77,7 @@
 	m.step(Stored{n, err})
 }
 
+// completeApply completes the Apply action in progress, if any, with or without an error.
 func (m *model) completeApply(fails bool) {
 	if m.applying == 0 {
 		return
@@ -91,17 +93,17 @@
 	m.step(Applied{n, err})
 }
 
-// Against a simple model, for any order of events: the active set is always one that was valid, stored and then
-// applied; numbers go up unless an operator says otherwise; every response gets at most one reply.
+// Checks three rules against a simple model, for any order of offers, completions and lost streams: the active set was
+// valid, stored and then applied; its number only grows, as there is no override here; a response gets at most one reply.
 func TestAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		m := &model{T: r, module: New(DefaultBounds(), local(), Set{}), replies: map[string]int{}}
+		m := &model{T: r, module: New(DefaultBounds(), testFile(), Set{}), replies: map[string]int{}}
 		for range rapid.IntRange(1, 40).Draw(r, "events") {
 			switch rapid.IntRange(0, 5).Draw(r, "event") {
 			case 0, 1: // a complete set, valid or not, newer or not
 				n := uint64(rapid.IntRange(1, 12).Draw(r, "number"))
 				invalid := rapid.Bool().Draw(r, "invalid")
-				s := version(n, func(s *Set) {
+				s := testSet(n, func(s *Set) {
 					if invalid {
 						s.Classes.Classes[0].DeadlineUs = 0
 					}
@@ -111,7 +113,7 @@
 				}
 			case 2: // a single resource
 				n := uint64(rapid.IntRange(1, 12).Draw(r, "number"))
-				m.offer(version(n, nil), Kind(rapid.IntRange(0, 4).Draw(r, "kind")))
+				m.offer(testSet(n, nil), Kind(rapid.IntRange(0, 4).Draw(r, "kind")))
 			case 3:
 				m.completeStore(rapid.Bool().Draw(r, "fails"))
 			case 4:
@@ -120,7 +122,7 @@
 				m.step(StreamLost{})
 			}
 			if m.module.active.Number != m.active {
-				r.Fatalf("active is %d, the model has %d", m.module.active.Number, m.active)
+				r.Fatalf("set %d is active, the model has set %d", m.module.active.Number, m.active)
 			}
 		}
 	})
--- a/control/nodes.go
+++ b/control/nodes.go
@@ -9,24 +9,24 @@
 	"embershunt/policy"
 )
 
-// maxRemovedNodes bounds the nodes that are remembered after they left the list; those withdrawn first are dropped first.
+// maxRemovedNodes bounds the records of nodes that have left the list; those withdrawn earliest are deleted first.
 const maxRemovedNodes = 4096
 
-// nodeRecord is the knowledge of one node, from all lists so far.
+// nodeRecord holds what all accepted lists so far have told of one node, and the drains of rejected ones.
 type nodeRecord struct {
 	row         nodelist.Node
 	listed      bool
 	started     time.Time // newest start listed
-	withdrawnAt Micros    // when its drain or removal was first seen; 0: it may have work
+	withdrawnAt Micros    // when it was first listed as not healthy, or missing from a list; 0: it may have work
 }
 
-// active tells whether the node is listed and may have work.
+// active reports whether the node is listed and may have work.
 func (r *nodeRecord) active() bool { return r.listed && r.withdrawnAt == 0 }
 
-// nodeTable is the active node list, and the knowledge of nodes that were on it.
+// nodeTable holds the active node list and the records of nodes that have left it, by node name.
 type nodeTable struct{ records map[string]*nodeRecord }
 
-// sinceWithdrawal is the time since the latest drain or removal; ok is false where there was none.
+// sinceWithdrawal returns the time since the latest drain or removal of a node; ok is false where there was none.
 func (t *nodeTable) sinceWithdrawal(now Micros) (age Micros, ok bool) {
 	for _, r := range t.records { // a minimum: the order does not matter
 		if r.withdrawnAt > 0 && (!ok || now-r.withdrawnAt < age) {
@@ -36,7 +36,7 @@
 	return age, ok
 }
 
-// activeCount is the number of listed nodes that may have work.
+// activeCount returns the number of listed nodes that may have work.
 func (t *nodeTable) activeCount() int {
 	n := 0
 	for _, r := range t.records {
@@ -47,7 +47,8 @@
 	return n
 }
 
-// withdrawnByAddress indexes the withdrawn nodes by address; the last by name where several had the same.
+// withdrawnByAddress returns the withdrawn nodes by address. Of several with the same address it has the one whose name
+// sorts last.
 func (t *nodeTable) withdrawnByAddress() map[string]*nodeRecord {
 	byAddress := map[string]*nodeRecord{}
 	for _, id := range slices.Sorted(maps.Keys(t.records)) {
@@ -58,7 +59,7 @@
 	return byAddress
 }
 
-// listed is the active node list, by name.
+// listed returns the active node list, sorted by name.
 func (t *nodeTable) listed() []nodelist.Node {
 	out := []nodelist.Node{}
 	for _, id := range slices.Sorted(maps.Keys(t.records)) {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// accept replaces the active list.
+// accept replaces the active list by rows and marks the nodes that are not in them as withdrawn.
 func (t *nodeTable) accept(now Micros, rows []nodelist.Node) {
 	listed := map[string]bool{}
 	for _, row := range rows {
@@ -97,7 +98,8 @@
 	}
 }
 
-// withdrawUnlisted marks the nodes that left the list and drops the oldest of them over the bound.
+// withdrawUnlisted marks the nodes that are not listed as withdrawn, and deletes the earliest withdrawn of them beyond
+// maxRemovedNodes.
 func (t *nodeTable) withdrawUnlisted(now Micros, listed map[string]bool) {
 	var removed []string
 	for _, id := range slices.Sorted(maps.Keys(t.records)) {
@@ -119,13 +121,13 @@
 	}
 }
 
-// startsDraining tells whether a row drains a node that is active now.
+// startsDraining reports whether a row drains a node that is active now.
 func (t *nodeTable) startsDraining(row nodelist.Node) bool {
 	r := t.records[row.ID]
 	return row.State == policy.Draining && r != nil && r.active()
 }
 
-// acceptDrains takes the drains alone out of a list; changed tells whether there was a new one.
+// acceptDrains applies only the drains of a list; changed reports whether it drained a node that was active.
 func (t *nodeTable) acceptDrains(now Micros, rows []nodelist.Node) (changed bool) {
 	for _, row := range rows {
 		if t.startsDraining(row) {
--- a/control/resources.go
+++ b/control/resources.go
@@ -8,10 +8,10 @@
 	"embershunt/control/configv1"
 )
 
-// Kind is a kind of resource.
+// Kind is a kind of streamed resource.
 type Kind int
 
-// The kinds. Those of the settings come first; a set has one resource of each.
+// The kinds. The kinds of settings come before Nodes; a set has one resource of each of them.
 const (
 	Classes Kind = iota
 	Tenants
@@ -22,12 +22,12 @@
 	settingsKinds = int(Nodes)
 )
 
-// String is the kind's name in logs, reasons and the operators' view.
+// String returns the kind's name in logs, rejection reasons and Status.
 func (k Kind) String() string {
 	return [...]string{"classes", "tenants", "limits", "classification", "fronts", "nodes"}[k]
 }
 
-// Set is one version of the settings. All its resources carry its number.
+// Set is one version of the settings. All its resources have the set's number.
 type Set struct {
 	Number         uint64
 	Classes        *configv1.Classes
@@ -37,17 +37,18 @@
 	Fronts         *configv1.Fronts
 }
 
-// Resources are a set's resources, in the order of their kinds.
+// Resources returns a set's resources in the order of their kinds.
 func (s Set) Resources() []proto.Message {
 	return []proto.Message{s.Classes, s.Tenants, s.Limits, s.Classification, s.Fronts}
 }
 
-// resource is the set's resource of a kind of settings; a nil message where it has none.
+// resource returns the set's resource of a kind of settings; it is a nil pointer of the resource's type where the set has
+// none.
 func (s Set) resource(k Kind) proto.Message { return s.Resources()[k] }
 
-// setNumber returns the number of the set that a resource belongs to. It is an error if the resource is of another
-// kind or has no number.
-func setNumber(k Kind, message proto.Message) (uint64, error) {
+// setNumberOf returns the number of the set that a resource belongs to, or an error if the resource is of another kind or
+// has no number.
+func setNumberOf(k Kind, message proto.Message) (uint64, error) {
 	var number uint64
 	actual := Kind(-1)
 	switch r := message.(type) {
@@ -64,24 +65,24 @@
 	}
 	switch {
 	case actual != k:
-		return 0, fmt.Errorf("%T is no resource of %s", message, k)
+		return 0, fmt.Errorf("%T is not a resource of the kind %s", message, k)
 	case number == 0:
-		return 0, fmt.Errorf("%s: set is 0, allowed are numbers from 1", k)
+		return 0, fmt.Errorf("%s: set is 0, the minimum is 1", k)
 	}
 	return number, nil
 }
 
-// response is one resource that the control service has sent and that has no reply yet.
+// response is one resource of the settings that the control service has sent and that has no reply yet.
 type response struct {
 	version, nonce string
-	set            uint64 // number of the set that it belongs to
+	set            uint64 // number of the set that the resource belongs to
 	message        proto.Message
 }
 
-// responses are the newest response of each kind of settings; nil where there is none.
+// responses holds the newest response of each kind of settings; nil where there is none.
 type responses [settingsKinds]*response
 
-// complete tells whether there is a response of every kind and all belong to one set, whose number it returns.
+// complete reports whether there is a response of every kind and all belong to one set, and returns that set's number.
 func (r *responses) complete() (number uint64, ok bool) {
 	for _, one := range r {
 		if one == nil {
@@ -97,7 +98,7 @@
 	return number, true
 }
 
-// set assembles the set of complete responses. The types were checked by setNumber.
+// set assembles a set from complete responses, whose types setNumberOf has checked.
 func (r *responses) set(number uint64) Set {
 	return Set{Number: number, Classes: r[Classes].message.(*configv1.Classes),
 		Tenants:        r[Tenants].message.(*configv1.Tenants),
--- a/control/rollout.go
+++ b/control/rollout.go
@@ -11,44 +11,46 @@
 // defaultMinQueries is the default of Rollout.MinQueries.
 const defaultMinQueries = 200
 
-// Rollout decides which dispatcher is offered which set: a share of them first, more of them stage by stage, and back to
-// the previous set where too many reject the new one. It runs in the control service, and is free of I/O and clocks like
-// the rest of the package. It is not safe for concurrent use.
+// Rollout decides which dispatcher is offered which set. A new set, the target, is offered to a share of the dispatchers
+// first and to a larger share at each stage. If too many reject it, or serve fewer of their queries with it, the rollout is
+// halted and all dispatchers are offered the previous set again. Rollout runs in the control service and, like the rest of
+// the package, performs no I/O and reads no clock. It is not safe for concurrent use.
 type Rollout struct {
 	Stages          []float64 // shares of the dispatchers, ascending; the last one is 1
-	MinStageTime    Micros    // minimum time in a stage after its last reply
-	MaxRefusedShare float64   // share of a stage's dispatchers whose rejection halts the rollout
+	MinStageTime    Micros    // minimum time in a stage after all its dispatchers have replied
+	MaxRefusedShare float64   // share of a stage's dispatchers that halts the rollout if it rejects the target
 
-	MaxServiceDrop float64 // fall of the share served, against those with the previous set, that halts it; 0: none does
-	MinQueries     int     // queries on either side below which service is not compared; 0: 200
+	MaxServiceDrop float64 // halts the rollout if the share served is lower by more than this than with the previous set; 0: never
+	MinQueries     int     // with each of the two sets; service is not compared below it; 0: 200
 
 	previous, target uint64
 	stage            int
 	stageRepliedAt   Micros // when all dispatchers of the stage had replied; 0: not yet
 	haltReason       string // "" while it is not halted
-	restoreNumber    uint64 // number under which the previous set is offered to those that accepted the target; 0: none
+	restoreNumber    uint64 // number under which dispatchers that accepted the target are offered the previous set; 0: not halted
 	dispatchers      map[string]*DispatcherStatus
 	service          map[string]*serviceCounters
 }
 
-// queryCounts are queries served, of those received.
+// queryCounts holds the numbers of queries received and of those served.
 type queryCounts struct{ served, received float64 }
 
-// serviceCounters are the counters of one dispatcher.
+// serviceCounters holds the query counters of one dispatcher.
 type serviceCounters struct {
 	latest queryCounts
-	base   queryCounts // at the begin of the rollout
+	base   queryCounts // at the start of the rollout
 }
 
 // DispatcherStatus is the last reply of one dispatcher.
 type DispatcherStatus struct {
 	Dispatcher string
 	Number     uint64 // last acknowledged; 0: none yet
-	Refused    uint64 // rejected since; 0: none
-	Reason     string
+	Refused    uint64 // number rejected since then; 0: none
+	Reason     string // of the rejection; "": none
 }
 
-// NewRollout returns a rollout that offers a set to all dispatchers until another one begins.
+// NewRollout returns a rollout that offers the set with this number to all dispatchers until Begin. A last stage with all
+// dispatchers is added if stages do not end with one.
 func NewRollout(number uint64, stages []float64, minStageTime Micros, maxRefusedShare float64) *Rollout {
 	if len(stages) == 0 || stages[len(stages)-1] < 1 {
 		stages = append(slices.Clone(stages), 1)
@@ -57,7 +59,8 @@
 		stage: len(stages) - 1, dispatchers: map[string]*DispatcherStatus{}, service: map[string]*serviceCounters{}}
 }
 
-// Begin starts to roll a set out; a halt restores the last set that was rolled out completely.
+// Begin starts to roll out the set with this number. If it is halted, the last set that was rolled out completely is
+// restored.
 func (r *Rollout) Begin(_ Micros, number uint64) {
 	if r.complete() {
 		r.previous = r.target
@@ -68,9 +71,9 @@
 	}
 }
 
-// RecordService records a dispatcher's counters of queries served and received since its start, and halts the rollout where
-// dispatchers with the target serve a clearly smaller share than those with the previous set over the same time. The
-// counters of a dispatcher that was restarted count from 0.
+// RecordService records a dispatcher's counters of queries served and received since its start. It halts the rollout if the
+// dispatchers with the target have served a smaller share since Begin than the others, by more than MaxServiceDrop. A
+// received counter that has fallen means that the dispatcher was restarted: its counters then count from 0.
 func (r *Rollout) RecordService(_ Micros, dispatcher string, served, received float64) {
 	s := r.service[dispatcher]
 	if s == nil {
@@ -93,11 +96,12 @@
 		return
 	}
 	if before, after := previous.served/previous.received, target.served/target.received; after < before-r.MaxServiceDrop {
-		r.Halt(fmt.Sprintf("dispatchers with set %d serve %.3f of their queries, those with set %d %.3f", r.target, after, r.previous, before))
+		r.Halt(fmt.Sprintf("dispatchers with set %d serve %.3f of their queries, those with set %d %.3f",
+			r.target, after, r.previous, before))
 	}
 }
 
-// serviceBySet sums up the queries since the begin of the rollout, of dispatchers without and with the target.
+// serviceBySet returns the sums of the queries since the start of the rollout, of dispatchers without and with the target.
 func (r *Rollout) serviceBySet() (previous, target queryCounts) {
 	for _, name := range slices.Sorted(maps.Keys(r.service)) {
 		sum := &previous
@@ -111,7 +115,7 @@
 	return previous, target
 }
 
-// Offer is the number of the set to offer to a dispatcher.
+// Offer returns the number of the set to offer to a dispatcher, and adds the dispatcher if it is new.
 func (r *Rollout) Offer(dispatcher string) uint64 {
 	if r.dispatchers[dispatcher] == nil {
 		r.dispatchers[dispatcher] = &DispatcherStatus{Dispatcher: dispatcher}
@@ -125,8 +129,8 @@
 	return r.target
 }
 
-// Restored returns the number under which a halted rollout offers the content of the previous set, and that set's own
-// number; zeros where it is not halted.
+// Restored returns the new number under which a halted rollout offers the content of the previous set, and that set's own
+// number. Both are 0 if the rollout is not halted.
 func (r *Rollout) Restored() (number, of uint64) {
 	if r.restoreNumber == 0 {
 		return 0, 0
@@ -134,21 +138,23 @@
 	return r.restoreNumber, r.previous
 }
 
-// Highest is the highest number in use: the next set must have one above it.
+// Highest returns the highest number in use. The next set must have a higher one.
 func (r *Rollout) Highest() uint64 { return max(r.target, r.restoreNumber) }
 
+// halt stops the rollout and reserves a new number for the content of the previous set, as dispatchers reject a number
+// lower than the active one.
 func (r *Rollout) halt(reason string) {
 	r.haltReason, r.restoreNumber = reason, r.target+1
 }
 
-// inStage tells whether a dispatcher belongs to the present stage. Membership is drawn by name and number, so that it
-// is not the same dispatchers that try every version first.
+// inStage reports whether a dispatcher belongs to the current stage. This depends on a hash of the target's number and the
+// dispatcher's name, so that a different part of the dispatchers is the first to receive each set.
 func (r *Rollout) inStage(dispatcher string) bool {
 	h := xxhash.Sum64String(fmt.Sprintf("%d/%s", r.target, dispatcher))
 	return float64(h>>11)/(1<<53) < r.Stages[r.stage]
 }
 
-// RecordReply records a reply; that of a rejection has a reason.
+// RecordReply records a dispatcher's reply to a set; reason is that of a rejection, "" for an acknowledgement.
 func (r *Rollout) RecordReply(now Micros, dispatcher string, number uint64, reason string) {
 	r.Offer(dispatcher)
 	d := r.dispatchers[dispatcher]
@@ -160,13 +166,13 @@
 	r.Advance(now)
 }
 
-// stageReplies counts the dispatchers of the present stage and their replies to the target.
+// stageReplies holds the number of dispatchers in the current stage and the numbers of their replies to the target.
 type stageReplies struct {
-	members, accepted, refused int
-	reason                     string // of the last rejection by name, with the dispatcher's name
+	members, accepted, rejected int
+	reason                      string // of the rejecting dispatcher whose name sorts last, with its name
 }
 
-func (r *Rollout) stageReplies() (s stageReplies) {
+func (r *Rollout) countStageReplies() (s stageReplies) {
 	for _, name := range slices.Sorted(maps.Keys(r.dispatchers)) {
 		d := r.dispatchers[name]
 		if !r.inStage(name) {
@@ -175,7 +181,7 @@
 		s.members++
 		switch {
 		case d.Refused == r.target:
-			s.refused++
+			s.rejected++
 			s.reason = name + ": " + d.Reason
 		case d.Number == r.target:
 			s.accepted++
@@ -184,17 +190,18 @@
 	return s
 }
 
-// Advance begins the next stage or halts the rollout when it is time; changed tells whether Offer may differ now.
+// Advance halts the rollout if too many dispatchers of the stage have rejected the target, or begins the next stage
+// MinStageTime after all of them have replied. changed reports whether Offer may return other numbers now.
 func (r *Rollout) Advance(now Micros) (changed bool) {
 	if r.haltReason != "" || r.complete() {
 		return false
 	}
-	s := r.stageReplies()
+	s := r.countStageReplies()
 	switch {
-	case s.members > 0 && s.refused > 0 && float64(s.refused) >= r.MaxRefusedShare*float64(s.members):
-		r.halt(fmt.Sprintf("%d of %d dispatchers refused set %d: %s", s.refused, s.members, r.target, s.reason))
+	case s.members > 0 && s.rejected > 0 && float64(s.rejected) >= r.MaxRefusedShare*float64(s.members):
+		r.halt(fmt.Sprintf("%d of %d dispatchers rejected set %d: %s", s.rejected, s.members, r.target, s.reason))
 		return true
-	case s.accepted+s.refused < s.members:
+	case s.accepted+s.rejected < s.members:
 		r.stageRepliedAt = 0
 		return false
 	case r.stageRepliedAt == 0:
@@ -210,14 +217,14 @@
 	return false
 }
 
-// Halt stops a rollout for a reason from outside.
+// Halt halts a rollout in progress for a reason that the caller has found; it has no effect on a halted one.
 func (r *Rollout) Halt(reason string) {
 	if r.haltReason == "" && r.target != r.previous {
 		r.halt(reason)
 	}
 }
 
-// complete tells whether all dispatchers have replied in the last stage.
+// complete reports whether the rollout is not halted, is in its last stage, and all dispatchers have replied to the target.
 func (r *Rollout) complete() bool {
 	if r.haltReason != "" || r.stage < len(r.Stages)-1 {
 		return false
@@ -230,19 +237,19 @@
 	return true
 }
 
-// State describes the rollout for operators.
+// State describes the progress of the rollout for operators.
 func (r *Rollout) State() string {
 	switch {
 	case r.haltReason != "":
-		return fmt.Sprintf("halted, set %d goes to all, as set %d to those that took set %d; the next one needs a number above: %s",
-			r.previous, r.restoreNumber, r.target, r.haltReason)
+		return fmt.Sprintf("halted: all dispatchers are offered set %d, as set %d where they accepted set %d; "+
+			"the next set needs a higher number: %s", r.previous, r.restoreNumber, r.target, r.haltReason)
 	case r.complete():
-		return fmt.Sprintf("set %d is with all", r.target)
+		return fmt.Sprintf("all dispatchers have replied to set %d", r.target)
 	}
-	return fmt.Sprintf("set %d goes to %.0f%% of the dispatchers", r.target, 100*r.Stages[r.stage])
+	return fmt.Sprintf("set %d is offered to %.0f%% of the dispatchers", r.target, 100*r.Stages[r.stage])
 }
 
-// Statuses are the last replies of all dispatchers, by name.
+// Statuses returns the last replies of all dispatchers, sorted by name.
 func (r *Rollout) Statuses() []DispatcherStatus {
 	var out []DispatcherStatus
 	for _, name := range slices.Sorted(maps.Keys(r.dispatchers)) {
--- a/control/update.go
+++ b/control/update.go
@@ -9,39 +9,39 @@
 	"embershunt/config"
 )
 
-// Phase is the phase of an update.
+// Phase is the phase that an update is in.
 type Phase int
 
-// The phases.
+// The phases. An update ends when its set is active, or could not be stored or activated.
 const (
-	Idle Phase = iota
-	Storing
-	Applying
+	Idle     Phase = iota // no update
+	Storing               // waiting for Stored
+	Applying              // waiting for Applied
 )
 
-// update is a set on its way to become active; the zero value is none.
+// update is the update in progress, from one set to the next; the zero value means that there is none.
 type update struct {
 	phase     Phase
 	set       Set
 	config    *config.Config
-	responses responses // to be answered at its end; none for a rollback
+	responses responses // acknowledged or rejected when the update ends; none for a rollback
 }
 
-// handleResource processes one resource of the settings. Only the newest of a kind counts: an earlier one that has no
-// reply is dropped, as xDS allows.
+// handleResource processes one resource of the settings. A newer resource replaces an earlier one of the same kind that has
+// no reply yet; xDS allows a client to leave the earlier one without a reply.
 func (m *Module) handleResource(ev Offered) {
 	m.live = ev.Live
 	r := &response{version: ev.Version, nonce: ev.Nonce, message: ev.Message}
 	err := ev.Err
 	if err == nil {
-		r.set, err = setNumber(ev.Kind, ev.Message)
+		r.set, err = setNumberOf(ev.Kind, ev.Message)
 	}
 	if err != nil {
 		m.received[ev.Kind] = nil
 		m.reject(ev.Kind, r.version, r.nonce, []string{"form: " + err.Error()})
 		return
 	}
-	if m.update.phase == Idle && r.set == m.active.Number { // it may be alone: repeated, or on a new stream
+	if m.update.phase == Idle && r.set == m.active.Number { // a repeat, for instance on a new stream: the rest of its set need not follow
 		m.received[ev.Kind] = nil
 		m.replyActive(ev.Kind, r)
 		return
@@ -53,15 +53,16 @@
 // replyActive replies to a resource that has the number of the active set.
 func (m *Module) replyActive(k Kind, r *response) {
 	if !proto.Equal(r.message, m.active.resource(k)) {
-		m.reject(k, r.version, r.nonce, []string{fmt.Sprintf("number: set %d is in force with another content: two services "+
-			"disagree, or a number was used twice", r.set)})
+		m.reject(k, r.version, r.nonce, []string{fmt.Sprintf("number: set %d is already active with different content: two services "+
+			"disagree, or the number was used twice", r.set)})
 		return
 	}
 	m.acknowledge(k, r)
 }
 
-// evaluate begins the update to the set received, if it is complete, newer than the active one and valid. A repeat of
-// the active set is acknowledged. During an update the newest set waits until the update has ended.
+// evaluate begins the update to the set received if the set is complete, newer than the active one (or exempt by an
+// override) and valid, and the settings are not pinned. A repeat of the active set is acknowledged, an unacceptable set
+// rejected. During an update evaluate does nothing: the newest set received waits until the update has ended.
 func (m *Module) evaluate() {
 	if m.update.phase != Idle {
 		return
@@ -71,18 +72,18 @@
 		return
 	}
 	switch {
-	case number == m.active.Number: // it was received during the update to it
+	case number == m.active.Number: // the set was received again during the update to it
 		for k, r := range m.received {
 			m.received[k] = nil
 			m.replyActive(Kind(k), r)
 		}
 		return
 	case number < m.active.Number && !m.overrides[number]:
-		m.rejectReceived([]string{fmt.Sprintf("number: set %d is older than %d, which is in force: going back takes a new "+
-			"number or an override", number, m.active.Number)})
+		m.rejectReceived([]string{fmt.Sprintf("number: set %d is older than %d, the active set: its content needs a new, "+
+			"higher number or an override", number, m.active.Number)})
 		return
 	case m.pinned:
-		m.rejectReceived([]string{fmt.Sprintf("pinned: an operator holds this dispatcher at set %d", m.active.Number)})
+		m.rejectReceived([]string{fmt.Sprintf("pinned: an operator has pinned this dispatcher to set %d", m.active.Number)})
 		return
 	}
 	set := m.received.set(number)
@@ -96,6 +97,7 @@
 	m.beginUpdate(set, cfg, received)
 }
 
+// rejectReceived rejects the complete set received, that is, each of its resources.
 func (m *Module) rejectReceived(reasons []string) {
 	for k, r := range m.received {
 		m.reject(Kind(k), r.version, r.nonce, reasons)
@@ -104,7 +106,7 @@
 }
 
 // beginUpdate starts an update: the set is stored, then activated, then acknowledged. A crash at any point leaves either
-// the old or the new set in the store, and the service sends again what was not acknowledged.
+// the old or the new set as the last one in the store, and the service sends a set that was not acknowledged again.
 func (m *Module) beginUpdate(set Set, cfg *config.Config, received responses) {
 	m.update = update{phase: Storing, set: set, config: cfg, responses: received}
 	m.emit(Store{set})
@@ -133,7 +135,7 @@
 	}
 	m.active, m.activeFile = m.update.set, merge(m.local, m.update.set)
 	delete(m.overrides, m.active.Number)
-	m.rejected = nil
+	m.rejectionReasons = nil
 	for k, r := range m.update.responses {
 		if r != nil {
 			m.acknowledge(Kind(k), r)
@@ -143,19 +145,20 @@
 	m.endUpdate()
 }
 
-// abortUpdate ends an update that failed; the active set stays.
+// abortUpdate ends an update whose set could not be stored or activated, and rejects the set; the active set does not
+// change.
 func (m *Module) abortUpdate(reason string) {
-	m.rejected = []string{reason}
-	m.log("set %d rejected, %d stays in effect: %s", m.update.set.Number, m.active.Number, reason)
+	m.rejectionReasons = []string{reason}
+	m.log("set %d rejected; set %d stays in effect: %s", m.update.set.Number, m.active.Number, reason)
 	for k, r := range m.update.responses {
 		if r != nil {
-			m.emit(Nack{Kind(k), m.accepted[k], r.nonce, m.rejected})
+			m.emit(Nack{Kind(k), m.ackedVersions[k], r.nonce, m.rejectionReasons})
 		}
 	}
 	m.endUpdate()
 }
 
-// endUpdate evaluates the next set, which may have been received during the update.
+// endUpdate ends the update and evaluates the set that was received during it, if any.
 func (m *Module) endUpdate() {
 	m.update = update{}
 	m.evaluate()
@@ -163,7 +166,7 @@
 
 func (m *Module) handleOverride(ev Override) {
 	m.overrides[ev.Number] = true
-	m.log("override: set %d may pass the safety checks", ev.Number)
+	m.log("override: set or node list %d is exempt from the safety checks", ev.Number)
 	m.evaluate()
 	if m.update.phase == Idle && ev.Number != m.active.Number {
 		m.emit(Renew{})
@@ -180,7 +183,8 @@
 	}
 }
 
-// handleRollBack activates an earlier set by an operator's command, and pins it.
+// handleRollBack begins the update to an earlier set that an operator has asked for, and pins the settings to it. The set
+// may be older than the active one, but is validated like any other.
 func (m *Module) handleRollBack(ev RollBack) {
 	if m.update.phase != Idle {
 		m.log("rollback to set %d rejected: set %d is being applied", ev.Set.Number, m.update.set.Number)
@@ -188,7 +192,7 @@
 	}
 	cfg, reasons := m.validate(ev.Set, ev.Live)
 	if len(reasons) > 0 {
-		m.rejected = reasons
+		m.rejectionReasons = reasons
 		m.log("rollback to set %d rejected: %s", ev.Set.Number, strings.Join(reasons, "; "))
 		return
 	}
--- a/control/validate.go
+++ b/control/validate.go
@@ -9,21 +9,22 @@
 	"embershunt/config"
 )
 
-// Bounds are the limits of the safety checks.
+// Bounds holds the limits of the safety checks.
 type Bounds struct {
-	Floor       float64 // minimum share of the healthy nodes that a list may leave at once; default 0.5
-	FloorCount  int     // minimum number of them; default 1
-	RelistAfter Micros  // a withdrawn node listed as healthy without a new start is accepted after this; default 60 s
-	NoShorter   bool    // no grace, gap or budget may become smaller than what is in use; the default
+	Floor       float64 // share of the healthy nodes that must stay healthy from one list to the next; default 0.5
+	FloorCount  int     // number of nodes that must stay healthy, where more than Floor asks for; default 1
+	RelistAfter Micros  // time after which a withdrawn node may be listed as healthy without a later start time; default 60 s
+	NoShorter   bool    // no drain grace, ordering gap or retry budget may become smaller than what is in use; default true
 }
 
-// DefaultBounds are the limits where settings name none.
+// DefaultBounds returns the limits that apply where the configuration sets none.
 func DefaultBounds() Bounds {
 	return Bounds{Floor: 0.5, FloorCount: 1, RelistAfter: 60e6, NoShorter: true}
 }
 
-// validate checks a complete set: form and references by the configuration's own rules, then what only a start can
-// change, then safety. It returns all reasons to reject the set, each with the name of its check.
+// validate checks a complete set. It checks form and references by the rules of a configuration file, then the settings
+// that only a restart can change, then the safety of the change unless there is an override. It returns the set's
+// configuration, nil if that is invalid, and all reasons to reject the set, each prefixed with the name of its check.
 func (m *Module) validate(set Set, live LiveState) (*config.Config, []string) {
 	cfg, err := Merge(m.local, set)
 	if err != nil {
@@ -36,7 +37,7 @@
 	return cfg, append(reasons, m.checkSafety(cfg, live)...)
 }
 
-// configReasons turns the error of a configuration into reasons, one for each mistake.
+// configReasons converts the error of an invalid configuration into reasons, one for each violation.
 func configReasons(err error) (reasons []string) {
 	if violations := (*config.Violations)(nil); errors.As(err, &violations) {
 		for _, one := range violations.All {
@@ -49,13 +50,13 @@
 	return reasons
 }
 
-// checkFixed finds changes that take a restart; no override exempts from it.
+// checkFixed returns a reason for each change that needs a restart. No override exempts a set from this check.
 func (m *Module) checkFixed(cfg *config.Config) (reasons []string) {
 	next := cfg.File.Kinds
 	for i, k := range m.activeFile.Kinds {
 		if i >= len(next) || next[i].Name != k.Name {
-			reasons = append(reasons, fmt.Sprintf("fixed: kinds of machine keep their places, new ones come last: %q stood "+
-				"at %d", k.Name, i))
+			reasons = append(reasons, fmt.Sprintf("fixed: kinds of machine must keep their order, and new ones come last: "+
+				"kind %q was at index %d", k.Name, i))
 		}
 	}
 	for _, l := range []struct {
@@ -65,18 +66,19 @@
 		{"max_statement_bytes", m.local.Front.MaxStatement, cfg.File.Front.MaxStatement},
 		{"max_parameter_bytes", m.local.Front.MaxParams, cfg.File.Front.MaxParams},
 	} {
-		if l.next > l.local { // the transport's message limit was derived from it
-			reasons = append(reasons, fmt.Sprintf("fixed: %s may not pass the file's %d: %d", l.field, l.local, l.next))
+		if l.next > l.local { // the transport's message limit was derived from the file's value at the start
+			reasons = append(reasons, fmt.Sprintf("fixed: %s is %d, the file allows at most %d", l.field, l.next, l.local))
 		}
 	}
 	return reasons
 }
 
-// checkSafety finds what is valid in form and would do harm in the live state.
+// checkSafety returns a reason for each change that is valid by itself but would do harm in the live state.
 func (m *Module) checkSafety(cfg *config.Config, live LiveState) (reasons []string) {
-	for _, name := range classNames(m.activeFile) { // no setting exempts: the decision module does not remove such a class
+	// NoShorter does not disable this check: the decision module does not remove such a class.
+	for _, name := range classNames(m.activeFile) {
 		if n := live.InFlight[name]; n > 0 && !slices.Contains(settingsClassNames(cfg), name) {
-			reasons = append(reasons, fmt.Sprintf("class_ends: class %q would end with %d queries in flight", name, n))
+			reasons = append(reasons, fmt.Sprintf("class_ends: class %q would be removed with %d queries in flight", name, n))
 		}
 	}
 	if !m.bounds.NoShorter {
@@ -84,11 +86,11 @@
 	}
 	before, next := m.activeFile.Limits, cfg.File.Limits
 	if age, ok := m.nodes.sinceWithdrawal(m.now); ok && next.DrainGrace < before.DrainGrace && age <= micros(before.DrainGrace) {
-		reasons = append(reasons, fmt.Sprintf("grace: drain_grace would fall from %v to %v while a node is in its grace, told "+
-			"%v ago", before.DrainGrace.D(), next.DrainGrace.D(), time.Duration(age)*time.Microsecond))
+		reasons = append(reasons, fmt.Sprintf("grace: drain_grace would fall from %v to %v while a node is within its grace, "+
+			"withdrawn %v ago", before.DrainGrace.D(), next.DrainGrace.D(), time.Duration(age)*time.Microsecond))
 	}
 	if live.OrderKeyResting && next.OrderingGap < before.OrderingGap {
-		reasons = append(reasons, fmt.Sprintf("grace: turn_rest would fall from %v to %v while order keys rest",
+		reasons = append(reasons, fmt.Sprintf("grace: turn_rest would fall from %v to %v while an order key may be in its ordering gap",
 			before.OrderingGap.D(), next.OrderingGap.D()))
 	}
 	if reason := checkRetryBudget(before, next, live); reason != "" {
@@ -97,19 +99,20 @@
 	return reasons
 }
 
-// checkRetryBudget returns a reason if a smaller retry budget would be overdrawn at once.
+// checkRetryBudget returns a reason if a retry budget that allows less than before would already be exceeded.
 func checkRetryBudget(before, next config.Limits, live LiveState) string {
 	allowed := func(l config.Limits) float64 { return l.RetryBudgetFloor + l.RetryBudgetRatio*float64(live.Received) }
 	smaller := before.RetryBudgetWindow == 0 || allowed(next) < allowed(before) || next.RetryBudgetWindow > before.RetryBudgetWindow
 	if next.RetryBudgetWindow > 0 && float64(live.Retries) > allowed(next) && smaller {
-		return fmt.Sprintf("budget: %d further attempts are out, the new budget would allow %.1f", live.Retries, allowed(next))
+		return fmt.Sprintf("budget: %d retries within the window, the new retry budget would allow %.1f", live.Retries, allowed(next))
 	}
 	return ""
 }
 
+// micros converts a duration of a configuration to microseconds.
 func micros(d config.Duration) Micros { return d.D().Microseconds() }
 
-// classNames are the names of a file's classes and of the variants that settings derive from them.
+// classNames returns the names of a file's classes and of the classes that the settings may derive from them for updates.
 func classNames(f config.File) (names []string) {
 	for _, c := range f.Classes {
 		names = append(names, c.Name, c.Name+config.UpdatesSuffix, c.Name+config.KeyedSuffix)
@@ -117,6 +120,7 @@
 	return names
 }
 
+// settingsClassNames returns the names of all classes of a configuration, derived ones included.
 func settingsClassNames(cfg *config.Config) (names []string) {
 	for _, c := range cfg.Settings.Classes {
 		names = append(names, c.Name)
