--- a/control/stream/ads.go
+++ b/control/stream/ads.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"strings"
 
 	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
@@ -15,7 +16,7 @@
 	"embershunt/control"
 )
 
-// adsStream is one ADS stream in either variant of xDS.
+// adsStream is one ADS stream (aggregated discovery service), in either variant of xDS.
 type adsStream interface {
 	subscribe(k control.Kind, name string) error
 	reply(k control.Kind, name string, r Reply) error
@@ -27,12 +28,13 @@
 	_ adsStream = (*delta)(nil)
 )
 
-// response is one discovery response.
+// response is one discovery response, in the form that both variants share.
 type response struct {
 	typeURL, version, nonce string
 	resources               []*anypb.Any
 }
 
+// open opens a stream of the variant that the options ask for.
 func (s *Stream) open(ctx context.Context, conn *grpc.ClientConn) (adsStream, error) {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	node := &corev3.Node{Id: s.options.Node, Cluster: s.options.Cluster}
@@ -44,7 +46,7 @@
 	return &stateOfTheWorld{stream: c, node: node}, err
 }
 
-// errorDetail is what a rejection says; nil for an acknowledgement.
+// errorDetail returns the status that a rejection has; nil for an acknowledgement.
 func errorDetail(r Reply) *rpcstatus.Status {
 	if len(r.Reasons) == 0 {
 		return nil
@@ -52,7 +54,7 @@
 	return &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: strings.Join(r.Reasons, "; ")}
 }
 
-// stateOfTheWorld is the variant in which a response has all resources of a type.
+// stateOfTheWorld is a stream of the variant in which a response has all resources of a type.
 type stateOfTheWorld struct {
 	stream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 	node   *corev3.Node
@@ -72,8 +74,8 @@
 	return response{m.GetTypeUrl(), m.GetVersionInfo(), m.GetNonce(), m.GetResources()}, err
 }
 
-// delta is the incremental variant. Each type has one resource here, so a response has the complete resource or removes
-// it.
+// delta is a stream of the incremental variant. Each type has a single resource here, so a response either has the whole
+// resource or removes it.
 type delta struct {
 	stream discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 	node   *corev3.Node
@@ -89,7 +91,7 @@
 		ErrorDetail: errorDetail(r)})
 }
 
-var errNoVersion = errors.New("a resource without a version")
+var errNoVersion = errors.New("resource of a delta response has no version")
 
 func (d *delta) recv() (response, error) {
 	m, err := d.stream.Recv()
@@ -99,7 +101,7 @@
 	r := response{typeURL: m.GetTypeUrl(), nonce: m.GetNonce()}
 	for _, resource := range m.GetResources() {
 		if r.version = resource.GetVersion(); r.version == "" {
-			return response{}, errNoVersion
+			return response{}, fmt.Errorf("%s: resource %q: %w", r.typeURL, resource.GetName(), errNoVersion)
 		}
 		r.resources = append(r.resources, resource.GetResource())
 	}
--- a/control/stream/resources.go
+++ b/control/stream/resources.go
@@ -12,10 +12,10 @@
 	"embershunt/nodelist"
 )
 
-// SettingsName is the resource name of each kind of the settings.
+// SettingsName is the resource name of each kind of settings.
 const SettingsName = "default"
 
-// typeURLs are the resource types, by kind.
+// typeURLs has the type URL of each kind's resource.
 var typeURLs = map[control.Kind]string{
 	control.Classes:        "type.googleapis.com/embershunt.config.v1.Classes",
 	control.Tenants:        "type.googleapis.com/embershunt.config.v1.Tenants",
@@ -25,10 +25,11 @@
 	control.Nodes:          "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment",
 }
 
-// TypeURL is the resource type of a kind.
+// TypeURL returns the type URL of a kind's resource.
 func TypeURL(k control.Kind) string { return typeURLs[k] }
 
-func kindOf(url string) (control.Kind, bool) {
+// kindOfTypeURL returns the kind of a type URL, and whether there is one.
+func kindOfTypeURL(url string) (control.Kind, bool) {
 	for k, u := range typeURLs {
 		if u == url {
 			return k, true
@@ -37,14 +38,14 @@
 	return 0, false
 }
 
-// decode decodes the one resource of a response into an event.
+// decode decodes the resources of a response into the Message, Nodes or Err of an event.
 func (s *Stream) decode(k control.Kind, resources []*anypb.Any, ev *control.Offered) {
 	if k == control.Nodes {
 		ev.Nodes, ev.Err = s.decodeNodes(resources)
 		return
 	}
 	if len(resources) != 1 {
-		ev.Err = fmt.Errorf("%s: %d resources, allowed is one, named %q", k, len(resources), SettingsName)
+		ev.Err = fmt.Errorf("%s: response has %d resources, want exactly one, named %q", k, len(resources), SettingsName)
 		return
 	}
 	message := map[control.Kind]proto.Message{control.Classes: &configv1.Classes{}, control.Tenants: &configv1.Tenants{},
@@ -57,8 +58,8 @@
 	ev.Message = message
 }
 
-// decodeNodes decodes the node list out of the clusters of a response. One cluster that cannot be decoded makes the whole
-// response invalid, wherever it stands.
+// decodeNodes decodes the node list, which is one of the clusters in a response. Any cluster that cannot be decoded makes
+// the whole response invalid.
 func (s *Stream) decodeNodes(resources []*anypb.Any) ([]nodelist.Node, error) {
 	var found *endpointv3.ClusterLoadAssignment
 	for i, r := range resources {
--- a/control/stream/stream.go
+++ b/control/stream/stream.go
@@ -1,5 +1,5 @@
-// Package stream is the client of a control service: xDS v3 on one ADS stream, state of the world or delta. It decodes
-// what is received and sends the replies that the caller decides on; it validates nothing.
+// Package stream is the client of a control service. It speaks xDS v3 on one ADS stream, in the state-of-the-world or the
+// delta variant. It decodes the responses and sends the replies that the caller decides on; it does not validate settings.
 package stream
 
 import (
@@ -23,49 +23,50 @@
 	maxQueuedReplies  = 1000
 )
 
-// Options are the settings of a stream.
+// Options configures a Stream.
 type Options struct {
 	Address  string // host:port of the control service
 	Cluster  string // resource name of the node list
 	Node     string // this dispatcher's name
 	Names    nodelist.Names
-	Settings bool // the settings are streamed too, not the node list alone
-	Delta    bool // the incremental variant of xDS
-	Dial     []grpc.DialOption
-	// MinBackoff and MaxBackoff bound the backoff before a new stream: it is drawn between nothing and a limit that doubles from
-	// MinBackoff to MaxBackoff (full jitter), so that many dispatchers do not reconnect together. Zero values mean 200 ms and 30 s.
+	Settings bool              // whether the settings are streamed besides the node list
+	Delta    bool              // whether to use the incremental variant of xDS
+	Dial     []grpc.DialOption // additional ones; none: an unencrypted connection
+	// MinBackoff and MaxBackoff bound the backoff before a new stream. The backoff is drawn between 0 and a limit that doubles
+	// from MinBackoff to MaxBackoff (full jitter), so that many dispatchers do not reconnect at the same time. Zero values mean
+	// 200 ms and 30 s.
 	MinBackoff, MaxBackoff time.Duration
 	Random                 func() float64 // in [0, 1); nil: math/rand's
 }
 
-// Handler receives the events of a stream. Both methods are called from one goroutine at a time and may block briefly.
+// Handler receives the events of a stream. Its methods are called from one goroutine at a time and may block briefly.
 type Handler interface {
-	// Offered receives one resource.
+	// Offered receives one decoded response.
 	Offered(control.Offered)
-	// Lost receives the error that ended a stream; ErrRenewed if Renew did.
+	// Lost receives the error that ended a stream; ErrRenewed if Renew ended it.
 	Lost(error)
 }
 
-// Reply is an acknowledgement of a response, or a rejection.
+// Reply is an acknowledgement or a rejection of a response.
 type Reply struct {
 	Kind           control.Kind
 	Version, Nonce string
 	Reasons        []string // of a rejection; nil: acknowledged
 }
 
-// Stream is a client of one service.
+// Stream is a client of one control service. It keeps one ADS stream open, and opens another when that ends.
 type Stream struct {
 	options Options
 	handler Handler
 	replies chan Reply
-	retry   chan struct{} // holds one token when a backoff is to be cut short
-	renew   chan struct{} // holds one token when the present stream is to be ended
+	retry   chan struct{} // holds a token if the backoff is to end now
+	renew   chan struct{} // holds a token if the current stream is to end
 }
 
-// ErrRenewed is the error of a stream that was ended by Renew: the service is reachable.
-var ErrRenewed = errors.New("the stream is made anew")
+// ErrRenewed is the error of a stream that Renew ended. It does not mean that the service is unreachable.
+var ErrRenewed = errors.New("stream ended by Renew")
 
-// New returns a stream; Run opens it.
+// New returns a Stream that does nothing until Run is called.
 func New(o Options, h Handler) *Stream {
 	if o.MinBackoff == 0 {
 		o.MinBackoff = defaultMinBackoff
@@ -80,8 +81,8 @@
 		renew: make(chan struct{}, 1)}
 }
 
-// Reply sends a reply on the present stream. It does not block: a reply after the stream's end is dropped, and so is one
-// that finds maxQueuedReplies others queued, which does not happen on a stream that works.
+// Reply queues a reply to be sent on the current stream. It does not block: a reply is dropped if the stream has ended, or if
+// maxQueuedReplies others are queued, which does not happen on a working stream.
 func (s *Stream) Reply(r Reply) {
 	select {
 	case s.replies <- r:
@@ -89,14 +90,14 @@
 	}
 }
 
-// Again cuts a backoff short; it does not block.
+// Again ends a backoff at once, or the next one if there is none now. It does not block.
 func (s *Stream) Again() { signal(s.retry) }
 
-// Renew ends the present stream and opens another one at once, on which the service sends all resources again; it does
-// not block.
+// Renew ends the current stream and opens another one at once, on which the service sends all resources again. It does not
+// block.
 func (s *Stream) Renew() { signal(s.renew) }
 
-// signal leaves a token in a channel that holds one.
+// signal puts a token into a channel with room for one, unless the channel holds one already.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -104,13 +105,13 @@
 	}
 }
 
-// Run keeps a stream open until ctx ends. The error is that of unusable options.
+// Run keeps a stream open until ctx ends. It returns an error only if the options are unusable.
 func (s *Stream) Run(ctx context.Context) error {
 	conn, err := s.dial()
 	if err != nil {
 		return err
 	}
-	defer func() { _ = conn.Close() }() // nothing is pending on it
+	defer func() { _ = conn.Close() }() // no call is pending on the connection
 	limit := s.options.MinBackoff
 	for ctx.Err() == nil {
 		responded, err := s.runOnce(ctx, conn)
@@ -140,7 +141,7 @@
 	return grpc.NewClient("passthrough:///"+s.options.Address, options...)
 }
 
-// backOff waits a random time up to limit.
+// backOff waits a random time up to limit, or until Again or the end of ctx.
 func (s *Stream) backOff(ctx context.Context, limit time.Duration) {
 	t := time.NewTimer(time.Duration(s.options.Random() * float64(limit)))
 	defer t.Stop()
@@ -151,7 +152,8 @@
 	}
 }
 
-// runOnce opens one stream and serves it until it ends; responded tells whether a resource was received on it.
+// runOnce opens one stream and serves it until it ends. responded reports whether a response to a subscription was
+// received on it, which resets the backoff.
 func (s *Stream) runOnce(ctx context.Context, conn *grpc.ClientConn) (responded bool, err error) {
 	s.dropReplies()
 	group, ctx := errgroup.WithContext(ctx)
@@ -170,7 +172,7 @@
 	return responded, err
 }
 
-// dropReplies drops the replies to an earlier stream.
+// dropReplies drops the queued replies, which belong to an earlier stream.
 func (s *Stream) dropReplies() {
 	for {
 		select {
@@ -181,6 +183,7 @@
 	}
 }
 
+// sendReplies sends the queued replies until ctx ends, Renew is called or sending fails.
 func (s *Stream) sendReplies(ctx context.Context, ads adsStream) error {
 	for {
 		select {
@@ -196,15 +199,15 @@
 	}
 }
 
-// receive hands the resources received to the handler until the stream ends; it sets responded at the first one.
+// receive passes the responses to the handler until the stream ends, and sets *responded at the first one.
 func (s *Stream) receive(ads adsStream, responded *bool) error {
 	for {
 		r, err := ads.recv()
 		if err != nil {
 			return err
 		}
-		k, ok := kindOf(r.typeURL)
-		if !ok { // no subscription: there is nothing to reply
+		k, ok := kindOfTypeURL(r.typeURL)
+		if !ok { // a type without a subscription needs no reply
 			continue
 		}
 		*responded = true
@@ -214,7 +217,7 @@
 	}
 }
 
-// kinds are the kinds that are subscribed to.
+// kinds returns the kinds to subscribe to.
 func (s *Stream) kinds() []control.Kind {
 	if !s.options.Settings {
 		return []control.Kind{control.Nodes}
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -20,7 +20,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// recorder records the events of a stream, and acknowledges what is received.
+// recorder is a Handler that records the events of a stream and acknowledges every response.
 type recorder struct {
 	mu      sync.Mutex
 	offered []control.Offered
@@ -28,25 +28,26 @@
 	s       *Stream
 }
 
-func (t *recorder) Offered(ev control.Offered) {
-	t.mu.Lock()
-	t.offered = append(t.offered, ev)
-	t.mu.Unlock()
-	t.s.Reply(Reply{Kind: ev.Kind, Version: ev.Version, Nonce: ev.Nonce})
+func (r *recorder) Offered(ev control.Offered) {
+	r.mu.Lock()
+	r.offered = append(r.offered, ev)
+	r.mu.Unlock()
+	r.s.Reply(Reply{Kind: ev.Kind, Version: ev.Version, Nonce: ev.Nonce})
 }
 
-func (t *recorder) Lost(error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.lost++
+func (r *recorder) Lost(error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lost++
 }
 
-func (t *recorder) count() (offered, lost int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.offered), t.lost
+func (r *recorder) count() (offered, lost int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.offered), r.lost
 }
 
+// await waits until a condition on the service holds, and fails the test after 10 s.
 func await(t testing.TB, c *simulated.Control, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -56,8 +57,8 @@
 	}
 }
 
-// start runs one stream until the test ends.
-func start(t *testing.T, o Options) *recorder {
+// startStream runs one stream until the test ends.
+func startStream(t *testing.T, o Options) *recorder {
 	h := &recorder{}
 	h.s = New(o, h)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -72,7 +73,8 @@
 	return h
 }
 
-func service(t *testing.T) *simulated.Control {
+// startService starts a simulated control service that runs until the test ends.
+func startService(t *testing.T) *simulated.Control {
 	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
@@ -89,15 +91,16 @@
 	return a
 }
 
-// A service that flaps, hangs before its first response, sends types without a subscription, or many versions at once.
-func TestServicesThatMisbehave(t *testing.T) {
+// A service sends nothing before its first response, sends a type without a subscription, sends many versions at once, and
+// restarts repeatedly. The client waits, ignores that type, acknowledges the newest version and reconnects each time.
+func TestMisbehavingService(t *testing.T) {
 	for _, delta := range []bool{false, true} {
 		t.Run(fmt.Sprintf("delta=%v", delta), func(t *testing.T) {
-			c := service(t)
-			h := start(t, Options{Address: c.Address(), Cluster: "nodes", Node: "d", Settings: true, Delta: delta,
+			c := startService(t)
+			h := startStream(t, Options{Address: c.Address(), Cluster: "nodes", Node: "d", Settings: true, Delta: delta,
 				MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond})
 			await(t, c, "a stream", func() bool { return len(c.Streams()) == 1 })
-			// It hangs: nothing is received, and the stream stays.
+			// The service sends nothing: nothing is received, and the stream stays open.
 			if o, l := h.count(); o != 0 || l != 0 {
 				t.Errorf("offered %d, lost %d", o, l)
 			}
@@ -124,18 +127,18 @@
 				n := len(c.Streams())
 				await(t, c, "a new stream", func() bool { return len(c.Streams()) > n })
 			}
-			await(t, c, "the version offered again", func() bool { o, l := h.count(); return o > before && l >= 5 })
+			await(t, c, "the newest version offered again", func() bool { o, l := h.count(); return o > before && l >= 5 })
 		})
 	}
 }
 
-// Many streams that were lost together do not reconnect together.
+// Many streams that are lost at the same time do not reconnect at the same time: the backoff has jitter.
 func TestReconnectsAreSpread(t *testing.T) {
 	const n = 60
 	peak := func(random func() float64) int {
-		c := service(t)
+		c := startService(t)
 		for i := range n {
-			start(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), MinBackoff: 400 * time.Millisecond,
+			startStream(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), MinBackoff: 400 * time.Millisecond,
 				MaxBackoff: 400 * time.Millisecond, Random: random})
 		}
 		await(t, c, "all streams", func() bool { return len(c.Streams()) == n })
@@ -155,23 +158,24 @@
 	together, spread := peak(func() float64 { return 1 }), peak(nil)
 	t.Logf("of %d reconnects within 40 ms: %d at most without jitter, %d with it", n, together, spread)
 	if spread*2 > together {
-		t.Errorf("at most %d within 40 ms, without jitter %d: they are not spread", spread, together)
+		t.Errorf("at most %d reconnects within 40 ms, %d without jitter: jitter must at least halve them", spread, together)
 	}
 }
 
-// Whatever a service sends is decoded or rejected, and nothing panics.
+// Any response is either decoded or rejected with an error, without a panic.
 func FuzzResponse(f *testing.F) {
 	for k := range typeURLs {
 		f.Add(int(k), typeURLs[k], []byte{8, 1})
 	}
-	f.Add(0, typeURLs[control.Classes], mustMarshal(&configv1.Classes{Set: 1, Classes: []*configv1.Class{{Name: "c", AimUs: 1, DeadlineUs: 2}}}))
+	f.Add(0, typeURLs[control.Classes], mustMarshal(&configv1.Classes{Set: 1,
+		Classes: []*configv1.Class{{Name: "c", AimUs: 1, DeadlineUs: 2}}}))
 	f.Fuzz(func(t *testing.T, kind int, url string, value []byte) {
 		k := control.Kind(((kind % 6) + 6) % 6)
 		s := New(Options{Cluster: "nodes", Names: nodelist.Names{Zones: []string{"h"}, Kinds: []string{"k"}}}, &recorder{})
 		ev := control.Offered{Kind: k, Version: "1", Nonce: "1"}
 		s.decode(k, []*anypb.Any{{TypeUrl: url, Value: value}}, &ev)
 		if ev.Err == nil && k != control.Nodes && ev.Message == nil {
-			t.Fatal("neither decoded nor rejected")
+			t.Fatal("the response was neither decoded nor rejected")
 		}
 	})
 }
