--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -47,17 +47,17 @@
 	}
 }
 
-// entry is the query that an action names; nil where it has no entry any more. That is a fault unless the query was received
-// and closed in this step: the gateway decided before it could know of the end.
+// entry returns the ledger entry of the query that an action names, or nil if there is none. A missing entry is recorded as a
+// fault unless the query was both received and closed in this step: the gateway was not yet told of the end when it decided.
 func (c *Core) entry(id string) *entry {
 	e := c.ledger.entries[id]
 	if _, closed := c.ledger.closedInStep[id]; e == nil && !closed {
-		c.ledger.fault(FaultUnknown, id, nil)
+		c.ledger.recordFault(FaultUnknown, id, nil)
 	}
 	return e
 }
 
-// class is the class of a query by the settings in force; the zero value where it has none.
+// class returns the class of a query in the current settings, or the zero value if its index is out of range.
 func (c *Core) class(q *Query) policy.Class {
 	if q.Class >= 0 && q.Class < len(c.classes) {
 		return c.classes[q.Class]
@@ -65,9 +65,9 @@
 	return policy.Class{}
 }
 
-// send sends an attempt, or reports it to the gateway as never sent where the ledger withholds it.
+// send sends an attempt. If the ledger withholds the attempt, send reports it to the gateway as never sent instead.
 func (c *Core) send(now Micros, action policy.Send) {
-	if number, ok := c.ledger.attemptAfterClose(action.ID); ok { // decided before the gateway could know of the end
+	if number, ok := c.ledger.attemptAfterClose(action.ID); ok { // the gateway was not yet told of the end when it decided
 		c.reportUnsent(action, number, true)
 		return
 	}
@@ -97,7 +97,8 @@
 	c.fleet.Send(a)
 }
 
-// reportUnsent tells the gateway, which has numbered the attempt already, that it was never sent; final: the query is answered.
+// reportUnsent tells the gateway that an attempt, which it has already numbered, was never sent. final reports that the query
+// has its final answer.
 func (c *Core) reportUnsent(action policy.Send, number int, final bool) {
 	c.followUps = append(c.followUps, policy.AttemptResult{ID: action.ID, Attempt: number, Endpoint: action.Endpoint,
 		Code: policy.NeverSent, Final: final})
--- a/dispatch/clock.go
+++ b/dispatch/clock.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Clock is the clock of a Loop.
+// Clock is the time source of a Loop.
 type Clock interface {
-	// Now is monotonic and above 0.
+	// Now returns the current time, which is monotonic and above 0.
 	Now() Micros
-	// Timer returns a channel that receives a value at a time or after it, and a function that stops the timer.
+	// Timer returns a channel that receives a value at or after the given time, and a function that stops the timer.
 	Timer(at Micros) (<-chan time.Time, func() bool)
 }
 
-// clockStart is the first value of the clock, an hour: large enough that the start time of a node, which lies in the past, is
-// above 0 as well. A node that started longer ago counts as old.
+// clockStart is the first value of the clock: one hour. The start times of nodes lie in the past and have to be above 0 too,
+// since 0 means that a node started long ago. That is how a node counts that started more than an hour before the dispatcher.
 const clockStart = Micros(3600 * 1e6)
 
 var _ Clock = wallClock{}
 
-// wallClock is monotonic real time.
+// wallClock is a Clock of monotonic real time.
 type wallClock struct{ start time.Time }
 
-// NewClock returns a clock of monotonic real time.
+// NewClock returns a Clock of monotonic real time that begins at one hour.
 func NewClock() Clock { return wallClock{time.Now()} }
 
 // Now implements Clock.
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -1,7 +1,7 @@
-// Package dispatch hosts one policy.Gateway: events come in, the gateway decides, a ledger gives each query exactly one final
-// answer, and actions go out through the Fleet and Client interfaces.
+// Package dispatch hosts one policy.Gateway. It passes events to the gateway and carries out the gateway's actions through the
+// Fleet and Client interfaces. A ledger ensures that each query gets exactly one final answer.
 //
-// Core is pure: no clock, no goroutine, no socket. Loop runs it in real time; a simulation may step it as well.
+// Core uses no clock, goroutine or socket. Loop runs it in real time; a simulation can call Step itself.
 package dispatch
 
 import (
@@ -11,63 +11,63 @@
 	"embershunt/policy"
 )
 
-// Core is a policy gateway with its ledger. It is not safe for concurrent use.
+// Core combines a policy gateway with the ledger of its queries. It is not safe for concurrent use.
 type Core struct {
-	gateway  decisionModule
+	gateway  gateway
 	fleet    Fleet
 	observer Observer
 	recorder Recorder // nil: decisions are not recorded
 	ledger   ledger
 
-	draining    bool
-	maxInFlight int            // queries without a final answer; 0: no limit
-	hedging     bool           // a query may have two attempts in flight
-	classes     []policy.Class // of the settings in force
-	numbering   settingsNumbering
+	draining         bool
+	maxInFlight      int            // queries without a final answer; 0: no limit
+	hedging          bool           // a query may have two attempts in flight
+	classes          []policy.Class // of the current settings
+	settingsVersions settingsVersions
 
-	// What the gateway was made of, for the recorder.
+	// Inputs that the gateway was created from, for the recorder.
 	seed          uint64
 	settings      policy.Settings // at the start
-	restored      *policy.Learned // learned state it began with; nil: none
-	fleetRestored bool            // the part of restored about endpoints was used too
+	restored      *policy.Learned // learned state that the gateway started with; nil: none
+	fleetRestored bool            // the part of restored about the fleet was used too
 
 	timerAt  Micros
 	timerSet bool
 
-	// Of the step under way.
+	// State of the current step.
 	actionCount  int
-	eventIndex   int // event that is being handled
+	eventIndex   int // index of the event that is being handled
 	policyEvents []policy.Event
-	followUps    []policy.Event // results of actions that ended at once, for the gateway in the same step
+	followUps    []policy.Event // results of actions that ended immediately, passed to the gateway in the same step
 }
 
-// decisionModule is the part of *policy.Gateway that a Core uses; tests put a faulty one in its place.
-type decisionModule interface {
+// gateway is the part of *policy.Gateway that a Core uses; tests replace it with a scripted or faulty implementation.
+type gateway interface {
 	Step(now Micros, events []policy.Event) []policy.Action
 	Change(s policy.Settings, classes, tenants []int) error
 	Outstanding() (retries, received int, orderKeyPaused bool)
 }
 
-var _ decisionModule = (*policy.Gateway)(nil)
+var _ gateway = (*policy.Gateway)(nil)
 
-// NewCore returns a Core; the error is policy's and names the setting that cannot be used. What a Core does depends on seed,
-// settings and the arguments of Step alone.
+// NewCore returns a Core. The error comes from policy.New and names the setting that cannot be used. The behaviour of a Core
+// depends only on the seed, the settings and the arguments of its methods.
 func NewCore(seed uint64, s policy.Settings, f Fleet, o Observer) (*Core, error) {
 	g, err := policy.New(seed, s)
 	if err != nil {
 		return nil, err
 	}
 	return &Core{
-		gateway:     g,
-		fleet:       f,
-		observer:    o,
-		ledger:      newLedger(),
-		maxInFlight: s.MaxInFlight,
-		hedging:     s.AllowHedging,
-		classes:     s.Classes,
-		numbering:   newNumbering(s),
-		seed:        seed,
-		settings:    s,
+		gateway:          g,
+		fleet:            f,
+		observer:         o,
+		ledger:           newLedger(),
+		maxInFlight:      s.MaxInFlight,
+		hedging:          s.AllowHedging,
+		classes:          s.Classes,
+		settingsVersions: newSettingsVersions(s),
+		seed:             seed,
+		settings:         s,
 	}, nil
 }
 
@@ -77,17 +77,17 @@
 	r.Started(now, c.seed, c.settings, c.restored, c.fleetRestored)
 }
 
-// Unanswered is the number of queries without a final answer.
+// Unanswered returns the number of queries without a final answer.
 func (c *Core) Unanswered() int { return len(c.ledger.unanswered) }
 
-// Tracked is the number of queries in the ledger: those without a final answer and those with attempts that have not ended.
+// Tracked returns the number of queries in the ledger: those without a final answer and those with attempts in flight.
 func (c *Core) Tracked() int { return len(c.ledger.entries) }
 
 // Drain makes the core reject every later query.
 func (c *Core) Drain() { c.draining = true }
 
-// Next is the time at which Step must be called even without events: a timer of the gateway or a deadline. ok is false where
-// there is neither.
+// Next returns the time at which Step must be called even without events: the gateway's timer or the earliest deadline. ok is
+// false if there is neither.
 func (c *Core) Next() (at Micros, ok bool) {
 	at, ok = c.timerAt, c.timerSet
 	if deadline, pending := c.ledger.nextDeadline(); pending && (!ok || deadline < at) {
@@ -96,7 +96,7 @@
 	return at, ok
 }
 
-// PanicError is the error of Step after a panic of the gateway or of the ledger around it.
+// PanicError is the error that Step returns after a panic of the gateway or of the Core itself.
 type PanicError struct {
 	Value any
 	Stack []byte
@@ -104,12 +104,12 @@
 
 // Error implements error.
 func (e *PanicError) Error() string {
-	return fmt.Sprintf("the decision module panicked: %v; every query held was failed; no decision can be trusted "+
-		"after this, so the dispatcher ends", e.Value)
+	return fmt.Sprintf("panic in the gateway: %v; all pending queries were failed; the gateway's state is no longer "+
+		"reliable, so the dispatcher exits", e.Value)
 }
 
-// Step handles the events of one moment. An error is always a *PanicError: every pending query has been failed, and the core
-// must not be used again.
+// Step handles the events that have arrived by now, then expired deadlines and the gateway's timer. An error is always a
+// *PanicError: every pending query has been failed, and the core must not be used again.
 func (c *Core) Step(now Micros, events []Event) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -136,7 +136,8 @@
 	return nil
 }
 
-// failAfterPanic answers every query: those in the ledger, and those whose events had not been handled when the panic came.
+// failAfterPanic fails every query that has no answer yet: those in the ledger, and those whose events had not been handled
+// when the panic occurred.
 func (c *Core) failAfterPanic(now Micros, events []Event) {
 	c.FailAll(now, ReasonInternal)
 	for _, ev := range events[min(c.eventIndex+1, len(events)):] {
@@ -146,8 +147,8 @@
 	}
 }
 
-// stepPolicy steps the gateway with the events gathered so far and applies its actions. An action may end at once, as a send
-// that is withheld does: its result goes to the gateway in the same step.
+// stepPolicy passes the events gathered so far to the gateway and applies its actions. Some actions have their result
+// immediately, such as a send that the ledger withholds: the gateway receives such results in the same step.
 func (c *Core) stepPolicy(now Micros) {
 	for first := true; first || len(c.policyEvents) > 0; first = false {
 		out := c.gateway.Step(now, c.policyEvents)
@@ -163,7 +164,7 @@
 	}
 }
 
-// reportStep hands the faults and counts of a step to the observer.
+// reportStep reports the faults and counts of a step to the observer.
 func (c *Core) reportStep(events, actions int) {
 	for _, f := range c.ledger.faults {
 		c.observer.Fault(f)
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -8,42 +8,44 @@
 	"embershunt/policy"
 )
 
-// entry is one query in the ledger, from its receipt until it has its final answer and all its attempts have ended.
+// entry is the ledger's record of one query. It exists from the receipt of the query until the query has its final answer and
+// all its attempts have ended.
 type entry struct {
 	query          *Query
 	receivedAt     Micros
-	receivedInStep int // number of the ledger's step
+	receivedInStep int // ledger.step at receipt
 	attempts       []attempt
 	inFlight       int          // attempts that have not ended
-	forwarded      int          // number of the attempt whose response goes to the client; -1: none
-	outcome        OutcomeKind  // of the final answer; 0: there is none yet
-	resources      Attempt      // MemoryMB, Priority and HasResources of the next send
-	lastEnded      AttemptEnded // the latest attempt that ended
+	forwarded      int          // number of the attempt whose response is forwarded to the client; -1: none
+	outcome        OutcomeKind  // of the final answer; 0: not answered yet
+	resources      Attempt      // holds MemoryMB, Priority and HasResources of the next send; other fields are unused
+	lastEnded      AttemptEnded // end of the attempt that ended last
 	history        []historyEntry
 	heapIndex      int // in ledger.pending; -1: not in it
 }
 
-// attempt is one send of a query, or one that was withheld.
+// attempt is one send of a query, including sends that the ledger withheld.
 type attempt struct {
 	node      string
 	sentAt    Micros
 	ended     bool
-	code      policy.Code // of its end
+	code      policy.Code // set once the attempt has ended
 	cancelled bool
 }
 
-// historyEntry is one event in a query's history. It is small: it is written for every query and read for few.
+// historyEntry is one event in a query's history. It is kept small and is formatted late, since histories are written for
+// every query but read only when a fault occurs.
 type historyEntry struct {
 	at      Micros
-	event   string // a constant
-	attempt int    // number; -1: it is not about an attempt
-	code    int    // a policy.Code or an OutcomeKind; -1: none
+	event   string // a string constant
+	attempt int    // attempt number; -1: the event concerns no attempt
+	code    int    // policy.Code of an ended attempt or OutcomeKind of an answer; -1: none
 }
 
-// maxHistory is the number of entries kept, the latest ones.
+// maxHistory is the number of history entries kept for a query; the oldest are dropped.
 const maxHistory = 24
 
-// record adds an event to the history; attempt and code are -1 where there is none.
+// record appends an event to the query's history. attempt and code are -1 if the event has none.
 func (e *entry) record(at Micros, event string, attempt, code int) {
 	if len(e.history) == maxHistory {
 		copy(e.history, e.history[1:])
@@ -52,7 +54,8 @@
 	e.history = append(e.history, historyEntry{at, event, attempt, code})
 }
 
-// formatHistory lists the events of a query, separated by semicolons, with the milliseconds since its receipt.
+// formatHistory formats the query's history as a list separated by semicolons. Each event starts with its time since the
+// query's receipt, in milliseconds.
 func (e *entry) formatHistory() string {
 	var b strings.Builder
 	for i, h := range e.history {
@@ -70,7 +73,8 @@
 	return b.String()
 }
 
-// retryState is what decides whether another attempt may be sent; class and hedging are of the settings in force.
+// retryState returns the state from which permit decides whether another attempt may be sent. class and hedging come from the
+// current settings.
 func (e *entry) retryState(now Micros, class policy.Class, hedging bool) permit.Retrying {
 	r := permit.Retrying{
 		Now:         now,
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -2,44 +2,46 @@
 
 import "embershunt/policy"
 
-// Event is an input of a Core: QueryReceived and ClientDisconnected come from a frontend, the others from the fleet or the
-// server.
+// Event is an input of a Core. QueryReceived and ClientDisconnected come from a frontend, the other events from the fleet or
+// the server.
 type Event interface{ isEvent() }
 
 // The events.
 type (
-	// QueryReceived hands over a query; the core owes it one final answer.
+	// QueryReceived submits a query; the core gives it exactly one final answer.
 	QueryReceived struct{ Query *Query }
-	// ClientDisconnected says that the client cancelled its query or that its connection broke.
+	// ClientDisconnected reports that the client cancelled its query or that its connection broke.
 	ClientDisconnected struct{ ID string }
-	// ResponseReady says that the first frame of an attempt's response has arrived; the attempt waits for
+	// ResponseReady reports that the first frame of an attempt's response has arrived. The attempt then waits for
 	// Fleet.ForwardResponse or Fleet.Cancel.
 	ResponseReady struct {
 		ID     string
 		Number int
 	}
-	// AttemptEnded is the end of an attempt.
+	// AttemptEnded reports the end of an attempt.
 	AttemptEnded struct {
 		ID                string
 		Number            int
 		Code              policy.Code
-		StatementRejected bool // the node reports an error of the statement: an answer, no fault of the node
+		StatementRejected bool // the statement itself is in error: the node answered, and is not at fault
 		Latency           Micros
 		Load              *policy.Load
-		WorkMicros        Micros  // processor time of all threads; 0: the node does not report it
+		WorkMicros        Micros  // CPU time of all threads; 0: the node does not report it
 		NeededMB          float64 // peak memory; 0: the node does not report it
 		Result            any
 		Err               error
 	}
-	// PolicyEvent passes an event to the gateway that does not concern the ledger, such as policy.EndpointUpdate.
+	// PolicyEvent passes an event that does not concern the ledger to the gateway, such as policy.EndpointUpdate.
 	PolicyEvent struct{ Event policy.Event }
-	// Change puts new settings in force between two steps, completely or not at all. Done is called once.
+	// Change replaces the settings between two steps of the gateway, completely or not at all. Done is called once with the
+	// result, but never if the gateway panics first or the loop has ended.
 	Change struct {
 		Serial   uint64
 		Settings policy.Settings
 		Done     func(error)
 	}
-	// Inspect calls Func on the loop, between two events; Func must neither block nor change anything.
+	// Inspect calls Func on the loop's goroutine, between two events. Func must neither block nor change anything; it is
+	// not called if the gateway panics first or the loop has ended.
 	Inspect struct{ Func func(*Core) }
 )
 
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -7,14 +7,14 @@
 	"embershunt/policy"
 )
 
-// ledger gives each query exactly one final answer.
+// ledger tracks queries and their attempts, and ensures that each query gets exactly one final answer.
 type ledger struct {
 	entries    map[string]*entry
 	unanswered deadlineHeap // entries without a final answer
-	faults     []Fault      // of the step under way
-	step       int          // number of the step under way
-	// closedInStep counts the attempts of queries that were both received and closed in this step: the gateway may still send
-	// attempts for them, since it has not been told of the end.
+	faults     []Fault      // of the current step
+	step       int          // number of the current step
+	// closedInStep counts, by id, the attempts of queries that were both received and closed in the current step. The gateway may
+	// still send attempts for them, since it was not yet told of the end.
 	closedInStep map[string]int
 }
 
@@ -22,14 +22,14 @@
 	return ledger{entries: map[string]*entry{}, closedInStep: map[string]int{}}
 }
 
-// beginStep begins a step.
+// beginStep starts a new step and forgets the queries closed in the previous one.
 func (l *ledger) beginStep() {
 	l.step++
 	clear(l.closedInStep)
 }
 
-// fault notes a fault; e is nil where no entry belongs to it.
-func (l *ledger) fault(kind FaultKind, id string, e *entry) {
+// recordFault records a fault, with the history of the query's entry e; e is nil if the query has none.
+func (l *ledger) recordFault(kind FaultKind, id string, e *entry) {
 	f := Fault{Kind: kind, ID: id}
 	if e != nil {
 		f.History = e.formatHistory()
@@ -37,10 +37,10 @@
 	l.faults = append(l.faults, f)
 }
 
-// open makes an entry; nil where the id has one already.
+// open creates the entry of a query; it returns nil and records a fault if the query's id has an entry already.
 func (l *ledger) open(now Micros, q *Query) *entry {
 	if old := l.entries[q.ID]; old != nil {
-		l.fault(FaultDoubleID, q.ID, old)
+		l.recordFault(FaultDoubleID, q.ID, old)
 		return nil
 	}
 	e := &entry{query: q, receivedAt: now, receivedInStep: l.step, forwarded: -1, history: make([]historyEntry, 0, 8)}
@@ -50,10 +50,10 @@
 	return e
 }
 
-// answer gives the final answer; false where the query has one already.
+// answer gives the query its final answer. It returns false and records a fault if the query has one already.
 func (l *ledger) answer(now Micros, e *entry, outcome Outcome) bool {
 	if e.outcome != 0 {
-		l.fault(FaultDoubleAnswer, e.query.ID, e)
+		l.recordFault(FaultDoubleAnswer, e.query.ID, e)
 		return false
 	}
 	e.outcome = outcome.Kind
@@ -64,7 +64,7 @@
 	return true
 }
 
-// closeIfDone removes an entry that has its final answer and no attempt in flight.
+// closeIfDone removes the entry of a query that has its final answer and no attempt in flight.
 func (l *ledger) closeIfDone(e *entry) {
 	if e.outcome == 0 || e.inFlight > 0 {
 		return
@@ -75,8 +75,8 @@
 	}
 }
 
-// attemptAfterClose numbers an attempt that the gateway sends for a query received and closed in this step; ok is false for
-// any other query.
+// attemptAfterClose numbers an attempt that the gateway sends for a query received and closed in the current step. ok is false
+// for any other query.
 func (l *ledger) attemptAfterClose(id string) (number int, ok bool) {
 	if number, ok = l.closedInStep[id]; ok {
 		l.closedInStep[id]++
@@ -84,7 +84,8 @@
 	return number, ok
 }
 
-// send adds an attempt; ok is false where it must not be sent. It is numbered all the same, as the gateway does.
+// send adds an attempt to the query's entry. ok is false, and a fault is recorded, if the attempt must not be sent; it gets a
+// number nevertheless, since the gateway numbers it too.
 func (l *ledger) send(now Micros, e *entry, node string, class policy.Class, hedging bool) (number int, ok bool) {
 	number = len(e.attempts)
 	if reason := e.retryState(now, class, hedging).Retry(); reason != permit.Permitted {
@@ -92,7 +93,7 @@
 		if reason == permit.AttemptInFlight || reason == permit.MayHaveRun || reason == permit.DedupWindow {
 			kind = FaultForbidden
 		}
-		l.fault(kind, e.query.ID, e)
+		l.recordFault(kind, e.query.ID, e)
 		e.attempts = append(e.attempts, attempt{node: node, sentAt: now, ended: true, code: policy.NeverSent})
 		return number, false
 	}
@@ -102,16 +103,17 @@
 	return number, true
 }
 
-// endAttempt marks an attempt as ended; nil where there is none in flight by that number.
+// endAttempt marks an attempt as ended and returns its query's entry. It returns nil and records a fault if the query has no
+// attempt in flight with that number.
 func (l *ledger) endAttempt(now Micros, ev AttemptEnded) *entry {
 	e := l.entries[ev.ID]
 	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) {
-		l.fault(FaultLateOutcome, ev.ID, e)
+		l.recordFault(FaultLateOutcome, ev.ID, e)
 		return nil
 	}
 	a := &e.attempts[ev.Number]
 	if a.ended {
-		l.fault(FaultDoubleEnd, ev.ID, e)
+		l.recordFault(FaultDoubleEnd, ev.ID, e)
 		return nil
 	}
 	a.ended, a.code = true, ev.Code
@@ -121,7 +123,7 @@
 	return e
 }
 
-// nextDeadline is the earliest deadline of the pending queries; ok is false where there are none.
+// nextDeadline returns the earliest deadline of the pending queries; ok is false if there are none.
 func (l *ledger) nextDeadline() (at Micros, ok bool) {
 	if len(l.unanswered) == 0 {
 		return 0, false
@@ -129,7 +131,7 @@
 	return l.unanswered[0].query.Deadline, true
 }
 
-// overdue is a pending query whose deadline has passed; nil where there is none.
+// overdue returns the pending query with the earliest deadline if this deadline has passed, else nil.
 func (l *ledger) overdue(now Micros) *entry {
 	if at, ok := l.nextDeadline(); ok && at <= now {
 		return l.unanswered[0]
--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -7,40 +7,41 @@
 	"time"
 )
 
-// Loop owns a Core: one goroutine steps it with all events that have come in since the last step.
+// Loop runs a Core in real time: one goroutine steps it with all events posted since the last step. Post and Drain are safe for
+// concurrent use.
 type Loop struct {
 	core  *Core
 	clock Clock
 
-	mu                sync.Mutex
-	inbox             []Event
-	pendingQueries    int // QueryReceived events among pending
-	maxPendingQueries int
-	stopped           bool
-	draining          bool
+	mu              sync.Mutex
+	inbox           []Event
+	inboxQueries    int // QueryReceived events in inbox
+	maxInboxQueries int
+	stopped         bool
+	draining        bool
 
-	wake  chan struct{} // holds one token while pending is not empty or draining was set
-	spare []Event       // buffer that becomes pending next; used by the loop's goroutine alone
+	wake  chan struct{} // receives a token when an event is posted or draining is set
+	spare []Event       // buffer that becomes inbox next; used by the loop's goroutine alone
 }
 
-// defaultMaxPendingQueries bounds the queries that wait for the next step where settings do not bound the pending ones.
-const defaultMaxPendingQueries = 1 << 16
+// defaultMaxInboxQueries limits the queries that wait for the next step if the settings do not limit pending queries.
+const defaultMaxInboxQueries = 1 << 16
 
-// NewLoop returns a loop; nothing happens before Run.
+// NewLoop returns a loop that collects events but does not step the core before Run.
 func NewLoop(core *Core, clock Clock) *Loop {
 	limit := core.maxInFlight
 	if limit == 0 {
-		limit = defaultMaxPendingQueries
+		limit = defaultMaxInboxQueries
 	}
-	return &Loop{core: core, clock: clock, maxPendingQueries: limit, wake: make(chan struct{}, 1)}
+	return &Loop{core: core, clock: clock, maxInboxQueries: limit, wake: make(chan struct{}, 1)}
 }
 
-// Post passes an event to the loop. It does not block. A query is rejected at once when too many wait for the next step or the
-// loop has ended; other events are dropped only after its end.
+// Post passes an event to the loop. It does not block. A query is rejected immediately if too many queries wait for the next
+// step or the loop has ended. Other events are dropped only if the loop has ended.
 func (l *Loop) Post(ev Event) {
 	received, isQuery := ev.(QueryReceived)
 	l.mu.Lock()
-	if l.stopped || isQuery && l.pendingQueries >= l.maxPendingQueries {
+	if l.stopped || isQuery && l.inboxQueries >= l.maxInboxQueries {
 		reason := ReasonFull
 		if l.stopped {
 			reason = ReasonDraining
@@ -52,14 +53,14 @@
 		return
 	}
 	if isQuery {
-		l.pendingQueries++
+		l.inboxQueries++
 	}
 	l.inbox = append(l.inbox, ev)
 	l.mu.Unlock()
 	l.notify()
 }
 
-// notify wakes the loop.
+// notify wakes the loop's goroutine.
 func (l *Loop) notify() {
 	select {
 	case l.wake <- struct{}{}:
@@ -67,7 +68,7 @@
 	}
 }
 
-// Drain makes the loop reject new queries and end once every query has its answer and its attempts have ended.
+// Drain makes the loop reject new queries, and end as soon as all queries have their final answer and no attempt is in flight.
 func (l *Loop) Drain() {
 	l.mu.Lock()
 	l.draining = true
@@ -75,8 +76,8 @@
 	l.notify()
 }
 
-// Run steps the core until it has drained, the context ends or the gateway panics (a *PanicError). When the context ends, the
-// pending queries are failed at once.
+// Run steps the core until the loop has drained (nil), the context ends (its error) or the gateway panics (a *PanicError). When
+// the context ends, pending queries are failed immediately. Queries that wait for the next step are rejected.
 func (l *Loop) Run(ctx context.Context) error {
 	err := l.stepUntilDone(ctx)
 	l.mu.Lock()
@@ -92,7 +93,7 @@
 	return err
 }
 
-// stepUntilDone is the loop itself; it ends for the reasons that Run states.
+// stepUntilDone runs steps until one of the conditions listed at Run ends the loop, and returns the error of Run.
 func (l *Loop) stepUntilDone(ctx context.Context) error {
 	if err := l.core.Step(l.clock.Now(), nil); err != nil {
 		return err
@@ -116,7 +117,7 @@
 		}
 		clear(events)
 		l.spare = events[:0]
-		if draining && l.core.Tracked() == 0 && !l.hasPending() {
+		if draining && l.core.Tracked() == 0 && !l.inboxNotEmpty() {
 			return nil
 		}
 	}
@@ -127,36 +128,36 @@
 	return ok
 }
 
-// waitForEvent waits for an event or, where timed, for the time at; false where the context ended first.
+// waitForEvent waits for an event or, if timed, until the time at. It returns false if the context has ended.
 func (l *Loop) waitForEvent(ctx context.Context, at Micros, timed bool) bool {
-	var due <-chan time.Time
+	var timer <-chan time.Time
 	if timed && at <= l.clock.Now() {
 		return ctx.Err() == nil
 	}
 	if timed {
 		c, stop := l.clock.Timer(at)
 		defer stop()
-		due = c
+		timer = c
 	}
 	select {
 	case <-ctx.Done():
 		return false
 	case <-l.wake:
-	case <-due:
+	case <-timer:
 	}
 	return ctx.Err() == nil
 }
 
-// collect takes the events that came in since the last step and says whether the loop is draining.
+// collect empties the inbox. It returns the events and whether the loop is draining.
 func (l *Loop) collect() ([]Event, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	events := l.inbox
-	l.inbox, l.pendingQueries = l.spare, 0
+	l.inbox, l.inboxQueries = l.spare, 0
 	return events, l.draining
 }
 
-func (l *Loop) hasPending() bool {
+func (l *Loop) inboxNotEmpty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.inbox) > 0
--- a/dispatch/observer.go
+++ b/dispatch/observer.go
@@ -2,27 +2,32 @@
 
 import "embershunt/policy"
 
-// Observer is notified of what a Core does, for metrics, logs and traces. It is called from the loop and must not block.
+// Observer receives notifications of a Core for metrics, logs and traces. Its methods are called by the goroutine that steps the
+// core and must not block.
 type Observer interface {
 	QueryReceived(q *Query)
-	// Answered reports a final answer; duration is that since the query's receipt.
+	// Answered reports a final answer and the time since the query's receipt. A query that is rejected on receipt has no
+	// QueryReceived before it, and duration 0.
 	Answered(q *Query, outcome Outcome, duration Micros)
 	Sent(a Attempt)
 	AttemptEnded(q *Query, node string, ev AttemptEnded)
 	Fault(f Fault)
 	Changed(version uint64, s policy.Settings)
-	// Paused reports how long a step with a change of settings took.
+	// Paused reports the duration of a step that contained a change of settings.
 	Paused(d Micros)
 	LogLine(text string)
-	// StepCompleted counts the events and actions of a step and the queries pending after it.
+	// StepCompleted reports the numbers of events and actions of a step, and of queries pending after the step.
 	StepCompleted(events, actions, pending int)
 }
 
-// Recorder is notified of all inputs and outputs of the gateway, in order. It must not block and must copy what it keeps.
+// Recorder receives all inputs and outputs of the gateway, in order. Its methods must not block and must copy slices that they
+// keep.
 type Recorder interface {
-	// Started reports what the gateway was made of; l is the learned state it began with, nil for none, and fleet says that
-	// the part about endpoints was used too.
+	// Started reports the inputs that the gateway was created from. l is the learned state that it started with, nil for none;
+	// fleet tells whether the part of l about the fleet was restored too.
 	Started(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fleet bool)
+	// StepCompleted reports one call of the gateway's Step.
 	StepCompleted(now Micros, events []policy.Event, actions []policy.Action)
+	// Changed reports a change of settings; classes and tenants hold, for each new index, the old one or -1.
 	Changed(now Micros, s policy.Settings, classes, tenants []int)
 }
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -9,10 +9,10 @@
 const (
 	Served OutcomeKind = iota + 1
 	Shed               // rejected without an effect: a retry is safe
-	Failed             // it may have run
+	Failed             // the query may have been executed
 )
 
-// String names the kind in logs.
+// String returns the name of the kind in logs.
 func (k OutcomeKind) String() string {
 	switch k {
 	case Served:
@@ -22,35 +22,35 @@
 	case Failed:
 		return "failed"
 	}
-	return fmt.Sprintf("Final(%d)", uint8(k))
+	return fmt.Sprintf("OutcomeKind(%d)", uint8(k))
 }
 
-// Reason says in one word why a query was shed or failed; docs/operators.md lists the reasons.
+// Reason is a code that tells clients and operators why a query was shed or failed; docs/operators.md lists the reasons.
 type Reason string
 
 // The reasons.
 const (
 	ReasonNone               Reason = ""
 	ReasonOverload           Reason = "OVERLOADED"         // the gateway shed it: no capacity in time, or too low a priority
-	ReasonFull               Reason = "DISPATCHER_FULL"    // as many queries are pending as settings allow
-	ReasonClassRemoved       Reason = "CLASS_GONE"         // its class was removed from the configuration before it was received
-	ReasonDraining           Reason = "DISPATCHER_STOPS"   // the dispatcher is draining
-	ReasonAttempt            Reason = "ATTEMPT_FAILED"     // an attempt may have run and no other is allowed
-	ReasonBroken             Reason = "ANSWER_BROKEN"      // the response broke off after a part of it had been forwarded
-	ReasonDeadline           Reason = "DEADLINE"           // the deadline passed
-	ReasonStatement          Reason = "STATEMENT"          // the node reports an error of the statement
-	ReasonInternal           Reason = "DISPATCHER_FAULT"   // the dispatcher itself failed
+	ReasonFull               Reason = "DISPATCHER_FULL"    // a limit of the dispatcher, such as that of pending queries, is reached
+	ReasonClassRemoved       Reason = "CLASS_GONE"         // the query's class was removed, or it was classified with too old settings
+	ReasonDraining           Reason = "DISPATCHER_STOPS"   // the dispatcher is draining or has stopped
+	ReasonAttempt            Reason = "ATTEMPT_FAILED"     // an attempt may have run and no further attempt is allowed
+	ReasonBroken             Reason = "ANSWER_BROKEN"      // the response broke off after forwarding to the client had begun
+	ReasonDeadline           Reason = "DEADLINE"           // the query's deadline passed
+	ReasonStatement          Reason = "STATEMENT"          // the node reported an error of the statement
+	ReasonInternal           Reason = "DISPATCHER_FAULT"   // the dispatcher itself failed: a panic, or a query id already in use
 	ReasonClientDisconnected Reason = "CLIENT_GONE"        // the client disconnected
-	ReasonStopped            Reason = "DISPATCHER_STOPPED" // the dispatcher stopped before the answer came
+	ReasonStopped            Reason = "DISPATCHER_STOPPED" // the dispatcher stopped while the query was pending
 )
 
-// Outcome is a final answer.
+// Outcome is the final answer of a query.
 type Outcome struct {
 	Kind       OutcomeKind
 	Reason     Reason
-	RetryAfter Micros // of Shed: a retry should wait for so long; 0: no advice
-	Result     any    // of Served: what the fleet returned, where it was not streamed
-	Cause      error  // error of the last attempt, where there was one
+	RetryAfter Micros // for Shed: time to wait before a retry; 0: no advice
+	Result     any    // for Served: the result that the fleet returned, unless it was streamed
+	Cause      error  // error of the last attempt that ended; nil: none
 	Attempts   int
-	Node       string // of the last attempt
+	Node       string // of the last attempt; "": none
 }
--- a/dispatch/query.go
+++ b/dispatch/query.go
@@ -2,27 +2,28 @@
 
 import "embershunt/policy"
 
-// Micros is a point in time or a duration, in microseconds of the Clock.
+// Micros is a point in time or a duration in microseconds, as measured by the Clock.
 type Micros = policy.Micros
 
-// Query is one client's query as a frontend hands it over.
+// Query is a client's query as a frontend submits it.
 type Query struct {
-	ID             string // never used twice by this dispatcher
-	SettingsSerial uint64 // of the settings whose indexes Class and Tenant are
-	Class          int    // index in policy.Settings.Classes
-	Tenant         int    // index in policy.Settings.Tenants
-	Cost           Micros // estimated work of all threads; 0: unknown
-	MemoryMB       float64
-	TableGroup     int64 // group of tables it reads or writes
-	OrderKey       int64 // valid where HasOrderKey
+	ID             string  // never used twice by this dispatcher
+	SettingsSerial uint64  // version of the settings that Class and Tenant are indexes in
+	Class          int     // index in policy.Settings.Classes
+	Tenant         int     // index in policy.Settings.Tenants; -1: none
+	Cost           Micros  // estimated work of all threads; 0: unknown
+	MemoryMB       float64 // estimated memory; 0: unknown
+	TableGroup     int64   // group of the tables that the query reads or writes
+	OrderKey       int64   // valid if HasOrderKey
 	HasOrderKey    bool
-	ClientRetry    bool   // the client marks it as a retry
-	Protocol       uint8  // bit of nodelist.Speaks that a node must have
-	StickyTo       string // the node that holds the state of its session; "": any node
+	ClientRetry    bool   // the client marked the query as a retry
+	Protocol       uint8  // bit of nodelist.Node.Protocols that a node must have; 0: any node
+	StickyTo       string // node that holds the state of the query's session; "": any node
 	Deadline       Micros // of the final answer
-	Work           any    // what a node is to do, opaque here: a frontend makes it, the fleet reads it
+	Work           any    // what a node has to execute: set by the frontend, read by the fleet, opaque to this package
 	Client         Client
 }
 
-// Client receives the final answer of one query, once. Answer must not block and may be called from the loop.
+// Client receives the final answer of one query. Answer is called once, by the loop's goroutine or by Loop.Post, and must not
+// block.
 type Client interface{ Answer(Outcome) }
--- a/dispatch/query_events.go
+++ b/dispatch/query_events.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// handle applies one event to the ledger and gathers what the gateway has to know of it.
+// handle applies one event to the ledger and appends the resulting events for the gateway to policyEvents.
 func (c *Core) handle(now Micros, ev Event) {
 	switch ev := ev.(type) {
 	case QueryReceived:
@@ -22,7 +22,7 @@
 		c.responseReady(now, ev)
 	case AttemptEnded:
 		c.attemptEnded(now, ev)
-	case Change: // the gateway sees the events before it under the old settings
+	case Change: // the gateway handles the earlier events of this step with the old settings
 		c.stepPolicy(now)
 		ev.Done(c.changeSettings(now, ev))
 	case Inspect:
@@ -34,7 +34,7 @@
 	}
 }
 
-// receive opens an entry for a query and passes it to the gateway, or rejects it.
+// receive opens an entry for a query and passes the query to the gateway, or answers it at once if it cannot be accepted.
 func (c *Core) receive(now Micros, q *Query) {
 	intake := permit.Intake{Stopping: c.draining, InFlight: c.Unanswered(), MaxInFlight: c.maxInFlight}
 	switch reason := intake.Start(); {
@@ -42,7 +42,7 @@
 		c.reject(q, ReasonDraining)
 	case reason == permit.Full:
 		c.reject(q, ReasonFull)
-	case !c.numbering.renumber(q):
+	case !c.settingsVersions.renumber(q):
 		c.reject(q, ReasonClassRemoved)
 	default:
 		if c.ledger.open(now, q) == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// request is the query as the gateway sees it.
+// request returns the query as the gateway receives it.
 func (q *Query) request() policy.Request {
 	return policy.Request{
 		ID:          q.ID,
@@ -72,18 +72,18 @@
 	}
 }
 
-// reject answers a query that never got an entry: nothing was sent for it.
+// reject sheds a query that has no entry in the ledger: no attempt has been sent for it.
 func (c *Core) reject(q *Query, reason Reason) {
 	outcome := Outcome{Kind: Shed, Reason: reason}
 	q.Client.Answer(outcome)
 	c.observer.Answered(q, outcome, 0)
 }
 
-// responseReady forwards the response of the first attempt that has one and cancels the other attempts.
+// responseReady forwards the response of the query's first attempt that has one and cancels all other attempts.
 func (c *Core) responseReady(now Micros, ev ResponseReady) {
 	e := c.ledger.entries[ev.ID]
 	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) || e.attempts[ev.Number].ended {
-		c.ledger.fault(FaultLateOutcome, ev.ID, e)
+		c.ledger.recordFault(FaultLateOutcome, ev.ID, e)
 		return
 	}
 	if e.outcome != 0 || e.forwarded >= 0 || e.attempts[ev.Number].cancelled {
@@ -101,7 +101,7 @@
 	}
 }
 
-// attemptEnded reports the end of an attempt to the gateway and answers the query where its result is final.
+// attemptEnded reports the end of an attempt to the gateway, and answers the query if no further attempt can follow.
 func (c *Core) attemptEnded(now Micros, ev AttemptEnded) {
 	e := c.ledger.endAttempt(now, ev)
 	if e == nil {
@@ -111,7 +111,7 @@
 	c.observer.AttemptEnded(e.query, node, ev)
 	broken := e.forwarded == ev.Number && ev.Code != policy.OK
 	code := ev.Code
-	if ev.StatementRejected { // a statement error is no fault of the endpoint: the gateway learns nothing from it
+	if ev.StatementRejected { // a statement error says nothing about the endpoint: the gateway must not learn from it
 		code = policy.Cancelled
 	}
 	c.policyEvents = append(c.policyEvents, policy.AttemptResult{
@@ -132,12 +132,13 @@
 	c.ledger.closeIfDone(e)
 }
 
-// endsQuery says whether no further attempt can follow this end; broken: a part of its response has been forwarded.
+// endsQuery reports whether the end of an attempt ends its query too. broken tells that the attempt failed after forwarding of
+// its response had begun.
 func endsQuery(ev AttemptEnded, broken bool) bool {
 	return ev.Code == policy.OK || ev.StatementRejected || broken
 }
 
-// finalOutcome is the answer of a query that ends with this attempt.
+// finalOutcome returns the answer of a query that ends with an attempt.
 func finalOutcome(ev AttemptEnded, broken bool) Outcome {
 	outcome := Outcome{Kind: Served, Result: ev.Result, Cause: ev.Err}
 	switch {
@@ -149,17 +150,17 @@
 	return outcome
 }
 
-// expire answers a query at its deadline. A response that is being forwarded is cut off; any other query should have had an
-// answer from the gateway before.
+// expire fails a query at its deadline. If a response is being forwarded, it is cut off. Otherwise the gateway should have
+// answered the query earlier, which is recorded as a fault.
 func (c *Core) expire(now Micros, e *entry) {
 	if e.forwarded < 0 {
-		c.ledger.fault(FaultForgotten, e.query.ID, e)
+		c.ledger.recordFault(FaultForgotten, e.query.ID, e)
 	}
 	c.policyEvents = append(c.policyEvents, policy.ClientDisconnected{ID: e.query.ID})
 	c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonDeadline})
 }
 
-// answer gives the final answer and cancels the attempts that have not ended.
+// answer gives a query its final answer and cancels its attempts in flight.
 func (c *Core) answer(now Micros, e *entry, outcome Outcome) {
 	if outcome.Attempts = len(e.attempts); outcome.Attempts > 0 {
 		outcome.Node = e.attempts[outcome.Attempts-1].node
@@ -176,7 +177,7 @@
 	}
 }
 
-// cancel cancels an attempt once, unless it has ended.
+// cancel cancels an attempt unless it has ended or was cancelled before.
 func (c *Core) cancel(now Micros, e *entry, number int) {
 	if a := &e.attempts[number]; !a.ended && !a.cancelled {
 		a.cancelled = true
@@ -185,7 +186,7 @@
 	}
 }
 
-// FailAll fails every pending query for the same reason, in the order of their deadlines.
+// FailAll fails all pending queries with the same reason, in the order of their deadlines.
 func (c *Core) FailAll(now Micros, reason Reason) {
 	for len(c.ledger.unanswered) > 0 {
 		c.answer(now, c.ledger.unanswered[0], Outcome{Kind: Failed, Reason: reason})
--- a/dispatch/settings_change.go
+++ b/dispatch/settings_change.go
@@ -7,20 +7,21 @@
 	"embershunt/policy"
 )
 
-// settingsNumbering translates the indexes of classes and tenants between versions of the settings: a query may have been
-// classified by an older version than the one in force when it is received.
-type settingsNumbering struct {
+// settingsVersions holds the names of classes and tenants by version of the settings, and translates their indexes between
+// versions: a query may have been classified with an older version than the one that is current at its receipt.
+type settingsVersions struct {
 	current        uint64
 	namesByVersion map[uint64]settingsNames
-	versions       []uint64 // keys of namesByVersion, the oldest first
+	versions       []uint64 // keys of namesByVersion, oldest first
 }
 
-// settingsNames are the names of classes and tenants by their index.
+// settingsNames holds the names of the classes and tenants of one version, by index.
 type settingsNames struct{ classes, tenants []string }
 
-// maxVersions is the number of versions kept; a query classified by an older one is rejected.
+// maxVersions is the number of settings versions kept. A query classified with an older version is rejected.
 const maxVersions = 16
 
+// namesOf returns the names of the classes and tenants in s.
 func namesOf(s policy.Settings) settingsNames {
 	var names settingsNames
 	for _, c := range s.Classes {
@@ -32,12 +33,13 @@
 	return names
 }
 
-func newNumbering(s policy.Settings) settingsNumbering {
-	return settingsNumbering{namesByVersion: map[uint64]settingsNames{0: namesOf(s)}, versions: []uint64{0}}
+// newSettingsVersions returns a settingsVersions that holds s as version 0.
+func newSettingsVersions(s policy.Settings) settingsVersions {
+	return settingsVersions{namesByVersion: map[uint64]settingsNames{0: namesOf(s)}, versions: []uint64{0}}
 }
 
-// add puts a version in force.
-func (n *settingsNumbering) add(version uint64, s policy.Settings) {
+// add makes a version the current one, and drops the oldest version if there are more than maxVersions.
+func (n *settingsVersions) add(version uint64, s policy.Settings) {
 	n.current = version
 	if _, ok := n.namesByVersion[version]; !ok {
 		n.versions = append(n.versions, version)
@@ -49,8 +51,9 @@
 	}
 }
 
-// renumber gives a query the indexes of the version in force; false where its class was removed.
-func (n *settingsNumbering) renumber(q *Query) bool {
+// renumber translates a query's indexes to the current version. It returns false if the query's class does not exist in it, or
+// if the version that classified the query is not kept any more.
+func (n *settingsVersions) renumber(q *Query) bool {
 	if q.SettingsSerial == n.current {
 		return true
 	}
@@ -64,13 +67,13 @@
 		return false
 	}
 	q.Class, q.SettingsSerial = class, n.current
-	if q.Tenant >= 0 && q.Tenant < len(old.tenants) { // -1 for one that was removed: it has no quota
+	if q.Tenant >= 0 && q.Tenant < len(old.tenants) { // -1 if the tenant was removed: no quota applies
 		q.Tenant = slices.Index(now.tenants, old.tenants[q.Tenant])
 	}
 	return true
 }
 
-// oldIndexes lists, for each new name, its index among the old ones; -1 where it is new.
+// oldIndexes returns, for each name in now, its index in old, or -1 if old does not contain it.
 func oldIndexes(now, old []string) []int {
 	out := make([]int, len(now))
 	for i, name := range now {
@@ -79,12 +82,12 @@
 	return out
 }
 
-// changeSettings puts new settings in force; on an error nothing has changed.
+// changeSettings applies new settings. On an error, the old settings remain unchanged.
 func (c *Core) changeSettings(at Micros, ch Change) error {
-	if _, ok := c.numbering.namesByVersion[ch.Serial]; ok {
-		return fmt.Errorf("dispatch: version %d was in force before: each change has a number of its own", ch.Serial)
+	if _, ok := c.settingsVersions.namesByVersion[ch.Serial]; ok {
+		return fmt.Errorf("dispatch: settings version %d was used before; each change needs a new version", ch.Serial)
 	}
-	old, now := c.numbering.namesByVersion[c.numbering.current], namesOf(ch.Settings)
+	old, now := c.settingsVersions.namesByVersion[c.settingsVersions.current], namesOf(ch.Settings)
 	classes, tenants := oldIndexes(now.classes, old.classes), oldIndexes(now.tenants, old.tenants)
 	if err := c.gateway.Change(ch.Settings, classes, tenants); err != nil {
 		return err
@@ -92,18 +95,19 @@
 	if c.recorder != nil {
 		c.recorder.Changed(at, ch.Settings, classes, tenants)
 	}
-	for _, e := range c.ledger.entries { // the order does not matter: each is changed by itself
+	for _, e := range c.ledger.entries { // in any order, since each query is changed independently
 		if e.outcome == 0 {
 			renumberPending(e.query, now, old)
 		}
 	}
-	c.numbering.add(ch.Serial, ch.Settings)
+	c.settingsVersions.add(ch.Serial, ch.Settings)
 	c.maxInFlight, c.classes, c.hedging = ch.Settings.MaxInFlight, ch.Settings.Classes, ch.Settings.AllowHedging
 	c.observer.Changed(ch.Serial, ch.Settings)
 	return nil
 }
 
-// renumberPending renumbers a query in the ledger. Its class exists: the gateway refuses settings without it.
+// renumberPending translates the indexes of a query without a final answer. Its class exists in the new settings, since the
+// gateway rejects settings that remove the class of a pending request.
 func renumberPending(q *Query, now, old settingsNames) {
 	if q.Class >= 0 && q.Class < len(old.classes) {
 		q.Class = slices.Index(now.classes, old.classes[q.Class])
@@ -113,10 +117,10 @@
 	}
 }
 
-// InFlight counts the pending queries by the name of their class, for those who review a change of settings.
+// InFlight returns the number of pending queries by class name, for the review of a change of settings.
 func (c *Core) InFlight() map[string]int {
 	out := map[string]int{}
-	classes := c.numbering.namesByVersion[c.numbering.current].classes
+	classes := c.settingsVersions.namesByVersion[c.settingsVersions.current].classes
 	for _, e := range c.ledger.unanswered {
 		if e.query.Class >= 0 && e.query.Class < len(classes) {
 			out[classes[e.query.Class]]++
@@ -125,10 +129,10 @@
 	return out
 }
 
-// Outstanding is that of the gateway (policy.Gateway.Outstanding).
+// Outstanding returns the result of policy.Gateway.Outstanding.
 func (c *Core) Outstanding() (retries, received int, orderKeyPaused bool) {
 	return c.gateway.Outstanding()
 }
 
-// SettingsSerial is the version of the settings in force.
-func (c *Core) SettingsSerial() uint64 { return c.numbering.current }
+// SettingsSerial returns the version of the current settings.
+func (c *Core) SettingsSerial() uint64 { return c.settingsVersions.current }
