--- a/dispatch/core_bench_test.go
+++ b/dispatch/core_bench_test.go
@@ -7,24 +7,25 @@
 	"embershunt/policy"
 )
 
-// BenchmarkStep is the cost of one query through core and module: received, sent, response ready, ended.
+// BenchmarkStep measures the cost of one query in core and gateway: received, sent, response ready, ended.
 func BenchmarkStep(b *testing.B) {
 	for _, nodes := range []int{8, 34, 76} {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			log := &quiet{}
+			calls := &answerCounter{}
 			core, err := NewCore(1, policy.Settings{Peers: 1, MaxAttempts: 3, CanCancel: true, HonorsPriority: true,
 				ReportsByAnswer: true, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16384}},
-				Classes: []policy.Class{{Name: "lookup", PriorityWeight: 1, LatencyObjective: 750 * ms, Deadline: 4000 * ms}}}, log, log)
+				Classes: []policy.Class{{Name: "lookup", PriorityWeight: 1, LatencyObjective: 750 * ms, Deadline: 4000 * ms}}},
+				calls, calls)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
-			rows := make([]policy.Endpoint, nodes)
-			for i := range rows {
-				rows[i].ID = fmt.Sprintf("node-%d", i)
+			endpoints := make([]policy.Endpoint, nodes)
+			for i := range endpoints {
+				endpoints[i].ID = fmt.Sprintf("node-%d", i)
 			}
-			step(b, core, now, PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: rows}})
-			send := func(ev Event) { // without Helper, which would cost a good part of what is measured
+			step(b, core, now, PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: endpoints}})
+			send := func(ev Event) { // not step: its call of Helper would cost a large part of the measured time
 				if err := core.Step(now, []Event{ev}); err != nil {
 					b.Fatal(err)
 				}
@@ -33,38 +34,38 @@
 			b.ResetTimer()
 			for i := range b.N {
 				id := fmt.Sprintf("q%d", i)
-				log.node = ""
-				send(QueryReceived{&Query{ID: id, Cost: 20 * ms, Deadline: now + 4000*ms, Client: log}})
+				calls.node = ""
+				send(QueryReceived{&Query{ID: id, Cost: 20 * ms, Deadline: now + 4000*ms, Client: calls}})
 				now += 100
 				send(ResponseReady{id, 0})
 				now += 100
 				send(AttemptEnded{ID: id, Code: policy.OK, Latency: 200, Load: &policy.Load{Utilization: 0.3, InFlight: -1, Queue: -1, Memory: -1, Disk: -1}})
 				now += 800
 			}
-			if log.served != b.N {
-				b.Fatalf("%d of %d served", log.served, b.N)
+			if calls.served != b.N {
+				b.Fatalf("%d of %d served", calls.served, b.N)
 			}
 		})
 	}
 }
 
-// quiet is a tape that keeps only a count.
-type quiet struct {
-	tape
+// answerCounter is a Fleet, an Observer and a Client that counts the served queries; it records no calls of attempts.
+type answerCounter struct {
+	callRecorder
 	node   string
 	served int
 }
 
-func (q *quiet) Send(a Attempt) { q.node = a.Node }
+func (c *answerCounter) Send(a Attempt) { c.node = a.Node }
 
-func (q *quiet) ForwardResponse(string, int) {}
+func (c *answerCounter) ForwardResponse(string, int) {}
 
-func (q *quiet) Cancel(string, int) {}
+func (c *answerCounter) Cancel(string, int) {}
 
-func (q *quiet) SetResources(string, float64, int) {}
+func (c *answerCounter) SetResources(string, float64, int) {}
 
-func (q *quiet) Answer(v Outcome) {
-	if v.Kind == Served {
-		q.served++
+func (c *answerCounter) Answer(outcome Outcome) {
+	if outcome.Kind == Served {
+		c.served++
 	}
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -11,13 +11,13 @@
 
 const ms = Micros(1000)
 
-// scripted is a decision module that returns the actions of its test.
-type scripted struct {
+// scriptedGateway is a gateway that records its events and returns the actions that a test's decide function returns.
+type scriptedGateway struct {
 	decide   func(now Micros, events []policy.Event) []policy.Action
 	received []policy.Event
 }
 
-func (s *scripted) Step(now Micros, events []policy.Event) []policy.Action {
+func (s *scriptedGateway) Step(now Micros, events []policy.Event) []policy.Action {
 	s.received = append(s.received, events...)
 	if s.decide == nil {
 		return nil
@@ -25,49 +25,50 @@
 	return s.decide(now, events)
 }
 
-// Change accepts every change.
-func (s *scripted) Change(policy.Settings, []int, []int) error { return nil }
+// Change implements gateway; it accepts every change.
+func (s *scriptedGateway) Change(policy.Settings, []int, []int) error { return nil }
 
-// Outstanding is nothing.
-func (s *scripted) Outstanding() (int, int, bool) { return 0, 0, false }
+// Outstanding implements gateway; nothing is outstanding.
+func (s *scriptedGateway) Outstanding() (int, int, bool) { return 0, 0, false }
 
-// tape is a fleet, an observer and a client that record their calls.
-type tape struct {
+// callRecorder is a Fleet and an Observer. It records the calls of the fleet and the answers of its clients as lines, and the
+// kinds of the faults.
+type callRecorder struct {
 	lines  []string
 	faults []FaultKind
 }
 
 var (
-	_ Fleet    = (*tape)(nil)
-	_ Observer = (*tape)(nil)
+	_ Fleet    = (*callRecorder)(nil)
+	_ Observer = (*callRecorder)(nil)
 )
 
-func (t *tape) put(format string, args ...any) {
-	t.lines = append(t.lines, fmt.Sprintf(format, args...))
+func (r *callRecorder) recordf(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
-func (t *tape) Send(a Attempt)                            { t.put("send %s/%d %s", a.Query.ID, a.Number, a.Node) }
-func (t *tape) ForwardResponse(id string, n int)          { t.put("open %s/%d", id, n) }
-func (t *tape) Cancel(id string, n int)                   { t.put("cancel %s/%d", id, n) }
-func (t *tape) SetResources(id string, _ float64, p int)  { t.put("terms %s %d", id, p) }
-func (t *tape) HealthCheck(node string)                   { t.put("probe %s", node) }
-func (t *tape) WatchEndpoints()                           {}
-func (t *tape) FetchEndpoints()                           {}
-func (t *tape) SendGossip(int, []byte)                    {}
-func (t *tape) QueryReceived(*Query)                      {}
-func (t *tape) Answered(*Query, Outcome, Micros)          {}
-func (t *tape) Sent(Attempt)                              {}
-func (t *tape) AttemptEnded(*Query, string, AttemptEnded) {}
-func (t *tape) Fault(f Fault)                             { t.faults = append(t.faults, f.Kind) }
-func (t *tape) Changed(uint64, policy.Settings)           {}
-func (t *tape) Paused(Micros)                             {}
-func (t *tape) LogLine(string)                            {}
-func (t *tape) StepCompleted(int, int, int)               {}
-func (t *tape) client(id string) clientTape               { return clientTape{t, id} }
-func (t *tape) query(id string, due Micros) *Query {
-	return &Query{ID: id, Deadline: due, Client: t.client(id)}
+func (r *callRecorder) Send(a Attempt)                            { r.recordf("send %s/%d %s", a.Query.ID, a.Number, a.Node) }
+func (r *callRecorder) ForwardResponse(id string, n int)          { r.recordf("forward %s/%d", id, n) }
+func (r *callRecorder) Cancel(id string, n int)                   { r.recordf("cancel %s/%d", id, n) }
+func (r *callRecorder) SetResources(id string, _ float64, p int)  { r.recordf("resources %s %d", id, p) }
+func (r *callRecorder) HealthCheck(node string)                   { r.recordf("health check %s", node) }
+func (r *callRecorder) WatchEndpoints()                           {}
+func (r *callRecorder) FetchEndpoints()                           {}
+func (r *callRecorder) SendGossip(int, []byte)                    {}
+func (r *callRecorder) QueryReceived(*Query)                      {}
+func (r *callRecorder) Answered(*Query, Outcome, Micros)          {}
+func (r *callRecorder) Sent(Attempt)                              {}
+func (r *callRecorder) AttemptEnded(*Query, string, AttemptEnded) {}
+func (r *callRecorder) Fault(f Fault)                             { r.faults = append(r.faults, f.Kind) }
+func (r *callRecorder) Changed(uint64, policy.Settings)           {}
+func (r *callRecorder) Paused(Micros)                             {}
+func (r *callRecorder) LogLine(string)                            {}
+func (r *callRecorder) StepCompleted(int, int, int)               {}
+func (r *callRecorder) client(id string) recordingClient          { return recordingClient{r, id} }
+func (r *callRecorder) query(id string, deadline Micros) *Query {
+	return &Query{ID: id, Deadline: deadline, Client: r.client(id)}
 }
 
-// step steps a core that must not fail.
+// step calls c.Step and fails the test on an error.
 func step(t interface {
 	Helper()
 	Fatal(...any)
@@ -78,52 +79,56 @@
 	}
 }
 
-type clientTape struct {
-	t  *tape
-	id string
+// recordingClient is a Client that records its answer in a callRecorder.
+type recordingClient struct {
+	recorder *callRecorder
+	id       string
 }
 
-func (c clientTape) Answer(v Outcome) {
-	c.t.put("answer %s %s %s", c.id, v.Kind, v.Reason)
+func (c recordingClient) Answer(outcome Outcome) {
+	c.recorder.recordf("answer %s %s %s", c.id, outcome.Kind, outcome.Reason)
 }
 
-func newTestCore(s *scripted, t *tape) *Core {
-	return &Core{gateway: s, fleet: t, observer: t, ledger: newLedger(), hedging: true}
+// newTestCore returns a core with a scripted gateway and recorded calls; hedging is allowed.
+func newTestCore(s *scriptedGateway, calls *callRecorder) *Core {
+	return &Core{gateway: s, fleet: calls, observer: calls, ledger: newLedger(), hedging: true}
 }
 
-// A client may leave in the very step that takes its query: the module, which is told of both, has sent it by then. Nothing
-// leaves, no fault is seen, and the module is told that its attempt never ran: else it would count it for ever.
-func TestClientDisconnectsInTheStepOfItsQuery(t *testing.T) {
-	s, tp := &scripted{}, &tape{}
-	c := newTestCore(s, tp)
+// TestClientDisconnectsInSameStepAsReceipt covers a client that disconnects in the step that receives its query. The gateway sees
+// both events only after the query has been closed, and may still send an attempt. The attempt must be withheld without a fault,
+// and be reported to the gateway as never sent: otherwise the gateway would count it as in flight for ever.
+func TestClientDisconnectsInSameStepAsReceipt(t *testing.T) {
+	s, calls := &scriptedGateway{}, &callRecorder{}
+	c := newTestCore(s, calls)
 	s.decide = func(_ Micros, events []policy.Event) []policy.Action {
 		if _, ok := events[0].(policy.Request); ok {
 			return []policy.Action{policy.Resources{ID: "q"}, policy.Send{ID: "q", Endpoint: "n1"}}
 		}
 		return nil
 	}
-	step(t, c, 1*ms, QueryReceived{tp.query("q", 50*ms)}, ClientDisconnected{"q"})
+	step(t, c, 1*ms, QueryReceived{calls.query("q", 50*ms)}, ClientDisconnected{"q"})
 	want := policy.AttemptResult{ID: "q", Endpoint: "n1", Code: policy.NeverSent, Final: true}
 	if last := s.received[len(s.received)-1]; last != want {
-		t.Errorf("the module is told %+v, want %+v", last, want)
+		t.Errorf("the gateway received %+v, want %+v", last, want)
 	}
-	if len(tp.faults) > 0 || len(tp.lines) != 1 || c.Tracked() != 0 {
-		t.Errorf("faults %v, done %v, tracked %d", tp.faults, tp.lines, c.Tracked())
+	if len(calls.faults) > 0 || len(calls.lines) != 1 || c.Tracked() != 0 {
+		t.Errorf("faults %v, calls %v, tracked %d", calls.faults, calls.lines, c.Tracked())
 	}
 	s.decide = func(Micros, []policy.Event) []policy.Action { return []policy.Action{policy.Shed{ID: "r"}} }
-	step(t, c, 2*ms, QueryReceived{tp.query("r", 50*ms)}, ClientDisconnected{"r"}) // given up in the step in which its client left
-	if len(tp.faults) > 0 || len(tp.lines) != 2 {
-		t.Errorf("faults %v, done %v", tp.faults, tp.lines)
+	step(t, c, 2*ms, QueryReceived{calls.query("r", 50*ms)}, ClientDisconnected{"r"}) // shed in the step in which its client disconnects
+	if len(calls.faults) > 0 || len(calls.lines) != 2 {
+		t.Errorf("faults %v, calls %v", calls.faults, calls.lines)
 	}
-	if step(t, c, 3*ms); len(tp.faults) != 1 { // and again later: that is one
-		t.Errorf("faults %v", tp.faults)
+	if step(t, c, 3*ms); len(calls.faults) != 1 { // shedding the query in a later step is a fault
+		t.Errorf("faults %v", calls.faults)
 	}
 }
 
-func TestAPanicFailsAllThatIsHeldAndEndsTheCore(t *testing.T) {
-	log, s := &tape{}, &scripted{}
-	core := newTestCore(s, log)
-	if err := core.Step(0, []Event{QueryReceived{log.query("a", 9*ms)}, QueryReceived{log.query("b", 5*ms)}}); err != nil {
+// TestPanicFailsAllPendingQueries checks that a panic of the gateway is returned as a PanicError and that every query is answered.
+func TestPanicFailsAllPendingQueries(t *testing.T) {
+	calls, s := &callRecorder{}, &scriptedGateway{}
+	core := newTestCore(s, calls)
+	if err := core.Step(0, []Event{QueryReceived{calls.query("a", 9*ms)}, QueryReceived{calls.query("b", 5*ms)}}); err != nil {
 		t.Fatal(err)
 	}
 	s.decide = func(Micros, []policy.Event) []policy.Action { panic("no such class") }
@@ -132,34 +137,35 @@
 	if !errors.As(err, &p) || !strings.Contains(err.Error(), "no such class") || len(p.Stack) == 0 {
 		t.Fatalf("error %v", err)
 	}
-	if got := strings.Join(log.lines, "; "); got != "answer b failed DISPATCHER_FAULT; answer a failed DISPATCHER_FAULT" {
+	if got := strings.Join(calls.lines, "; "); got != "answer b failed DISPATCHER_FAULT; answer a failed DISPATCHER_FAULT" {
 		t.Error(got)
 	}
 	if core.Unanswered() != 0 {
-		t.Errorf("%d still held", core.Unanswered())
+		t.Errorf("%d queries still unanswered", core.Unanswered())
 	}
-	// One that stood behind a change in the same step had no entry yet: it is answered too.
-	log, s = &tape{}, &scripted{decide: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
-	core = newTestCore(s, log)
-	if err := core.Step(0, []Event{QueryReceived{log.query("c", 9*ms)}, Change{Serial: 1, Done: func(error) {}}, QueryReceived{log.query("d", 9*ms)}}); !errors.As(err, &p) {
+	// Query d follows the change whose step panics, and has no entry in the ledger yet: it must be answered too.
+	calls, s = &callRecorder{}, &scriptedGateway{decide: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
+	core = newTestCore(s, calls)
+	if err := core.Step(0, []Event{QueryReceived{calls.query("c", 9*ms)}, Change{Serial: 1, Done: func(error) {}},
+		QueryReceived{calls.query("d", 9*ms)}}); !errors.As(err, &p) {
 		t.Errorf("error %v", err)
 	}
-	if got := strings.Join(log.lines, "; "); got != "answer c failed DISPATCHER_FAULT; answer d failed DISPATCHER_FAULT" {
+	if got := strings.Join(calls.lines, "; "); got != "answer c failed DISPATCHER_FAULT; answer d failed DISPATCHER_FAULT" {
 		t.Error(got)
 	}
 }
 
 func TestRejectedBeforeTheGateway(t *testing.T) {
-	log, s := &tape{}, &scripted{}
-	core := newTestCore(s, log)
+	calls, s := &callRecorder{}, &scriptedGateway{}
+	core := newTestCore(s, calls)
 	core.maxInFlight = 1
-	step(t, core, 0, QueryReceived{log.query("a", 9*ms)}, QueryReceived{log.query("b", 9*ms)})
+	step(t, core, 0, QueryReceived{calls.query("a", 9*ms)}, QueryReceived{calls.query("b", 9*ms)})
 	core.Drain()
-	step(t, core, 1, QueryReceived{log.query("c", 9*ms)})
-	if got := strings.Join(log.lines, "; "); got != "answer b refused DISPATCHER_FULL; answer c refused DISPATCHER_STOPS" {
+	step(t, core, 1, QueryReceived{calls.query("c", 9*ms)})
+	if got := strings.Join(calls.lines, "; "); got != "answer b refused DISPATCHER_FULL; answer c refused DISPATCHER_STOPS" {
 		t.Error(got)
 	}
 	if len(s.received) != 1 {
-		t.Errorf("the module was told %v", s.received)
+		t.Errorf("the gateway received %v", s.received)
 	}
 }
--- a/dispatch/learned_state_golden_test.go
+++ b/dispatch/learned_state_golden_test.go
@@ -10,8 +10,9 @@
 	"embershunt/policy"
 )
 
-// TestLearnedFileOfTheBuildBefore reads the learned file of a short scripted day, written by the build before any rename.
-func TestLearnedFileOfTheBuildBefore(t *testing.T) {
+// TestLearnedStateGolden reads a learned state that an earlier build stored after a short scripted run. It guards against renames
+// in the code that change the stored format: every key must be known, and encoding the state again must yield the same bytes.
+func TestLearnedStateGolden(t *testing.T) {
 	text, err := os.ReadFile("testdata/learned.json")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +24,7 @@
 		t.Fatal(err)
 	}
 	if again, err := json.Marshal(stored); err != nil || !bytes.Equal(again, text) {
-		t.Errorf("written as\n%s, %v\nbefore it was\n%s", again, err, text)
+		t.Errorf("encoded again as\n%s, %v\nwant\n%s", again, err, text)
 	}
 	if stored.Format != LearnedFormat || stored.Build != "(devel)" || !stored.At.Equal(time.Unix(1796233283, 519498897)) {
 		t.Errorf("format %d, build %q, at %v", stored.Format, stored.Build, stored.At)
--- a/dispatch/learned_state_test.go
+++ b/dispatch/learned_state_test.go
@@ -7,6 +7,7 @@
 	"embershunt/policy"
 )
 
+// TestLearnedStateUsable checks which parts of a learned state may be restored, by its age, build, format and version.
 func TestLearnedStateUsable(t *testing.T) {
 	at := time.Unix(1e9, 0)
 	for name, c := range map[string]struct {
--- a/dispatch/ledger_test.go
+++ b/dispatch/ledger_test.go
@@ -10,11 +10,13 @@
 	"embershunt/policy"
 )
 
-// effectOf is the effect of the cases whose class is not safe to repeat.
-var effectOf = map[string]policy.Effect{"a repeat of what may have run is withheld": policy.NonIdempotent,
-	"a second copy of what is out is withheld": policy.NonIdempotent, "what never ran is sent again": policy.NonIdempotent}
+// effectOf maps the names of cases to the effect of their query's class; other cases have the zero value.
+var effectOf = map[string]policy.Effect{"retry of a non-idempotent query that may have run is withheld": policy.NonIdempotent,
+	"second attempt of a non-idempotent query in flight is withheld": policy.NonIdempotent,
+	"non-idempotent query that never ran is retried":                 policy.NonIdempotent}
 
-// What the ledger lets through and what it withholds, whatever the module says.
+// TestLedgerGivesOneAnswer checks which actions of a scripted gateway the ledger carries out, which it withholds, and which faults
+// it records.
 func TestLedgerGivesOneAnswer(t *testing.T) {
 	send := policy.Send{ID: "q", Endpoint: "n1"}
 	send2 := policy.Send{ID: "q", Endpoint: "n2"}
@@ -30,61 +32,65 @@
 		want   string
 		faults []FaultKind
 	}{
-		{"served by a clean end", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, nil}},
+		{"successful end serves the query", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, nil}},
 			"send q/0 n1; answer q served ", nil},
-		{"a second answer is withheld", []scriptedStep{
+		{"second answer to a closed query is withheld", []scriptedStep{
 			{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, []policy.Action{policy.Shed{ID: "q"}}}},
 			"send q/0 n1; answer q served ", []FaultKind{FaultUnknown}},
-		{"a second answer while an attempt is out", []scriptedStep{
+		{"second answer while an attempt is in flight is withheld", []scriptedStep{
 			{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, policy.Shed{ID: "q"}}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultDoubleAnswer}},
-		{"nothing leaves after the answer", []scriptedStep{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, send2}}},
+		{"send after the answer is withheld", []scriptedStep{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, send2}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultLateSend}},
-		{"nothing leaves after the deadline", []scriptedStep{{100 * ms, nil, []policy.Action{send}}},
+		{"send after the deadline is withheld", []scriptedStep{{100 * ms, nil, []policy.Action{send}}},
 			"answer q failed DEADLINE", []FaultKind{FaultForgotten}},
-		{"a forgotten query is failed at its deadline", []scriptedStep{{0, nil, []policy.Action{send}}, {100 * ms, nil, nil}},
+		{"query that the gateway never answers fails at its deadline", []scriptedStep{
+			{0, nil, []policy.Action{send}}, {100 * ms, nil, nil}},
 			"send q/0 n1; answer q failed DEADLINE; cancel q/0", []FaultKind{FaultForgotten}},
-		{"an end that comes twice", []scriptedStep{{0, nil, []policy.Action{send}},
+		{"attempt ends twice", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{ended(0, policy.Failed), ended(0, policy.Failed)}, nil}},
 			"send q/0 n1", []FaultKind{FaultDoubleEnd}},
-		{"an end that nobody waits for", []scriptedStep{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
-		{"an id that comes twice", []scriptedStep{{5, []Event{QueryReceived{&Query{ID: "q", Client: clientTape{&tape{}, "q"}}}}, nil}},
+		{"end of an unknown attempt", []scriptedStep{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
+		{"query id already in use", []scriptedStep{
+			{5, []Event{QueryReceived{&Query{ID: "q", Client: recordingClient{&callRecorder{}, "q"}}}}, nil}},
 			"", []FaultKind{FaultDoubleID}},
-		{"the first to begin has the client", []scriptedStep{{0, nil, []policy.Action{send, send2}},
+		{"first response is forwarded and the other attempt cancelled", []scriptedStep{{0, nil, []policy.Action{send, send2}},
 			{5, []Event{ResponseReady{"q", 1}, ResponseReady{"q", 0}}, nil}, {9, []Event{ended(0, policy.Cancelled)}, nil},
 			{12, []Event{ended(1, policy.OK)}, nil}},
-			"send q/0 n1; send q/1 n2; open q/1; cancel q/0; answer q served ", nil},
-		{"no further attempt once an answer flows", []scriptedStep{{0, nil, []policy.Action{send}},
-			{5, []Event{ResponseReady{"q", 0}}, []policy.Action{send2}}}, "send q/0 n1; open q/0", []FaultKind{FaultLateSend}},
-		{"a repeat of what may have run is withheld", []scriptedStep{{0, nil, []policy.Action{send}},
+			"send q/0 n1; send q/1 n2; forward q/1; cancel q/0; answer q served ", nil},
+		{"send while a response is forwarded is withheld", []scriptedStep{{0, nil, []policy.Action{send}},
+			{5, []Event{ResponseReady{"q", 0}}, []policy.Action{send2}}}, "send q/0 n1; forward q/0", []FaultKind{FaultLateSend}},
+		{"retry of a non-idempotent query that may have run is withheld", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{ended(0, policy.ConnectionReset)}, []policy.Action{send2}}}, "send q/0 n1", []FaultKind{FaultForbidden}},
-		{"a second copy of what is out is withheld", []scriptedStep{{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
+		{"second attempt of a non-idempotent query in flight is withheld", []scriptedStep{
+			{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
 			"send q/0 n1", []FaultKind{FaultForbidden}},
-		{"a second attempt without hedging", []scriptedStep{{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
+		{"second attempt without hedging is withheld", []scriptedStep{{0, nil, []policy.Action{send}}, {5, nil, []policy.Action{send2}}},
 			"send q/0 n1", []FaultKind{FaultForbidden}},
-		{"what never ran is sent again", []scriptedStep{{0, nil, []policy.Action{send}},
+		{"non-idempotent query that never ran is retried", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{ended(0, policy.Rejected)}, []policy.Action{send2}}}, "send q/0 n1; send q/1 n2", nil},
-		{"a broken stream is failed at once", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ResponseReady{"q", 0}}, nil},
-			{9, []Event{ended(0, policy.ConnectionReset)}, nil}}, "send q/0 n1; open q/0; answer q failed ANSWER_BROKEN", nil},
-		{"a stalled stream is cut off at the deadline, no fault", []scriptedStep{{0, nil, []policy.Action{send}},
+		{"connection reset while forwarding fails the query", []scriptedStep{{0, nil, []policy.Action{send}},
+			{5, []Event{ResponseReady{"q", 0}}, nil},
+			{9, []Event{ended(0, policy.ConnectionReset)}, nil}}, "send q/0 n1; forward q/0; answer q failed ANSWER_BROKEN", nil},
+		{"stalled response is cut off at the deadline without a fault", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{ResponseReady{"q", 0}}, nil}, {100 * ms, nil, nil}},
-			"send q/0 n1; open q/0; answer q failed DEADLINE; cancel q/0", nil},
-		{"a statement that a node turns down is over", []scriptedStep{{0, nil, []policy.Action{send}},
+			"send q/0 n1; forward q/0; answer q failed DEADLINE; cancel q/0", nil},
+		{"statement error fails the query", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{AttemptEnded{ID: "q", Code: policy.Failed, StatementRejected: true}}, nil}},
 			"send q/0 n1; answer q failed STATEMENT", nil},
-		{"a client that left", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ClientDisconnected{"q"}}, nil}},
+		{"client disconnects", []scriptedStep{{0, nil, []policy.Action{send}}, {5, []Event{ClientDisconnected{"q"}}, nil}},
 			"send q/0 n1; answer q failed CLIENT_GONE; cancel q/0", nil},
-		{"a begin after the answer is called off, once", []scriptedStep{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}}},
+		{"response after the answer is cancelled once", []scriptedStep{{0, nil, []policy.Action{send, policy.Fail{ID: "q"}}},
 			{5, []Event{ResponseReady{"q", 0}}, nil}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			log, s := &tape{}, &scripted{}
-			core := newTestCore(s, log)
+			calls, s := &callRecorder{}, &scriptedGateway{}
+			core := newTestCore(s, calls)
 			core.classes = []policy.Class{{Effect: effectOf[c.name]}}
-			core.hedging = c.name != "a second attempt without hedging"
-			first := []Event{QueryReceived{log.query("q", 100*ms)}}
+			core.hedging = c.name != "second attempt without hedging is withheld"
+			first := []Event{QueryReceived{calls.query("q", 100*ms)}}
 			for i, st := range c.steps {
 				s.decide = func(Micros, []policy.Event) []policy.Action {
 					out := st.decide
@@ -99,28 +105,28 @@
 					t.Fatal(err)
 				}
 			}
-			if got := strings.Join(log.lines, "; "); got != c.want {
+			if got := strings.Join(calls.lines, "; "); got != c.want {
 				t.Errorf("got  %s\nwant %s", got, c.want)
 			}
-			if !slices.Equal(log.faults, c.faults) {
-				t.Errorf("faults %v, want %v", log.faults, c.faults)
+			if !slices.Equal(calls.faults, c.faults) {
+				t.Errorf("faults %v, want %v", calls.faults, c.faults)
 			}
 		})
 	}
 }
 
-// Whatever a faulty module says and in whatever order ends come in, each query gets exactly one answer, not after its
-// deadline, and nothing is sent for it afterwards.
-func TestOneAnswerWhateverTheModuleSays(t *testing.T) {
+// TestOneAnswerWithFaultyGateway checks that each query gets exactly one answer and that nothing is sent or forwarded for it
+// afterwards, for random actions of a faulty gateway and random events of attempts and clients.
+func TestOneAnswerWithFaultyGateway(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		log, s := &tape{}, &scripted{}
-		core := newTestCore(s, log)
+		calls, s := &callRecorder{}, &scriptedGateway{}
+		core := newTestCore(s, calls)
 		ids := []string{"a", "b", "c"}
 		pick := func() string { return ids[rapid.IntRange(0, 2).Draw(r, "id")] }
 		s.decide = func(Micros, []policy.Event) []policy.Action { return drawActions(r, pick) }
 		now := Micros(0)
 		for i, id := range ids {
-			step(r, core, now, QueryReceived{log.query(id, Micros(10+10*i)*ms)})
+			step(r, core, now, QueryReceived{calls.query(id, Micros(10+10*i)*ms)})
 		}
 		for range rapid.IntRange(0, 20).Draw(r, "steps") {
 			now += Micros(rapid.IntRange(0, 5).Draw(r, "after")) * ms
@@ -128,12 +134,12 @@
 		}
 		step(r, core, 100*ms)
 		for _, id := range ids {
-			checkOneAnswer(r, log, id)
+			checkOneAnswer(r, calls, id)
 		}
 	})
 }
 
-// drawActions are the actions of a faulty module: any, of any query.
+// drawActions draws the actions of a faulty gateway: any actions on any queries.
 func drawActions(r *rapid.T, pick func() string) (out []policy.Action) {
 	for range rapid.IntRange(0, 3).Draw(r, "actions") {
 		switch id := pick(); rapid.IntRange(0, 5).Draw(r, "action") {
@@ -152,7 +158,7 @@
 	return out
 }
 
-// drawEvents are events of attempts and clients in any order.
+// drawEvents draws events of attempts and clients in any order.
 func drawEvents(r *rapid.T, pick func() string) (out []Event) {
 	for range rapid.IntRange(0, 2).Draw(r, "events") {
 		id, n := pick(), rapid.IntRange(0, 3).Draw(r, "n")
@@ -168,19 +174,19 @@
 	return out
 }
 
-// checkOneAnswer fails unless a query has exactly one answer and nothing was sent or opened for it afterwards.
-func checkOneAnswer(r *rapid.T, log *tape, id string) {
-	answers, after := 0, false
-	for _, l := range log.lines {
+// checkOneAnswer fails unless a query has exactly one answer and nothing was sent or forwarded for it afterwards.
+func checkOneAnswer(r *rapid.T, calls *callRecorder, id string) {
+	answers, answered := 0, false
+	for _, line := range calls.lines {
 		switch {
-		case strings.HasPrefix(l, "answer "+id+" "):
+		case strings.HasPrefix(line, "answer "+id+" "):
 			answers++
-			after = true
-		case after && (strings.HasPrefix(l, "send "+id+"/") || strings.HasPrefix(l, "open "+id+"/")):
-			r.Fatalf("after the answer: %s", l)
+			answered = true
+		case answered && (strings.HasPrefix(line, "send "+id+"/") || strings.HasPrefix(line, "forward "+id+"/")):
+			r.Fatalf("call after the answer: %s", line)
 		}
 	}
 	if answers != 1 {
-		r.Fatalf("%s has %d answers: %v", id, answers, log.lines)
+		r.Fatalf("%s has %d answers: %v", id, answers, calls.lines)
 	}
 }
--- a/dispatch/settings_change_test.go
+++ b/dispatch/settings_change_test.go
@@ -8,9 +8,11 @@
 	"embershunt/policy"
 )
 
-// A query that was classified by an older version gets the numbers in force; one whose class is gone is refused.
-func TestChangeBetweenSteps(t *testing.T) {
-	log := &tape{}
+// TestSettingsChangeBetweenSteps checks that a query classified with an older version of the settings gets the current indexes,
+// that a query whose class was removed is rejected, and that a change is refused if it removes the class of a pending query or
+// reuses a version.
+func TestSettingsChangeBetweenSteps(t *testing.T) {
+	calls := &callRecorder{}
 	settings := func(classes ...string) policy.Settings {
 		s := policy.Settings{Peers: 1, MaxAttempts: 1, Kinds: []policy.Kind{{Cores: 8}}}
 		for _, c := range classes {
@@ -18,7 +20,7 @@
 		}
 		return s
 	}
-	core, err := NewCore(1, settings("lookup", "report"), log, log)
+	core, err := NewCore(1, settings("lookup", "report"), calls, calls)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +29,7 @@
 		return Change{v, s, func(err error) { errs = append(errs, err) }}
 	}
 	query := func(id string, version uint64, class int) Event {
-		q := log.query(id, 2000*ms)
+		q := calls.query(id, 2000*ms)
 		q.SettingsSerial, q.Class, q.Cost = version, class, ms
 		return QueryReceived{q}
 	}
@@ -51,36 +53,37 @@
 	}
 	step(change(2, settings("load")), change(1, settings("load")))
 	if errs[0] != nil || errs[1] == nil || errs[2] == nil {
-		t.Errorf("the changes ended with %v; want accepted, refused for its queries in flight, refused for its number", errs)
+		t.Errorf("the changes ended with %v; want accepted, refused (a removed class has pending queries), refused (version used before)",
+			errs)
 	}
 	step(AttemptEnded{ID: "a", Code: policy.OK}, AttemptEnded{ID: "c", Code: policy.OK}, change(3, settings("load")))
 	if errs[3] != nil {
-		t.Errorf("with nothing of the class in flight: %v", errs[3])
+		t.Errorf("removing a class without pending queries: %v", errs[3])
 	}
 	want := "send a/0 n; answer b refused CLASS_GONE; send c/0 n; send d/0 n; answer a served ; answer c served "
-	if got := strings.Join(log.lines, "; "); got != want {
+	if got := strings.Join(calls.lines, "; "); got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 }
 
-// BenchmarkChange is the pause of the loop while settings change, by the queries in flight.
+// BenchmarkChange measures how long a change of settings blocks the loop, by the number of pending queries.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{0, 100, 1000, 10000} {
 		b.Run(fmt.Sprintf("inflight=%d", n), func(b *testing.B) {
-			log := &quiet{}
+			calls := &answerCounter{}
 			s := policy.Settings{Peers: 1, MaxAttempts: 3, Kinds: []policy.Kind{{Cores: 100000}}, Classes: []policy.Class{
 				{Name: "lookup", PriorityWeight: 1, LatencyObjective: 60e6, Deadline: 60e6}, {Name: "report", PriorityWeight: 1, LatencyObjective: 60e6, Deadline: 60e6}}}
-			core, err := NewCore(1, s, log, log)
+			core, err := NewCore(1, s, calls, calls)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := Micros(1e9)
 			step(b, core, now, PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 			for i := range n {
-				step(b, core, now, QueryReceived{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Deadline: now + 60e6, Client: log}})
+				step(b, core, now, QueryReceived{&Query{ID: fmt.Sprint(i), Class: i % 2, Cost: 1e3, Deadline: now + 60e6, Client: calls}})
 			}
 			if core.Unanswered() != n {
-				b.Fatalf("%d held", core.Unanswered())
+				b.Fatalf("%d queries unanswered", core.Unanswered())
 			}
 			version := uint64(0)
 			for b.Loop() {
