--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -21,7 +21,7 @@
 
 	draining         bool
 	maxInFlight      int            // queries without a final answer; 0: no limit
-	hedging          bool           // a query may have two attempts in flight
+	hedging          bool           // a query may have more than one attempt in flight
 	classes          []policy.Class // of the current settings
 	settingsVersions settingsVersions
 
--- a/dispatch/entry.go
+++ b/dispatch/entry.go
@@ -21,7 +21,7 @@
 	resources      Attempt      // holds MemoryMB, Priority and HasResources of the next send; other fields are unused
 	lastEnded      AttemptEnded // end of the attempt that ended last
 	history        []historyEntry
-	heapIndex      int // in ledger.pending; -1: not in it
+	heapIndex      int // index in ledger.unanswered; -1: not in it
 }
 
 // attempt is one send of a query, including sends that the ledger withheld.
--- a/dispatch/query_events.go
+++ b/dispatch/query_events.go
@@ -14,7 +14,7 @@
 		c.receive(now, ev.Query)
 	case ClientDisconnected:
 		if e := c.ledger.entries[ev.ID]; e != nil && e.outcome == 0 {
-			e.record(now, "client left", -1, -1)
+			e.record(now, "client disconnected", -1, -1)
 			c.policyEvents = append(c.policyEvents, policy.ClientDisconnected{ID: ev.ID})
 			c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonClientDisconnected})
 		}
--- a/dispatch/settings_change.go
+++ b/dispatch/settings_change.go
@@ -58,46 +58,46 @@
 		return true
 	}
 	old, ok := n.namesByVersion[q.SettingsSerial]
-	now := n.namesByVersion[n.current]
+	current := n.namesByVersion[n.current]
 	if !ok || q.Class < 0 || q.Class >= len(old.classes) {
 		return false
 	}
-	class := slices.Index(now.classes, old.classes[q.Class])
+	class := slices.Index(current.classes, old.classes[q.Class])
 	if class < 0 {
 		return false
 	}
 	q.Class, q.SettingsSerial = class, n.current
 	if q.Tenant >= 0 && q.Tenant < len(old.tenants) { // -1 if the tenant was removed: no quota applies
-		q.Tenant = slices.Index(now.tenants, old.tenants[q.Tenant])
+		q.Tenant = slices.Index(current.tenants, old.tenants[q.Tenant])
 	}
 	return true
 }
 
-// oldIndexes returns, for each name in now, its index in old, or -1 if old does not contain it.
-func oldIndexes(now, old []string) []int {
-	out := make([]int, len(now))
-	for i, name := range now {
+// oldIndexes returns, for each name in current, its index in old, or -1 if old does not contain it.
+func oldIndexes(current, old []string) []int {
+	out := make([]int, len(current))
+	for i, name := range current {
 		out[i] = slices.Index(old, name)
 	}
 	return out
 }
 
 // changeSettings applies new settings. On an error, the old settings remain unchanged.
-func (c *Core) changeSettings(at Micros, ch Change) error {
+func (c *Core) changeSettings(now Micros, ch Change) error {
 	if _, ok := c.settingsVersions.namesByVersion[ch.Serial]; ok {
 		return fmt.Errorf("dispatch: settings version %d was used before; each change needs a new version", ch.Serial)
 	}
-	old, now := c.settingsVersions.namesByVersion[c.settingsVersions.current], namesOf(ch.Settings)
-	classes, tenants := oldIndexes(now.classes, old.classes), oldIndexes(now.tenants, old.tenants)
+	old, current := c.settingsVersions.namesByVersion[c.settingsVersions.current], namesOf(ch.Settings)
+	classes, tenants := oldIndexes(current.classes, old.classes), oldIndexes(current.tenants, old.tenants)
 	if err := c.gateway.Change(ch.Settings, classes, tenants); err != nil {
 		return err
 	}
 	if c.recorder != nil {
-		c.recorder.Changed(at, ch.Settings, classes, tenants)
+		c.recorder.Changed(now, ch.Settings, classes, tenants)
 	}
 	for _, e := range c.ledger.entries { // in any order, since each query is changed independently
 		if e.outcome == 0 {
-			renumberPending(e.query, now, old)
+			renumberPending(e.query, current, old)
 		}
 	}
 	c.settingsVersions.add(ch.Serial, ch.Settings)
@@ -108,12 +108,12 @@
 
 // renumberPending translates the indexes of a query without a final answer. Its class exists in the new settings, since the
 // gateway rejects settings that remove the class of a pending request.
-func renumberPending(q *Query, now, old settingsNames) {
+func renumberPending(q *Query, current, old settingsNames) {
 	if q.Class >= 0 && q.Class < len(old.classes) {
-		q.Class = slices.Index(now.classes, old.classes[q.Class])
+		q.Class = slices.Index(current.classes, old.classes[q.Class])
 	}
 	if q.Tenant >= 0 && q.Tenant < len(old.tenants) {
-		q.Tenant = slices.Index(now.tenants, old.tenants[q.Tenant])
+		q.Tenant = slices.Index(current.tenants, old.tenants[q.Tenant])
 	}
 }
 
