--- a/membership/view.go
+++ b/membership/view.go
@@ -1,12 +1,15 @@
-// Package membership decides which query nodes are in force, from the responses of a name service that
-// may be late, lost, repeated, reordered or wrong. It is free of I/O, clocks and goroutines.
+// Package membership decides which node list is in force, from the responses of a name service. Responses
+// may be late, lost, duplicated, reordered or wrong. The package does no I/O and has no clock and no
+// goroutines.
 //
-// A single response proves little: its number may be wrong, or its rows those of an older list. So the
-// direction of a change decides what it takes. A change that withdraws work from a node (a drain, or a
-// missing row) is applied at the first response. A change that gives a node work (a new row, another
-// address) needs a second response, to another query, with the same row. A node that has drained or left,
-// and has not started since, needs many in a row, for that is rare and an old list always looks like it. A
-// lower number is accepted once enough responses in a row agree that the one in force is too high.
+// A single response proves little: its version number may be wrong, or its rows may be those of an older
+// list. The number of responses that a change needs therefore depends on its direction:
+//   - A change that withdraws work from a node (a drain, or a missing row) is applied at the first response.
+//   - A change that gives a node work (a new row, or another address) needs a second response, to another
+//     query, with the same row.
+//   - The return of a node that has drained or left, and has not started since, needs returnResponses in a
+//     row: such returns are rare, and every outdated list looks like one.
+//   - A lower version number is accepted after revertResponses in a row with a number below the one in force.
 package membership
 
 import (
@@ -16,79 +19,81 @@
 	"embershunt/policy"
 )
 
-// How many responses in a row it takes ...
+// Numbers of responses in a row that a change needs.
 const (
-	joinResponses   = 2  // ... to give a node work
-	returnResponses = 10 // ... to give it work again after it drained or left
-	revertResponses = 5  // ... with a lower number to show that the number in force is wrong
+	joinResponses   = 2  // a node gets work
+	returnResponses = 10 // a node gets work again after it drained or left
+	revertResponses = 5  // a lower version number replaces the one in force
 )
 
-// maxRemoved bounds the nodes that are remembered after they left.
+// maxRemoved is the maximum number of removed nodes that a View remembers.
 const maxRemoved = 4096
 
-// Response is a usable response of the name service.
+// Response is a valid response of the name service.
 type Response struct {
-	Query uint64 // serial of the query; a duplicate response to one confirms nothing
+	Query uint64 // serial of the query; a second response to the same query confirms nothing
 	nodelist.Versioned
 }
 
-// Update is what a response has changed.
+// Update reports the effect of a response.
 type Update struct {
-	Changed     bool // the list in force
-	Unconfirmed bool // another response is needed to decide
-	Reverted    bool // the number in force was wrong, and a lower one has replaced it
+	Changed bool // the nodes in force have changed
+	// Unconfirmed is set while a change waits for another response. Returns of nodes alone do not set it.
+	Unconfirmed bool
+	Reverted    bool // a lower version number has replaced the one in force, which was wrong
 }
 
-// View is the list in force. It is not safe for concurrent use.
+// View holds the list in force and the changes that wait for confirmation. It is not safe for concurrent
+// use.
 type View struct {
-	number  int64
-	nodes   []nodelist.Node // in force, in the order of the list
-	indexes map[string]int  // of nodes, by ID, during Observe
+	number  int64           // version number of the list in force
+	nodes   []nodelist.Node // in force; new nodes are appended
+	indexes map[string]int  // indexes into nodes, by ID; set during Observe only
 
-	newestQuery  uint64          // the newest with a response under the number in force or a higher one
-	lastRows     []nodelist.Node // rows of the last such response; nil: the next one is evaluated in any case
+	newestQuery  uint64          // newest query whose response had the number in force or a higher one
+	lastRows     []nodelist.Node // rows of the last such response; nil: evaluate the next one in any case
 	lower        lowerNumbers
-	unconfirmed  map[string]confirmation  // rows that would give a node work
-	missing      map[string]absence       // nodes that a response left out; they drain until another confirms
-	removed      map[string]nodelist.Node // nodes that have left the list, as they were
-	removalOrder []string                 // their IDs
+	unconfirmed  map[string]confirmation  // rows that wait for confirmation, by node ID
+	missing      map[string]absence       // nodes that drain until it is confirmed that they left or moved
+	removed      map[string]nodelist.Node // nodes that have left the list, as they were; at most maxRemoved
+	removalOrder []string                 // IDs in removed, oldest first; IDs of nodes that returned stay
 }
 
-// lowerNumbers are the responses in a row with a number below the one in force.
+// lowerNumbers counts the responses in a row with a version number below the one in force.
 type lowerNumbers struct {
 	count  int
-	number int64  // of the last of them
-	query  uint64 // of the last of them
+	number int64  // version number of the last counted response
+	query  uint64 // query of the last counted response
 }
 
-// confirmation counts the responses in a row with a row that gives a node work.
+// confirmation counts the successive responses with the same row.
 type confirmation struct {
-	node      nodelist.Node
-	query     uint64 // of the last of them
+	node      nodelist.Node // the row
+	query     uint64        // query of the last counted response
 	responses int
 	required  int
 }
 
-// absence is a response that left a node out.
+// absence records the first response that left a node out, or listed it at another address.
 type absence struct {
 	query      uint64
-	wasHealthy bool // before that response
+	wasHealthy bool // state of the node before that response
 }
 
-// New returns a view with the list at the start.
+// New returns a view with an initial list in force.
 func New(initial nodelist.Versioned) *View {
 	return &View{number: initial.Number, nodes: slices.Clone(initial.Nodes),
 		unconfirmed: map[string]confirmation{}, missing: map[string]absence{},
 		removed: map[string]nodelist.Node{}}
 }
 
-// Number is the version number of the list in force.
+// Number returns the version number of the list in force.
 func (v *View) Number() int64 { return v.number }
 
-// Nodes is the list in force. The caller must not change it.
+// Nodes returns the list in force. The caller must not change it.
 func (v *View) Nodes() []nodelist.Node { return v.nodes }
 
-// Observe evaluates one response.
+// Observe evaluates one response, and changes the list in force if enough responses agree.
 func (v *View) Observe(r Response) Update {
 	if v.repeats(r) {
 		v.newestQuery = max(v.newestQuery, r.Query)
@@ -119,15 +124,16 @@
 	return u
 }
 
-// repeats tells whether a response has the rows of the one before, with nothing left to confirm. Most do.
+// repeats reports whether a response repeats the number and the rows of the previous one while no change
+// waits for confirmation. Observe skips these responses, since most responses are such repeats.
 func (v *View) repeats(r Response) bool {
 	settled := len(v.unconfirmed) == 0 && len(v.missing) == 0 && v.lower.count == 0
 	return settled && r.Number == v.number && len(r.Skipped) == 0 &&
 		v.lastRows != nil && slices.Equal(r.Nodes, v.lastRows)
 }
 
-// applyDrains applies the drains alone of a list with a lower number, for its rows may be right and the
-// number in force wrong.
+// applyDrains applies only the drains of a list with a lower number: its rows may be right, and the number
+// in force wrong.
 func (v *View) applyDrains(r Response) {
 	for _, row := range r.Nodes {
 		if row.State != policy.Healthy {
@@ -137,7 +143,7 @@
 	v.applySkippedDrains(r)
 }
 
-// applySkippedDrains applies the drains of unusable rows.
+// applySkippedDrains drains the nodes whose rows are unusable but mark them as draining.
 func (v *View) applySkippedDrains(r Response) {
 	for _, row := range r.Skipped {
 		if row.Draining {
@@ -146,18 +152,19 @@
 	}
 }
 
-// contradict restarts the count of the rows that a newer response with a lower number does not have: its
-// rows may be right and the number in force wrong.
+// contradict discards the confirmations of rows that a newer response with a lower number does not have:
+// the rows of that response may be right, and the number in force wrong.
 func (v *View) contradict(r Response) {
-	for id, c := range v.unconfirmed { // each by itself: the order does not matter
+	for id, c := range v.unconfirmed { // the entries are independent of each other
 		if r.Query > c.query && !slices.Contains(r.Nodes, c.node) {
 			delete(v.unconfirmed, id)
 		}
 	}
 }
 
-// revert counts responses with a lower number. It tells whether they have shown that the number in force
-// is wrong, and replaces it then. A late response to an older query does not count.
+// revert counts responses in a row with a lower number, and reports whether it has replaced the number in
+// force by theirs. A late response to an older query does not count, since an outdated list has a lower
+// number. A number below that of the response counted last restarts the count.
 func (v *View) revert(r Response) bool {
 	switch {
 	case r.Query <= v.newestQuery || v.lower.count > 0 && r.Query <= v.lower.query:
@@ -175,7 +182,7 @@
 	return true
 }
 
-// apply applies a list with the number in force or a higher one.
+// apply applies a list whose number is now in force.
 func (v *View) apply(r Response) {
 	listed := map[string]bool{}
 	for _, row := range r.Skipped {
@@ -187,7 +194,7 @@
 		listed[row.ID] = true
 		v.applyRow(r.Query, row)
 	}
-	if !listed[""] { // a row without an ID may be that of any node
+	if !listed[""] { // an unusable row without an ID may belong to any node
 		v.applyMissing(r.Query, listed)
 	}
 	for id := range v.unconfirmed {
@@ -198,7 +205,8 @@
 	v.dropReplaced()
 }
 
-// applyRow applies one row.
+// applyRow applies one row. A row that gives its node work, or whose node is not in force, is applied once
+// it is confirmed, any other row at once. A healthy node whose row has another address drains until then.
 func (v *View) applyRow(query uint64, row nodelist.Node) {
 	i := v.index(row.ID)
 	if i < 0 {
@@ -223,8 +231,8 @@
 	}
 }
 
-// confirm counts a response with a row. It tells whether enough responses in a row, to different queries,
-// had that row.
+// confirm counts a response with a row, and reports whether the row is confirmed: whether enough responses
+// in a row, to different queries, had exactly this row.
 func (v *View) confirm(query uint64, row nodelist.Node) bool {
 	c, seen := v.unconfirmed[row.ID]
 	if !seen || c.node != row {
@@ -242,7 +250,9 @@
 	return true
 }
 
-// requiredResponses is how many responses it takes to give a node work.
+// requiredResponses returns the number of responses needed to give a node work. It is higher for a node that
+// has drained or left and has not started since. A node that drains only because a response left it out or
+// listed it at another address does not count as drained.
 func (v *View) requiredResponses(row nodelist.Node) int {
 	old, withdrawn := v.removed[row.ID]
 	if i := v.index(row.ID); i >= 0 && v.nodes[i].State != policy.Healthy {
@@ -254,7 +264,8 @@
 	return joinResponses
 }
 
-// remove records that a node has left the list.
+// remove records that a node has left the list; the caller removes it from nodes. Beyond maxRemoved the
+// oldest removal is forgotten.
 func (v *View) remove(n nodelist.Node) {
 	delete(v.missing, n.ID)
 	delete(v.unconfirmed, n.ID)
@@ -265,7 +276,7 @@
 	}
 }
 
-// applyMissing drains the nodes without a row, and removes those that responses to two queries left out.
+// applyMissing drains the nodes without a row, and removes those that the responses to two queries left out.
 func (v *View) applyMissing(query uint64, listed map[string]bool) {
 	kept := v.nodes[:0]
 	for _, n := range v.nodes {
@@ -285,7 +296,8 @@
 	v.nodes = kept
 }
 
-// dropReplaced removes nodes that drain at the address of another healthy node.
+// dropReplaced removes the nodes whose address now belongs to another healthy node. Of several healthy nodes
+// with one address, the last in nodes stays.
 func (v *View) dropReplaced() {
 	owner := map[string]string{}
 	for _, n := range v.nodes {
@@ -303,8 +315,8 @@
 	})
 }
 
-// index is the index of a node in nodes; -1 where it is not in force. It is valid during Observe, until the
-// first node is removed.
+// index returns the index of a node in nodes, or -1 if the node is not in force. The result is valid during
+// Observe, until the first node is removed.
 func (v *View) index(id string) int {
 	if i, ok := v.indexes[id]; ok {
 		return i
@@ -312,7 +324,7 @@
 	return -1
 }
 
-// drain drains a node, and restarts the count of responses that would return it.
+// drain marks a node as draining, and discards the confirmation of a row that would give it work.
 func (v *View) drain(id string) {
 	delete(v.unconfirmed, id)
 	if i := v.index(id); i >= 0 && v.nodes[i].State == policy.Healthy {
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -14,9 +14,9 @@
 	"embershunt/policy"
 )
 
-// list parses "a b! c" as the nodes a, b that drains, and c; "d+" has started later, "?d" is an unusable row of d, "?d!"
-// one that drains.
-func list(number int64, text string) nodelist.Versioned {
+// parseList parses a list of node IDs: "a" is a healthy node, "a!" a draining one, "a+" one that has started
+// later, "?a" an unusable row of a, and "?a!" an unusable row that drains a.
+func parseList(number int64, text string) nodelist.Versioned {
 	out := nodelist.Versioned{Number: number}
 	for id := range strings.FieldsSeq(text) {
 		id, drains := strings.CutSuffix(id, "!")
@@ -37,8 +37,8 @@
 	return out
 }
 
-// show is the inverse of list, for the nodes in force.
-func show(v *View) string {
+// formatNodes formats the nodes in force as parseList reads them, without start times.
+func formatNodes(v *View) string {
 	var out []string
 	for _, n := range v.Nodes() {
 		id := n.ID
@@ -50,43 +50,43 @@
 	return strings.Join(out, " ")
 }
 
-// repeat is a step that is repeated for one response less than returns a node.
-func repeat(step string) (out []string) {
+// repeatUnconfirmed repeats a step for one response less than it takes to return a node.
+func repeatUnconfirmed(step string) (out []string) {
 	for range returnResponses - 1 {
 		out = append(out, step)
 	}
 	return out
 }
 
-// Each step is a response "number: rows" and the list in force after it; with "=" before the number it is to the same query
-// as the step before.
+// Each step is "number: rows -> list in force after this response". With "=" before the number, the response is
+// to the same query as that of the step before.
 func TestView(t *testing.T) {
 	for name, c := range map[string]struct{ steps []string }{
 		"a drain is applied at once":            {[]string{"2: a! b -> a! b"}},
 		"a node joins at the second response":   {[]string{"2: a b c -> a b", "2: a b c -> a b c"}},
 		"a duplicate confirms nothing":          {[]string{"2: a b c -> a b", "=2: a b c -> a b", "2: a b c -> a b c"}},
 		"a node leaves at the second response":  {[]string{"2: b -> a! b", "=2: b -> a! b", "2: b -> b"}},
-		"a drain ends after many responses":     {append([]string{"2: a! b -> a! b"}, append(repeat("3: a b -> a! b"), "3: a b -> a b")...)},
-		"a drain in between restarts the count": {append(append([]string{"2: a! b -> a! b"}, repeat("2: a b -> a! b")...), "1: a! b -> a! b", "2: a b -> a! b")},
-		"a removed node returns after many":     {append(append([]string{"2: b -> a! b", "2: b -> b"}, repeat("2: a b -> b")...), "2: a b -> b a")},
-		"drained, left out, listed as healthy":  {[]string{"2: a! b -> a! b", "2: b -> a! b", "2: a b -> a! b", "2: a b -> a! b"}},
-		"old rows under the newest number":      {[]string{"2: a b -> a b", "2: a! b -> a! b"}},
+		"a drain ends after many responses":     {append([]string{"2: a! b -> a! b"}, append(repeatUnconfirmed("3: a b -> a! b"), "3: a b -> a b")...)},
+		"a drain in between restarts the count": {append(append([]string{"2: a! b -> a! b"}, repeatUnconfirmed("2: a b -> a! b")...), "1: a! b -> a! b", "2: a b -> a! b")},
+		"a removed node needs many responses":   {append(append([]string{"2: b -> a! b", "2: b -> b"}, repeatUnconfirmed("2: a b -> b")...), "2: a b -> b a")},
+		"an absence does not undo a drain":      {[]string{"2: a! b -> a! b", "2: b -> a! b", "2: a b -> a! b", "2: a b -> a! b"}},
+		"a drain under an unchanged number":     {[]string{"2: a b -> a b", "2: a! b -> a! b"}},
 		"old rows after the drain":              {[]string{"2: a! b -> a! b", "2: a b -> a! b", "2: a! b -> a! b", "2: a b -> a! b"}},
 		"a drain under a lower number":          {[]string{"9: a b -> a b", "2: a! b -> a! b"}},
-		"one lower number adds nothing":         {[]string{"9: a b -> a b", "2: a b c -> a b", "3: a b c -> a b", "9: a b -> a b"}},
+		"few lower numbers add nothing":         {[]string{"9: a b -> a b", "2: a b c -> a b", "3: a b c -> a b", "9: a b -> a b"}},
 		"lower numbers in a row are accepted":   {[]string{"9: a b -> a b", "2: a b c -> a b", "2: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b", "3: a b c -> a b c"}},
 		"a node lost to a wrong number returns": {[]string{"9: a -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b!", "2: a b -> a b"}},
 		"a restart after a drain is a new node": {[]string{"2: a! b -> a! b", "3: a+ b -> a! b", "3: a+ b -> a b"}},
 		"an unusable row":                       {[]string{"2: a! ?b c -> a! b", "2: a! ?b c -> a! b c", "2: a! ?b! c -> a! b! c"}},
 		"a row without an ID hides a removal":   {[]string{"2: ? a -> a b", "2: ? a -> a b"}},
-		"a late drain that was cancelled":       {append([]string{"9: a b -> a b", "9: a b -> a b", "1: a! b -> a! b"}, append(repeat("9: a b -> a! b"), "9: a b -> a b")...)},
+		"a late drain that was cancelled":       {append([]string{"9: a b -> a b", "9: a b -> a b", "1: a! b -> a! b"}, append(repeatUnconfirmed("9: a b -> a! b"), "9: a b -> a b")...)},
 		"an empty list":                         {[]string{"2:  -> a! b!", "2:  -> "}},
 		"a wrong removal is cancelled":          {[]string{"2: b -> a! b", "2: a b -> a! b", "2: a b -> a b"}},
 		"a lower number in between restarts":    {[]string{"2: b -> a! b", "9: a b -> a! b", "2: b -> a! b", "9: a b -> a! b", "9: a b -> a b"}},
 		"a row that changes restarts the count": {[]string{"2: a b c -> a b", "2: a b d -> a b", "2: a b c -> a b", "2: a b c -> a b c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := New(list(1, "a b"))
+			v := New(parseList(1, "a b"))
 			query := uint64(0)
 			for i, step := range c.steps {
 				text, want, _ := strings.Cut(step, " ->")
@@ -99,8 +99,8 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				v.Observe(Response{query, list(number, rows)})
-				if got := show(v); got != strings.TrimSpace(want) {
+				v.Observe(Response{query, parseList(number, rows)})
+				if got := formatNodes(v); got != strings.TrimSpace(want) {
 					t.Fatalf("after step %d (%s): %q, want %q", i+1, step, got, strings.TrimSpace(want))
 				}
 			}
@@ -108,26 +108,26 @@
 	}
 }
 
-// Late responses, overtaken by a newer one, are no proof against its number.
+// Responses that arrive after the response to a newer query do not show that the number in force is wrong.
 func TestLateResponsesDoNotRevertANumber(t *testing.T) {
-	v := New(list(1, "a b"))
-	v.Observe(Response{100, list(9, "a b")})
+	v := New(parseList(1, "a b"))
+	v.Observe(Response{100, parseList(9, "a b")})
 	for q := range uint64(2 * revertResponses) {
-		if u := v.Observe(Response{10 + q, list(5, "a b c")}); u.Reverted || u.Unconfirmed {
+		if u := v.Observe(Response{10 + q, parseList(5, "a b c")}); u.Reverted || u.Unconfirmed {
 			t.Fatalf("%+v after %d late responses", u, q+1)
 		}
 	}
 	for q := range uint64(revertResponses) {
-		if u := v.Observe(Response{101 + q, list(5, "a b c")}); u.Reverted != (q+1 == revertResponses) {
+		if u := v.Observe(Response{101 + q, parseList(5, "a b c")}); u.Reverted != (q+1 == revertResponses) {
 			t.Fatalf("%+v after %d responses", u, q+1)
 		}
 	}
 }
 
-// A node takes the address of a removed one: no list in force has an address twice.
-func TestAnAddressChangesHands(t *testing.T) {
-	v := New(list(1, "a b"))
-	next := list(2, "b c")
+// When a node takes the address of a removed one, or moves, no list in force has an address twice.
+func TestAddressPassesToAnotherNode(t *testing.T) {
+	v := New(parseList(1, "a b"))
+	next := parseList(2, "b c")
 	next.Nodes[1].Platform = "127.0.0.1:a"
 	for q := range uint64(2) {
 		v.Observe(Response{q, next})
@@ -135,24 +135,24 @@
 			t.Fatal(err)
 		}
 	}
-	if show(v) != "b c" {
-		t.Errorf("in force: %s", show(v))
+	if formatNodes(v) != "b c" {
+		t.Errorf("in force: %s", formatNodes(v))
 	}
-	moved := list(3, "b c")
+	moved := parseList(3, "b c")
 	moved.Nodes[0].Platform = "127.0.0.1:elsewhere"
 	v.Observe(Response{7, moved})
-	if show(v) != "b! c!" { // c as well: its address differs from that above
-		t.Errorf("in force: %s", show(v))
+	if formatNodes(v) != "b! c!" { // c drains as well: in this list it is back at its own address
+		t.Errorf("in force: %s", formatNodes(v))
 	}
 	v.Observe(Response{8, moved})
-	if show(v) != "b c" || v.Nodes()[0].Platform != "127.0.0.1:elsewhere" {
-		t.Errorf("in force: %s at %s", show(v), v.Nodes()[0].Platform)
+	if formatNodes(v) != "b c" || v.Nodes()[0].Platform != "127.0.0.1:elsewhere" {
+		t.Errorf("in force: %s at %s", formatNodes(v), v.Nodes()[0].Platform)
 	}
 }
 
-// After any untrue responses: one true response applies its drains, and enough true ones in a row put the true list in
-// force.
-func TestTruthWins(t *testing.T) {
+// After any sequence of wrong responses, one correct response applies its drains, and enough correct responses
+// in a row put the correct list in force.
+func TestConvergesAfterWrongResponses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ids := []string{"a", "b", "c", "d"}
 		draw := func(label string) string {
@@ -162,7 +162,7 @@
 			}
 			return out
 		}
-		v := New(list(rapid.Int64Range(1, 9).Draw(t, "known"), draw("known rows")))
+		v := New(parseList(rapid.Int64Range(1, 9).Draw(t, "initial number"), draw("initial rows")))
 		query := uint64(0)
 		observe := func(l nodelist.Versioned) {
 			query++
@@ -171,37 +171,37 @@
 				t.Fatal(err)
 			}
 		}
-		for range rapid.IntRange(0, 12).Draw(t, "untrue") {
-			observe(list(rapid.Int64Range(0, 9).Draw(t, "number"), draw("rows")))
+		for range rapid.IntRange(0, 12).Draw(t, "wrong responses") {
+			observe(parseList(rapid.Int64Range(0, 9).Draw(t, "number"), draw("rows")))
 		}
-		truth := list(rapid.Int64Range(0, 9).Draw(t, "true number"), strings.ReplaceAll(draw("true rows"), "?", ""))
+		correct := parseList(rapid.Int64Range(0, 9).Draw(t, "correct number"), strings.ReplaceAll(draw("correct rows"), "?", ""))
 		index := func(id string) int {
 			return slices.IndexFunc(v.Nodes(), func(n nodelist.Node) bool { return n.ID == id })
 		}
-		observe(truth)
-		for _, n := range truth.Nodes {
+		observe(correct)
+		for _, n := range correct.Nodes {
 			if at := index(n.ID); n.State == policy.Draining && at >= 0 && v.nodes[at].State == policy.Healthy {
-				t.Fatalf("%s drains, in force: %s", n.ID, show(v))
+				t.Fatalf("%s drains in the list; in force: %s", n.ID, formatNodes(v))
 			}
 		}
 		for range revertResponses + returnResponses {
-			observe(truth)
+			observe(correct)
 		}
-		if v.Number() != truth.Number {
-			t.Errorf("number %d, want %d", v.Number(), truth.Number)
+		if v.Number() != correct.Number {
+			t.Errorf("number %d, want %d", v.Number(), correct.Number)
 		}
-		for _, n := range truth.Nodes {
+		for _, n := range correct.Nodes {
 			if at := index(n.ID); at < 0 || v.nodes[at] != n {
-				t.Errorf("%s is not as in the list; in force: %s", n.ID, show(v))
+				t.Errorf("%s is not as in the list; in force: %s", n.ID, formatNodes(v))
 			}
 		}
-		if len(v.Nodes()) != len(truth.Nodes) {
-			t.Errorf("in force: %s, the list has %d", show(v), len(truth.Nodes))
+		if len(v.Nodes()) != len(correct.Nodes) {
+			t.Errorf("in force: %s, the list has %d", formatNodes(v), len(correct.Nodes))
 		}
 	})
 }
 
-// largestList is a list with the maximum number of nodes.
+// largestList returns a list with the maximum number of nodes.
 func largestList() nodelist.Versioned {
 	l := nodelist.Versioned{Number: 1}
 	for i := range 3200 {
@@ -210,7 +210,8 @@
 	return l
 }
 
-// Most responses repeat the one before: with the maximum number of nodes they cost a comparison, no copy.
+// Most responses repeat the previous one. Even with the maximum number of nodes, they cost a comparison and no
+// copy.
 func BenchmarkRepeatedResponse(b *testing.B) {
 	l := largestList()
 	v := New(l)
@@ -226,7 +227,7 @@
 	}
 }
 
-// A change in a list with the maximum number of nodes.
+// The version number changes in a list with the maximum number of nodes.
 func BenchmarkChange(b *testing.B) {
 	l := largestList()
 	v := New(l)
--- a/permit/audit.go
+++ b/permit/audit.go
@@ -2,13 +2,15 @@
 
 import "sync/atomic"
 
-// Audit counts acts that were not permitted, by reason. The zero value is ready. It is safe for concurrent use.
+// Audit counts acts that were not permitted, by reason: those withheld, and those that happened all the same.
+// The zero value is ready for use. It is safe for concurrent use.
 type Audit struct {
 	withheld [reasonCount]atomic.Int64
 	violated [reasonCount]atomic.Int64
 }
 
-// Check counts an act that did not happen because it was not permitted, and returns the reason. Permitted counts nothing.
+// Check counts an act that is withheld because it is not permitted, and returns the reason unchanged.
+// Permitted is not counted.
 func (a *Audit) Check(r Reason) Reason {
 	if r != Permitted {
 		a.withheld[r].Add(1)
@@ -16,7 +18,8 @@
 	return r
 }
 
-// Violate counts an act that happened against a rule, and tells whether it did. Permitted counts nothing.
+// Violate counts an act that has violated a rule, and reports whether there was a violation: false for
+// Permitted.
 func (a *Audit) Violate(r Reason) bool {
 	if r == Permitted {
 		return false
@@ -25,7 +28,7 @@
 	return true
 }
 
-// All returns the reasons without Permitted.
+// All returns all reasons except Permitted.
 func All() (out []Reason) {
 	for r := Permitted + 1; r < reasonCount; r++ {
 		out = append(out, r)
@@ -33,19 +36,19 @@
 	return out
 }
 
-// Withheld is the number of acts withheld for a reason.
+// Withheld returns the number of acts withheld for a reason.
 func (a *Audit) Withheld(r Reason) int64 { return a.withheld[r].Load() }
 
-// Violated is the number of violations of a rule.
+// Violated returns the number of violations of a rule.
 func (a *Audit) Violated(r Reason) int64 { return a.violated[r].Load() }
 
-// Count is the number of acts withheld and of violations, for one reason.
+// Count holds the number of withheld acts and of violations for one reason.
 type Count struct {
 	Reason             Reason
 	Withheld, Violated int64
 }
 
-// Counts returns the counts of the reasons that have occurred.
+// Counts returns the counts of the reasons that have occurred, in the order of All.
 func (a *Audit) Counts() (out []Count) {
 	for _, r := range All() {
 		c := Count{r, a.withheld[r].Load(), a.violated[r].Load()}
--- a/permit/permit.go
+++ b/permit/permit.go
@@ -1,27 +1,28 @@
-// Package permit decides whether something may be started, sent, retried or closed now. It is free of
-// I/O, clocks and goroutines. It is called at the moment of the act, with the state of that moment: what
-// was permitted when the act was decided may not be any more.
+// Package permit decides whether a query may be accepted, an attempt sent or retried, or a connection
+// closed. It does no I/O and has no clock and no goroutines. Callers call it immediately before they act,
+// with the state of that moment: an act that was permitted when it was decided may not be permitted any
+// more.
 //
-// The rules are those of the platform: one final answer for each query and nothing sent for it after
-// that, no effect twice, nothing new to a server that drains or has been removed.
+// The rules are those of the platform: each query gets one final answer, and nothing is sent for it after
+// that; no query takes effect twice; nothing new is sent to a node that drains or has been removed.
 package permit
 
 import "embershunt/policy"
 
-// Reason is the reason why an act is not permitted; Permitted where it is.
+// Reason is the reason why an act is not permitted, or Permitted.
 type Reason uint8
 
-// The reasons.
+// Reasons, and Permitted.
 const (
 	Permitted          Reason = iota
-	Draining                  // the server drains or has been removed
+	Draining                  // the node drains or has been removed
 	ClientDisconnected        // the client has disconnected
 	Deadline                  // the query's deadline has passed
-	DedupWindow               // servers may not recognize the key of an earlier attempt any more
+	DedupWindow               // nodes may have forgotten the idempotency key of an earlier attempt
 	AttemptInFlight           // an earlier attempt is in flight, and hedging is not allowed
-	MayHaveRun                // an earlier attempt may have run, and another one would have its effect twice
+	MayHaveRun                // an earlier attempt may have run, and another one could repeat its effect
 	Answered                  // the final answer has been given, or is on its way to the client
-	Stopping                  // the dispatcher shuts down
+	Stopping                  // the dispatcher is shutting down
 	Full                      // the limit of queries in flight is reached
 	AnswersPending            // requests on the connection have no answer yet
 	Reading                   // a request is being read on the connection
@@ -31,13 +32,13 @@
 var reasonNames = [reasonCount]string{"permitted", "draining", "client_gone", "deadline", "window",
 	"attempt_in_flight", "may_have_run", "answered", "stopping", "full", "owed", "reading"}
 
-// String is the name of the reason in logs and metrics.
+// String returns the name of the reason in logs and metrics.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Intake is the state of a dispatcher that receives a query.
+// Intake is the state of a dispatcher when it receives a query.
 type Intake struct {
 	Stopping    bool
-	InFlight    int
+	InFlight    int // queries in flight
 	MaxInFlight int // 0: no limit
 }
 
@@ -52,21 +53,21 @@
 	return Permitted
 }
 
-// Sending is the state of an attempt at the moment when its first byte would be sent.
+// Sending is the state of an attempt immediately before its first byte is sent.
 type Sending struct {
 	Now                policy.Micros
-	Deadline           policy.Micros // the query's deadline, or the attempt's
-	StartBefore        policy.Micros // the end of the deduplication window of its key; 0: none
+	Deadline           policy.Micros // of the query or of the attempt
+	StartBefore        policy.Micros // end of the dedup window of the idempotency key; 0: no limit
 	ClientDisconnected bool
-	DrainNotifiedAt    policy.Micros // when the server was reported as draining or removed; 0: it is healthy
-	Sticky             bool          // the server has the state of the query's session
-	Grace              policy.Micros // for sticky queries, after DrainNotifiedAt
+	DrainNotifiedAt    policy.Micros // when the node was reported as draining or removed; 0: it is healthy
+	Sticky             bool          // the node holds the state of the query's session
+	Grace              policy.Micros // how long after DrainNotifiedAt sticky queries may still be sent
 }
 
-// inGrace tells whether the server still serves the session while it drains.
+// inGrace reports whether the draining node still serves the query's session.
 func (s Sending) inGrace() bool { return s.Sticky && s.Now < s.DrainNotifiedAt+s.Grace }
 
-// Send decides whether an attempt may begin.
+// Send decides whether the attempt may be sent.
 func (s Sending) Send() Reason {
 	switch {
 	case s.ClientDisconnected:
@@ -81,23 +82,23 @@
 	return Permitted
 }
 
-// Slack of the rules on attempts that have begun: the time between the decision and the first byte.
+// Tolerances of Violation, for the time that passes between the decision of Send and the first byte.
 const (
 	disconnectSlack policy.Micros = 100_000
-	deadlineSlack   policy.Micros = 50_000
+	deadlineSlack   policy.Micros = 50_000 // of the deadline and of the end of the dedup window
 )
 
 // Sent is the state of an attempt whose first byte has been sent.
 type Sent struct {
-	At              policy.Micros // when the first byte had been sent, at the latest
-	Deadline        policy.Micros
-	StartBefore     policy.Micros
+	At              policy.Micros // the first byte was sent at this time or earlier
+	Deadline        policy.Micros // as in Sending
+	StartBefore     policy.Micros // as in Sending
 	DisconnectedAt  policy.Micros // when the client disconnected; 0: it is connected
 	DrainNotifiedAt policy.Micros // as in Sending
-	Grace           policy.Micros
+	Grace           policy.Micros // tolerance after DrainNotifiedAt, for attempts of all queries
 }
 
-// Violation is the rule that an attempt has violated; Permitted where it is none.
+// Violation returns the rule that the attempt has violated, or Permitted.
 func (s Sent) Violation() Reason {
 	switch {
 	case s.DrainNotifiedAt > 0 && s.At > s.DrainNotifiedAt+s.Grace:
@@ -114,30 +115,30 @@
 
 // Attempt is an earlier attempt of a query.
 type Attempt struct {
-	Sent  policy.Micros
+	Sent  policy.Micros // when it was sent
 	Ended bool
 	Code  policy.Code // of an attempt that has ended
 }
 
-// NeverRan tells whether an attempt certainly had no effect.
+// NeverRan reports whether the attempt has certainly had no effect.
 func (a Attempt) NeverRan() bool {
 	return a.Ended &&
 		(a.Code == policy.Rejected || a.Code == policy.ConnectionRefused || a.Code == policy.NeverSent)
 }
 
-// Retrying is the state of a query of which another attempt would be sent.
+// Retrying is the state of a query before another attempt is sent.
 type Retrying struct {
 	Now         policy.Micros
 	Deadline    policy.Micros
-	Answered    bool
+	Answered    bool // the final answer has been given, or is on its way to the client
 	Effect      policy.Effect
-	DedupWindow policy.Micros // of queries with an idempotency key; 0: no limit
+	DedupWindow policy.Micros // how long nodes remember an idempotency key; 0: no limit
 	Hedging     bool          // another attempt may start while one is in flight
 	Earlier     []Attempt
 }
 
-// Retry decides whether an attempt may be sent beside or after the earlier ones. Without earlier ones it is
-// the first of the query.
+// Retry decides whether another attempt may be sent, beside or after the earlier ones. Without earlier
+// attempts it decides on the first attempt of the query.
 func (r Retrying) Retry() Reason {
 	switch {
 	case r.Answered:
@@ -159,14 +160,14 @@
 	return Permitted
 }
 
-// Connection is the state of a client's connection that is to be closed.
+// Connection is the state of a client's connection that the dispatcher is about to close.
 type Connection struct {
 	PendingAnswers int  // requests without an answer
 	Receiving      bool // a request has been received in part
-	DispatcherEnds bool // the dispatcher ends: a request received in part would be rejected
+	DispatcherEnds bool // the dispatcher is shutting down, and would reject a request received in part
 }
 
-// Close decides whether a connection may be closed now.
+// Close decides whether the connection may be closed now.
 func (c Connection) Close() Reason {
 	switch {
 	case c.PendingAnswers > 0:
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -13,14 +13,14 @@
 		s    Sending
 		want Reason
 	}{
-		"ready":                       {Sending{Now: 5, Deadline: 9}, Permitted},
+		"a healthy node":              {Sending{Now: 5, Deadline: 9}, Permitted},
 		"the deadline has passed":     {Sending{Now: 9, Deadline: 9}, Deadline},
 		"the client has disconnected": {Sending{Now: 5, Deadline: 9, ClientDisconnected: true}, ClientDisconnected},
-		"the window is over":          {Sending{Now: 5, Deadline: 9, StartBefore: 5}, DedupWindow},
-		"the window is open":          {Sending{Now: 5, Deadline: 9, StartBefore: 6}, Permitted},
-		"it drains":                   {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 5, Grace: 3}, Draining},
-		"sticky, in the grace":        {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Permitted},
-		"sticky, past the grace":      {Sending{Now: 7, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Draining},
+		"the dedup window has ended":  {Sending{Now: 5, Deadline: 9, StartBefore: 5}, DedupWindow},
+		"the dedup window is open":    {Sending{Now: 5, Deadline: 9, StartBefore: 6}, Permitted},
+		"the node drains":             {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 5, Grace: 3}, Draining},
+		"sticky, within the grace":    {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Permitted},
+		"sticky, after the grace":     {Sending{Now: 7, Deadline: 9, DrainNotifiedAt: 4, Grace: 3, Sticky: true}, Draining},
 		"sticky, no grace":            {Sending{Now: 5, Deadline: 9, DrainNotifiedAt: 5, Sticky: true}, Draining},
 	} {
 		if got := c.s.Send(); got != c.want {
@@ -35,13 +35,13 @@
 		s    Sent
 		want Reason
 	}{
-		"in the grace":              {Sent{At: 900 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Permitted},
-		"past the grace":            {Sent{At: 1101 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Draining},
+		"within the grace":          {Sent{At: 900 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Permitted},
+		"after the grace":           {Sent{At: 1101 * ms, Deadline: 9000 * ms, DrainNotifiedAt: 100 * ms, Grace: 1000 * ms}, Draining},
 		"just after the disconnect": {Sent{At: 150 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, Permitted},
 		"long after the disconnect": {Sent{At: 201 * ms, Deadline: 9000 * ms, DisconnectedAt: 100 * ms}, ClientDisconnected},
 		"after the deadline":        {Sent{At: 151 * ms, Deadline: 100 * ms}, Deadline},
-		"after the window":          {Sent{At: 151 * ms, Deadline: 900 * ms, StartBefore: 100 * ms}, DedupWindow},
-		"nothing of the kind":       {Sent{At: 140 * ms, Deadline: 100 * ms, StartBefore: 100 * ms}, Permitted},
+		"after the dedup window":    {Sent{At: 151 * ms, Deadline: 900 * ms, StartBefore: 100 * ms}, DedupWindow},
+		"within the tolerances":     {Sent{At: 140 * ms, Deadline: 100 * ms, StartBefore: 100 * ms}, Permitted},
 	} {
 		if got := c.s.Violation(); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -49,26 +49,27 @@
 	}
 }
 
-// A query that is not idempotent is retried only if every earlier attempt certainly never ran; one with a key only within
-// the window of the first that may have run; none after the answer or the deadline, nor beside another one without hedging.
+// A query that is not idempotent is retried only if every earlier attempt certainly never ran. A query with an
+// idempotency key is retried only within the dedup window of the first attempt that may have run. No query is
+// retried after its answer or its deadline, nor while an attempt is in flight unless hedging is allowed.
 func TestRetry(t *testing.T) {
 	codes := []policy.Code{policy.OK, policy.Failed, policy.Rejected, policy.TimedOut, policy.ConnectionRefused, policy.ConnectionReset, policy.Cancelled, policy.NeverSent}
 	rapid.Check(t, func(t *rapid.T) {
-		r := Retrying{Now: rapid.Int64Range(0, 20).Draw(t, "now"), Deadline: rapid.Int64Range(0, 30).Draw(t, "due"),
+		r := Retrying{Now: rapid.Int64Range(0, 20).Draw(t, "now"), Deadline: rapid.Int64Range(0, 30).Draw(t, "deadline"),
 			Answered: rapid.Bool().Draw(t, "answered"), Hedging: rapid.Bool().Draw(t, "hedging"), DedupWindow: rapid.Int64Range(0, 10).Draw(t, "window"),
 			Effect: rapid.SampledFrom([]policy.Effect{policy.Idempotent, policy.IdempotentByKey, policy.NonIdempotent}).Draw(t, "effect")}
-		mayHaveRun, first, inFlight := false, r.Now, false
+		mayHaveRun, firstSent, inFlight := false, r.Now, false
 		for range rapid.IntRange(0, 3).Draw(t, "earlier") {
 			a := Attempt{Sent: rapid.Int64Range(0, r.Now).Draw(t, "sent"), Ended: rapid.Bool().Draw(t, "ended"), Code: rapid.SampledFrom(codes).Draw(t, "code")}
 			r.Earlier = append(r.Earlier, a)
 			inFlight = inFlight || !a.Ended
 			if !a.Ended || a.Code != policy.Rejected && a.Code != policy.ConnectionRefused && a.Code != policy.NeverSent {
-				mayHaveRun, first = true, min(first, a.Sent)
+				mayHaveRun, firstSent = true, min(firstSent, a.Sent)
 			}
 		}
-		twice := mayHaveRun && r.Effect == policy.NonIdempotent
-		expired := mayHaveRun && r.Effect == policy.IdempotentByKey && r.DedupWindow > 0 && r.Now-first >= r.DedupWindow
-		want := !r.Answered && r.Now < r.Deadline && !twice && !expired && (r.Hedging || !inFlight)
+		effectTwice := mayHaveRun && r.Effect == policy.NonIdempotent
+		expired := mayHaveRun && r.Effect == policy.IdempotentByKey && r.DedupWindow > 0 && r.Now-firstSent >= r.DedupWindow
+		want := !r.Answered && r.Now < r.Deadline && !effectTwice && !expired && (r.Hedging || !inFlight)
 		if got := r.Retry() == Permitted; got != want {
 			t.Errorf("%+v: %v, want permitted %v", r, r.Retry(), want)
 		}
@@ -95,7 +96,7 @@
 func TestAudit(t *testing.T) {
 	var a Audit
 	if a.Check(Permitted) != Permitted || a.Violate(Permitted) || len(a.Counts()) != 0 {
-		t.Error("what is permitted is counted")
+		t.Error("Permitted is counted")
 	}
 	a.Check(Draining)
 	a.Violate(Draining)
