--- a/nodelist/changes.go
+++ b/nodelist/changes.go
@@ -2,19 +2,19 @@
 
 import "embershunt/policy"
 
-// Change is a node whose state differs between two lists.
+// Change describes a node whose state differs between two lists.
 type Change struct {
 	ID       string
-	From, To policy.EndpointState // Removed: the node is not in that list
+	From, To policy.EndpointState // Removed where the list does not have the node
 }
 
-// stateNames are the states in logs.
+// stateNames holds the names of the states in logs.
 var stateNames = map[policy.EndpointState]string{policy.Healthy: "ready", policy.Draining: "draining", policy.Removed: "gone"}
 
-// String is the node and its new state.
+// String returns "ID:state", with the new state.
 func (c Change) String() string { return c.ID + ":" + stateNames[c.To] }
 
-// Changes are the nodes whose state differs between two lists, those of the newer list first.
+// Changes returns the nodes whose state differs between two lists: first those in after, then the removed ones.
 func Changes(before, after []Node) (out []Change) {
 	states := map[string]policy.EndpointState{}
 	for _, n := range before {
--- a/nodelist/changes_test.go
+++ b/nodelist/changes_test.go
@@ -8,7 +8,7 @@
 	"embershunt/policy"
 )
 
-// Changes names what differs between two lists and nothing else.
+// Changes returns the nodes whose state differs between two lists, and no others.
 func TestChanges(t *testing.T) {
 	row := func(id string, state policy.EndpointState) nodelist.Node { return nodelist.Node{ID: id, State: state} }
 	before := []nodelist.Node{row("stays", policy.Healthy), row("drains", policy.Healthy), row("leaves", policy.Draining)}
--- a/nodelist/eds.go
+++ b/nodelist/eds.go
@@ -1,7 +1,6 @@
 package nodelist
 
 import (
-	"errors"
 	"fmt"
 	"net"
 	"strconv"
@@ -13,12 +12,13 @@
 	"embershunt/policy"
 )
 
-// MetadataKey is the key of the filter metadata of an endpoint that has the fields xDS does not: name, native, kind, cell,
-// started and drain_at (both in Unix seconds).
+// MetadataKey is the key of an endpoint's filter metadata with the fields of a node that xDS lacks: name, native, kind,
+// cell, and in Unix seconds started and drain_at.
 const MetadataKey = "embershunt"
 
-// FromAssignment converts a list of xDS v3 (endpoint.proto). The health status DRAINING is a drain; UNHEALTHY and TIMEOUT
-// are ignored: the decision module detects outliers itself.
+// FromAssignment converts an endpoint list of xDS v3 (endpoint.proto). The health status DRAINING marks a node as draining.
+// UNHEALTHY and TIMEOUT are ignored, since the decision module detects outliers itself. A list with one invalid endpoint is
+// rejected as a whole.
 func FromAssignment(c *endpointv3.ClusterLoadAssignment, names Names) ([]Node, error) {
 	nodes := []Node{}
 	for _, l := range c.GetEndpoints() {
@@ -37,12 +37,13 @@
 	return nodes, nil
 }
 
+// fromEndpoint converts one endpoint in a zone. Without a name in the metadata, the address is the ID.
 func fromEndpoint(p *endpointv3.LbEndpoint, zone int, names Names) (Node, error) {
 	a := p.GetEndpoint().GetAddress().GetSocketAddress()
 	n := Node{Zone: zone, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
 		Weight: float64(p.GetLoadBalancingWeight().GetValue())}
 	if a == nil {
-		return n, errors.New("an endpoint without a socket address")
+		return n, fmt.Errorf("endpoint in zone %q has no socket address", names.Zones[zone])
 	}
 	n.ID = n.Address
 	fields := p.GetMetadata().GetFilterMetadata()[MetadataKey].GetFields()
--- a/nodelist/initial.go
+++ b/nodelist/initial.go
@@ -9,16 +9,16 @@
 	"embershunt/policy"
 )
 
-// initialEvent is one event of the list that a dispatcher starts with.
+// initialEvent is one of the events that make up the list a dispatcher starts with.
 type initialEvent struct {
 	Pos   int64 `json:"pos"`
 	Hosts struct {
-		All     bool            `json:"all"` // the event replaces the list, it is no change of it
+		All     bool            `json:"all"` // the event replaces the whole list; false: it adds and updates nodes
 		Targets []initialTarget `json:"targets"`
 	} `json:"hosts"`
 }
 
-// initialTarget is one node of an event.
+// initialTarget is one node in an event.
 type initialTarget struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -27,12 +27,13 @@
 	PodGroup int     `json:"pod_group"`
 	State    string  `json:"state"`
 	Capacity float64 `json:"capacity_hint"`
-	BootMs   int64   `json:"boot_ms"` // Unix time
+	BootMs   int64   `json:"boot_ms"` // Unix time in milliseconds; 0: unknown
 }
 
 var initialStates = map[string]policy.EndpointState{"active": policy.Healthy, "leaving": policy.Draining, "left": policy.Removed}
 
-// ParseInitial returns the list that results from the events a dispatcher starts with.
+// ParseInitial applies the events in their order and returns the resulting list, without removed nodes. Its number is the
+// highest position in the document.
 func ParseInitial(raw json.RawMessage, names Names) (Versioned, error) {
 	var initial struct {
 		Pos     int64          `json:"pos"`
@@ -66,7 +67,7 @@
 	return out, Check(out.Nodes)
 }
 
-// node converts a target; path is its place in the document, for errors.
+// node converts the target; path is its place in the document, for error messages.
 func (t initialTarget) node(path string, names Names) (Node, error) {
 	n := Node{ID: t.UID, Platform: t.Endpoint, PlacementGroup: t.PodGroup, Weight: t.Capacity}
 	var ok bool
@@ -89,7 +90,7 @@
 	return n, nil
 }
 
-// dropRemoved filters a list in place.
+// dropRemoved deletes removed nodes from a list, in place.
 func dropRemoved(nodes []Node) []Node {
 	kept := nodes[:0]
 	for _, n := range nodes {
--- a/nodelist/initial_test.go
+++ b/nodelist/initial_test.go
@@ -20,7 +20,7 @@
 	list := func(events ...string) json.RawMessage {
 		return json.RawMessage(`{"pos":9,"entries":[` + strings.Join(events, ",") + `]}`)
 	}
-	// b leaves, and c takes its address; a drains.
+	// In the second event a drains, b has left, and c takes the address of b.
 	got, err := nodelist.ParseInitial(list(event("8", "true", target("a", "127.0.0.1:1", "active"), target("b", "127.0.0.2:1", "active")),
 		event("9", "false", target("a", "127.0.0.1:1", "leaving"), target("b", "127.0.0.2:1", "left"), target("c", "127.0.0.2:1", "active"))), names)
 	if err != nil || got.Number != 9 || len(got.Nodes) != 2 {
@@ -30,14 +30,14 @@
 	if got.Nodes[0] != want || got.Nodes[1].ID != "c" {
 		t.Errorf("%+v", got.Nodes)
 	}
-	for bad, place := range map[string]string{
+	for bad, field := range map[string]string{
 		target("a", "127.0.0.1:1", "asleep"):                                      "state",
 		target("a", "nowhere", "active"):                                          "endpoint",
 		strings.Replace(target("a", "127.0.0.1:1", "active"), "east", "north", 1): "az",
 		strings.Replace(target("a", "127.0.0.1:1", "active"), "big", "huge", 1):   "model",
 	} {
-		if _, err := nodelist.ParseInitial(list(event("1", "true", bad)), names); err == nil || !strings.Contains(err.Error(), "entries[0].hosts.targets[0]."+place) {
-			t.Errorf("%s: %v", place, err)
+		if _, err := nodelist.ParseInitial(list(event("1", "true", bad)), names); err == nil || !strings.Contains(err.Error(), "entries[0].hosts.targets[0]."+field) {
+			t.Errorf("%s: %v", field, err)
 		}
 	}
 }
--- a/nodelist/nodelist.go
+++ b/nodelist/nodelist.go
@@ -1,5 +1,5 @@
-// Package nodelist defines the list of query nodes, and reads it from xDS endpoint discovery, from the platform's name
-// service and from the list that a dispatcher starts with.
+// Package nodelist defines the list of query nodes, and parses it from three sources: xDS endpoint discovery, the responses
+// of the platform's name service, and the events that a dispatcher starts with.
 package nodelist
 
 import (
@@ -11,29 +11,29 @@
 	"embershunt/policy"
 )
 
-// Node is one row of the list.
+// Node is one row of a node list.
 type Node struct {
-	ID             string // unique name, stable over restarts
-	Address        string // host:port of Flight SQL; empty where the node does not serve it
-	Native         string // host:port of the ClickHouse native protocol; likewise
-	Platform       string // host:port of the platform's protocol; likewise
+	ID             string // unique name, the same after a restart
+	Address        string // host:port of Flight SQL; empty if the node does not serve it
+	Native         string // host:port of the ClickHouse native protocol; empty likewise
+	Platform       string // host:port of the platform's protocol; empty likewise
 	Zone           int    // index into Names.Zones
 	Kind           int    // index into Names.Kinds
 	PlacementGroup int
 	State          policy.EndpointState
 	Weight         float64   // 0 counts as 1
-	Started        time.Time // last start; zero: long ago
-	DrainAt        time.Time // when an announced drain begins; zero: none
+	Started        time.Time // last start; zero: unknown, taken as long ago
+	DrainAt        time.Time // when an announced drain begins; zero: none is announced
 }
 
-// Bits of the protocols that a node may serve.
+// Bits for the protocols that a node may serve.
 const (
 	FlightSQL uint8 = 1 << iota
 	ClickHouse
 	Platform
 )
 
-// Protocols are the protocols that a node has an address for.
+// Protocols returns the bits of the protocols that the node has an address for.
 func (n Node) Protocols() (bits uint8) {
 	if n.Address != "" {
 		bits |= FlightSQL
@@ -47,28 +47,29 @@
 	return bits
 }
 
-// Names are the zones and the kinds of machine that a list may name, in the order of their indexes.
+// Names holds the zones and the kinds of machine that a list may name. A Node refers to them by index.
 type Names struct{ Zones, Kinds []string }
 
-// indexOf returns the index of a name; the empty name is the first.
-func indexOf(what, name string, names []string) (int, error) {
+// indexOf returns the index of a name in names; an empty name stands for the first. The field is named in the error.
+func indexOf(field, name string, names []string) (int, error) {
 	if name == "" && len(names) > 0 {
 		return 0, nil
 	}
 	if i := slices.Index(names, name); i >= 0 {
 		return i, nil
 	}
-	return 0, fmt.Errorf("%s %q is not known, allowed are: %s", what, name, strings.Join(names, ", "))
+	return 0, fmt.Errorf("%s %q is not known, allowed are: %s", field, name, strings.Join(names, ", "))
 }
 
-// Zone is the index of a zone; the empty name is the first.
+// Zone returns the index of a zone; an empty name stands for the first.
 func (n Names) Zone(name string) (int, error) { return indexOf("hall", name, n.Zones) }
 
-// Kind is the index of a kind of machine; the empty name is the first.
+// Kind returns the index of a kind of machine; an empty name stands for the first.
 func (n Names) Kind(name string) (int, error) { return indexOf("kind", name, n.Kinds) }
 
-// Check returns an error that names the first unusable row of a list: without a name or an address, or with those of
-// another row.
+// Check returns an error that names the first invalid row of a list. A row is invalid without a name, without any address
+// unless the node is removed, or with the name, the Flight SQL address or the platform address of an earlier row. Native
+// addresses are not compared.
 func Check(nodes []Node) error {
 	ids, addresses := map[string]bool{}, map[string]string{}
 	for _, n := range nodes {
--- a/nodelist/platform.go
+++ b/nodelist/platform.go
@@ -15,48 +15,48 @@
 	"embershunt/policy"
 )
 
-// Service is the name under which the platform's name service lists the query nodes.
+// Service is the DNS name of the SRV records with which the platform's name service lists the query nodes.
 const Service = "_api._tcp.svc.local."
 
-// hostsSuffix ends the name of every node there.
+// hostsSuffix ends the target name of every node, which is NODE.ZONE.hosts.
 const hostsSuffix = ".hosts."
 
-// MaxResponseBytes is the maximum length of a response of the name service.
+// MaxResponseBytes is the maximum length of a response from the name service.
 const MaxResponseBytes = 8000
 
-// Versioned is a complete list with its version number.
+// Versioned is a complete node list with its version number.
 type Versioned struct {
 	Number int64
 	Nodes  []Node
-	// Skipped are the unusable rows. The others are used nevertheless, for a drain among them must not be missed.
+	// Skipped holds the unusable rows. They do not invalidate the other rows, since a drain among those must not be missed.
 	Skipped []Skipped
 }
 
 // Skipped is an unusable row of a list.
 type Skipped struct {
-	ID       string // "" where not even the name can be parsed
-	Draining bool   // the row drains its node
-	Err      error
+	ID       string // empty if not even the name can be parsed
+	Draining bool   // the row marks its node as draining
+	Err      error  // why the row is unusable
 }
 
-// Errors of well-formed responses without a list.
+// Errors of responses that are well-formed but hold no usable list.
 var (
-	errUnknownQuery  = errors.New("nodelist: an answer to no question that is open")
-	errServerFailure = errors.New("nodelist: the name service reports a failure")
-	errTruncated     = errors.New("nodelist: the answer is cut short")
-	errOtherQuery    = errors.New("nodelist: an answer to another question")
-	errNoNumber      = errors.New("nodelist: an answer without a number")
+	errUnknownQuery  = errors.New("nodelist: not a response to a pending query")
+	errServerFailure = errors.New("nodelist: the name service reports an error")
+	errTruncated     = errors.New("nodelist: the response is truncated")
+	errOtherQuery    = errors.New("nodelist: the question in the response is not that of the query")
+	errNoNumber      = errors.New("nodelist: the response has no SOA record with a version number")
 )
 
-// Errors of rows.
+// Errors of unusable rows. ParseResponse adds the target of the row.
 var (
-	errNodeName         = errors.New("the name is not that of a node")
-	errNoAddress        = errors.New("the row has no address")
+	errNodeName         = errors.New("the target is not of the form NODE.ZONE.hosts")
+	errNoAddress        = errors.New("the target has no A record")
 	errDuplicateNode    = errors.New("the node is listed twice")
-	errIncompleteFields = errors.New("kind, cell or started is missing")
+	errIncompleteFields = errors.New("kind, cell or started is missing in the TXT record")
 )
 
-// Query is a DNS query for the list.
+// Query returns a DNS query for the list, with an ID.
 func Query(id uint16) ([]byte, error) {
 	b := dnsmessage.NewBuilder(make([]byte, 0, 64), dnsmessage.Header{ID: id})
 	if err := b.StartQuestions(); err != nil {
@@ -72,8 +72,8 @@
 	return b.Finish()
 }
 
-// ParseResponse parses a response to Query; pending tells whether an ID is that of a pending query. Unusable rows are
-// returned as skipped; a response without a usable row is an error, an empty list is not.
+// ParseResponse parses a response to Query; pending reports whether an ID is that of a pending query. Unusable rows are
+// returned in Skipped. A response that has only unusable rows is an error; an empty list is not.
 func ParseResponse(message []byte, pending func(id uint16) bool, names Names) (Versioned, error) {
 	var m dnsmessage.Message
 	if err := m.Unpack(message); err != nil {
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// serialNumber is the serial of the last SOA record.
+// serialNumber returns the list's version number: the serial of the last SOA record.
 func serialNumber(authorities []dnsmessage.Resource) (int64, error) {
 	number := int64(-1)
 	for _, r := range authorities {
@@ -137,16 +137,17 @@
 	return number, nil
 }
 
-// rowParser parses the SRV records of one response, with the A and TXT records of their targets. It rejects duplicate
-// nodes and addresses.
+// rowParser parses the SRV records of one response together with the A and TXT records of their targets. It rejects
+// duplicate nodes and addresses.
 type rowParser struct {
 	names     Names
 	addresses map[string]netip.Addr // by target
 	texts     map[string][]string   // by target
-	ids       map[string]bool       // of the rows so far
-	owners    map[string]string     // their nodes, by address
+	ids       map[string]bool       // nodes of the rows parsed so far
+	owners    map[string]string     // these nodes, by address
 }
 
+// newRowParser collects the A and TXT records of a response. They may be in the additional or in the answer section.
 func newRowParser(m *dnsmessage.Message, names Names) *rowParser {
 	p := &rowParser{names: names, addresses: map[string]netip.Addr{}, texts: map[string][]string{}, ids: map[string]bool{},
 		owners: map[string]string{}}
@@ -163,7 +164,7 @@
 	return p
 }
 
-// parse parses one row. Its ID is set wherever the target names a node, also beside an error.
+// parse parses one row. The node's ID is set if the target names a node, even if an error is returned.
 func (p *rowParser) parse(srv *dnsmessage.SRVResource) (Node, error) {
 	target := srv.Target.String()
 	n, err := parseRecord(srv, target, p.texts[target], p.names)
@@ -184,16 +185,16 @@
 	return n, nil
 }
 
-// Priorities of SRV records, as the platform uses them.
+// Priorities of SRV records, by which the platform marks draining nodes.
 const (
 	priorityHealthy  = 0
 	priorityDraining = 1
 )
 
-// weightPerUnit is the weight of an SRV record that is a node's weight of 1.
+// weightPerUnit is the SRV weight that corresponds to a Node.Weight of 1.
 const weightPerUnit = 10
 
-// parseRecord parses a row but for its address.
+// parseRecord parses all of a row except its address.
 func parseRecord(srv *dnsmessage.SRVResource, target string, texts []string, names Names) (n Node, err error) {
 	host, ok := strings.CutSuffix(target, hostsSuffix)
 	id, zone, separated := strings.Cut(host, ".")
@@ -209,13 +210,13 @@
 	case priorityDraining:
 		n.State = policy.Draining
 	default:
-		return n, fmt.Errorf("priority %d; allowed are 0 and 1", srv.Priority)
+		return n, fmt.Errorf("SRV priority %d; allowed are 0 and 1", srv.Priority)
 	}
 	err = parseFields(&n, texts, names)
 	return n, err
 }
 
-// parseFields parses the name=value fields of a TXT record. Other names are ignored.
+// parseFields parses the name=value fields of a TXT record. It requires kind, cell and started, and ignores other names.
 func parseFields(n *Node, texts []string, names Names) error {
 	var hasKind, hasGroup, hasStart bool
 	for _, t := range texts {
@@ -242,14 +243,14 @@
 	return nil
 }
 
-// parseStart parses a start in Unix milliseconds; 0 is unknown and leaves the value before.
+// parseStart parses a start time in Unix milliseconds; 0 means unknown and returns the previous value.
 func parseStart(text string, before time.Time) (time.Time, error) {
 	ms, err := strconv.ParseInt(text, 10, 64)
 	switch {
 	case err != nil:
 		return before, err
 	case ms < 0 || ms > math.MaxInt64/1000000:
-		return before, fmt.Errorf("started=%d", ms)
+		return before, fmt.Errorf("started=%d is out of range", ms)
 	case ms == 0:
 		return before, nil
 	}
--- a/nodelist/platform_test.go
+++ b/nodelist/platform_test.go
@@ -18,14 +18,15 @@
 		{ID: "s-2", Platform: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
 }
 
-// anyID has every query pending.
+// anyID reports every query as pending.
 func anyID(uint16) bool { return true }
 
-// Names are compressed in a response, also the targets of SRV records.
+// ParseResponse reads compressed names, also in the targets of SRV records, and rejects damaged responses and those to other
+// queries.
 func TestParseResponse(t *testing.T) {
 	msg := simulated.ListAnswer(7, 42, listed(), names)
 	if strings.Count(string(msg), "hosts") != 1 {
-		t.Fatal("the response is not compressed: the test shows nothing")
+		t.Fatal("the names in the response are not compressed, so the test does not cover compression")
 	}
 	list, err := nodelist.ParseResponse(msg, anyID, names)
 	if err != nil || list.Number != 42 || len(list.Nodes) != 2 || list.Nodes[0] != listed()[0] || list.Nodes[1] != listed()[1] {
@@ -34,7 +35,7 @@
 	if list, err = nodelist.ParseResponse(simulated.ListAnswer(7, 43, nil, names), anyID, names); err != nil || len(list.Nodes) != 0 {
 		t.Errorf("an empty list: %+v, %v", list, err)
 	}
-	for n := range msg { // truncated anywhere, it is an error
+	for n := range msg { // wherever the response is cut off, parsing fails
 		if _, err := nodelist.ParseResponse(msg[:n], anyID, names); err == nil {
 			t.Errorf("accepted when truncated to %d of %d bytes", n, len(msg))
 		}
@@ -48,10 +49,10 @@
 		msg     []byte
 		pending func(uint16) bool
 	}{
-		"another id":       {msg, func(id uint16) bool { return id == 8 }},
+		"another ID":       {msg, func(id uint16) bool { return id == 8 }},
 		"a query":          {edit(2, 0), anyID},
-		"truncated":        {edit(2, msg[2]|2), anyID},
-		"a failure":        {edit(3, 2), anyID},
+		"truncation flag":  {edit(2, msg[2]|2), anyID},
+		"SERVFAIL":         {edit(3, 2), anyID},
 		"another question": {edit(13, 'x'), anyID},
 		"no usable row":    {simulated.ListAnswer(7, 42, listed()[:1], nodelist.Names{Zones: []string{"west", "north"}, Kinds: names.Kinds}), anyID},
 	} {
@@ -61,7 +62,7 @@
 	}
 }
 
-// An unusable row hides neither the others nor its own drain.
+// An unusable row does not invalidate the other rows, and its drain is still reported.
 func TestResponsesWithAnUnusableRow(t *testing.T) {
 	three := append(listed(), nodelist.Node{ID: "s-3", Platform: "127.0.0.2:7002", Weight: 1})
 	for name, c := range map[string]struct {
@@ -71,9 +72,9 @@
 	}{
 		"an unknown kind":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: names.Zones, Kinds: []string{"std", "odd"}}), "s-1", false},
 		"an unknown zone":   {simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: []string{"west", "north"}, Kinds: names.Kinds}), "s-1", false},
-		"an address twice":  {simulated.ListAnswer(7, 42, three, names), "s-3", false},
-		"a name twice":      {simulated.ListAnswer(7, 42, append(listed(), listed()[1]), names), "s-2", true},
-		"fewer additionals": {dropAdditional(simulated.ListAnswer(7, 42, listed(), names)), "s-2", true},
+		"duplicate address": {simulated.ListAnswer(7, 42, three, names), "s-3", false},
+		"duplicate name":    {simulated.ListAnswer(7, 42, append(listed(), listed()[1]), names), "s-2", true},
+		"a missing record":  {dropAdditional(simulated.ListAnswer(7, 42, listed(), names)), "s-2", true},
 	} {
 		list, err := nodelist.ParseResponse(c.msg, anyID, names)
 		if err != nil || list.Number != 42 || len(list.Skipped) != 1 || list.Skipped[0].ID != c.skipped || list.Skipped[0].Draining != c.drains ||
@@ -83,11 +84,11 @@
 	}
 	none := simulated.ListAnswer(7, 42, listed(), nodelist.Names{Zones: names.Zones, Kinds: []string{"new", "odd"}})
 	if list, err := nodelist.ParseResponse(none, anyID, names); err == nil {
-		t.Errorf("accepted without a usable row: %+v", list)
+		t.Errorf("a response without a usable row is accepted as %+v", list)
 	}
 }
 
-// dropAdditional takes the last additional record off the count.
+// dropAdditional excludes the last additional record by decrementing the record count in the header.
 func dropAdditional(msg []byte) []byte {
 	msg[11]--
 	return msg
