--- a/nodelist/resolver/query.go
+++ b/nodelist/resolver/query.go
@@ -6,23 +6,24 @@
 )
 
 const (
-	queryLifetime     = 10 * time.Second // a response may take so long
+	queryLifetime     = 10 * time.Second // how long a query waits for its response
 	maxPendingQueries = 512
 )
 
-// query is one that was sent.
+// query identifies a query that was sent.
 type query struct {
-	serial uint64 // from 1, in the order of sending
-	at     time.Time
+	serial uint64    // from 1, in the order of sending
+	at     time.Time // when it was sent
 }
 
-// pendingQueries are the queries whose responses are accepted, by DNS ID.
+// pendingQueries holds the queries whose responses are accepted.
 type pendingQueries struct {
-	byID       map[uint16]query
+	byID       map[uint16]query // by DNS ID
 	lastSerial uint64
 }
 
-// add adds a query under an unused random ID, and drops those that are too old or too many.
+// add adds a query under an unused random ID and returns the ID. It drops queries older than queryLifetime and,
+// when maxPendingQueries are pending, also those sent maxPendingQueries or more queries ago.
 func (p *pendingQueries) add(now time.Time) uint16 {
 	for id, q := range p.byID {
 		if now.Sub(q.at) > queryLifetime || len(p.byID) >= maxPendingQueries && q.serial+maxPendingQueries <= p.lastSerial+1 {
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -1,9 +1,9 @@
 // Package resolver keeps the node list up to date by polling the platform's name service. membership.View decides which
 // list is in force.
 //
-// Late responses are used: a query stays pending for long, and a socket that is not polled any more is still read from.
-// Queries alternate between two sockets, so that an unresponsive flow costs every other response until it is replaced. A
-// socket is closed only after its replacement has been opened.
+// Late responses are used: a query stays pending for queryLifetime, and a socket that is no longer polled is still read.
+// Queries alternate between two sockets, so that an unresponsive flow costs only every other response until its socket is
+// replaced. An unresponsive socket is retired only after its replacement has been opened.
 package resolver
 
 import (
@@ -23,10 +23,10 @@
 	Log         *slog.Logger
 	Address     string // host:port of the name service
 	Names       nodelist.Names
-	Initial     nodelist.Versioned    // the list at the start
-	Interval    time.Duration         // between two regular queries
-	Apply       func([]nodelist.Node) // activates a list; called by the goroutine of Run
-	MinInterval time.Duration         // between any two queries; 0: 40 ms, or Interval where that is shorter
+	Initial     nodelist.Versioned    // list in force at the start
+	Interval    time.Duration         // from one regular query to the next
+	Apply       func([]nodelist.Node) // activates a list; called in the goroutine of Run
+	MinInterval time.Duration         // least time before an extra query; 0: 40 ms, or Interval if that is shorter
 }
 
 // Resolver polls one name service, whose address may change.
@@ -34,7 +34,7 @@
 	options        Options
 	log            *slog.Logger
 	packets        chan packet
-	addressChanged chan struct{} // holds one token when the address has changed
+	addressChanged chan struct{} // holds a value after the address has changed
 	startedAt      time.Time
 
 	mu      sync.Mutex
@@ -42,16 +42,16 @@
 
 	stats counters
 
-	// The goroutine of Run alone uses what follows.
+	// Only the goroutine of Run uses the fields below.
 	view           *membership.View
 	active         []*socket
-	retired        []*socket // read from, not polled; the oldest first
+	retired        []*socket // read, but not polled; the oldest first
 	pending        pendingQueries
 	schedule       schedule
 	newestAnswered uint64 // serial of the newest query with a response
 	nextSocket     int    // index in active of the socket polled last
 	replacements   int    // sockets replaced since the last response
-	unresponsive   bool   // it has been logged that responses are missing
+	unresponsive   bool   // missing responses have been logged, and none has been received since
 	readers        errgroup.Group
 }
 
@@ -67,7 +67,8 @@
 	return r
 }
 
-// SetAddress changes the address of the name service; version numbers continue.
+// SetAddress changes the address of the name service. The list in force and its version number stay. It is safe for
+// concurrent use.
 func (r *Resolver) SetAddress(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +109,7 @@
 	}
 }
 
-// poll sends a query on the next socket.
+// poll maintains the sockets and sends a query on the next one.
 func (r *Resolver) poll(ctx context.Context) {
 	now := time.Now()
 	r.schedule.begin(now)
@@ -125,7 +126,7 @@
 	}
 	if err != nil {
 		r.pending.remove(id)
-		r.countFailure("a question could not be asked", err)
+		r.countFailure("cannot send a query", err)
 		return
 	}
 	r.stats.queries.Add(1)
@@ -133,20 +134,20 @@
 	s.sent(r.pending.lastSerial, now)
 }
 
-// receive processes a packet of a socket.
+// receive processes a packet or a read error of a socket.
 func (r *Resolver) receive(p packet) {
 	if p.err != nil { // such as ECONNREFUSED
-		r.countFailure("the name service is not there", p.err)
+		r.countFailure("cannot read from the name service", p.err)
 		return
 	}
 	q, list, err := r.parse(p.message)
 	if err != nil {
-		r.countFailure("an answer cannot be used", err)
+		r.countFailure("unusable response", err)
 		return
 	}
 	r.recordResponse(time.Now(), q, p.socket)
 	for _, row := range list.Skipped {
-		r.countFailure("a row cannot be used", row.Err)
+		r.countFailure("unusable row", row.Err)
 	}
 	r.observe(q, list)
 }
@@ -162,11 +163,11 @@
 	return q, list, err
 }
 
-// recordResponse updates response times and counters by a usable response.
+// recordResponse updates the response time and the counters after a usable response.
 func (r *Resolver) recordResponse(now time.Time, q query, s *socket) {
 	took, age := now.Sub(q.at), r.age()
 	s.responded(q.serial)
-	if q.serial > r.newestAnswered { // an overtaken response does not show the present response time
+	if q.serial > r.newestAnswered { // an older query's response does not show the current response time
 		r.newestAnswered = q.serial
 		r.schedule.responseTime = expectedResponseTime(r.schedule.responseTime, took)
 	}
@@ -183,7 +184,7 @@
 	}
 }
 
-// observe has the view evaluate a list, and activates what it decides.
+// observe passes a list to the view, and activates the view's list if it has changed.
 func (r *Resolver) observe(q query, list nodelist.Versioned) {
 	before := r.view.Number()
 	if list.Number < before {
@@ -193,7 +194,7 @@
 	r.schedule.unconfirmed = u.Unconfirmed
 	if u.Reverted {
 		r.stats.reverted.Add(1)
-		r.log.Warn("node list: version number was wrong and is reverted", "from", before, "to", r.view.Number())
+		r.log.Warn("node list: wrong version number reverted", "from", before, "to", r.view.Number())
 	}
 	r.stats.version.Store(r.view.Number())
 	if u.Changed {
@@ -201,7 +202,8 @@
 	}
 }
 
-func (r *Resolver) countFailure(what string, err error) {
+// countFailure counts a failure as unusable, and logs it at debug level.
+func (r *Resolver) countFailure(failure string, err error) {
 	r.stats.unusable.Add(1)
-	r.log.Debug("node list: "+what, "error", err)
+	r.log.Debug("node list: "+failure, "error", err)
 }
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func service(t *testing.T) *simulated.NameService {
+func newService(t *testing.T) *simulated.NameService {
 	t.Helper()
 	s, err := simulated.NewNameService(names)
 	if err != nil {
@@ -65,8 +65,8 @@
 	await(t, "queries", func() bool { return s.Queries() >= from+more })
 }
 
-// expect waits for the next list with a single healthy node, which must be the one named.
-func expect(t *testing.T, applied <-chan string, want string) {
+// expectApplied waits for the ID of the next applied list's only node, and fails unless it is the wanted ID.
+func expectApplied(t *testing.T, applied <-chan string, want string) {
 	t.Helper()
 	select {
 	case got := <-applied:
@@ -78,8 +78,8 @@
 	}
 }
 
-// spoilOnce has the first five responses lost, report a failure, truncated, under another ID and too long.
-func spoilOnce() func(_, answer []byte) []byte {
+// corruptFirstFive returns a function that damages the first five responses: lost, SERVFAIL, truncated, with another ID, too long.
+func corruptFirstFive() func(_, answer []byte) []byte {
 	var n atomic.Int64
 	return func(_, answer []byte) []byte {
 		switch n.Add(1) {
@@ -98,28 +98,29 @@
 	}
 }
 
-// Version numbers only go up, whatever the service does, and over a change of its address.
-func TestListsGoForward(t *testing.T) {
-	a, b := service(t), service(t)
+// Lists are applied in the order of their version numbers in spite of outdated, damaged and missing responses, and across changes
+// of the name service's address.
+func TestListsAreAppliedInOrder(t *testing.T) {
+	a, b := newService(t), newService(t)
 	applied := make(chan string, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
-		Initial: nodelist.Versioned{Number: 5, Nodes: nodes("known")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
-			if len(n) == 1 && n[0].State == policy.Healthy { // between two lists the old node drains until a response confirms its removal
+		Initial: nodelist.Versioned{Number: 5, Nodes: nodes("initial")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+			if len(n) == 1 && n[0].State == policy.Healthy { // skips the lists in which the old node drains until its removal is confirmed
 				applied <- n[0].ID
 			}
 		}})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
-	a.Set(5, nodes("known"))
-	awaitQueries(t, a, 3) // the number that it starts with is not applied again
+	a.Set(5, nodes("initial"))
+	awaitQueries(t, a, 3) // the initial list is not applied again
 	a.Set(7, nodes("seven"))
-	expect(t, applied, "seven")
-	a.Corrupt(older(t, 6, 2)) // fewer than show that the number was wrong
+	expectApplied(t, applied, "seven")
+	a.Corrupt(answerOlder(t, 6, 2)) // too few to revert the number in force
 	awaitQueries(t, a, 5)
-	a.Corrupt(spoilOnce())
+	a.Corrupt(corruptFirstFive())
 	a.Set(8, nodes("eight"))
-	expect(t, applied, "eight")
+	expectApplied(t, applied, "eight")
 	if r.Failures() < 4 {
 		t.Errorf("%d failures counted, want 4 and more", r.Failures())
 	}
@@ -131,20 +132,20 @@
 	r.SetAddress(b.Address())
 	awaitQueries(t, b, 2)
 	b.Set(9, nodes("nine"))
-	expect(t, applied, "nine")
-	r.SetAddress(a.Address()) // twice in a row: the last one counts
+	expectApplied(t, applied, "nine")
+	r.SetAddress(a.Address()) // two changes in a row: the last address is used
 	r.SetAddress(b.Address())
 	b.Set(10, nodes("ten"))
-	expect(t, applied, "ten")
-	b.Mute() // the present sockets get no response any more
+	expectApplied(t, applied, "ten")
+	b.Mute() // the current sockets receive no more responses
 	b.Set(11, nodes("eleven"))
-	expect(t, applied, "eleven")
-	b.Close() // nobody listens: it polls on, and continues when somebody does
+	expectApplied(t, applied, "eleven")
+	b.Close() // nothing listens: polling continues, and recovers at the next address
 	failures := r.Failures()
 	await(t, "failures", func() bool { return r.Failures() >= failures+3 })
 	r.SetAddress(a.Address())
 	a.Set(12, nodes("twelve"))
-	expect(t, applied, "twelve")
+	expectApplied(t, applied, "twelve")
 	cancel()
 	<-done
 	if len(applied) > 0 {
@@ -152,8 +153,8 @@
 	}
 }
 
-// older has the first responses bring an older list.
-func older(t *testing.T, number uint32, responses int64) func(question, answer []byte) []byte {
+// answerOlder returns a function that replaces the list in the first responses by an outdated one under a number.
+func answerOlder(t *testing.T, number uint32, responses int64) func(question, answer []byte) []byte {
 	t.Helper()
 	var n atomic.Int64
 	return func(question, answer []byte) []byte {
@@ -164,13 +165,13 @@
 	}
 }
 
-// A response may take many times the interval, and bring a drain: it is used.
+// A response that takes many times the interval is still used: the drain in it is applied.
 func TestLateResponsesAreUsed(t *testing.T) {
 	for _, times := range []int{1, 4, 20, 100} {
 		t.Run(strconv.Itoa(times), func(t *testing.T) {
 			t.Parallel()
 			const interval = 10 * time.Millisecond
-			s := service(t)
+			s := newService(t)
 			drained := make(chan struct{})
 			var once sync.Once
 			row := nodes("a")
@@ -193,9 +194,9 @@
 	}
 }
 
-// An older list under a higher number does not hide later ones.
-func TestAWrongNumberIsReverted(t *testing.T) {
-	s := service(t)
+// An outdated list under a number that is far too high does not hide later lists.
+func TestWrongNumberIsReverted(t *testing.T) {
+	s := newService(t)
 	var state atomic.Value
 	state.Store("")
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
@@ -207,7 +208,7 @@
 			state.Store(text)
 		}})
 	s.Set(2, nodes("a", "b"))
-	s.Corrupt(older(t, 4_000_000_000, 1))
+	s.Corrupt(answerOlder(t, 4_000_000_000, 1))
 	run(t, r)
 	defer func() {
 		if t.Failed() {
@@ -221,9 +222,9 @@
 	await(t, "the drain", func() bool { return state.Load() == fmt.Sprintf("a:%d b:%d ", policy.Draining, policy.Healthy) })
 }
 
-// Unresponsive sockets are replaced, again and again, without a flood of them.
+// Unresponsive sockets are replaced repeatedly, and the number of sockets opened stays small.
 func TestUnresponsiveSocketsAreReplaced(t *testing.T) {
-	s := service(t)
+	s := newService(t)
 	applied := make(chan int, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
 		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { applied <- len(n) }})
@@ -236,7 +237,7 @@
 		select {
 		case <-applied:
 		case <-time.After(10 * time.Second):
-			t.Fatal("not applied")
+			t.Fatalf("list %d was not applied", number)
 		}
 	}
 	cancel()
@@ -246,11 +247,11 @@
 	}
 }
 
-// A service that was slow and is fast again becomes unresponsive on all sockets: that is detected as soon as if it had never
-// been slow.
-func TestLossAfterSlownessIsDetectedSoon(t *testing.T) {
+// A name service was slow, is fast again, and then stops responding to all sockets. The loss must be detected as soon as if the
+// service had never been slow: the expected response time falls at once after a fast response.
+func TestLossAfterSlowResponsesIsDetectedSoon(t *testing.T) {
 	const interval = 20 * time.Millisecond
-	s := service(t)
+	s := newService(t)
 	applied := make(chan time.Time, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
 		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
@@ -261,7 +262,7 @@
 	s.SetDelay(0)
 	responses := r.Stats().Responses
 	await(t, "fast responses", func() bool { return r.Stats().Responses >= responses+8 })
-	s.Mute() // the slow responses are still received
+	s.Mute() // delayed responses that are under way still arrive
 	drained := nodes("a")
 	drained[0].State = policy.Draining
 	s.Set(2, drained)
@@ -272,6 +273,6 @@
 			t.Errorf("applied after %v", took)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not applied")
+		t.Error("the drain was not applied")
 	}
 }
--- a/nodelist/resolver/schedule.go
+++ b/nodelist/resolver/schedule.go
@@ -5,27 +5,27 @@
 // Limits of polling.
 const (
 	defaultMinInterval = 40 * time.Millisecond
-	maxExtraQueries    = 6.0 // that may be saved up
+	maxExtraQueries    = 6.0 // most extra queries that can be saved up
 	extraPerRegular    = 0.5 // extra queries earned by each regular one
 
-	// slowerWeight is the weight of a slower response in the expected response time.
-	slowerWeight = 0.25
+	// slowResponseWeight is the weight of a response that is slower than expected in the new expected response time.
+	slowResponseWeight = 0.25
 )
 
-// schedule decides when the next query is due: a regular one each interval, and extra ones out of a budget where a
-// response is wanted soon.
+// schedule decides when the next query is due. A regular query is due every interval. Extra queries, limited by a budget,
+// are due earlier while a response is needed to confirm a change, or while the last query has no response.
 type schedule struct {
 	interval, minInterval time.Duration
 
-	extra         float64 // budget of extra queries
+	extra         float64 // extra queries that the budget allows now
 	nextRegularAt time.Time
 	lastAt        time.Time     // of the last query
-	unconfirmed   bool          // another response is needed to decide
+	unconfirmed   bool          // a change waits for another response
 	awaiting      bool          // the last query has no response
-	responseTime  time.Duration // see expectedResponseTime; 0: no response yet
+	responseTime  time.Duration // expected; see expectedResponseTime; 0: no response yet
 }
 
-// nextAt is when the next query is due.
+// nextAt returns when the next query is due.
 func (s *schedule) nextAt() time.Time {
 	if s.extra < 1 {
 		return s.nextRegularAt
@@ -43,7 +43,7 @@
 	return s.nextRegularAt
 }
 
-// begin records a query, which is an extra one before the next regular one is due.
+// begin records that a query is sent. It is an extra query if the next regular one is not due yet.
 func (s *schedule) begin(now time.Time) {
 	if now.Before(s.nextRegularAt) {
 		s.extra--
@@ -54,11 +54,12 @@
 	s.lastAt = now
 }
 
-// expectedResponseTime is the expectation after one more response. It falls at once, for a loss is detected late where
-// responses are expected to take long.
+// expectedResponseTime returns the expected response time after a response that took this long. A faster response lowers it
+// at once, since a high expectation delays the detection of a loss. A slower response raises it by
+// slowResponseWeight of the difference.
 func expectedResponseTime(before, took time.Duration) time.Duration {
 	if before == 0 || took < before {
 		return took
 	}
-	return before + time.Duration(slowerWeight*float64(took-before))
+	return before + time.Duration(slowResponseWeight*float64(took-before))
 }
--- a/nodelist/resolver/socket.go
+++ b/nodelist/resolver/socket.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"slices"
 	"time"
@@ -10,50 +11,54 @@
 	"embershunt/nodelist"
 )
 
-// Limits of sockets. One is unresponsive when so many of its queries in a row have had no response for a time that is the
-// longest of so many intervals and so many response times; see responseTimeout.
+// Limits of sockets.
 const (
 	activeSockets     = 2 // polled in turn
 	maxRetiredSockets = 3
-	retiredLifetime   = queryLifetime
+	retiredLifetime   = queryLifetime // later responses are not accepted
 
+	// A socket is unresponsive if at least unresponsiveQueries in a row have no response, and the oldest of them is older
+	// than unresponsiveIntervals intervals and unresponsiveResponseTimes expected response times; see responseTimeout.
 	unresponsiveQueries       = 3
 	unresponsiveIntervals     = 3
 	unresponsiveResponseTimes = 2
-	maxBackoffTimeout         = 5 * time.Second // of a timeout that has been doubled
+	maxBackoffTimeout         = 5 * time.Second // limit to which repeated replacements raise the response timeout
 
-	readErrorPause = 10 * time.Millisecond
+	readErrorPause = 10 * time.Millisecond // between reads that fail; see pause
 )
 
-// socket is one flow to the name service. A goroutine reads it until it is closed; the goroutine of Run owns the rest.
+// socket is a UDP socket to the name service, which forms a flow of its own. Its reader goroutine reads conn until the socket
+// is closed; only the goroutine of Run uses unanswered and retiredAt.
 type socket struct {
 	conn       net.Conn
 	closed     chan struct{}
-	unanswered []query // sent here after the newest one that has a response
+	unanswered []query // sent on this socket after the newest query that has a response here
 	retiredAt  time.Time
 }
 
-// packet is what a reader has received, or its error.
+// packet is a message that a socket's reader has received, or its read error.
 type packet struct {
 	socket  *socket
 	message []byte
 	err     error
 }
 
-var errTooLong = errors.New("resolver: the answer is longer than an answer may be")
+var errTooLong = fmt.Errorf("resolver: the response is longer than %d bytes", nodelist.MaxResponseBytes)
 
+// sent records a query. Beyond maxPendingQueries unanswered ones it is not recorded.
 func (s *socket) sent(serial uint64, now time.Time) {
 	if len(s.unanswered) < maxPendingQueries {
 		s.unanswered = append(s.unanswered, query{serial, now})
 	}
 }
 
-// responded records a response. Queries older than its own do not show any more whether the flow is responsive.
+// responded records a response to a query. Older unanswered queries are dropped too: once a newer one has a response, they no
+// longer show whether the flow is responsive.
 func (s *socket) responded(serial uint64) {
 	s.unanswered = slices.DeleteFunc(s.unanswered, func(q query) bool { return q.serial <= serial })
 }
 
-// unresponsiveFor is the age of the oldest unanswered query; 0 where there are too few to tell.
+// unresponsiveFor returns the age of the oldest unanswered query, or 0 if fewer than unresponsiveQueries are unanswered.
 func (s *socket) unresponsiveFor(now time.Time) time.Duration {
 	if len(s.unanswered) < unresponsiveQueries {
 		return 0
@@ -80,7 +85,7 @@
 	return s, nil
 }
 
-// read hands on what a socket receives until it is closed.
+// read passes the packets and the read errors of a socket to Run until the socket is closed.
 func (r *Resolver) read(s *socket) {
 	buffer := make([]byte, nodelist.MaxResponseBytes+1)
 	for {
@@ -103,8 +108,8 @@
 	}
 }
 
-// pause waits after an error, so that one which repeats at once does not use up a processor; false where the socket has
-// been closed.
+// pause waits after a read error, so that reads which keep failing at once do not occupy a CPU. It returns false if the
+// socket is closed meanwhile.
 func (s *socket) pause() bool {
 	timer := time.NewTimer(readErrorPause)
 	defer timer.Stop()
@@ -116,8 +121,8 @@
 	}
 }
 
-// maintainSockets replaces unresponsive sockets, opens missing ones and closes old ones. A socket stays where its
-// replacement cannot be opened.
+// maintainSockets replaces unresponsive sockets, opens missing ones and closes expired ones. An unresponsive socket stays
+// active if its replacement cannot be opened.
 func (r *Resolver) maintainSockets(ctx context.Context, now time.Time) {
 	for i, s := range r.active {
 		if s.unresponsiveFor(now) < r.responseTimeout() {
@@ -126,7 +131,7 @@
 		r.logUnresponsive()
 		replacement, err := r.open(ctx)
 		if err != nil {
-			r.countFailure("no socket", err)
+			r.countFailure("cannot open a socket", err)
 			break
 		}
 		r.replacements++
@@ -136,7 +141,7 @@
 	for len(r.active) < activeSockets {
 		s, err := r.open(ctx)
 		if err != nil {
-			r.countFailure("no socket", err)
+			r.countFailure("cannot open a socket", err)
 			break
 		}
 		r.active = append(r.active, s)
@@ -144,7 +149,7 @@
 	r.closeExpired(now)
 }
 
-// closeExpired closes the sockets that have been retired for their lifetime.
+// closeExpired closes the sockets that have been retired for longer than retiredLifetime.
 func (r *Resolver) closeExpired(now time.Time) {
 	r.retired = slices.DeleteFunc(r.retired, func(s *socket) bool {
 		expired := now.Sub(s.retiredAt) > retiredLifetime
@@ -155,14 +160,15 @@
 	})
 }
 
-// responseTimeout is how long a socket may be unresponsive. It doubles while there is no response at all, so that some
-// socket lives long enough for a slow response.
+// responseTimeout returns how old the oldest of the unanswered queries may be before a socket is replaced. While no socket
+// receives a response, the timeout doubles with every activeSockets replacements, up to maxBackoffTimeout, so that some
+// socket stays active long enough for a slow response.
 func (r *Resolver) responseTimeout() time.Duration {
 	base := max(unresponsiveIntervals*r.options.Interval, unresponsiveResponseTimes*r.schedule.responseTime)
 	return max(base, min(base<<min(r.replacements/activeSockets, 10), maxBackoffTimeout))
 }
 
-// retire keeps a socket for responses that are still on their way.
+// retire keeps a socket open for late responses. Beyond maxRetiredSockets it closes the one retired first.
 func (r *Resolver) retire(now time.Time, s *socket) {
 	s.retiredAt = now
 	if r.retired = append(r.retired, s); len(r.retired) > maxRetiredSockets {
@@ -171,7 +177,7 @@
 	}
 }
 
-// replaceSockets polls the new address from now on. Responses from the old one are still used.
+// replaceSockets opens sockets to the new address and retires those to the old one, whose late responses are still used.
 func (r *Resolver) replaceSockets(ctx context.Context) {
 	now := time.Now()
 	old := r.active
@@ -183,7 +189,7 @@
 	r.schedule.nextRegularAt = now
 }
 
-// logUnresponsive logs once that responses are missing.
+// logUnresponsive logs that responses are missing, once until a response is received again.
 func (r *Resolver) logUnresponsive() {
 	if r.unresponsive {
 		return
--- a/peers/peers.go
+++ b/peers/peers.go
@@ -1,5 +1,5 @@
-// Package peers sends and receives the gossip of the decision module between dispatchers, as UDP datagrams. Their content
-// is opaque to it.
+// Package peers sends and receives the gossip of the decision module between dispatchers, as UDP datagrams. It does not
+// interpret their content.
 package peers
 
 import (
@@ -13,24 +13,24 @@
 	"embershunt/policy"
 )
 
-// MaxMessageBytes is the maximum length of a message.
+// MaxMessageBytes is the maximum length of a message; longer ones are dropped.
 const MaxMessageBytes = 256
 
-// Receiver receives the messages as events.
+// Receiver receives messages as policy.GossipReceived events.
 type Receiver interface{ Notify(policy.Event) }
 
-// Peers is the socket to the other dispatchers of a tier. Its methods are safe for concurrent use.
+// Peers holds the UDP socket to the other dispatchers of a tier. Its methods are safe for concurrent use.
 type Peers struct {
 	conn      *net.UDPConn
-	self      int                    // number of this dispatcher
+	self      int                    // number of this dispatcher, its index in addresses
 	addresses []netip.AddrPort       // of the dispatchers, by number
 	numbers   map[netip.AddrPort]int // of the dispatchers, by address
 
 	sent, received, dropped atomic.Int64
 }
 
-// Listen opens the socket at an address (host:port). Addresses are those of all dispatchers by their numbers, self is the
-// number of this one. Run closes the socket.
+// Listen opens the socket at an IPv4 address and port. addresses holds the addresses of all dispatchers by number, and
+// self is the number of this one. Run closes the socket.
 func Listen(address string, addresses []string, self int) (*Peers, error) {
 	p := &Peers{self: self, numbers: map[netip.AddrPort]int{}}
 	for i, a := range addresses {
@@ -49,7 +49,8 @@
 	return p, err
 }
 
-// Send sends a message to the dispatcher with a number. One that cannot be sent is dropped, as any datagram may be.
+// Send sends a message to the dispatcher with the number to. A message that cannot be sent is dropped, which callers must
+// expect of any datagram.
 func (p *Peers) Send(to int, data []byte) {
 	if to < 0 || to >= len(p.addresses) || to == p.self || len(data) > MaxMessageBytes {
 		p.dropped.Add(1)
@@ -62,13 +63,13 @@
 	p.sent.Add(1)
 }
 
-// Counts is how many messages were sent, received and dropped on either side.
+// Counts returns the numbers of messages sent, received, and dropped when sending or receiving.
 func (p *Peers) Counts() (sent, received, dropped int64) {
 	return p.sent.Load(), p.received.Load(), p.dropped.Load()
 }
 
-// Run hands the messages of other dispatchers of the tier to a receiver until ctx ends, and closes the socket. Messages
-// from other addresses are dropped. It returns nil.
+// Run passes the messages of the tier's other dispatchers to a receiver until ctx ends, and then closes the socket. Messages
+// from other addresses are dropped. Run returns nil.
 func (p *Peers) Run(ctx context.Context, receiver Receiver) error {
 	closeSocket := func() { _ = p.conn.Close() } // a UDP socket has nothing to flush, and may be closed twice
 	stop := context.AfterFunc(ctx, closeSocket)
@@ -80,7 +81,7 @@
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as ECONNREFUSED: a peer does not listen
+		if err != nil { // such as ECONNREFUSED, when a peer does not listen
 			continue
 		}
 		from, known := p.numbers[netip.AddrPortFrom(sender.Addr().Unmap(), sender.Port())]
--- a/peers/peers_test.go
+++ b/peers/peers_test.go
@@ -19,8 +19,8 @@
 
 func (r receiver) Notify(ev policy.Event) { r <- ev }
 
-// Messages are unchanged, the sender is identified by its address, and messages from other addresses or that are too long
-// are dropped.
+// Messages arrive unchanged, and their sender is identified by its address. Messages from unknown addresses, to an invalid
+// dispatcher number, and messages that are too long are dropped.
 func TestMessages(t *testing.T) {
 	var addresses []string
 	for range 2 {
@@ -46,21 +46,21 @@
 		all, receivers = append(all, p), append(receivers, r)
 		go func() { done <- p.Run(ctx, r) }()
 	}
-	stranger, err := net.Dial("udp4", addresses[1])
+	unknownSender, err := net.Dial("udp4", addresses[1])
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() {
-		if err := stranger.Close(); err != nil {
+		if err := unknownSender.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
-	if _, err := stranger.Write([]byte("let me in")); err != nil {
+	if _, err := unknownSender.Write([]byte("from an unknown address")); err != nil {
 		t.Fatal(err)
 	}
 	all[0].Send(1, []byte(strings.Repeat("x", 257)))
-	all[0].Send(0, []byte("to myself"))
-	all[0].Send(2, []byte("to nobody"))
+	all[0].Send(0, []byte("to this dispatcher itself"))
+	all[0].Send(2, []byte("to an unknown number"))
 	all[0].Send(1, []byte{0, 255, 10})
 	select {
 	case ev := <-receivers[1]:
@@ -68,7 +68,7 @@
 			t.Errorf("received %+v", ev)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("nothing received")
+		t.Fatal("no message received within 5 s")
 	}
 	if sent, _, dropped := all[0].Counts(); sent != 1 || dropped != 3 {
 		t.Errorf("%d sent, %d dropped", sent, dropped)
@@ -88,7 +88,7 @@
 func TestListenErrors(t *testing.T) {
 	for _, c := range [][2]string{{"nowhere", "127.0.0.1:1"}, {"127.0.0.1:0", "nowhere"}} {
 		if _, err := peers.Listen(c[0], []string{c[1]}, 0); err == nil {
-			t.Errorf("%v: listens", c)
+			t.Errorf("Listen accepts the address %q with the peer %q", c[0], c[1])
 		}
 	}
 }
