--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts gateways of package policy on the dispatcher protocol:
-// batches of events on standard input, one reply for each on standard output.
+// Command simadapter runs gateways of package policy behind the dispatcher protocol: it reads batches of events from
+// standard input and writes a reply for each to standard output.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
 	gateways := map[string]*policy.Gateway{}
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		if err := answer(b, gateways, w); err != nil {
+		if err := processBatch(b, gateways, w); err != nil {
 			return err
 		}
 		if err := w.End(); err != nil {
@@ -40,9 +40,10 @@
 	}
 }
 
-// answer plays one batch: a run of events for one instance is one step.
-func answer(b *wire.Batch, gateways map[string]*policy.Gateway, w *wire.Writer) error {
-	var order []string // instances in order of their first event since a start
+// processBatch starts and ends instances, and steps each instance once with all its events of the batch since its last
+// start. Events of an instance that is not running are ignored.
+func processBatch(b *wire.Batch, gateways map[string]*policy.Gateway, w *wire.Writer) error {
+	var order []string // instances in the order of their items in the batch
 	events := map[string][]policy.Event{}
 	for _, item := range b.Items {
 		switch {
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// step runs one gateway; a panic in it becomes the fault action.
+// step steps a gateway and writes its actions. A panic is written as a fault of the instance.
 func step(g *policy.Gateway, now policy.Micros, instance string, evs []policy.Event, w *wire.Writer) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -8,7 +8,8 @@
 	"embershunt/internal/wire"
 )
 
-const start = `{"clock":{"momentUs":1000}}
+// oneQueryBatch starts an instance with one node and sends it a query.
+const oneQueryBatch = `{"clock":{"momentUs":1000}}
 {"enlist":{"dispatcherId":"dispatcher-1","rngSeed":5,"env":{"classes":[{"credit":1,"promiseUs":1000000,"deadlineUs":4000000}],"familyInfo":{"kindCores":[8]}}}}
 {"register":{"list":0,"rowsIn":[{"node":"node.a","condition":"healthy"}]}}
 {"view":{"dispatcherId":"dispatcher-1","mode":"disk","list":0}}
@@ -16,9 +17,9 @@
 {"eofBatch":{}}
 `
 
-func TestAnswersABatchAndEndsCleanly(t *testing.T) {
+func TestRepliesToEachBatchAndEndsWithoutError(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader("{\"clock\":{\"momentUs\":1}}\n{\"eofBatch\":{}}\n"+start), &out); err != nil {
+	if err := run(strings.NewReader("{\"clock\":{\"momentUs\":1}}\n{\"eofBatch\":{}}\n"+oneQueryBatch), &out); err != nil {
 		t.Fatal(err)
 	}
 	got := out.String()
@@ -27,24 +28,24 @@
 	}
 }
 
-func TestUnusableSettingsAndFramesEndIt(t *testing.T) {
-	for _, text := range []string{strings.Replace(start, "4000000}]", "-4}]", 1), start + "{\n"} {
+func TestInvalidSettingsAndFramesEndRun(t *testing.T) {
+	for _, text := range []string{strings.Replace(oneQueryBatch, "4000000}]", "-4}]", 1), oneQueryBatch + "{\n"} {
 		if err := run(strings.NewReader(text), &bytes.Buffer{}); err == nil {
 			t.Errorf("no error for %q", text)
 		}
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
-	two := strings.ReplaceAll(start, "{\"eofBatch\":{}}\n", "") +
-		strings.ReplaceAll(strings.ReplaceAll(start, "{\"clock\":{\"momentUs\":1000}}\n", ""), "dispatcher-1", "dispatcher-2")
-	var one, both bytes.Buffer
-	if run(strings.NewReader(start), &one) != nil || run(strings.NewReader(two), &both) != nil {
+func TestInstancesAreIndependent(t *testing.T) {
+	twoInstances := strings.ReplaceAll(oneQueryBatch, "{\"eofBatch\":{}}\n", "") +
+		strings.ReplaceAll(strings.ReplaceAll(oneQueryBatch, "{\"clock\":{\"momentUs\":1000}}\n", ""), "dispatcher-1", "dispatcher-2")
+	var outOne, outBoth bytes.Buffer
+	if run(strings.NewReader(oneQueryBatch), &outOne) != nil || run(strings.NewReader(twoInstances), &outBoth) != nil {
 		t.Fatal("run failed")
 	}
-	alone := strings.TrimSuffix(one.String(), "{\"yield\":{}}\n")
-	if both.String() != alone+strings.ReplaceAll(alone, "dispatcher-1", "dispatcher-2")+"{\"yield\":{}}\n" {
-		t.Fatalf("alone %s, together %s", one.String(), both.String())
+	alone := strings.TrimSuffix(outOne.String(), "{\"yield\":{}}\n")
+	if outBoth.String() != alone+strings.ReplaceAll(alone, "dispatcher-1", "dispatcher-2")+"{\"yield\":{}}\n" {
+		t.Fatalf("alone %s, together %s", outOne.String(), outBoth.String())
 	}
 }
 
--- a/internal/wire/endpoints.go
+++ b/internal/wire/endpoints.go
@@ -7,16 +7,16 @@
 	"embershunt/policy"
 )
 
-// states are the protocol's words for the state of a node.
-var states = map[string]policy.EndpointState{
+// endpointStates maps the protocol's names for the state of a node.
+var endpointStates = map[string]policy.EndpointState{
 	"healthy":      policy.Healthy,
 	"cordoned":     policy.Draining,
 	"deregistered": policy.Removed,
 }
 
-// register keeps a numbered list of endpoints.
-func (r *Reader) register(body json.RawMessage) error {
-	var reg struct {
+// registerList decodes an endpoint list and stores it under its number, in place of an earlier list of that number.
+func (r *Reader) registerList(body json.RawMessage) error {
+	var list struct {
 		List   int `json:"list"`
 		RowsIn []struct {
 			Node          string         `json:"node"`
@@ -28,12 +28,12 @@
 			OnlineSinceUs *policy.Micros `json:"onlineSinceUs"`
 		} `json:"rowsIn"`
 	}
-	if err := json.Unmarshal(body, &reg); err != nil {
+	if err := json.Unmarshal(body, &list); err != nil {
 		return err
 	}
-	rows := make([]policy.Endpoint, 0, len(reg.RowsIn))
-	for i, e := range reg.RowsIn {
-		state, ok := states[e.Condition]
+	rows := make([]policy.Endpoint, 0, len(list.RowsIn))
+	for i, e := range list.RowsIn {
+		state, ok := endpointStates[e.Condition]
 		if !ok {
 			return fmt.Errorf("rowsIn[%d].condition: unknown value %q", i, e.Condition)
 		}
@@ -43,11 +43,12 @@
 		}
 		rows = append(rows, row)
 	}
-	r.lists[reg.List] = rows
+	r.lists[list.List] = rows
 	return nil
 }
 
-// endpointUpdate is the list that a frame names, or word of a failed call for it.
+// endpointUpdate returns the update of a "view" frame: the registered list that it names, which mode says is complete or
+// partial, or a failed call. A number without a registered list gives an update without endpoints.
 func (r *Reader) endpointUpdate(f *frame) policy.EndpointUpdate {
 	update := policy.EndpointUpdate{Complete: f.Mode == "snapshot" || f.Mode == "disk", Failed: f.Mode == "error"}
 	if !update.Failed {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// frame holds the fields of every event; their names do not clash.
+// frame holds the fields of all event frames: a field name has the same type wherever it occurs.
 type frame struct {
 	DispatcherID string             `json:"dispatcherId"`
 	RngSeed      json.Number        `json:"rngSeed"`
@@ -36,6 +36,7 @@
 	Contents     []byte             `json:"contents"`
 }
 
+// seed returns rngSeed, which may be an unsigned or a signed 64-bit integer; 0 if it is missing.
 func (f *frame) seed() uint64 {
 	if v, err := strconv.ParseUint(f.RngSeed.String(), 10, 64); err == nil {
 		return v
@@ -44,16 +45,16 @@
 	return uint64(v)
 }
 
-// The bits of attrs.
+// Bits of attrs.
 const (
-	attrCost  = 1
-	attrRetry = 2
+	attrHasCost     = 1 // costUs is set
+	attrClientRetry = 2 // the client has sent the query before
 )
 
 func (f *frame) request() policy.Request {
 	q := policy.Request{ID: f.TID, Class: f.Type, Tenant: f.UserGroup, MemoryMB: f.RAMMb, TableGroup: f.SourceSet,
-		ClientRetry: f.Attrs&attrRetry != 0, Deadline: f.DueUs}
-	if f.Attrs&attrCost != 0 {
+		ClientRetry: f.Attrs&attrClientRetry != 0, Deadline: f.DueUs}
+	if f.Attrs&attrHasCost != 0 {
 		q.Cost = f.CostUs
 	}
 	if f.OrderKey != nil {
@@ -62,6 +63,7 @@
 	return q
 }
 
+// progress returns the report of a "progress" frame; false if its kind is unknown. Kind 3 is a wait, where x tells for what.
 func (f *frame) progress() (policy.Event, bool) {
 	p := policy.Progress{ID: f.TID, Attempt: f.Attempt, Endpoint: f.Node, Value: f.X}
 	switch {
@@ -79,8 +81,9 @@
 	return p, true
 }
 
-// codes are the protocol's numbers for how an attempt or a health check ended.
-var codes = map[int]policy.Code{
+// resultCodes maps the protocol's result codes of attempts and health checks. A code that is missing here reads as
+// policy.OK, the zero value.
+var resultCodes = map[int]policy.Code{
 	100: policy.OK,
 	301: policy.Failed,
 	302: policy.Rejected,
@@ -91,12 +94,13 @@
 	307: policy.NeverSent,
 }
 
-func load(m map[string]float64) *policy.Load {
-	if len(m) == 0 {
+// decodeLoad decodes a load report; nil if it is empty. A value that is not reported becomes -1.
+func decodeLoad(report map[string]float64) *policy.Load {
+	if len(report) == 0 {
 		return nil
 	}
 	get := func(name string) float64 {
-		if v, ok := m[name]; ok {
+		if v, ok := report[name]; ok {
 			return v
 		}
 		return -1
@@ -105,7 +109,7 @@
 		Memory: get("x0"), Disk: get("x1")}
 }
 
-// event is the event that a frame carries by its name; nil for frames that carry none.
+// event decodes the event of a frame with the given name; nil if the name is unknown.
 func (f *frame) event(name string) policy.Event {
 	switch name {
 	case "accept":
@@ -113,7 +117,7 @@
 	case "closedAttempt":
 		return f.attemptResult()
 	case "checked":
-		return policy.HealthCheckResult{Endpoint: f.Node, Code: codes[f.RC], Latency: f.TimeTakenUs, Load: load(f.Load)}
+		return policy.HealthCheckResult{Endpoint: f.Node, Code: resultCodes[f.RC], Latency: f.TimeTakenUs, Load: decodeLoad(f.Load)}
 	case "ackFirst":
 		return policy.StreamStarted{ID: f.TID, Attempt: f.Attempt}
 	case "clientGone":
@@ -126,19 +130,19 @@
 	return nil
 }
 
-// Units of usedUp, which packs the work and the memory of an attempt into one number.
+// Units of usedUp, which packs the work and the memory of an attempt into one number: work * usedUpMemoryRange + memory.
 const (
-	usedUpMemorySteps = 4096 // the lower part counts memory
-	usedUpMemoryMB    = 4    // MB a step
-	usedUpWorkMicros  = 1000 // of the upper part, a step
+	usedUpMemoryRange   = 4096 // memory is below this
+	usedUpMBPerUnit     = 4    // MB per unit of memory
+	usedUpMicrosPerUnit = 1000 // microseconds per unit of work
 )
 
 func (f *frame) attemptResult() policy.AttemptResult {
-	result := policy.AttemptResult{ID: f.TID, Attempt: f.Attempt, Endpoint: f.Node, Code: codes[f.RC],
-		Final: f.Last, Latency: f.TimeTakenUs, Load: load(f.Load)}
+	result := policy.AttemptResult{ID: f.TID, Attempt: f.Attempt, Endpoint: f.Node, Code: resultCodes[f.RC],
+		Final: f.Last, Latency: f.TimeTakenUs, Load: decodeLoad(f.Load)}
 	if f.UsedUp > 0 {
-		result.WorkMicros = f.UsedUp / usedUpMemorySteps * usedUpWorkMicros
-		result.NeededMB = float64(f.UsedUp%usedUpMemorySteps) * usedUpMemoryMB
+		result.WorkMicros = f.UsedUp / usedUpMemoryRange * usedUpMicrosPerUnit
+		result.NeededMB = float64(f.UsedUp%usedUpMemoryRange) * usedUpMBPerUnit
 	}
 	return result
 }
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -1,5 +1,5 @@
-// Package wire turns the JSON frames of the dispatcher protocol into the
-// events and settings of package policy, and its actions back into frames.
+// Package wire decodes the JSON frames of the dispatcher protocol into the
+// events and settings of package policy, and encodes its actions as frames.
 package wire
 
 import (
@@ -13,54 +13,56 @@
 	"embershunt/policy"
 )
 
-// maxLine bounds one frame, in bytes; complete endpoint lists come in a single line.
-const maxLine = 64 << 20
+// maxLineBytes is the maximum length of a frame, which is one line. It is large because a complete endpoint list is one
+// frame. A longer line is rejected after it has been read, so the limit does not bound memory.
+const maxLineBytes = 64 << 20
 
-// FrameError tells where the input is malformed.
+// FrameError is the error of malformed input.
 type FrameError struct {
-	Line  int
-	Field string
+	Line  int    // counted from 1
+	Field string // name of the frame, and the field if it is known
 	Err   error
 }
 
-// Error names the line and the field.
+// Error returns the message, with the line and the field.
 func (e *FrameError) Error() string {
 	return fmt.Sprintf("line %d: %s: %v", e.Line, e.Field, e.Err)
 }
 
-// Unwrap is what is wrong there.
+// Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// Item is one event of a batch, addressed to an instance. Start and Stop
-// mark the instance's birth and death; then Event is nil.
+// Item is one event of a batch, addressed to an instance, or the start or
+// end of the instance; then Event is nil.
 type Item struct {
-	Instance string
+	Instance string // dispatcher ID
 	Event    policy.Event
-	Start    *policy.Settings
-	Seed     uint64
-	Stop     bool
+	Start    *policy.Settings // not nil: the instance starts with these settings
+	Seed     uint64           // with Start
+	Stop     bool             // the instance has ended
 }
 
-// Batch is what happened at one moment.
+// Batch holds the events of one moment, for any number of instances.
 type Batch struct {
 	Now   policy.Micros
 	Items []Item
 }
 
-// Reader reads batches. Numbered endpoint lists are kept between them.
+// Reader reads batches. It keeps the numbered endpoint lists, which later batches may refer to.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
-	lists map[int][]policy.Endpoint
+	lists map[int][]policy.Endpoint // by number
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Endpoint{}}
 }
 
-// fail names the line and, where the decoder knows it, the field within a frame.
-func (r *Reader) fail(field string, err error) error {
+// frameError wraps an error with the line and the field, to which it adds the field within the frame if the JSON decoder
+// names it.
+func (r *Reader) frameError(field string, err error) error {
 	var typ *json.UnmarshalTypeError
 	if errors.As(err, &typ) && typ.Field != "" {
 		field += "." + typ.Field
@@ -68,55 +70,55 @@
 	return &FrameError{r.line, field, err}
 }
 
-// frame reads one line and splits it into its name and its body.
-func (r *Reader) frame() (string, json.RawMessage, error) {
+// readFrame reads the next line that is not empty, and returns the frame's name and body.
+func (r *Reader) readFrame() (string, json.RawMessage, error) {
 	var text []byte
 	for len(text) == 0 {
 		raw, err := r.in.ReadBytes('\n')
 		if err != nil && len(bytes.TrimSpace(raw)) == 0 {
 			return "", nil, err
 		}
-		if r.line++; len(raw) > maxLine {
-			return "", nil, r.fail("frame", errors.New("line too long"))
+		if r.line++; len(raw) > maxLineBytes {
+			return "", nil, r.frameError("frame", fmt.Errorf("line of %d bytes, allowed are %d", len(raw), maxLineBytes))
 		}
 		text = bytes.TrimSpace(raw)
 	}
-	var one map[string]json.RawMessage
-	if err := json.Unmarshal(text, &one); err != nil {
-		return "", nil, r.fail("frame", err)
+	var object map[string]json.RawMessage
+	if err := json.Unmarshal(text, &object); err != nil {
+		return "", nil, r.frameError("frame", err)
 	}
-	if len(one) != 1 {
-		return "", nil, r.fail("frame", fmt.Errorf("%d names where one is wanted", len(one)))
+	if len(object) != 1 {
+		return "", nil, r.frameError("frame", fmt.Errorf("the object has %d keys, allowed is one: the name of the frame", len(object)))
 	}
-	for name, body := range one {
+	for name, body := range object {
 		return name, body, nil
 	}
 	panic("unreachable")
 }
 
-// Next reads one batch. At the end of the input it returns io.EOF.
+// Next reads the next batch. It returns io.EOF at the end of the input, and a *FrameError if the input is malformed.
 func (r *Reader) Next() (*Batch, error) {
-	name, body, err := r.frame()
+	name, body, err := r.readFrame()
 	if err != nil {
 		return nil, err
 	}
 	if name != "clock" {
-		return nil, r.fail(name, errors.New("a batch starts with clock"))
+		return nil, r.frameError(name, errors.New("a batch must start with a clock frame"))
 	}
 	var clock struct {
 		MomentUs *policy.Micros `json:"momentUs"`
 	}
 	if err := json.Unmarshal(body, &clock); err != nil {
-		return nil, r.fail(name, err)
+		return nil, r.frameError(name, err)
 	}
 	if clock.MomentUs == nil {
-		return nil, r.fail("clock.momentUs", errors.New("missing"))
+		return nil, r.frameError("clock.momentUs", errors.New("missing"))
 	}
 	b := &Batch{Now: *clock.MomentUs}
 	for {
-		name, body, err := r.frame()
+		name, body, err := r.readFrame()
 		if errors.Is(err, io.EOF) {
-			return nil, r.fail("eofBatch", io.ErrUnexpectedEOF)
+			return nil, r.frameError("eofBatch", io.ErrUnexpectedEOF)
 		}
 		if err != nil {
 			return nil, err
@@ -124,9 +126,9 @@
 		if name == "eofBatch" {
 			return b, nil
 		}
-		item, ok, err := r.item(name, body)
+		item, ok, err := r.decodeItem(name, body)
 		if err != nil {
-			return nil, r.fail(name, err)
+			return nil, r.frameError(name, err)
 		}
 		if ok {
 			b.Items = append(b.Items, item)
@@ -134,10 +136,10 @@
 	}
 }
 
-// item decodes one frame; ok is false for frames that carry no event.
-func (r *Reader) item(name string, body json.RawMessage) (item Item, ok bool, err error) {
+// decodeItem decodes one frame; ok is false if the frame has no event or an unknown name.
+func (r *Reader) decodeItem(name string, body json.RawMessage) (item Item, ok bool, err error) {
 	if name == "register" {
-		return item, false, r.register(body)
+		return item, false, r.registerList(body)
 	}
 	var f frame
 	if err := json.Unmarshal(body, &f); err != nil {
@@ -155,7 +157,7 @@
 		item.Stop = true
 	case "view":
 		item.Event = r.endpointUpdate(&f)
-	case "progress": // reports of unknown kinds are skipped
+	case "progress": // unknown kinds of report are skipped
 		item.Event, ok = f.progress()
 		return item, ok, nil
 	default:
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"embershunt/policy"
 )
 
-// env is the settings object; keys that it lacks here are skipped.
+// env is the settings object of the protocol. Keys that it does not declare are ignored.
 type env struct {
 	AZ         int `json:"az"`
 	Me         int `json:"me"`
@@ -78,6 +78,7 @@
 	} `json:"rules"`
 }
 
+// The protocol's names of settings; "" selects the default.
 var (
 	effects = map[string]policy.Effect{"": policy.Idempotent, "retryable": policy.Idempotent, "dedup": policy.IdempotentByKey,
 		"fragile": policy.NonIdempotent}
@@ -87,15 +88,15 @@
 		"trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 )
 
-// SocketLimits are the settings of connections; the policy needs none of them.
+// SocketLimits holds the settings that package policy does not use: those of connections, and names.
 type SocketLimits struct {
-	Zones, Models  []string // names, in the order of the indexes
+	Zones, Models  []string // names of zones and node kinds, by index
 	ConnectTimeout policy.Micros
-	ConnIdle       policy.Micros // connections idle for so long are closed
-	StreamsPerConn int           // attempts that one connection carries at once
+	ConnIdle       policy.Micros // idle time after which a connection is closed
+	StreamsPerConn int           // maximum number of concurrent attempts on a connection
 }
 
-// Settings decodes the settings object, for the module and for sockets.
+// Settings decodes the settings object into the settings of the policy and those of connections.
 func Settings(raw json.RawMessage) (*policy.Settings, SocketLimits, error) {
 	var e env
 	if err := json.Unmarshal(raw, &e); err != nil {
@@ -106,7 +107,7 @@
 		e.Limits.StreamsPerConn}, err
 }
 
-// settings are the policy's settings; the error names the key that cannot be used.
+// settings returns the policy's settings; an error names the invalid key.
 func (e *env) settings() (*policy.Settings, error) {
 	s := e.limits()
 	var ok bool
@@ -136,7 +137,7 @@
 	return s, nil
 }
 
-// limits are the settings that stand by themselves: no class, kind or tenant.
+// limits returns the settings that do not belong to a class, kind or tenant.
 func (e *env) limits() *policy.Settings {
 	f, l, r := &e.FamilyInfo, &e.Limits, &e.Rules
 	s := &policy.Settings{
@@ -180,7 +181,7 @@
 	return s
 }
 
-// checkLengths wants an entry for each class, or each kind, in the lists that go by their index.
+// checkLengths checks that each list indexed by class or kind is empty or has an entry for each class or kind.
 func (e *env) checkLengths() error {
 	f := &e.FamilyInfo
 	for name, n := range map[string]int{"dop": len(f.Dop), "waitsForLoads": len(f.WaitsForLoads), "writesTables": len(f.WritesTables)} {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// class is one class of requests, by its index.
+// class returns the class with index i.
 func (e *env) class(i int) (policy.Class, error) {
 	c, f := &e.Classes[i], &e.FamilyInfo
 	class := policy.Class{Name: c.Name, PriorityWeight: c.Credit, LateWeight: c.LateWorth, LatencyObjective: c.PromiseUs,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,11 +50,11 @@
 	}
 	checkBatchSettings(t, b.Items[0].Start)
 	if b.Items[0].Event != nil || !b.Items[11].Stop {
-		t.Errorf("the first item is %+v, the last %+v", b.Items[0], b.Items[11])
+		t.Errorf("first item %+v, wanted a start without an event; last item %+v, wanted a stop", b.Items[0], b.Items[11])
 	}
 	for i, want := range batchEvents() {
 		if got := b.Items[i+1].Event; !reflect.DeepEqual(got, want) {
-			t.Errorf("event %d is %#v, wanted %#v", i+1, got, want)
+			t.Errorf("event of item %d is %#v, wanted %#v", i+1, got, want)
 		}
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
@@ -83,14 +83,14 @@
 	}
 }
 
-// batchEvents are the events between the start and the end of the instance in batchText.
+// batchEvents returns the events in batchText between the start and the end of the instance.
 func batchEvents() []policy.Event {
 	const id = "9683a19b5d3a91c4"
 	return []policy.Event{
 		policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{
 			{ID: "node.a", Kind: 1, PlacementGroup: 4, State: policy.Healthy, Weight: 1},
 			{ID: "node.b", State: policy.Draining, Started: 6100000}}},
-		policy.EndpointUpdate{Endpoints: []policy.Endpoint{}}, // a list number that is used again holds the later rows
+		policy.EndpointUpdate{Endpoints: []policy.Endpoint{}}, // a list replaces the earlier one of the same number
 		policy.EndpointUpdate{Failed: true},
 		policy.Request{ID: id, Cost: 12000, TableGroup: 11, MemoryMB: 384.5, ClientRetry: true, Deadline: 8652250,
 			OrderKey: 4569004829183723, HasOrderKey: true},
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -10,104 +10,108 @@
 	"embershunt/policy"
 )
 
-// Writer writes the reply to one batch and flushes it at its end. Its buffer keeps the first error of a write until then.
+// Writer writes replies, one for each batch. Its buffer keeps the first write error, which End returns.
 type Writer struct {
 	out *bufio.Writer
 }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{bufio.NewWriterSize(w, 1<<18)} }
 
-// End closes the reply and flushes it.
+// End ends the reply and flushes it.
 func (w *Writer) End() error {
-	w.raw("{\"yield\":{}}\n")
+	w.writeRaw("{\"yield\":{}}\n")
 	return w.out.Flush()
 }
 
-// Fault reports that the decision code failed.
+// Fault reports that the policy of an instance has failed.
 func (w *Writer) Fault(instance, text string) {
-	w.open("bailOut", instance)
-	w.text(`,"message":`, text)
-	w.close()
+	w.beginFrame("bailOut", instance)
+	w.textField(`,"message":`, text)
+	w.endFrame()
 }
 
-// raw writes text as it is.
-func (w *Writer) raw(text string) { _, _ = w.out.WriteString(text) } // End returns its error
+// writeRaw writes text without quoting it.
+func (w *Writer) writeRaw(text string) { _, _ = w.out.WriteString(text) } // End returns the error
 
-func (w *Writer) open(name, instance string) {
-	w.raw(`{"` + name + `":{"dispatcherId":`)
-	w.quoted(instance)
+// beginFrame writes the name of a frame and the dispatcher ID; endFrame ends the frame.
+func (w *Writer) beginFrame(name, instance string) {
+	w.writeRaw(`{"` + name + `":{"dispatcherId":`)
+	w.writeString(instance)
 }
 
-func (w *Writer) close() { w.raw("}}\n") }
+func (w *Writer) endFrame() { w.writeRaw("}}\n") }
 
-func (w *Writer) quoted(s string) {
+// writeString writes a JSON string.
+func (w *Writer) writeString(s string) {
 	text, err := json.Marshal(s)
-	if err != nil { // a string always marshals
+	if err != nil { // encoding a string never fails
 		panic(err)
 	}
-	w.raw(string(text))
+	w.writeRaw(string(text))
 }
 
-func (w *Writer) text(label, s string) {
-	w.raw(label)
-	w.quoted(s)
+// textField writes a field; label is its separator, key and colon.
+func (w *Writer) textField(label, s string) {
+	w.writeRaw(label)
+	w.writeString(s)
 }
 
-func (w *Writer) number(label string, v int64) {
-	w.raw(label)
-	w.raw(strconv.FormatInt(v, 10))
+// numberField writes a field; label is as in textField.
+func (w *Writer) numberField(label string, v int64) {
+	w.writeRaw(label)
+	w.writeRaw(strconv.FormatInt(v, 10))
 }
 
-// Put writes one action of an instance.
+// Put writes one action of an instance. It panics on a type that has no frame.
 func (w *Writer) Put(instance string, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
-		w.open("submitTo", instance)
-		w.text(`,"tid":`, a.ID)
+		w.beginFrame("submitTo", instance)
+		w.textField(`,"tid":`, a.ID)
 		if a.Timeout != 0 {
-			w.number(`,"allowForUs":`, a.Timeout)
+			w.numberField(`,"allowForUs":`, a.Timeout)
 		}
-		w.text(`,"node":`, a.Endpoint)
+		w.textField(`,"node":`, a.Endpoint)
 	case policy.Resources:
-		w.open("assignTerms", instance)
-		w.text(`,"tid":`, a.ID)
-		w.raw(`,"workspaceMb":`)
-		w.raw(strconv.FormatFloat(a.MemoryMB, 'f', -1, 64))
-		w.number(`,"prio":`, int64(a.Priority))
+		w.beginFrame("assignTerms", instance)
+		w.textField(`,"tid":`, a.ID)
+		w.writeRaw(`,"workspaceMb":`)
+		w.writeRaw(strconv.FormatFloat(a.MemoryMB, 'f', -1, 64))
+		w.numberField(`,"prio":`, int64(a.Priority))
 	case policy.Cancel:
-		w.open("cancel", instance)
-		w.text(`,"tid":`, a.ID)
-		w.number(`,"attempt":`, int64(a.Attempt))
+		w.beginFrame("cancel", instance)
+		w.textField(`,"tid":`, a.ID)
+		w.numberField(`,"attempt":`, int64(a.Attempt))
 	case policy.Shed:
-		w.open("sayNo", instance)
-		w.text(`,"tid":`, a.ID)
-		w.number(`,"notBeforeForUs":`, a.RetryAfter)
+		w.beginFrame("sayNo", instance)
+		w.textField(`,"tid":`, a.ID)
+		w.numberField(`,"notBeforeForUs":`, a.RetryAfter)
 	case policy.Fail:
-		w.open("dropRequest", instance)
-		w.text(`,"tid":`, a.ID)
+		w.beginFrame("dropRequest", instance)
+		w.textField(`,"tid":`, a.ID)
 	case policy.HealthCheck:
-		w.open("healthCheck", instance)
-		w.text(`,"node":`, a.Endpoint)
+		w.beginFrame("healthCheck", instance)
+		w.textField(`,"node":`, a.Endpoint)
 	case policy.SetTimer:
-		w.open("setAlarm", instance)
-		w.number(`,"delayUs":`, a.After)
-		w.number(`,"handle":`, 1)
+		w.beginFrame("setAlarm", instance)
+		w.numberField(`,"delayUs":`, a.After)
+		w.numberField(`,"handle":`, 1)
 	case policy.SendGossip:
-		w.open("writePeer", instance)
-		text, _ := json.Marshal(a.Data) // bytes always marshal, to base64
-		w.number(`,"dest":`, int64(a.To))
-		w.raw(`,"contents":` + string(text))
+		w.beginFrame("writePeer", instance)
+		text, _ := json.Marshal(a.Data) // encoding bytes, as base64, never fails
+		w.numberField(`,"dest":`, int64(a.To))
+		w.writeRaw(`,"contents":` + string(text))
 	case policy.WatchEndpoints:
-		w.open("tail", instance)
-		w.raw(`,"want":true`)
+		w.beginFrame("tail", instance)
+		w.writeRaw(`,"want":true`)
 	case policy.FetchEndpoints:
-		w.open("listAll", instance)
+		w.beginFrame("listAll", instance)
 	case policy.LogLine:
-		w.open("record", instance)
-		w.text(`,"message":`, a.Text)
+		w.beginFrame("record", instance)
+		w.textField(`,"message":`, a.Text)
 	default:
 		panic(fmt.Sprintf("wire: action %T has no frame", a))
 	}
-	w.close()
+	w.endFrame()
 }
