--- a/trace/encoding.go
+++ b/trace/encoding.go
@@ -21,7 +21,7 @@
 	return &policy.Load{Utilization: l.GetUtil(), InFlight: l.GetInFlight(), Queue: l.GetQueue(), Memory: l.GetMemory(), Disk: l.GetDisk()}
 }
 
-// encodeEvent encodes an event. It panics on a type that is missing here.
+// encodeEvent encodes an event. It panics on a type that the format lacks.
 func encodeEvent(ev policy.Event) *tracev1.Event {
 	switch ev := ev.(type) {
 	case policy.EndpointUpdate:
@@ -51,7 +51,7 @@
 	panic(fmt.Sprintf("trace: unknown event %T", ev))
 }
 
-// decodeEvent decodes an event; nil for a type of a newer format.
+// decodeEvent decodes an event; nil for a type that was added to the format later.
 func decodeEvent(ev *tracev1.Event) policy.Event {
 	switch w := ev.GetWhat().(type) {
 	case *tracev1.Event_Engines:
@@ -102,7 +102,7 @@
 	return out
 }
 
-// encodeAction encodes an action. It panics on a type that is missing here.
+// encodeAction encodes an action. It panics on a type that the format lacks.
 func encodeAction(a policy.Action) *tracev1.Action {
 	switch a := a.(type) {
 	case policy.Send:
--- a/trace/file.go
+++ b/trace/file.go
@@ -1,5 +1,5 @@
-// Package trace records the events and actions of a dispatcher's decision module, and replays them: the same build decides
-// the same again. The format is described in docs/trace-format.md.
+// Package trace records the events and actions of a dispatcher's decision module, and replays them: replayed by the same
+// build, a recording gives the same actions. The format is described in docs/trace-format.md.
 package trace
 
 import (
@@ -17,14 +17,14 @@
 	"embershunt/trace/tracev1"
 )
 
-// Magic begins a trace file; its last two digits are the version of the format.
+// Magic is the start of a trace file; its last two digits are the version of the format.
 const Magic = "EMBTRC01"
 
-// Sizes of a block.
+// Block sizes, in bytes.
 const (
-	maxBlockBytes    = 16 << 20 // compressed
-	maxDecodedBytes  = 64 << 20
-	targetBlockBytes = 256 << 10 // decoded; a block is written when it has this size
+	maxBlockBytes    = 16 << 20  // compressed
+	maxDecodedBytes  = 64 << 20  // decompressed
+	targetBlockBytes = 256 << 10 // uncompressed size from which on a block is written
 )
 
 // A block begins with a header: the length of the body and its checksum (XXH64), both little endian.
@@ -34,12 +34,12 @@
 	headerBytes   = lengthBytes + checksumBytes
 )
 
-// Writer writes records in blocks. A crash loses at most the block that is not complete.
+// Writer writes records in compressed blocks. A crash loses at most the current block.
 type Writer struct {
 	w     io.Writer
 	zstd  *zstd.Encoder
-	block []byte
-	bytes int64 // written
+	block []byte // the current block, uncompressed
+	bytes int64  // written
 }
 
 // NewWriter returns a writer for a new file, and writes Magic.
@@ -52,7 +52,7 @@
 	return &Writer{w: w, zstd: enc, bytes: int64(len(Magic))}, err
 }
 
-// Write adds a record to the present block, and writes the block when it is large enough.
+// Write adds a record to the current block, and writes the block when it has reached targetBlockBytes.
 func (w *Writer) Write(r *tracev1.Record) error {
 	b, err := proto.Marshal(r)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Flush writes the present block, if it is not empty.
+// Flush writes the current block, if it is not empty.
 func (w *Writer) Flush() error {
 	if len(w.block) == 0 {
 		return nil
@@ -79,16 +79,16 @@
 	return err
 }
 
-// Bytes is the number of bytes written.
+// Bytes returns the number of bytes written.
 func (w *Writer) Bytes() int64 { return w.bytes }
 
-// DamageError is the error of a file that cannot be read any further. All records before the offset have been read.
+// DamageError is the error of a file that cannot be read any further. The records before the damage have been read.
 type DamageError struct {
-	Offset int64 // of the damaged block, in bytes from the begin of the file
+	Offset int64 // bytes from the start of the file: of the damaged block, or of its end if a record in it is invalid
 	Reason string
 }
 
-// Error names the offset and the reason.
+// Error returns the message, with the offset and the reason.
 func (e *DamageError) Error() string { return fmt.Sprintf("trace: at byte %d: %s", e.Offset, e.Reason) }
 
 // Reader reads the records of a file.
@@ -96,10 +96,10 @@
 	r      *bufio.Reader
 	zstd   *zstd.Decoder
 	offset int64  // of the next block
-	block  []byte // decoded, the rest
+	block  []byte // the records of the current block that have not been read, decompressed
 }
 
-// NewReader returns a reader of a file; a *DamageError if it is no trace of this version.
+// NewReader returns a reader of a file. The error is a *DamageError if the file is not a trace of this version.
 func NewReader(r io.Reader) (*Reader, error) {
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes))
 	if err != nil {
@@ -108,13 +108,13 @@
 	t := &Reader{r: bufio.NewReader(r), zstd: dec}
 	magic := make([]byte, len(Magic))
 	if _, err := io.ReadFull(t.r, magic); err != nil || string(magic) != Magic {
-		return nil, &DamageError{0, fmt.Sprintf("found %q, allowed is %q: a trace of this version", magic, Magic)}
+		return nil, &DamageError{0, fmt.Sprintf("found %q at the start of the file, allowed is %q: a trace of this version", magic, Magic)}
 	}
 	t.offset = int64(len(Magic))
 	return t, nil
 }
 
-// Next returns the next record; io.EOF at the end of the file, a *DamageError where it is damaged.
+// Next returns the next record. The error is io.EOF at the end of the file, and a *DamageError if the file is damaged.
 func (t *Reader) Next() (*tracev1.Record, error) {
 	for len(t.block) == 0 {
 		if err := t.readBlock(); err != nil {
@@ -123,12 +123,12 @@
 	}
 	b, n := protowire.ConsumeBytes(t.block)
 	if n < 0 {
-		return nil, &DamageError{t.offset, "a record that does not end within its block"}
+		return nil, &DamageError{t.offset, "a record extends beyond the end of its block"}
 	}
 	t.block = t.block[n:]
 	r := &tracev1.Record{}
 	if err := proto.Unmarshal(b, r); err != nil {
-		return nil, &DamageError{t.offset, err.Error()}
+		return nil, &DamageError{t.offset, "invalid record: " + err.Error()}
 	}
 	return r, nil
 }
@@ -138,13 +138,13 @@
 	header := make([]byte, headerBytes)
 	if _, err := io.ReadFull(t.r, header); err != nil {
 		if errors.Is(err, io.ErrUnexpectedEOF) {
-			return &DamageError{t.offset, "the file ends within the head of a block"}
+			return &DamageError{t.offset, "the file ends within the header of a block"}
 		}
 		return err
 	}
 	size := binary.LittleEndian.Uint32(header)
 	if size == 0 || size > maxBlockBytes {
-		return &DamageError{t.offset, fmt.Sprintf("a block of %d bytes, allowed are 1 to %d", size, maxBlockBytes)}
+		return &DamageError{t.offset, fmt.Sprintf("the header states a block of %d bytes, allowed are 1 to %d", size, maxBlockBytes)}
 	}
 	body, err := io.ReadAll(io.LimitReader(t.r, int64(size)))
 	if err != nil {
@@ -154,10 +154,10 @@
 		return &DamageError{t.offset, fmt.Sprintf("the file ends within a block: %d of %d bytes", len(body), size)}
 	}
 	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(header[lengthBytes:]) {
-		return &DamageError{t.offset, "the checksum of a block is wrong"}
+		return &DamageError{t.offset, "the checksum of the block does not match"}
 	}
 	if t.block, err = t.zstd.DecodeAll(body, nil); err != nil {
-		return &DamageError{t.offset, err.Error()}
+		return &DamageError{t.offset, "invalid block: " + err.Error()}
 	}
 	t.offset += headerBytes + int64(size)
 	return nil
--- a/trace/golden_test.go
+++ b/trace/golden_test.go
@@ -12,10 +12,10 @@
 	"embershunt/trace/tracev1"
 )
 
-// TestRecordingsOfTheBuildBefore replays recordings of a demonstration and of a short scripted day with failing, dying,
-// hanging and draining nodes, both written by the build before any rename: this build reads every key of their settings and
-// decides the same again.
-func TestRecordingsOfTheBuildBefore(t *testing.T) {
+// TestReplayOfOlderRecordings guards against a rename that changes the stored format or a decision. It replays recordings of a
+// demonstration and of a short scripted scenario with failing, crashing, hanging and draining nodes, both written by a build
+// from before any rename: this build must read every key of their settings and decide the same.
+func TestReplayOfOlderRecordings(t *testing.T) {
 	for file, want := range map[string]Report{
 		"testdata/demo.decisions":  {Starts: 1, Steps: 96, Events: 89, Actions: 79},
 		"testdata/small.decisions": {Starts: 1, Steps: 847, Events: 845, Actions: 667},
@@ -38,12 +38,13 @@
 		if report.Starts != want.Starts || report.Steps != want.Steps || report.Events != want.Events || report.Actions != want.Actions {
 			t.Errorf("%s: %+v, wanted %+v", file, report, want)
 		}
-		checkSettingsOf(t, file, text)
+		checkStoredSettings(t, file, text)
 	}
 }
 
-// checkSettingsOf reads the settings of a recording strictly: no key is passed over, and the values are written as they were.
-func checkSettingsOf(t *testing.T, file string, text []byte) {
+// checkStoredSettings decodes the settings of a recording and encodes them again: no key may be unknown, and the bytes must
+// be the same.
+func checkStoredSettings(t *testing.T, file string, text []byte) {
 	source, err := NewReader(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
@@ -68,7 +69,7 @@
 			t.Errorf("%s: settings: %v", file, err)
 		}
 		if again, err := json.Marshal(settings); err != nil || !bytes.Equal(again, stored) {
-			t.Errorf("%s: settings are written as\n%s, %v\nbefore it was\n%s", file, again, err, stored)
+			t.Errorf("%s: settings are encoded as\n%s, %v\nin the recording they are\n%s", file, again, err, stored)
 		}
 	}
 }
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -11,54 +11,56 @@
 	"embershunt/trace/tracev1"
 )
 
-// maxQueuedEntries bounds the entries that wait to be written.
+// maxQueuedEntries is the maximum number of entries that wait to be written.
 const maxQueuedEntries = 10000
 
-// flushInterval is how long a block may wait for more records.
+// flushInterval is the interval at which an incomplete block is written.
 const flushInterval = time.Second
 
-// Recorder passes steps from the loop to a writer without blocking the loop: where the writer is too slow, steps are
-// dropped and counted, and the trace says so.
+// Recorder queues the steps of a dispatcher's event loop for a writer and never blocks the loop: while the queue is full,
+// steps are dropped and counted, and the trace gets a record of how many.
 type Recorder struct {
 	dispatcher, build string
 	entries           chan entry
 	drops             atomic.Uint64
 }
 
-// NewRecorder returns a recorder for one dispatcher; Run writes what it is given.
+// NewRecorder returns a recorder for a dispatcher. build is the version of the program. Run writes the queued entries.
 func NewRecorder(dispatcher, build string) *Recorder {
 	return &Recorder{dispatcher: dispatcher, build: build, entries: make(chan entry, maxQueuedEntries)}
 }
 
 // entry is one call of the recorder, to be encoded by the writer.
 type entry interface {
-	record(e *entryWriter) (*tracev1.Record, error)
+	encode(e *entryWriter) (*tracev1.Record, error)
 }
 
-// start is the start of a module.
-type start struct {
+// startEntry is the start of a module.
+type startEntry struct {
 	seed     uint64
 	settings policy.Settings
 	at       policy.Micros
 	wallTime time.Time
 	learned  *policy.Learned
-	fresh    bool // as in policy.Gateway.Restore
+	fresh    bool // learned prices, waits and states of endpoints still hold; see policy.Gateway.Restore
 }
 
-// step is one step of the module.
-type step struct {
+// stepEntry is one step of the module.
+type stepEntry struct {
 	at      policy.Micros
 	events  []policy.Event
 	actions []policy.Action
 }
 
-// settingsChange is a change of the module's settings, with the mappings of classes and tenants.
-type settingsChange struct {
+// changeEntry is a change of the module's settings. classes and tenants map the new indexes to the old ones, -1 for new
+// classes and tenants.
+type changeEntry struct {
 	at               policy.Micros
 	settings         policy.Settings
 	classes, tenants []int
 }
 
+// enqueue queues an entry, or drops it if the queue is full.
 func (r *Recorder) enqueue(e entry) {
 	select {
 	case r.entries <- e:
@@ -67,29 +69,29 @@
 	}
 }
 
-// Started implements dispatch.Recorder.
+// Started implements dispatch.Recorder. l may be nil.
 func (r *Recorder) Started(now policy.Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool) {
-	r.enqueue(start{seed, s, now, time.Now(), l, fresh})
+	r.enqueue(startEntry{seed, s, now, time.Now(), l, fresh})
 }
 
-// StepCompleted implements dispatch.Recorder; it keeps copies of the slices.
+// StepCompleted implements dispatch.Recorder. It copies the slices, which the caller may reuse.
 func (r *Recorder) StepCompleted(now policy.Micros, events []policy.Event, actions []policy.Action) {
-	r.enqueue(step{now, slices.Clone(events), slices.Clone(actions)})
+	r.enqueue(stepEntry{now, slices.Clone(events), slices.Clone(actions)})
 }
 
-// Changed implements dispatch.Recorder.
+// Changed implements dispatch.Recorder. It copies the slices.
 func (r *Recorder) Changed(now policy.Micros, s policy.Settings, classes, tenants []int) {
-	r.enqueue(settingsChange{now, s, slices.Clone(classes), slices.Clone(tenants)})
+	r.enqueue(changeEntry{now, s, slices.Clone(classes), slices.Clone(tenants)})
 }
 
-// Drops is the number of entries that were not written; it is safe for concurrent use.
+// Drops returns the number of entries dropped so far. It is safe for concurrent use.
 func (r *Recorder) Drops() uint64 { return r.drops.Load() }
 
-// ErrFull is the error of a trace that has reached its maximum size: nothing more is recorded.
-var ErrFull = errors.New("trace: the file has reached its bound")
+// ErrFull is returned by Run when the trace has reached its maximum size. Nothing more is recorded then.
+var ErrFull = errors.New("trace: the file has reached its maximum size")
 
-// Run writes entries until stop is closed and all that were queued before are written, or the writer fails. The error is
-// ErrFull once maxBytes are written; 0 is no limit.
+// Run writes entries until the writer fails, or stop is closed and the queue is empty. It returns ErrFull once maxBytes are
+// written; with 0 the size has no limit.
 func (r *Recorder) Run(stop <-chan struct{}, w *Writer, maxBytes int64) error {
 	ticker := time.NewTicker(flushInterval)
 	defer ticker.Stop()
@@ -110,16 +112,17 @@
 	}
 }
 
-// entryWriter encodes the entries of one file.
+// entryWriter encodes and writes the entries of one file.
 type entryWriter struct {
 	recorder     *Recorder
 	w            *Writer
 	maxBytes     int64         // 0: no limit
 	lastAt       policy.Micros // time of the last record, to which the next is relative
-	writtenDrops uint64
+	writtenDrops uint64        // drops recorded in the file so far
 }
 
-// write writes an entry, and before it the number of those dropped.
+// write writes an entry, preceded by the number of entries dropped since the last write. The dropped entries may have been
+// newer than the entry: they were dropped while it was queued.
 func (e *entryWriter) write(entry entry) error {
 	if n := e.recorder.drops.Load(); n > e.writtenDrops {
 		dropped := &tracev1.Dropped{Steps: n - e.writtenDrops}
@@ -128,7 +131,7 @@
 		}
 		e.writtenDrops = n
 	}
-	record, err := entry.record(e)
+	record, err := entry.encode(e)
 	if err != nil {
 		return err
 	}
@@ -138,7 +141,7 @@
 	return err
 }
 
-// drain writes the queued entries.
+// drain writes the queued entries and the last block.
 func (e *entryWriter) drain() error {
 	for {
 		select {
@@ -152,14 +155,14 @@
 	}
 }
 
-// sinceLast returns the time since the last record, and sets it.
+// sinceLast returns the time since the last record, and makes at the time of the last record.
 func (e *entryWriter) sinceLast(at policy.Micros) policy.Micros {
 	d := at - e.lastAt
 	e.lastAt = at
 	return d
 }
 
-func (s start) record(e *entryWriter) (*tracev1.Record, error) {
+func (s startEntry) encode(e *entryWriter) (*tracev1.Record, error) {
 	settings, err := json.Marshal(s.settings)
 	e.lastAt = s.at
 	out := &tracev1.Begin{Seed: s.seed, Settings: settings, Build: e.recorder.build, Dispatcher: e.recorder.dispatcher,
@@ -170,7 +173,7 @@
 	return &tracev1.Record{What: &tracev1.Record_Begin{Begin: out}}, err
 }
 
-func (c settingsChange) record(e *entryWriter) (*tracev1.Record, error) {
+func (c changeEntry) encode(e *entryWriter) (*tracev1.Record, error) {
 	settings, err := json.Marshal(c.settings)
 	out := &tracev1.Change{AtUs: e.sinceLast(c.at), Settings: settings}
 	for _, n := range c.classes {
@@ -182,7 +185,7 @@
 	return &tracev1.Record{What: &tracev1.Record_Change{Change: out}}, err
 }
 
-func (s step) record(e *entryWriter) (*tracev1.Record, error) {
+func (s stepEntry) encode(e *entryWriter) (*tracev1.Record, error) {
 	out := &tracev1.Step{AtUs: e.sinceLast(s.at)}
 	for _, ev := range s.events {
 		out.Events = append(out.Events, encodeEvent(ev))
--- a/trace/replay.go
+++ b/trace/replay.go
@@ -12,13 +12,13 @@
 	"embershunt/trace/tracev1"
 )
 
-// Module is a decision module that can be replayed: *policy.Gateway is one.
+// Module is a decision module that recordings can be replayed with, such as *policy.Gateway.
 type Module interface {
 	Step(now policy.Micros, events []policy.Event) []policy.Action
 	Change(s policy.Settings, classes, tenants []int) error
 }
 
-// restorer is a Module that can restore learned state before its first step.
+// restorer is implemented by a Module that can restore learned state before its first step.
 type restorer interface {
 	Restore(l policy.Learned, fresh bool) error
 }
@@ -29,31 +29,32 @@
 	_ Source   = (*Reader)(nil)
 )
 
-// Source returns records until io.EOF; *Reader is one.
+// Source returns records until io.EOF, as *Reader does.
 type Source interface {
 	Next() (*tracev1.Record, error)
 }
 
-// Difference is a step that was decided differently.
+// Difference describes a step in which the module decided differently than in the recording.
 type Difference struct {
-	Step     int
+	Step     int // counted from 1, without skipped steps
 	At       policy.Micros
-	Was, Now string // the first action that differs; "" where there is none
+	Was, Now string // the first action that differs, as recorded and as decided now; "" if there is none at its position
 }
 
 // Report is the result of a replay.
 type Report struct {
 	Starts, Steps, Events, Actions int
 	Different                      int            // steps that differ
-	First                          *Difference    // nil: none
-	ByKind                         map[string]int // actions that were recorded and are not decided now ("-" and the kind), and vice versa ("+")
+	First                          *Difference    // the first difference; nil: none
+	ByKind                         map[string]int // differing actions by "-" (recorded) or "+" (decided now) and their kind
 	Dropped                        uint64         // entries that the recorder dropped
 	Skipped                        int            // steps after a drop, which cannot be compared
-	Damage                         error          // where the file is damaged; nil: it was read to its end
+	Damage                         error          // why the file could not be read to its end; nil: it was
 }
 
-// Replay plays the recorded events to new modules and compares their actions with those recorded. The error is that of
-// newModule, or of settings or learned state that the module does not accept.
+// Replay feeds the recorded events to modules that newModule makes, and compares their actions with the recorded ones. It
+// returns an error if newModule fails, or if the module rejects the recorded settings or learned state. A damaged recording
+// is not an error: the report covers what was read, with Damage set.
 func Replay(src Source, newModule func(seed uint64, s policy.Settings) (Module, error)) (*Report, error) {
 	p := &replay{report: &Report{ByKind: map[string]int{}}, newModule: newModule}
 	for {
@@ -65,7 +66,7 @@
 			p.report.Damage = err
 			return p.report, nil
 		}
-		if err := p.play(r); err != nil {
+		if err := p.handleRecord(r); err != nil {
 			return p.report, err
 		}
 	}
@@ -75,29 +76,29 @@
 type replay struct {
 	report    *Report
 	newModule func(seed uint64, s policy.Settings) (Module, error)
-	module    Module // nil: before the first start, or after a drop
+	module    Module // nil before the first start, and after a drop until the next start
 	now       policy.Micros
 }
 
-func (p *replay) play(r *tracev1.Record) error {
+func (p *replay) handleRecord(r *tracev1.Record) error {
 	switch w := r.GetWhat().(type) {
 	case *tracev1.Record_Begin:
-		return p.begin(w.Begin)
+		return p.startModule(w.Begin)
 	case *tracev1.Record_Dropped:
 		p.report.Dropped += w.Dropped.GetSteps()
 		p.module = nil
 	case *tracev1.Record_Change:
-		return p.change(w.Change)
+		return p.changeSettings(w.Change)
 	case *tracev1.Record_Step:
 		p.step(w.Step)
 	}
 	return nil
 }
 
-func (p *replay) begin(b *tracev1.Begin) error {
+func (p *replay) startModule(b *tracev1.Begin) error {
 	var s policy.Settings
 	if err := json.Unmarshal(b.GetSettings(), &s); err != nil {
-		return fmt.Errorf("settings of a begin: %w", err)
+		return fmt.Errorf("settings of start %d: %w", p.report.Starts+1, err)
 	}
 	var err error
 	if p.module, err = p.newModule(b.GetSeed(), s); err != nil {
@@ -111,14 +112,14 @@
 	return nil
 }
 
-// restore restores the learned state of a start, if there was any.
+// restore gives the module the learned state that it started with, if there was any.
 func (p *replay) restore(text []byte, fresh bool) error {
 	if len(text) == 0 {
 		return nil
 	}
 	var l policy.Learned
 	if err := json.Unmarshal(text, &l); err != nil {
-		return fmt.Errorf("what a begin had learned: %w", err)
+		return fmt.Errorf("learned state of start %d: %w", p.report.Starts+1, err)
 	}
 	if r, ok := p.module.(restorer); ok {
 		return r.Restore(l, fresh)
@@ -126,19 +127,19 @@
 	return nil
 }
 
-func (p *replay) change(c *tracev1.Change) error {
+func (p *replay) changeSettings(c *tracev1.Change) error {
 	p.now += c.GetAtUs()
 	if p.module == nil {
 		return nil
 	}
 	var s policy.Settings
 	if err := json.Unmarshal(c.GetSettings(), &s); err != nil {
-		return fmt.Errorf("settings of a change: %w", err)
+		return fmt.Errorf("settings changed after step %d: %w", p.report.Steps, err)
 	}
-	return p.module.Change(s, ints(c.GetClasses()), ints(c.GetTenants()))
+	return p.module.Change(s, toInts(c.GetClasses()), toInts(c.GetTenants()))
 }
 
-func ints(in []int32) []int {
+func toInts(in []int32) []int {
 	out := make([]int, len(in))
 	for i, v := range in {
 		out[i] = int(v)
@@ -167,7 +168,7 @@
 	p.report.compare(p.now, s.GetActions(), actions)
 }
 
-// compare compares the actions of a step, by their order.
+// compare compares the actions of a step, position by position.
 func (rep *Report) compare(at policy.Micros, recorded, decided []*tracev1.Action) {
 	rep.Actions += len(recorded)
 	same := true
@@ -178,13 +179,13 @@
 		}
 		same = false
 		if rep.First == nil {
-			rep.First = &Difference{Step: rep.Steps, At: at, Was: text(was), Now: text(now)}
+			rep.First = &Difference{Step: rep.Steps, At: at, Was: actionText(was), Now: actionText(now)}
 		}
 		if was != nil {
-			rep.ByKind["-"+kind(was)]++
+			rep.ByKind["-"+actionKind(was)]++
 		}
 		if now != nil {
-			rep.ByKind["+"+kind(now)]++
+			rep.ByKind["+"+actionKind(now)]++
 		}
 	}
 	if !same {
@@ -192,7 +193,7 @@
 	}
 }
 
-// actionAt is nil beyond the end.
+// actionAt returns the action at index i, or nil beyond the end.
 func actionAt(actions []*tracev1.Action, i int) *tracev1.Action {
 	if i < len(actions) {
 		return actions[i]
@@ -200,12 +201,12 @@
 	return nil
 }
 
-// kind is the name of an action's type in the format.
-func kind(a *tracev1.Action) string {
+// actionKind returns the name of an action's type in the format, such as "Send".
+func actionKind(a *tracev1.Action) string {
 	return fmt.Sprintf("%T", a.GetWhat())[len("*tracev1.Action_"):]
 }
 
-func text(a *tracev1.Action) string {
+func actionText(a *tracev1.Action) string {
 	if a == nil {
 		return ""
 	}
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -18,8 +18,8 @@
 		Classes: []policy.Class{{Name: "a", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3e6, Deadline: 15e6, Threads: 4}}}
 }
 
-// play runs a module through random events, recorded by r.
-func play(t testing.TB, r *Recorder, steps int, seed uint64) {
+// recordRandomSteps steps a module with random events, recorded by r. The settings change halfway.
+func recordRandomSteps(t testing.TB, r *Recorder, steps int, seed uint64) {
 	s := settings()
 	g, err := policy.New(seed, s)
 	if err != nil {
@@ -63,15 +63,15 @@
 	}
 }
 
-// recording is the bytes of a trace of play.
+// recording returns the bytes of a trace of recordRandomSteps.
 func recording(t testing.TB, steps int, seed uint64) []byte {
 	r := NewRecorder("d", "test")
 	r.entries = make(chan entry, 10*steps+10)
-	play(t, r, steps, seed)
+	recordRandomSteps(t, r, steps, seed)
 	return writeAll(t, r)
 }
 
-// writeAll is the trace of all entries that a recorder has queued.
+// writeAll returns the trace of all entries that a recorder has queued.
 func writeAll(t testing.TB, r *Recorder) []byte {
 	var b bytes.Buffer
 	w, err := NewWriter(&b)
@@ -84,12 +84,12 @@
 		t.Fatal(err)
 	}
 	if int64(b.Len()) != w.Bytes() {
-		t.Errorf("%d bytes, counted %d", b.Len(), w.Bytes())
+		t.Errorf("the trace has %d bytes, Bytes returned %d", b.Len(), w.Bytes())
 	}
 	return b.Bytes()
 }
 
-// replayFile replays a trace, with changed settings if change is not nil.
+// replayFile replays a trace, with the settings modified by change unless it is nil.
 func replayFile(t testing.TB, file []byte, change func(*policy.Settings)) *Report {
 	src, err := NewReader(bytes.NewReader(file))
 	if err != nil {
@@ -107,8 +107,8 @@
 	return rep
 }
 
-// The same build decides the same again, also after a change of the settings; with other settings the report shows where
-// decisions differ.
+// A replay by the same build gives the same actions, also after a change of the settings. A replay with other settings
+// reports the differences.
 func TestReplay(t *testing.T) {
 	file := recording(t, 2000, 5)
 	rep := replayFile(t, file, nil)
@@ -118,16 +118,16 @@
 	t.Logf("%d steps, %d events, %d actions in %d bytes", rep.Steps, rep.Events, rep.Actions, len(file))
 	rep = replayFile(t, file, func(s *policy.Settings) { s.HonorsGrants, s.HonorsPriority = false, false })
 	if rep.First == nil || rep.Different == 0 || rep.ByKind["-Terms"] == 0 {
-		t.Errorf("without terms: %+v", rep)
+		t.Errorf("without grants and priorities: %+v", rep)
 	}
 }
 
-// A truncated file is read up to its last complete block; a changed byte and a file that is no trace are errors.
+// A truncated file is read up to its last complete block. A changed byte and a file that is not a trace are errors.
 func TestDamagedTraces(t *testing.T) {
 	file := recording(t, 6000, 6)
 	complete := replayFile(t, file, nil)
 	if _, err := NewReader(bytes.NewReader([]byte("PARQUET1...."))); err == nil {
-		t.Error("accepted a file that is no trace")
+		t.Error("accepted a file that is not a trace")
 	}
 	for _, at := range []int{len(Magic) + 3, len(file) / 2, len(file) - 1} {
 		rep := replayFile(t, file[:at], nil)
@@ -143,16 +143,17 @@
 	}
 }
 
-// A slow writer drops steps, and the trace says so: nothing is compared across the gap.
+// A writer that is too slow makes the recorder drop steps, which the trace must record: after a gap the state of the module
+// is unknown, so the replay must not compare anything.
 func TestDropsAreMarked(t *testing.T) {
 	r := NewRecorder("d", "test")
 	r.entries = make(chan entry, 100)
-	play(t, r, 500, 7)
+	recordRandomSteps(t, r, 500, 7)
 	if r.Drops() == 0 {
 		t.Fatal("nothing was dropped")
 	}
 	if rep := replayFile(t, writeAll(t, r), nil); rep.Dropped != r.Drops() || rep.Different != 0 || rep.Steps+rep.Skipped == 0 {
-		t.Errorf("%+v, dropped were %d", rep, r.Drops())
+		t.Errorf("%+v, the recorder dropped %d", rep, r.Drops())
 	}
 }
 
