--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -72,7 +72,8 @@
 	if len(s.Classes) != 1 || !reflect.DeepEqual(s.Classes[0], class) {
 		t.Errorf("classes %+v, wanted %+v", s.Classes, class)
 	}
-	if s.Zone != 1 || s.PeerIndex != 2 || s.Peers != 3 || s.MaxAttempts != 3 || s.MaxRetryAfter != 77 || s.Shortage != policy.ShortageSwaps {
+	if s.Zone != 1 || s.PeerIndex != 2 || s.Peers != 3 || s.MaxAttempts != 3 || s.MaxRetryAfter != 77 ||
+		s.Shortage != policy.ShortageSwaps {
 		t.Errorf("settings %+v", s)
 	}
 	if s.RetryBudgetFloor != 3 || s.RetryBudgetRatio != 0.5 || s.RetryBudgetWindow != 5 {
@@ -107,9 +108,10 @@
 func TestWritesAWholeReply(t *testing.T) {
 	var out bytes.Buffer
 	w := NewWriter(&out)
-	for _, a := range []policy.Action{policy.Send{ID: "q", Endpoint: "node.a", Timeout: 80000}, policy.Send{ID: "q", Endpoint: "node.a"},
-		policy.Resources{ID: "q", MemoryMB: 640.5, Priority: 2}, policy.Cancel{ID: "q", Attempt: 1}, policy.Shed{ID: "q", RetryAfter: 5},
-		policy.Fail{ID: "q"}, policy.HealthCheck{Endpoint: "node.a"}, policy.SetTimer{After: 7}, policy.SendGossip{To: 3, Data: []byte("hi 7")},
+	for _, a := range []policy.Action{policy.Send{ID: "q", Endpoint: "node.a", Timeout: 80000},
+		policy.Send{ID: "q", Endpoint: "node.a"}, policy.Resources{ID: "q", MemoryMB: 640.5, Priority: 2},
+		policy.Cancel{ID: "q", Attempt: 1}, policy.Shed{ID: "q", RetryAfter: 5}, policy.Fail{ID: "q"},
+		policy.HealthCheck{Endpoint: "node.a"}, policy.SetTimer{After: 7}, policy.SendGossip{To: 3, Data: []byte("hi 7")},
 		policy.WatchEndpoints{}, policy.FetchEndpoints{}, policy.LogLine{Text: "a \"b\""}} {
 		w.Put("dispatcher-3", a)
 	}
--- a/trace/encoding.go
+++ b/trace/encoding.go
@@ -27,18 +27,19 @@
 	case policy.EndpointUpdate:
 		return &tracev1.Event{What: &tracev1.Event_Engines{Engines: encodeEndpoints(ev)}}
 	case policy.Request:
-		return &tracev1.Event{What: &tracev1.Event_Request{Request: &tracev1.Request{Id: ev.ID, Class: uint32(ev.Class), Tenant: uint32(ev.Tenant),
-			Cost: ev.Cost, MemoryMb: ev.MemoryMB, Tables: ev.TableGroup, Key: ev.OrderKey, HasKey: ev.HasOrderKey, Retry: ev.ClientRetry,
-			Protocol: uint32(ev.Protocol), Only: ev.StickyTo, Due: ev.Deadline}}}
+		return &tracev1.Event{What: &tracev1.Event_Request{Request: &tracev1.Request{Id: ev.ID, Class: uint32(ev.Class),
+			Tenant: uint32(ev.Tenant), Cost: ev.Cost, MemoryMb: ev.MemoryMB, Tables: ev.TableGroup, Key: ev.OrderKey,
+			HasKey: ev.HasOrderKey, Retry: ev.ClientRetry, Protocol: uint32(ev.Protocol), Only: ev.StickyTo, Due: ev.Deadline}}}
 	case policy.AttemptResult:
-		return &tracev1.Event{What: &tracev1.Event_Outcome{Outcome: &tracev1.Outcome{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
-			Code: uint32(ev.Code), Over: ev.Final, Took: ev.Latency, Load: encodeLoad(ev.Load), WorkUs: ev.WorkMicros, NeedMb: ev.NeededMB}}}
+		return &tracev1.Event{What: &tracev1.Event_Outcome{Outcome: &tracev1.Outcome{Id: ev.ID, Attempt: uint32(ev.Attempt),
+			Engine: ev.Endpoint, Code: uint32(ev.Code), Over: ev.Final, Took: ev.Latency, Load: encodeLoad(ev.Load),
+			WorkUs: ev.WorkMicros, NeedMb: ev.NeededMB}}}
 	case policy.Progress:
-		return &tracev1.Event{What: &tracev1.Event_Progress{Progress: &tracev1.Progress{Id: ev.ID, Attempt: uint32(ev.Attempt), Engine: ev.Endpoint,
-			Kind: uint32(ev.Kind), Value: ev.Value}}}
+		return &tracev1.Event{What: &tracev1.Event_Progress{Progress: &tracev1.Progress{Id: ev.ID, Attempt: uint32(ev.Attempt),
+			Engine: ev.Endpoint, Kind: uint32(ev.Kind), Value: ev.Value}}}
 	case policy.HealthCheckResult:
-		return &tracev1.Event{What: &tracev1.Event_Probed{Probed: &tracev1.Probed{Engine: ev.Endpoint, Code: uint32(ev.Code), Took: ev.Latency,
-			Load: encodeLoad(ev.Load)}}}
+		return &tracev1.Event{What: &tracev1.Event_Probed{Probed: &tracev1.Probed{Engine: ev.Endpoint, Code: uint32(ev.Code),
+			Took: ev.Latency, Load: encodeLoad(ev.Load)}}}
 	case policy.StreamStarted:
 		return &tracev1.Event{What: &tracev1.Event_First{First: &tracev1.Ref{Id: ev.ID, Attempt: uint32(ev.Attempt)}}}
 	case policy.ClientDisconnected:
@@ -58,19 +59,22 @@
 		return decodeEndpoints(w.Engines)
 	case *tracev1.Event_Request:
 		q := w.Request
-		return policy.Request{ID: q.GetId(), Class: int(q.GetClass()), Tenant: int(q.GetTenant()), Cost: q.GetCost(), MemoryMB: q.GetMemoryMb(),
-			TableGroup: q.GetTables(), OrderKey: q.GetKey(), HasOrderKey: q.GetHasKey(), ClientRetry: q.GetRetry(), Protocol: uint8(q.GetProtocol()),
-			StickyTo: q.GetOnly(), Deadline: q.GetDue()}
+		return policy.Request{ID: q.GetId(), Class: int(q.GetClass()), Tenant: int(q.GetTenant()), Cost: q.GetCost(),
+			MemoryMB: q.GetMemoryMb(), TableGroup: q.GetTables(), OrderKey: q.GetKey(), HasOrderKey: q.GetHasKey(),
+			ClientRetry: q.GetRetry(), Protocol: uint8(q.GetProtocol()), StickyTo: q.GetOnly(), Deadline: q.GetDue()}
 	case *tracev1.Event_Outcome:
 		o := w.Outcome
-		return policy.AttemptResult{ID: o.GetId(), Attempt: int(o.GetAttempt()), Endpoint: o.GetEngine(), Code: policy.Code(o.GetCode()), Final: o.GetOver(),
-			Latency: o.GetTook(), Load: decodeLoad(o.GetLoad()), WorkMicros: o.GetWorkUs(), NeededMB: o.GetNeedMb()}
+		return policy.AttemptResult{ID: o.GetId(), Attempt: int(o.GetAttempt()), Endpoint: o.GetEngine(),
+			Code: policy.Code(o.GetCode()), Final: o.GetOver(), Latency: o.GetTook(), Load: decodeLoad(o.GetLoad()),
+			WorkMicros: o.GetWorkUs(), NeededMB: o.GetNeedMb()}
 	case *tracev1.Event_Progress:
 		p := w.Progress
-		return policy.Progress{ID: p.GetId(), Attempt: int(p.GetAttempt()), Endpoint: p.GetEngine(), Kind: policy.ProgressKind(p.GetKind()), Value: p.GetValue()}
+		return policy.Progress{ID: p.GetId(), Attempt: int(p.GetAttempt()), Endpoint: p.GetEngine(),
+			Kind: policy.ProgressKind(p.GetKind()), Value: p.GetValue()}
 	case *tracev1.Event_Probed:
 		p := w.Probed
-		return policy.HealthCheckResult{Endpoint: p.GetEngine(), Code: policy.Code(p.GetCode()), Latency: p.GetTook(), Load: decodeLoad(p.GetLoad())}
+		return policy.HealthCheckResult{Endpoint: p.GetEngine(), Code: policy.Code(p.GetCode()), Latency: p.GetTook(),
+			Load: decodeLoad(p.GetLoad())}
 	case *tracev1.Event_First:
 		return policy.StreamStarted{ID: w.First.GetId(), Attempt: int(w.First.GetAttempt())}
 	case *tracev1.Event_Left:
@@ -108,7 +112,8 @@
 	case policy.Send:
 		return &tracev1.Action{What: &tracev1.Action_Send{Send: &tracev1.Send{Id: a.ID, Engine: a.Endpoint, Timeout: a.Timeout}}}
 	case policy.Resources:
-		return &tracev1.Action{What: &tracev1.Action_Terms{Terms: &tracev1.Terms{Id: a.ID, MemoryMb: a.MemoryMB, Priority: int32(a.Priority)}}}
+		return &tracev1.Action{What: &tracev1.Action_Terms{Terms: &tracev1.Terms{Id: a.ID, MemoryMb: a.MemoryMB,
+			Priority: int32(a.Priority)}}}
 	case policy.Cancel:
 		return &tracev1.Action{What: &tracev1.Action_Cancel{Cancel: &tracev1.Ref{Id: a.ID, Attempt: uint32(a.Attempt)}}}
 	case policy.Shed:
--- a/trace/golden_test.go
+++ b/trace/golden_test.go
@@ -33,7 +33,8 @@
 			t.Fatal(err)
 		}
 		if report.First != nil || report.Damage != nil || report.Dropped > 0 {
-			t.Errorf("%s: %d steps differ, first %+v, damage %v, dropped %d", file, report.Different, report.First, report.Damage, report.Dropped)
+			t.Errorf("%s: %d steps differ, first %+v, damage %v, dropped %d", file, report.Different, report.First, report.Damage,
+				report.Dropped)
 		}
 		if report.Starts != want.Starts || report.Steps != want.Steps || report.Events != want.Events || report.Actions != want.Actions {
 			t.Errorf("%s: %+v, wanted %+v", file, report, want)
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -13,9 +13,12 @@
 )
 
 func settings() policy.Settings {
-	return policy.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true, MaxGrantShare: 0.5,
-		SlowStartFloor: 0.3, SlowStartDuration: 1e7, OverloadMultiple: 2, OverloadDuration: 2e6, DrainGrace: 1e6, Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16000}},
-		Classes: []policy.Class{{Name: "a", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 1}, {Name: "b", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3e6, Deadline: 15e6, Threads: 4}}}
+	return policy.Settings{Peers: 2, MaxAttempts: 3, CanCancel: true, ReportsByAnswer: true, HonorsGrants: true, HonorsPriority: true,
+		MaxGrantShare: 0.5, SlowStartFloor: 0.3, SlowStartDuration: 1e7, OverloadMultiple: 2, OverloadDuration: 2e6, DrainGrace: 1e6,
+		Kinds: []policy.Kind{{Cores: 8, MemoryMB: 16000}},
+		Classes: []policy.Class{
+			{Name: "a", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 4e6, Threads: 1},
+			{Name: "b", PriorityWeight: 10, LateWeight: 0.4, LatencyObjective: 3e6, Deadline: 15e6, Threads: 4}}}
 }
 
 // recordRandomSteps steps a module with random events, recorded by r. The settings change halfway.
@@ -45,13 +48,15 @@
 			}
 			r.Changed(now, s, []int{0, 1}, nil)
 		}
-		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Deadline: now + 4e6}, policy.TimerFired{})
+		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Deadline: now + 4e6},
+			policy.TimerFired{})
 		for len(acts) > 0 {
 			var events []policy.Event
 			for _, a := range acts {
 				if a, ok := a.(policy.Send); ok {
-					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: attempts[a.ID], Endpoint: a.Endpoint, Code: policy.Code(rng.IntN(3) / 2), Final: true,
-						Latency: int64(rng.IntN(90000)), Load: &policy.Load{Utilization: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
+					events = append(events, policy.AttemptResult{ID: a.ID, Attempt: attempts[a.ID], Endpoint: a.Endpoint,
+						Code: policy.Code(rng.IntN(3) / 2), Final: true, Latency: int64(rng.IntN(90000)),
+						Load: &policy.Load{Utilization: rng.Float64(), InFlight: 1, Queue: -1, Memory: -1, Disk: -1}})
 					attempts[a.ID]++
 				}
 			}
