--- a/cmd/configcheck/main.go
+++ b/cmd/configcheck/main.go
@@ -1,4 +1,4 @@
-// Command configcheck validates a configuration and prints what is in effect, defaults included.
+// Command configcheck validates a dispatcher's configuration file and prints the effective configuration, with defaults.
 package main
 
 import (
@@ -12,10 +12,10 @@
 
 var cli struct {
 	File  string `arg:"" type:"existingfile" help:"Configuration file (JSON with comments)."`
-	Quiet bool   `short:"q" help:"Print nothing but mistakes."`
+	Quiet bool   `short:"q" help:"Print errors only."`
 }
 
-// Exit codes: 0 valid, 1 with mistakes, 2 wrong usage.
+// Exit codes: 0 valid; 1 invalid; 80 wrong usage (by kong).
 func main() {
 	kong.Parse(&cli, kong.Name("configcheck"), kong.Description("Checks a dispatcher's configuration."))
 	cfg, err := config.Load(cli.File)
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -1,5 +1,5 @@
-// Command controlserver is a stand-in control service: it streams node lists and numbered settings from a folder to
-// dispatchers, a share of them first, and shows what each one replied.
+// Command controlserver is a simulated control service. It streams the node list and numbered sets of settings from a folder
+// to dispatchers, rolls new sets out in stages, and prints the reply of each dispatcher.
 package main
 
 import (
@@ -27,25 +27,25 @@
 )
 
 var cli struct {
-	Folder  string            `arg:"" type:"existingdir" help:"Folder with nodes.jsonc and versions of the settings, NUMBER.jsonc. It is read again as it changes."`
+	Folder  string            `arg:"" type:"existingdir" help:"Folder with nodes.jsonc and settings, NUMBER.jsonc; changes are read."`
 	Listen  string            `short:"l" default:"127.0.0.1:18000" help:"Address for dispatchers."`
-	Status  string            `help:"Address for GET / with the table of dispatchers; none if empty."`
+	Status  string            `help:"HTTP address of the status table of dispatchers; none if empty."`
 	Cluster string            `default:"query-nodes" help:"Name of the node list."`
-	Stages  []float64         `default:"0.1,0.5,1" help:"Shares of the dispatchers that get a new version, stage by stage."`
-	Hold    time.Duration     `default:"10s" help:"Least time in a stage after its last acknowledgement."`
-	Metrics map[string]string `help:"Metrics addresses by dispatcher's name, NAME=HOST:PORT, to compare service by."`
-	Fall    float64           `default:"0.1" help:"Fall of the share served, against dispatchers with the old set, that halts the rollout; 0: none does."`
-	Refusal float64           `default:"0.05" help:"Share of a stage's dispatchers whose refusal halts the rollout."`
+	Stages  []float64         `default:"0.1,0.5,1" help:"Cumulative shares of the dispatchers that get a new set, by stage."`
+	Hold    time.Duration     `default:"10s" help:"Minimum time in a stage after all its dispatchers have replied."`
+	Metrics map[string]string `help:"Metrics addresses of dispatchers, NAME=HOST:PORT, to compare their shares of queries served."`
+	Fall    float64           `default:"0.1" help:"Drop of the share served, against the old set, that halts the rollout; 0: none does."`
+	Refusal float64           `default:"0.05" help:"Share of a stage's dispatchers that halts the rollout if they reject the set."`
 }
 
-// Intervals and time-outs.
+// Intervals and timeouts.
 const (
-	readInterval  = 500 * time.Millisecond // between two looks at the folder
-	scrapeTimeout = time.Second            // of one dispatcher's metrics
-	statusTimeout = 5 * time.Second        // for the header of a request for the table
+	readInterval  = 500 * time.Millisecond // between two reads of the folder
+	scrapeTimeout = time.Second            // for the metrics of one dispatcher
+	statusTimeout = 5 * time.Second        // for the header of a request on the status address
 )
 
-// Exit codes: 0 ended by a signal, 1 it cannot serve, 2 wrong usage.
+// Exit codes: 0 ended by a signal; 1 cannot listen; 80 wrong usage (by kong).
 func main() {
 	kong.Parse(&cli, kong.Name("controlserver"), kong.Description("Streams node lists and settings to dispatchers."))
 	if err := run(); err != nil {
@@ -54,13 +54,13 @@
 	}
 }
 
-// service is the folder as it was read last.
+// service is the control service, with the content of its folder as last read.
 type service struct {
 	control *simulated.Control
 	rollout *control.Rollout
 	begin   time.Time
-	sets    map[uint64]control.FileParts // versions of the settings read so far, by number
-	nodes   string                       // text of the node list in force
+	sets    map[uint64]control.FileParts // sets read so far, by number
+	nodes   string                       // text of the current node list
 	printed map[string]string            // the last error printed, by file
 }
 
@@ -71,7 +71,7 @@
 		printed: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
 	s.rollout.MaxServiceDrop = cli.Fall
 	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.RecordReply(s.now(), d, n, refused) })
-	s.read()
+	s.readFolder()
 	s.control.At(cli.Listen)
 	if err := s.control.Start(); err != nil {
 		return err
@@ -83,49 +83,51 @@
 	}
 	ticker := time.NewTicker(readInterval)
 	defer ticker.Stop()
-	for last := ""; ; {
+	for printed := ""; ; {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		}
-		s.read()
-		s.compareService(ctx)
+		s.readFolder()
+		s.recordService(ctx)
 		s.control.Locked(func() { s.rollout.Advance(s.now()) })
 		s.addRollback()
-		if t := s.table(); t != last {
+		if t := s.table(); t != printed {
 			fmt.Println(t)
-			last = t
+			printed = t
 		}
 	}
 }
 
+// now returns the time since the start in microseconds, at least 1: the rollout takes 0 for an event that has not occurred.
 func (s *service) now() control.Micros { return time.Since(s.begin).Microseconds() + 1 }
 
-// compareService reads each dispatcher's counters of final answers; one that cannot be reached is left out.
-func (s *service) compareService(ctx context.Context) {
+// recordService gives the rollout the query counters of each dispatcher. A dispatcher whose metrics cannot be read is left out.
+func (s *service) recordService(ctx context.Context) {
 	for name, address := range cli.Metrics {
-		served, received, err := counters(ctx, address)
+		served, received, err := scrapeCounters(ctx, address)
 		if err == nil {
 			s.control.Locked(func() { s.rollout.RecordService(s.now(), name, served, received) })
 		}
 	}
 }
 
-func counters(ctx context.Context, address string) (served, received float64, err error) {
+// scrapeCounters reads the numbers of queries served and received from a dispatcher's metrics.
+func scrapeCounters(ctx context.Context, address string) (served, received float64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, scrapeTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
 		return 0, 0, err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return 0, 0, err
 	}
-	defer func() { _ = answer.Body.Close() }() // all of it has been read
+	defer func() { _ = response.Body.Close() }() // only read: nothing is lost
 	parser := expfmt.NewTextParser(model.LegacyValidation)
-	families, err := parser.TextToMetricFamilies(answer.Body)
+	families, err := parser.TextToMetricFamilies(response.Body)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -140,8 +142,9 @@
 	return served, received, nil
 }
 
-// read takes up what is new in the folder. A file with errors is reported once and left alone.
-func (s *service) read() {
+// readFolder reads the node list and the new sets, and starts the rollout of the highest new number. An error of a file is
+// printed once, until the file has another one.
+func (s *service) readFolder() {
 	files, _ := filepath.Glob(filepath.Join(cli.Folder, "*.jsonc"))
 	newest := uint64(0)
 	for _, f := range files {
@@ -149,9 +152,9 @@
 		base := strings.TrimSuffix(filepath.Base(f), ".jsonc")
 		if err == nil && base == "nodes" {
 			err = s.readNodes(f, text)
-		} else if n, bad := strconv.ParseUint(base, 10, 64); err == nil && bad == nil && n > 0 && !s.has(n) {
+		} else if n, parseErr := strconv.ParseUint(base, 10, 64); err == nil && parseErr == nil && n > 0 && !s.hasSet(n) {
 			if high := s.rollout.Highest(); n <= high {
-				err = fmt.Errorf("%s: number %d: allowed are those above %d, which is in use", f, n, high)
+				err = fmt.Errorf("%s: found number %d, allowed are numbers above %d, the highest in use", f, n, high)
 			} else if err = s.readSettings(f, n, text); err == nil {
 				newest = max(newest, n)
 			}
@@ -166,26 +169,28 @@
 	}
 }
 
-func (s *service) has(n uint64) bool { _, ok := s.sets[n]; return ok }
+func (s *service) hasSet(n uint64) bool { _, ok := s.sets[n]; return ok }
 
+// readSettings decodes a settings file and adds it as set n.
 func (s *service) readSettings(file string, n uint64, text []byte) error {
 	var parts control.FileParts
 	if err := config.Decode(file, text, &parts, nil); err != nil {
 		return err
 	}
-	return s.add(n, parts)
+	return s.addSet(n, parts)
 }
 
-// addRollback makes the content of the set before a halted one known under the number it is offered by.
+// addRollback adds the content of the previous set under the new number by which a halted rollout offers it.
 func (s *service) addRollback() {
-	if n, of := s.rollout.Restored(); n > 0 && of > 0 && !s.has(n) {
-		if err := s.add(n, s.sets[of]); err != nil {
+	if n, of := s.rollout.Restored(); n > 0 && of > 0 && !s.hasSet(n) {
+		if err := s.addSet(n, s.sets[of]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 		}
 	}
 }
 
-func (s *service) add(n uint64, parts control.FileParts) error {
+// addSet makes a set available to the rollout under number n.
+func (s *service) addSet(n uint64, parts control.FileParts) error {
 	set := parts.Set(n)
 	var all []*anypb.Any
 	for _, m := range set.Resources() {
@@ -200,6 +205,7 @@
 	return nil
 }
 
+// readNodes decodes the node list and, if its text has changed, publishes it.
 func (s *service) readNodes(file string, text []byte) error {
 	if string(text) == s.nodes {
 		return nil
@@ -230,11 +236,11 @@
 	return nil
 }
 
-// serveStatus serves the table until the returned function is called.
+// serveStatus serves the status table over HTTP until the returned function is called.
 func (s *service) serveStatus(address string) (stop func()) {
 	status := &http.Server{Addr: address, ReadHeaderTimeout: statusTimeout,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = fmt.Fprint(w, s.table()) // a reader that has left needs no table
+			_, _ = fmt.Fprint(w, s.table()) // the client may have disconnected
 		})}
 	done := make(chan struct{})
 	go func() {
@@ -249,12 +255,12 @@
 	}
 }
 
-// table shows how far the rollout is and what each dispatcher replied last.
+// table returns the state of the rollout and the last reply of each dispatcher.
 func (s *service) table() string {
 	var b strings.Builder
 	s.control.Locked(func() {
 		fmt.Fprintln(&b, s.rollout.State())
-		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0) // writes to a builder: never fails
+		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0) // writing to a strings.Builder never fails
 		_, _ = fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
 		for _, status := range s.rollout.Statuses() {
 			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", status.Dispatcher, status.Number, status.Refused, status.Reason)
--- a/cmd/dispatcherctl/diff.go
+++ b/cmd/dispatcherctl/diff.go
@@ -1,18 +1,19 @@
 package main
 
-// diff lists the lines that differ between two texts, by their longest common subsequence: "- " leads lines of the first,
-// "+ " those of the second.
+// diff returns the lines that are not in the longest common subsequence of two texts, those of a after "- " and those of b
+// after "+ ".
 func diff(a, b []string) (out []string) {
-	common := make([][]int, len(a)+1)
-	for i := range common {
-		common[i] = make([]int, len(b)+1)
+	// length[i][j] is the length of the longest common subsequence of a[i:] and b[j:].
+	length := make([][]int, len(a)+1)
+	for i := range length {
+		length[i] = make([]int, len(b)+1)
 	}
 	for i := len(a) - 1; i >= 0; i-- {
 		for j := len(b) - 1; j >= 0; j-- {
 			if a[i] == b[j] {
-				common[i][j] = common[i+1][j+1] + 1
+				length[i][j] = length[i+1][j+1] + 1
 			} else {
-				common[i][j] = max(common[i+1][j], common[i][j+1])
+				length[i][j] = max(length[i+1][j], length[i][j+1])
 			}
 		}
 	}
@@ -20,7 +21,7 @@
 		switch {
 		case i < len(a) && j < len(b) && a[i] == b[j]:
 			i, j = i+1, j+1
-		case j == len(b) || i < len(a) && common[i+1][j] >= common[i][j+1]:
+		case j == len(b) || i < len(a) && length[i+1][j] >= length[i][j+1]:
 			out = append(out, "- "+a[i])
 			i++
 		default:
--- a/cmd/dispatcherctl/main.go
+++ b/cmd/dispatcherctl/main.go
@@ -1,4 +1,4 @@
-// Command dispatcherctl is the operators' command line for a running dispatcher: it speaks to its admin socket.
+// Command dispatcherctl operates a running dispatcher through its admin socket.
 package main
 
 import (
@@ -23,20 +23,20 @@
 
 var cli struct {
 	Socket string    `short:"s" default:"emberdispatch.sock" help:"Admin socket of the dispatcher (listen.admin)."`
-	Config configCmd `cmd:"" help:"Streamed settings: what is in force, what was, and what an operator may do about it."`
-	Key    keyCmd    `cmd:"" help:"Make an operator's key pair for overrides."`
+	Config configCmd `cmd:"" help:"Show and control the settings that the control service streams."`
+	Key    keyCmd    `cmd:"" help:"Generate an operator's key pair for overrides."`
 }
 
 type configCmd struct {
-	Show     showCmd     `cmd:"" help:"Print the set in force, what was refused and why, and the settings in effect."`
+	Show     showCmd     `cmd:"" help:"Print the active set and the last rejection, with --effective also the settings."`
 	History  historyCmd  `cmd:"" help:"List the sets in the store."`
-	Diff     diffCmd     `cmd:"" help:"Compare two sets of the store, line by line."`
-	Pin      pinCmd      `cmd:"" help:"Hold the set in force, or let go of it with --off."`
-	Override overrideCmd `cmd:"" help:"Let one number pass the checks for harm, once; signed."`
-	Rollback rollbackCmd `cmd:"" help:"Put an earlier set in force and hold it."`
+	Diff     diffCmd     `cmd:"" help:"Compare the effective settings of two sets in the store."`
+	Pin      pinCmd      `cmd:"" help:"Keep the active set until unpinned with --off."`
+	Override overrideCmd `cmd:"" help:"Let one set or node list version pass the safety checks once; signed."`
+	Rollback rollbackCmd `cmd:"" help:"Activate an earlier set and pin it."`
 }
 
-// Exit codes: 0 done, 1 turned down or not reached, 2 wrong usage.
+// Exit codes: 0 done; 1 rejected by the dispatcher, or another error; 80 wrong usage (by kong).
 func main() {
 	ctx := kong.Parse(&cli, kong.Name("dispatcherctl"), kong.Description("Operates a running dispatcher."))
 	if err := ctx.Run(); err != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// call speaks HTTP on the socket.
-func call(method, path string, form url.Values, into any) error {
+// call sends an HTTP request on the admin socket and decodes the JSON reply into result.
+func call(method, path string, form url.Values, result any) error {
 	client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, "unix", cli.Socket)
@@ -72,10 +72,11 @@
 		}
 		return fmt.Errorf("%s", answer.Status)
 	}
-	return json.Unmarshal(text, into)
+	return json.Unmarshal(text, result)
 }
 
-func state(method, path string, form url.Values) error {
+// postState sends a request and prints the state that the dispatcher replies with.
+func postState(method, path string, form url.Values) error {
 	var s server.ConfigState
 	if err := call(method, path, form, &s); err != nil {
 		return err
@@ -85,31 +86,31 @@
 }
 
 func printState(s server.ConfigState) {
-	from := fmt.Sprintf("set %d", s.Status.Number)
+	source := fmt.Sprintf("set %d", s.Status.Number)
 	if s.Status.Number == 0 {
-		from = "the file"
+		source = "its configuration file"
 	}
-	fmt.Printf("%s runs by %s", s.Dispatcher, from)
+	fmt.Printf("%s uses %s", s.Dispatcher, source)
 	if s.Status.Pinned {
 		fmt.Print(", pinned")
 	}
 	fmt.Println()
 	if s.Status.Updating > 0 {
-		fmt.Printf("on its way: set %d\n", s.Status.Updating)
+		fmt.Printf("update in progress: set %d\n", s.Status.Updating)
 	}
 	if len(s.Status.Incomplete) > 0 {
-		fmt.Printf("waiting for the rest of a set: %s\n", strings.Join(s.Status.Incomplete, ", "))
+		fmt.Printf("incomplete set, received so far: %s\n", strings.Join(s.Status.Incomplete, ", "))
 	}
 	for _, r := range s.Status.Rejected {
-		fmt.Println("refused last:", r)
+		fmt.Println("last rejection:", r)
 	}
 }
 
 type showCmd struct {
-	Effective bool `help:"Print the settings in effect too."`
+	Effective bool `help:"Also print the effective settings."`
 }
 
-// Run prints the version in force, what is on its way and what was refused last.
+// Run prints the active set, updates in progress and the last rejection.
 func (c *showCmd) Run() error {
 	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
@@ -117,15 +118,15 @@
 	}
 	printState(s)
 	if c.Effective {
-		text, err := indented(s.Effective)
+		text, err := indentJSON(s.Effective)
 		fmt.Println(text)
 		return err
 	}
 	return nil
 }
 
-// indented lays JSON out with a field a line.
-func indented(text json.RawMessage) (string, error) {
+// indentJSON formats JSON with one field per line.
+func indentJSON(text json.RawMessage) (string, error) {
 	var b bytes.Buffer
 	err := json.Indent(&b, text, "", "  ")
 	return b.String(), err
@@ -133,7 +134,7 @@
 
 type historyCmd struct{}
 
-// Run lists the versions in the store, the oldest first.
+// Run lists the sets in the store, the oldest first.
 func (historyCmd) Run() error {
 	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
@@ -142,7 +143,7 @@
 	for _, n := range s.History {
 		mark := ""
 		if n == s.Status.Number {
-			mark = "  in force"
+			mark = "  active"
 		}
 		fmt.Printf("set %d%s\n", n, mark)
 	}
@@ -151,10 +152,10 @@
 
 type diffCmd struct {
 	From uint64 `arg:"" help:"Number of a set."`
-	To   uint64 `arg:"" help:"Number of another."`
+	To   uint64 `arg:"" help:"Number of the set to compare it with."`
 }
 
-// Run prints the lines that differ between the effective settings of two versions.
+// Run prints the lines that differ between the effective settings of two sets.
 func (c *diffCmd) Run() error {
 	var lines [2][]string
 	for i, n := range []uint64{c.From, c.To} {
@@ -162,11 +163,11 @@
 		if err := call("GET", fmt.Sprintf("/config/%d", n), nil, &text); err != nil {
 			return err
 		}
-		wide, err := indented(text)
+		indented, err := indentJSON(text)
 		if err != nil {
 			return err
 		}
-		lines[i] = strings.Split(wide, "\n")
+		lines[i] = strings.Split(indented, "\n")
 	}
 	for _, l := range diff(lines[0], lines[1]) {
 		fmt.Println(l)
@@ -175,12 +176,12 @@
 }
 
 type pinCmd struct {
-	Off bool `help:"Let go."`
+	Off bool `help:"Unpin."`
 }
 
-// Run holds the dispatcher at the version in force, or ends that.
+// Run pins the dispatcher to the active set, or unpins it.
 func (c *pinCmd) Run() error {
-	return state("POST", "/config/pin", url.Values{"on": {fmt.Sprint(!c.Off)}})
+	return postState("POST", "/config/pin", url.Values{"on": {fmt.Sprint(!c.Off)}})
 }
 
 type overrideCmd struct {
@@ -188,7 +189,7 @@
 	Key    string `required:"" type:"existingfile" help:"File with the operator's private key."`
 }
 
-// Run lets one version pass the safety checks, with a signature by the operator's key.
+// Run lets one set or node list version pass the safety checks, with a signature by the operator's key.
 func (c *overrideCmd) Run() error {
 	text, err := os.ReadFile(c.Key)
 	if err != nil {
@@ -196,30 +197,30 @@
 	}
 	seed, err := hex.DecodeString(strings.TrimSpace(string(text)))
 	if err != nil || len(seed) != ed25519.SeedSize {
-		return fmt.Errorf("%s: wanted are %d hex digits, as \"dispatcherctl key\" writes them", c.Key, 2*ed25519.SeedSize)
+		return fmt.Errorf("%s: no private key: allowed are %d hex digits, as written by \"dispatcherctl key\"", c.Key, 2*ed25519.SeedSize)
 	}
 	var s server.ConfigState
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
 	sig := ed25519.Sign(ed25519.NewKeyFromSeed(seed), server.OverrideMessage(s.Dispatcher, c.Number))
-	return state("POST", "/config/override", url.Values{"number": {fmt.Sprint(c.Number)}, "signature": {hex.EncodeToString(sig)}})
+	return postState("POST", "/config/override", url.Values{"number": {fmt.Sprint(c.Number)}, "signature": {hex.EncodeToString(sig)}})
 }
 
 type rollbackCmd struct {
 	Number uint64 `arg:"" help:"Number of a set in the store."`
 }
 
-// Run puts an earlier version from the store in force.
+// Run activates an earlier set from the store.
 func (c *rollbackCmd) Run() error {
-	return state("POST", "/config/rollback", url.Values{"number": {fmt.Sprint(c.Number)}})
+	return postState("POST", "/config/rollback", url.Values{"number": {fmt.Sprint(c.Number)}})
 }
 
 type keyCmd struct {
-	File string `arg:"" help:"File to write the private key to; the public one is printed."`
+	File string `arg:"" help:"New file for the private key. The public key is printed."`
 }
 
-// Run makes an operator's key pair; an existing file is never overwritten.
+// Run generates an operator's key pair. It never overwrites an existing file.
 func (c *keyCmd) Run() error {
 	public, private, err := ed25519.GenerateKey(nil)
 	if err != nil {
--- a/cmd/queryclient/flightsql.go
+++ b/cmd/queryclient/flightsql.go
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// maxMessageBytes bounds one message of an answer.
+// maxMessageBytes is the maximum size of a message of a result.
 const maxMessageBytes = 64 << 20
 
 // sendFlightSQL sends the statements over Arrow Flight SQL and returns the exit code.
@@ -32,36 +32,37 @@
 	defer func() { _ = client.Close() }() // the program ends
 	ctx, err = client.Client.AuthenticateBasicToken(ctx, cli.User, cli.Password)
 	if err != nil {
-		return noConnection(err)
+		return connectionFailed(err)
 	}
 	for name, value := range cli.Header {
 		ctx = metadata.AppendToOutgoingContext(ctx, name, value)
 	}
 	code := exitServed
 	for _, statement := range cli.Statements {
-		code = max(code, sendOne(ctx, client, statement))
+		code = max(code, sendStatement(ctx, client, statement))
 	}
 	return code
 }
 
-// sendOne sends one statement, prints its answer and how it ended, and returns the exit code.
-func sendOne(ctx context.Context, client *flightsql.Client, statement string) int {
+// sendStatement sends one statement, prints its result or error, and returns the exit code.
+func sendStatement(ctx context.Context, client *flightsql.Client, statement string) int {
 	if cli.Timeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, cli.Timeout)
 		defer cancel()
 	}
-	begin := time.Now()
+	start := time.Now()
 	rows, err := execute(ctx, client, statement)
-	took := time.Since(begin)
+	took := time.Since(start)
 	if err == nil {
-		return served(rows, took)
+		return printServed(rows, took)
 	}
-	return unserved(err, took)
+	return printFailure(err, took)
 }
 
-// unserved prints why a statement has no answer: the dispatcher's status with its details.
-func unserved(err error, took time.Duration) int {
+// printFailure prints the status of a statement that was not served, with the dispatcher's details, and returns the exit
+// code.
+func printFailure(err error, took time.Duration) int {
 	outcome, details := "failed", []string{}
 	s, _ := status.FromError(err)
 	for _, detail := range s.Details() {
@@ -70,7 +71,7 @@
 			outcome = detail.GetMetadata()["final"]
 			details = append(details, "reason "+detail.GetReason(), detail.GetMetadata()["attempts"]+" attempts")
 		case *errdetails.RetryInfo:
-			details = append(details, "come back in "+detail.GetRetryDelay().AsDuration().String())
+			details = append(details, "retry after "+detail.GetRetryDelay().AsDuration().String())
 		}
 	}
 	fmt.Fprintf(os.Stderr, "%s after %v: %s: %s (%s)\n", outcome, took.Round(time.Microsecond), s.Code(), s.Message(),
@@ -81,7 +82,7 @@
 	return exitFailed
 }
 
-// execute runs a statement and prints the answers of all its endpoints.
+// execute runs a statement and prints the result, which may come in parts from several Flight endpoints.
 func execute(ctx context.Context, client *flightsql.Client, statement string) (rows int, err error) {
 	if cli.Update {
 		updated, err := client.ExecuteUpdate(ctx, statement)
@@ -96,7 +97,7 @@
 		if err != nil {
 			return rows, err
 		}
-		n, err := printAnswer(os.Stdout, reader, rows)
+		n, err := printPart(os.Stdout, reader, rows)
 		reader.Release()
 		rows += n
 		if err != nil {
@@ -106,8 +107,9 @@
 	return rows, nil
 }
 
-// printAnswer prints the first rows of one endpoint's answer; before counts those of earlier endpoints.
-func printAnswer(out io.Writer, reader *flight.Reader, before int) (rows int, err error) {
+// printPart reads one Flight endpoint's part of a result and prints its rows up to cli.Rows. before is the number of rows of
+// the parts before it. It returns the number of rows read.
+func printPart(out io.Writer, reader *flight.Reader, before int) (rows int, err error) {
 	t := newTable(out)
 	if before == 0 {
 		var names []string
--- a/cmd/queryclient/main.go
+++ b/cmd/queryclient/main.go
@@ -1,4 +1,5 @@
-// Command queryclient sends statements to a dispatcher over Arrow Flight SQL or the ClickHouse native protocol and prints their answers as tables.
+// Command queryclient sends statements to a dispatcher over Arrow Flight SQL or the ClickHouse native protocol and prints
+// the results as tables.
 package main
 
 import (
@@ -14,27 +15,27 @@
 var cli struct {
 	Statements []string          `arg:"" help:"SQL statements, sent one after another."`
 	Address    string            `short:"a" help:"Dispatcher, as host:port; default 127.0.0.1:32010, with --native 127.0.0.1:32011."`
-	Native     bool              `help:"Speak the ClickHouse native protocol in place of Arrow Flight SQL."`
+	Native     bool              `help:"Use the ClickHouse native protocol instead of Arrow Flight SQL."`
 	User       string            `short:"u" default:"demo" help:"User name."`
 	Password   string            `short:"p" env:"EMBERQUERY_PASSWORD" default:"demo" help:"Password."`
-	Timeout    time.Duration     `short:"t" help:"Deadline of each statement; 0 leaves it to the dispatcher."`
-	Update     bool              `help:"Send as updates."`
-	Header     map[string]string `short:"H" help:"Call headers; with --native settings of the query."`
-	Rows       int               `short:"n" default:"50" help:"Most rows printed of an answer."`
+	Timeout    time.Duration     `short:"t" help:"Time limit of each statement; 0: the dispatcher's."`
+	Update     bool              `help:"Send the statements as updates (Flight SQL only)."`
+	Header     map[string]string `short:"H" help:"Call headers as NAME=VALUE; with --native, settings of the query."`
+	Rows       int               `short:"n" default:"50" help:"Maximum number of rows printed of each result."`
 }
 
-// Addresses at which a dispatcher listens by default.
+// Default addresses of a dispatcher.
 const (
 	defaultFlightSQL = "127.0.0.1:32010"
 	defaultNative    = "127.0.0.1:32011"
 )
 
-// Exit codes. Of several statements the highest counts.
+// Exit codes. With several statements, the highest of their codes is returned. kong exits with 80 for wrong usage.
 const (
 	exitServed       = 0
 	exitFailed       = 1 // a statement failed
-	exitNoConnection = 2 // wrong usage or no connection
-	exitShed         = 3 // a statement was refused: a retry does no harm
+	exitNoConnection = 2 // no connection
+	exitShed         = 3 // a statement was refused: a retry is safe
 )
 
 func main() {
@@ -55,14 +56,14 @@
 	return send(ctx)
 }
 
-// noConnection reports that the dispatcher cannot be reached.
-func noConnection(err error) int {
+// connectionFailed prints why the dispatcher cannot be reached, and returns the exit code.
+func connectionFailed(err error) int {
 	fmt.Fprintf(os.Stderr, "queryclient: %s: %v\n", cli.Address, err)
 	return exitNoConnection
 }
 
-// served reports an answer that came whole.
-func served(rows int, took time.Duration) int {
+// printServed prints that a complete result was received, and returns the exit code.
+func printServed(rows int, took time.Duration) int {
 	fmt.Printf("served: %d rows in %v\n", rows, took.Round(time.Microsecond))
 	return exitServed
 }
--- a/cmd/queryclient/native.go
+++ b/cmd/queryclient/native.go
@@ -28,12 +28,12 @@
 			var err error
 			hello := native.Hello{Name: "queryclient", User: cli.User, Password: cli.Password}
 			if client, err = native.Dial(ctx, cli.Address, hello); err != nil {
-				return noConnection(err)
+				return connectionFailed(err)
 			}
 		}
-		ended, err := sendOneNative(ctx, client, statement, settings)
-		code = max(code, ended)
-		if err != nil { // the next one gets a fresh connection
+		statementCode, err := sendNativeStatement(ctx, client, statement, settings)
+		code = max(code, statementCode)
+		if err != nil { // the next statement gets a new connection
 			_ = client.Close()
 			client = nil
 		}
@@ -44,9 +44,9 @@
 	return code
 }
 
-// sendOneNative sends one statement and prints its answer and how it ended; err is why it has no whole answer.
-func sendOneNative(ctx context.Context, client *native.Client, statement string, settings map[string]string) (code int, err error) {
-	begin, rows := time.Now(), 0
+// sendNativeStatement sends one statement and prints its result or error; err is why there is no complete result.
+func sendNativeStatement(ctx context.Context, client *native.Client, statement string, settings map[string]string) (code int, err error) {
+	start, rows := time.Now(), 0
 	t := newTable(os.Stdout)
 	err = client.Query(ctx, statement, settings, func(block *native.Values) error {
 		if block.Rows() == 0 && len(block.Names) > 0 {
@@ -64,22 +64,23 @@
 		}
 		return nil
 	})
-	if printed := t.flush(); err == nil && printed != nil {
-		return exitFailed, printed
+	if printErr := t.flush(); err == nil && printErr != nil {
+		return exitFailed, printErr
 	}
-	took := time.Since(begin)
+	took := time.Since(start)
 	if err == nil {
-		return served(rows, took), nil
+		return printServed(rows, took), nil
 	}
-	return unservedNative(err, took), err
+	return printNativeFailure(err, took), err
 }
 
-// unservedNative prints why a statement has no answer: the dispatcher's exception, or that the connection broke.
-func unservedNative(err error, took time.Duration) int {
+// printNativeFailure prints why a statement was not served, the dispatcher's exception or the error of the connection, and
+// returns the exit code.
+func printNativeFailure(err error, took time.Duration) int {
 	took = took.Round(time.Microsecond)
 	var exception *native.Exception
 	if !errors.As(err, &exception) {
-		fmt.Fprintf(os.Stderr, "no word after %v: %v\n", took, err)
+		fmt.Fprintf(os.Stderr, "no complete reply after %v: %v\n", took, err)
 		return exitFailed
 	}
 	outcome, code := "failed", exitFailed
--- a/cmd/queryclient/table.go
+++ b/cmd/queryclient/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// table prints aligned columns. The first error of a write is kept until flush.
+// table prints aligned columns. flush returns the first write error.
 type table struct {
 	writer *tabwriter.Writer
 	err    error
@@ -17,10 +17,10 @@
 	return &table{writer: tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)}
 }
 
-// header prints the names of the columns.
+// header prints the column names.
 func (t *table) header(names []string) { t.print("%s\t", names) }
 
-// row prints one row; long cells are cut.
+// row prints one row; cells are truncated to 40 characters.
 func (t *table) row(cells []string) { t.print("%.40s\t", cells) }
 
 func (t *table) print(format string, cells []string) {
@@ -36,5 +36,5 @@
 	}
 }
 
-// flush writes out what is left and returns the first error.
+// flush writes the buffered rows and returns the first error.
 func (t *table) flush() error { return errors.Join(t.err, t.writer.Flush()) }
--- a/cmd/querynode/main.go
+++ b/cmd/querynode/main.go
@@ -1,6 +1,6 @@
-// Command querynode is a simulated query node: it speaks Flight SQL and the ClickHouse native protocol, shares modelled cores
-// between queries and answers with generated rows. It is for trying a dispatcher out; its costs are a model, not a measurement
-// of any engine.
+// Command querynode is a simulated query node for trying out a dispatcher. It serves Flight SQL and the ClickHouse native
+// protocol, shares modelled cores between queries and replies with generated rows. Its costs are a model, not a measurement of
+// any engine.
 package main
 
 import (
@@ -16,28 +16,28 @@
 	"embershunt/simulated"
 )
 
-// cli are the flags.
+// cli holds the flags.
 var cli struct {
-	Listen   string        `short:"l" default:"127.0.0.1:33011" help:"Address, as host:port."`
-	Native   string        `default:"127.0.0.1:0" help:"Address of the ClickHouse native protocol, as host:port; port 0 is any."`
-	Name     string        `short:"n" default:"node-1" help:"Name, shown in the column \"node\"."`
-	Cores    int           `default:"8" help:"Cores shared."`
-	MemoryMB float64       `name:"memory-mb" default:"16384" help:"Memory granted."`
-	Cold     bool          `help:"Start cold."`
-	ColdFor  time.Duration `default:"15s" help:"Time to warm up."`
-	Seed     uint64        `default:"1" help:"Seed of faults by chance."`
-	Hang     bool          `help:"Take queries and answer none."`
-	Lose     bool          `help:"Do the work and lose the answers."`
-	Full     bool          `help:"Turn all queries away unseen."`
-	Fail     float64       `help:"Share of queries failed at once."`
-	Slow     float64       `help:"Divide the speed by this."`
-	Stall    int           `help:"Stop each answer after this many rows."`
-	Cut      int           `help:"Break each answer off after this many rows."`
+	Listen   string        `short:"l" default:"127.0.0.1:33011" help:"Address of Flight SQL, as host:port."`
+	Native   string        `default:"127.0.0.1:0" help:"Address of the ClickHouse native protocol, as host:port; port 0 picks a free port."`
+	Name     string        `short:"n" default:"node-1" help:"Name of the node, shown in the column \"node\"."`
+	Cores    int           `default:"8" help:"Modelled cores, shared by the queries."`
+	MemoryMB float64       `name:"memory-mb" default:"16384" help:"Memory, in MB."`
+	Cold     bool          `help:"Start cold, with reduced capacity until warmed up."`
+	ColdFor  time.Duration `default:"15s" help:"Time that a cold node takes to warm up."`
+	Seed     uint64        `default:"1" help:"Seed of the random faults."`
+	Hang     bool          `help:"Accept queries and never reply."`
+	Lose     bool          `help:"Run queries and lose their results."`
+	Full     bool          `help:"Reject all queries before they run."`
+	Fail     float64       `help:"Share of queries that fail immediately, 0 to 1."`
+	Slow     float64       `help:"Divisor of the node's speed."`
+	Stall    int           `help:"Stop sending each result after this many rows, without an end."`
+	Cut      int           `help:"Break each result off after this many rows."`
 }
 
-// Exit codes: 0 after SIGINT or SIGTERM, 1 where an address cannot be listened on, 80 for wrong usage.
+// Exit codes: 0 ended by SIGINT or SIGTERM; 1 cannot listen on an address; 80 wrong usage (by kong).
 func main() {
-	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A stand-in query node. Statements state their cost: "+
+	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A simulated query node. Statements state their cost: "+
 		"/* work_ms=120 threads=1 rows=1000 row_bytes=0 memory_mb=0 */"))
 	node := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
 	node.SetFaults(simulated.Faults{Hang: cli.Hang, LoseAnswers: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
