--- a/internal/lineproto/answer.go
+++ b/internal/lineproto/answer.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// AnswerKind says what an answer is.
+// AnswerKind is the kind of an answer, as the node writes it.
 type AnswerKind string
 
 // The kinds of answers.
@@ -17,10 +17,10 @@
 	Data       AnswerKind = "data"   // page 0 of a result
 	AtCapacity AnswerKind = "full"   // the request never ran: the node is at capacity
 	Failed     AnswerKind = "failed" // the request may have run
-	Expired    AnswerKind = "moot"   // the request never ran: its time was over
-	Progress   AnswerKind = "news"   // how far the request is
+	Expired    AnswerKind = "moot"   // the request never ran: its TTL had passed
+	Progress   AnswerKind = "news"   // an interim report on the request; not its final answer
 	Page       AnswerKind = "page"   // a further page of a result
-	Pong       AnswerKind = "well"   // to a ping
+	Pong       AnswerKind = "well"   // the answer to PING
 )
 
 var answerKinds = map[string]AnswerKind{"data": Data, "full": AtCapacity, "failed": Failed, "moot": Expired, "news": Progress, "page": Page,
@@ -30,11 +30,11 @@
 type Answer struct {
 	ID     string
 	Kind   AnswerKind
-	fields string
+	fields string // name=value,...; "": none
 	Body   []byte
 }
 
-// Field is the value of a field; "" where there is none.
+// Field returns the value of a field; "" where the answer does not have the field.
 func (a *Answer) Field(name string) string {
 	for rest := a.fields; rest != ""; {
 		var field string
@@ -46,27 +46,28 @@
 	return ""
 }
 
-// Reader reads answers.
+// Reader reads answers from a node's connection.
 type Reader struct {
 	in   *bufio.Reader
-	body []byte // reused by each answer
+	body []byte // reused for each answer
 }
 
-// NewReader returns a Reader on r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{in: bufio.NewReaderSize(r, maxLineBytes)} }
 
-// Await waits for the first byte of an answer. After an error of the connection, such as a deadline, it may be called again.
+// Await waits for the first byte of an answer and leaves it unread. After an error of the connection, such as a passed deadline, it may be
+// called again.
 func (r *Reader) Await() error {
 	_, err := r.in.Peek(1)
 	return err
 }
 
-// Read reads one answer. The error is a *FormatError where it is malformed, else the connection's.
+// Read reads one answer. Its error is a *FormatError if the answer is malformed, otherwise an error of the connection.
 func (r *Reader) Read() (Answer, error) {
 	line, err := r.in.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return Answer{}, malformed("line of over %d bytes", maxLineBytes)
+			return Answer{}, malformed("line longer than %d bytes", maxLineBytes)
 		}
 		if len(line) > 0 {
 			err = unexpectedEOF(err)
@@ -85,13 +86,14 @@
 		return Answer{}, unexpectedEOF(err)
 	}
 	if body[length] != '\r' || body[length+1] != '\n' {
-		return Answer{}, malformed("body of %d bytes without its end", length)
+		return Answer{}, malformed("body of %d bytes without CR LF after it", length)
 	}
 	a.Body = body[:length]
 	return a, nil
 }
 
-// unexpectedEOF replaces io.EOF, which means an end between two answers, by the error for an end within one.
+// unexpectedEOF replaces io.EOF, which means that the connection ended between two answers, by io.ErrUnexpectedEOF, which means that it
+// ended within an answer.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -99,7 +101,7 @@
 	return err
 }
 
-// parseLine parses the first line of an answer, and returns the length of its body.
+// parseLine parses the first line of an answer. It returns the answer without its body, and the length of the body.
 func parseLine(line []byte) (a Answer, length int, err error) {
 	text, ok := bytes.CutSuffix(line, []byte("\r\n"))
 	if !ok {
@@ -112,14 +114,14 @@
 	}
 	parts := strings.Split(string(text), " ")
 	if len(parts) != 4 {
-		return a, 0, malformed("line of %d words, allowed are 4", len(parts))
+		return a, 0, malformed("line of %d words; allowed: 4", len(parts))
 	}
 	id, kind, fields, size := parts[0], parts[1], parts[2], parts[3]
 	if a.Kind, ok = answerKinds[kind]; !ok {
-		return a, 0, malformed("unknown word %.20q", kind)
+		return a, 0, malformed("unknown answer kind %.20q", kind)
 	}
 	if !IsToken(id) {
-		return a, 0, malformed("id %.20q", id)
+		return a, 0, malformed("invalid id %.20q", id)
 	}
 	if a.ID = id; fields != "-" {
 		if err := checkFields(fields); err != nil {
@@ -129,18 +131,18 @@
 	}
 	length, err = strconv.Atoi(size)
 	if err != nil || length < 0 || length > maxBodyBytes || size != strconv.Itoa(length) {
-		return a, 0, malformed("length %.20q, allowed are 0 to %d", size, maxBodyBytes)
+		return a, 0, malformed("body length %.20q; allowed: 0 to %d", size, maxBodyBytes)
 	}
 	return a, length, nil
 }
 
-// checkFields checks that fields have the form name=value, separated by commas, and no name occurs twice.
+// checkFields checks that the fields have the form name=value, are separated by commas, and no name occurs twice.
 func checkFields(s string) error {
 	seen := map[string]bool{}
 	for field := range strings.SplitSeq(s, ",") {
 		name, _, ok := strings.Cut(field, "=")
 		if !ok || name == "" || seen[name] {
-			return malformed("field %.40q", field)
+			return malformed("field %.40q: not name=value, or name used twice", field)
 		}
 		seen[name] = true
 	}
--- a/internal/lineproto/command.go
+++ b/internal/lineproto/command.go
@@ -2,18 +2,18 @@
 
 import "strconv"
 
-// Request is a query as a node gets it.
+// Request is a query in the form in which it is sent to a node.
 type Request struct {
 	ID        string
 	Class     string
 	Key       string // idempotency key; "": none
-	MemoryMB  int64  // granted; 0: the node decides
+	MemoryMB  int64  // memory granted to the query; 0: the node decides
 	Priority  int    // 0 to 3; below 0: the default
 	TTLMillis int64  // how long the dispatcher waits for the answer; at least 1 is sent
 	Text      string // the statement
 }
 
-// Append appends the command.
+// Append appends the GET command for the request.
 func (q *Request) Append(b []byte) []byte {
 	b = append(append(b, "GET "...), q.ID...)
 	b = append(append(b, " lane="...), q.Class...)
@@ -32,27 +32,29 @@
 	return append(b, "\r\n"...)
 }
 
-// noArgument stands for a command without a number.
+// noArgument is the argument of a command that has no number.
 const noArgument = -1
 
-// AppendCancel appends the command that cancels a request.
+// AppendCancel appends the DROP command, which cancels a request.
 func AppendCancel(b []byte, id string) []byte { return appendCommand(b, "DROP ", id, noArgument) }
 
-// AppendSetPriority appends the command that changes the priority of a request.
+// AppendSetPriority appends the RANK command, which changes the priority of a request.
 func AppendSetPriority(b []byte, id string, priority int) []byte {
 	return appendCommand(b, "RANK ", id, priority)
 }
 
-// AppendPage appends the command that requests one further page of a result.
-func AppendPage(b []byte, id string, n int) []byte { return appendCommand(b, "PAGE ", id, n) }
+// AppendPage appends the PAGE command, which asks for one further page of a result.
+func AppendPage(b []byte, id string, index int) []byte {
+	return appendCommand(b, "PAGE ", id, index)
+}
 
-// AppendClose appends the command that lets the node discard a result's pages.
+// AppendClose appends the CLOSE command, which lets the node discard the pages of a result.
 func AppendClose(b []byte, id string) []byte { return appendCommand(b, "CLOSE ", id, noArgument) }
 
-// AppendPing appends the command that a node answers with Pong.
+// AppendPing appends the PING command, which a node answers with a Pong that has the tag as its id.
 func AppendPing(b []byte, tag string) []byte { return appendCommand(b, "PING ", tag, noArgument) }
 
-// appendCommand appends a command with one number at most.
+// appendCommand appends a command that has an id and at most one number.
 func appendCommand(b []byte, verb, id string, argument int) []byte {
 	b = append(append(b, verb...), id...)
 	if argument >= 0 {
--- a/internal/lineproto/lineproto_test.go
+++ b/internal/lineproto/lineproto_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// An answer may arrive in pieces of any size.
+// An answer is read correctly when its bytes arrive one at a time.
 func TestAnswersByteByByte(t *testing.T) {
 	text := "a news why=p,datum=0.25 0\r\n\r\nb data total=2,rep=util:0.5;inflight:3 6\r\nx\ty\tz\n\r\n"
 	r := NewReader(iotest.OneByteReader(strings.NewReader(text)))
--- a/internal/lineproto/result.go
+++ b/internal/lineproto/result.go
@@ -6,19 +6,19 @@
 	"unicode/utf8"
 )
 
-// columnCount is how many columns a row has.
+// columnCount is the number of columns of every row.
 const columnCount = 3
 
-// Result collects the pages of one result and checks them. The zero value waits for page 0.
+// Result collects and checks the pages of one result. The zero value waits for page 0.
 type Result struct {
-	total     int // pages in all; 0: page 0 was not received
-	received  int
-	sizeBytes int
-	pages     [][]byte
+	total     int      // pages of the complete result; 0: page 0 was not received
+	received  int      // pages
+	sizeBytes int      // of the received pages
+	pages     [][]byte // by index; nil: not received
 }
 
-// Add adds an answer of the kind Data or Page; done reports that the result is complete. A page that is there already is skipped: nodes
-// are known to send duplicates.
+// Add adds the page in an answer of the kind Data or Page; done reports whether the result is complete. A page that was received before is
+// skipped: nodes are known to send duplicates.
 func (r *Result) Add(a *Answer) (done bool, err error) {
 	index, duplicate, err := r.pageIndex(a)
 	if err != nil {
@@ -31,14 +31,14 @@
 		return false, err
 	}
 	if r.sizeBytes += len(a.Body); r.sizeBytes > maxResultBytes {
-		return false, malformed("result of over %d bytes", maxResultBytes)
+		return false, malformed("result larger than %d bytes", maxResultBytes)
 	}
 	r.pages[index] = append(make([]byte, 0, len(a.Body)), a.Body...)
 	r.received++
 	return r.received == r.total, nil
 }
 
-// pageIndex is the page that an answer has; the first page sets how many there are.
+// pageIndex returns the index of an answer's page, and whether that page was received before. Page 0 sets the number of pages.
 func (r *Result) pageIndex(a *Answer) (index int, duplicate bool, err error) {
 	if a.Kind == Data {
 		if r.total > 0 {
@@ -60,38 +60,39 @@
 	return index, r.pages[index] != nil, nil
 }
 
-// Started reports that page 0 is there.
+// Started reports whether page 0 was received.
 func (r *Result) Started() bool { return r.total > 0 }
 
-// TotalPages is how many pages the result has in all; 0 before the first was received.
+// TotalPages returns the number of pages of the complete result; 0 before page 0 was received.
 func (r *Result) TotalPages() int { return r.total }
 
-// ReceivedPages is how many of them are there.
+// ReceivedPages returns the number of pages received so far.
 func (r *Result) ReceivedPages() int { return r.received }
 
-// Size is how many bytes the received pages have.
+// Size returns the size of the received pages in bytes.
 func (r *Result) Size() int { return r.sizeBytes }
 
-// Rows calls row for every row of a complete result, in order; the columns are valid during the call.
+// Rows calls row for every row of a complete result, in order. The columns are valid only during the call.
 func (r *Result) Rows(row func(columns [][]byte)) {
-	var cells [columnCount][]byte
+	var columns [columnCount][]byte
 	for _, page := range r.pages {
 		for len(page) > 0 {
 			end := bytes.IndexByte(page, '\n')
 			line := page[:end]
-			for i := range cells {
-				cells[i], line, _ = bytes.Cut(line, []byte{'\t'})
+			for i := range columns {
+				columns[i], line, _ = bytes.Cut(line, []byte{'\t'})
 			}
-			row(cells[:])
+			row(columns[:])
 			page = page[end+1:]
 		}
 	}
 }
 
-// maxPages bounds the pages of a result: a node may fill them badly, but memory is allocated for all of them at once.
+// maxPages bounds the number of pages of a result. A node may put little on each page and need many, but the list of pages is allocated as
+// soon as page 0 announces their number.
 const maxPages = 1000
 
-// parsePageNumber reads a number of pages, or of one page, in its shortest form.
+// parsePageNumber parses the number of pages or the index of a page. Leading zeros and signs are not allowed.
 func parsePageNumber(s string, minimum int) (int, error) {
 	n, err := strconv.Atoi(s)
 	if err != nil || n < minimum || n > maxPages || s != strconv.Itoa(n) {
@@ -100,13 +101,13 @@
 	return n, nil
 }
 
-// checkRows checks that a page is complete rows of text, each of columnCount columns.
+// checkRows checks that a page consists of complete rows of UTF-8 text without control characters, each of columnCount columns.
 func checkRows(page []byte) error {
 	if len(page) > 0 && page[len(page)-1] != '\n' {
-		return malformed("page that ends within a row")
+		return malformed("page ends within a row")
 	}
 	if !utf8.Valid(page) {
-		return malformed("page that is no text")
+		return malformed("page is not valid UTF-8")
 	}
 	tabs := 0
 	for _, c := range page {
@@ -115,7 +116,7 @@
 			tabs++
 		case c == '\n':
 			if tabs != columnCount-1 {
-				return malformed("row of %d columns, allowed are %d", tabs+1, columnCount)
+				return malformed("row of %d columns; allowed: %d", tabs+1, columnCount)
 			}
 			tabs = 0
 		case c < ' ':
--- a/internal/pgwire/append.go
+++ b/internal/pgwire/append.go
@@ -2,9 +2,10 @@
 
 import "encoding/binary"
 
-// AppendStartupResponse appends all that follows a start-up message: no password, a few parameters, the key, ready.
+// AppendStartupResponse appends the answer to a start-up message: AuthenticationOk (no password is asked for), a ParameterStatus for each
+// of a few parameters, BackendKeyData with the session's key, and ReadyForQuery.
 func AppendStartupResponse(b []byte, k Key) []byte {
-	b = appendMessage(b, 'R', func(b []byte) []byte { return binary.BigEndian.AppendUint32(b, 0) }) // AuthenticationOk
+	b = appendMessage(b, 'R', func(b []byte) []byte { return binary.BigEndian.AppendUint32(b, 0) })
 	for _, p := range [][2]string{{"server_version", "16.0"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"DateStyle", "ISO, MDY"}, {"integer_datetimes", "on"}, {"standard_conforming_strings", "on"}} {
 		b = appendMessage(b, 'S', func(b []byte) []byte { return appendString(appendString(b, p[0]), p[1]) })
@@ -15,7 +16,7 @@
 	return AppendReady(b)
 }
 
-// AppendReady appends ReadyForQuery, outside of a transaction.
+// AppendReady appends ReadyForQuery with the status "idle, not in a transaction".
 func AppendReady(b []byte) []byte {
 	return appendMessage(b, 'Z', func(b []byte) []byte { return append(b, 'I') })
 }
@@ -25,17 +26,17 @@
 	return appendMessage(b, 'I', func(b []byte) []byte { return b })
 }
 
-// Values of a RowDescription's columns.
+// Values of the fields that RowDescription has for each column.
 const (
 	textTypeOID   = 25
-	variableSize  = 0xffff
-	noModifier    = 0xffffffff
+	variableSize  = 0xffff     // -1
+	noModifier    = 0xffffffff // -1
 	noTable       = 0
 	noTableColumn = 0
 	textFormat    = 0
 )
 
-// AppendColumns appends RowDescription for text columns.
+// AppendColumns appends RowDescription for columns of type text.
 func AppendColumns(b []byte, names ...string) []byte {
 	return appendMessage(b, 'T', func(b []byte) []byte {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(names)))
@@ -52,7 +53,7 @@
 	})
 }
 
-// AppendRow appends DataRow.
+// AppendRow appends DataRow. A nil column is sent as an empty text, not as NULL.
 func AppendRow(b []byte, columns ...[]byte) []byte {
 	return appendMessage(b, 'D', func(b []byte) []byte {
 		b = binary.BigEndian.AppendUint16(b, uint16(len(columns)))
@@ -71,7 +72,7 @@
 // Severities of an error.
 const (
 	Error = "ERROR"
-	Fatal = "FATAL" // the session ends with it
+	Fatal = "FATAL" // the session ends after this error
 )
 
 // AppendError appends ErrorResponse; code is a SQLSTATE.
@@ -87,14 +88,14 @@
 	})
 }
 
-// appendMessage appends one message, whose body appendBody appends; the length is filled in afterwards.
+// appendMessage appends one message; appendBody appends its body. The length is filled in afterwards.
 func appendMessage(b []byte, kind byte, appendBody func([]byte) []byte) []byte {
 	b = append(b, kind, 0, 0, 0, 0)
-	at := len(b) - 4
+	lengthAt := len(b) - 4
 	b = appendBody(b)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at))
+	binary.BigEndian.PutUint32(b[lengthAt:], uint32(len(b)-lengthAt))
 	return b
 }
 
-// appendString appends a text with its terminating zero.
+// appendString appends a string and its terminating zero byte.
 func appendString(b []byte, s string) []byte { return append(append(b, s...), 0) }
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -1,6 +1,6 @@
-// Package pgwire has the messages of the PostgreSQL wire protocol 3.0 that a dispatcher and its clients exchange: start-up, simple query,
-// rows, errors, cancel (PostgreSQL documentation, "Frontend/Backend Protocol"). It is bounded and decides nothing: what to answer is up to
-// the frontend.
+// Package pgwire reads and writes the messages of the PostgreSQL wire protocol 3.0 that a dispatcher and its clients exchange: start-up,
+// simple query, rows, errors and cancel (PostgreSQL documentation, "Frontend/Backend Protocol"). The length of every message is bounded.
+// Package frontend/postgres decides what to answer.
 package pgwire
 
 import (
@@ -12,37 +12,37 @@
 	"io"
 )
 
-// FormatError means that a peer sent what is malformed; nothing further on its connection can be read.
+// FormatError means that a peer sent a malformed message; nothing after it on the connection can be read.
 type FormatError struct{ What string }
 
-// Error names what cannot be parsed.
+// Error describes the malformed message.
 func (e *FormatError) Error() string { return "pgwire: " + e.What }
 
 func malformed(format string, args ...any) error { return &FormatError{fmt.Sprintf(format, args...)} }
 
-// Types of a client's messages.
+// Types of the messages that a client sends.
 const (
 	Query     = 'Q'
 	Terminate = 'X'
 )
 
-// ErrTooLong means that a message is longer than allowed; its body has not been read.
+// ErrTooLong means that a message's body is longer than the caller allows; the body has not been read.
 var ErrTooLong = errors.New("pgwire: message too long")
 
-// readChunkBytes is how much memory is allocated for a body before its bytes are there.
+// readChunkBytes is how many bytes ReadMessage allocates at most ahead of the part of a body that has arrived.
 const readChunkBytes = 4 << 10
 
-// ReadMessage reads one message of at most maxBytes into buf, which it returns grown as far as needed. Memory follows what was received,
-// not the length that a client announces.
+// ReadMessage reads one message whose body has at most maxBytes. It overwrites buf with the body and returns it, reallocated if it is too
+// small. Memory grows with the bytes received, not with the length that the peer announces.
 func ReadMessage(r *bufio.Reader, buf []byte, maxBytes int) (kind byte, body []byte, err error) {
 	var head [5]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return 0, buf[:0], err
 	}
 	kind = head[0]
-	length := int64(binary.BigEndian.Uint32(head[1:])) // with itself
+	length := int64(binary.BigEndian.Uint32(head[1:])) // includes its own 4 bytes
 	if length < 4 || length > 1<<31-1 {
-		return kind, buf[:0], malformed("message of length %d", int32(length))
+		return kind, buf[:0], malformed("message of type %q with length %d", kind, int32(length))
 	}
 	remaining := int(length) - 4
 	if remaining > maxBytes {
@@ -67,14 +67,14 @@
 	return kind, body, nil
 }
 
-// Statement is the text of a Query's body.
+// Statement returns the statement in the body of a Query message, without its terminating zero byte.
 func Statement(body []byte) (string, error) {
 	end := bytes.IndexByte(body, 0)
 	if end < 0 {
-		return "", malformed("statement without its end")
+		return "", malformed("statement without a terminating zero byte")
 	}
 	if end != len(body)-1 {
-		return "", malformed("%d bytes after the statement", len(body)-1-end)
+		return "", malformed("%d bytes after the end of the statement", len(body)-1-end)
 	}
 	return string(body[:end]), nil
 }
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -11,7 +11,7 @@
 	"testing/iotest"
 )
 
-// startup is a first message of version 3.0.
+// startup returns a start-up message of version 3.0 with parameters in their encoded form.
 func startup(params string) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(8+len(params)))
 	return append(binary.BigEndian.AppendUint32(b, Version), params...)
@@ -58,12 +58,12 @@
 		err  error // nil with no want: a FormatError
 	}{
 		"a query":           {query, "SELECT 1\x00", nil},
-		"nothing in it":     {[]byte{'X', 0, 0, 0, 4}, "", nil},
-		"as long as may be": {long, string(long[5:]), nil},
-		"too long":          {[]byte{'Q', 3, 0x93, 0x87, 0}, "", ErrTooLong}, // 60 MB
+		"an empty body":     {[]byte{'X', 0, 0, 0, 4}, "", nil},
+		"the longest body":  {long, string(long[5:]), nil},
+		"too long a body":   {[]byte{'Q', 3, 0x93, 0x87, 0}, "", ErrTooLong}, // 60 MB
 		"a negative length": {[]byte{'Q', 255, 255, 255, 240}, "", &FormatError{}},
 		"a length under 4":  {[]byte{'Q', 0, 0, 0, 3}, "", &FormatError{}},
-		"half of it":        {query[:9], "", io.ErrUnexpectedEOF},
+		"a truncated body":  {query[:9], "", io.ErrUnexpectedEOF},
 	} {
 		_, body, err := ReadMessage(bufio.NewReader(iotest.HalfReader(bytes.NewReader(c.in))), nil, 4096)
 		var form *FormatError
@@ -83,7 +83,7 @@
 	}
 }
 
-// Memory follows what was received, not the length that a client announces.
+// A client that announces a long message and sends little of it does not make the dispatcher allocate the announced length.
 func TestAnnouncedLengthAllocatesNothing(t *testing.T) {
 	in := append([]byte{'Q', 0x03, 0, 0, 0}, "only this"...) // 48 MB announced
 	_, body, err := ReadMessage(bufio.NewReader(bytes.NewReader(in)), nil, 60<<20)
@@ -92,7 +92,7 @@
 	}
 }
 
-// Messages are what a reader of the protocol expects: each has its own length.
+// ReadMessage reads each message that the Append functions write: the lengths are right, and rows and errors have the protocol's form.
 func TestWrittenMessages(t *testing.T) {
 	b := AppendStartupResponse(nil, Key{7, 8})
 	b = AppendColumns(b, "a", "b", "c")
--- a/internal/pgwire/start.go
+++ b/internal/pgwire/start.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Codes of a first message: the protocol's version, or what stands in its place.
+// Codes in a connection's first message: the protocol version of a start-up message, or the number that marks another request.
 const (
 	Version    = 3 << 16
 	cancelCode = 80877102
@@ -17,29 +17,29 @@
 
 // Lengths of first messages, in bytes.
 const (
-	startHeaderBytes = 8 // length and code
-	cancelBytes      = 16
+	startHeaderBytes = 8     // length and code
+	cancelBytes      = 16    // a CancelRequest: header, process number and secret
 	maxStartBytes    = 10000 // a start-up message holds a few names
 )
 
-// Key names a session for a CancelRequest.
+// Key identifies a session. A client gets it in BackendKeyData and sends it in a CancelRequest.
 type Key struct{ Process, Secret uint32 }
 
-// StartKind says what a first message requests.
+// StartKind is the request that a connection's first message makes.
 type StartKind int
 
-// The kinds of first message.
+// The kinds of first messages.
 const (
-	StartSession StartKind = iota
-	StartCancel            // to cancel the query of the session that Key names
-	StartTLS               // encryption; the answer is one byte, 'N' where there is none
+	StartSession StartKind = iota // to start a session
+	StartCancel                   // to cancel the query of the session with Start.Key
+	StartTLS                      // for encryption, TLS or GSSAPI; the answer is one byte, 'N' where encryption is not supported
 )
 
-// Start is a first message.
+// Start is a connection's first message.
 type Start struct {
 	Kind   StartKind
-	Key    Key
-	Params map[string]string
+	Key    Key               // set for StartCancel
+	Params map[string]string // set for StartSession
 }
 
 // ReadStart reads a connection's first message.
@@ -50,14 +50,14 @@
 	}
 	length, code := binary.BigEndian.Uint32(head[:4]), binary.BigEndian.Uint32(head[4:])
 	if length < startHeaderBytes || length > maxStartBytes {
-		return Start{}, malformed("first message of length %d, allowed are 8 to %d", int32(length), maxStartBytes)
+		return Start{}, malformed("first message of length %d; allowed: 8 to %d", int32(length), maxStartBytes)
 	}
 	switch code {
 	case cancelCode:
 		return readCancel(r, length)
 	case sslCode, gssCode:
 		if length != startHeaderBytes {
-			return Start{}, malformed("encryption request of length %d, allowed is 8", length)
+			return Start{}, malformed("encryption request of length %d; allowed: 8", length)
 		}
 		return Start{Kind: StartTLS}, nil
 	case Version:
@@ -68,10 +68,11 @@
 		params, err := parseParameters(body)
 		return Start{Kind: StartSession, Params: params}, err
 	}
-	return Start{}, malformed("protocol version %d.%d, allowed is 3.0", code>>16, code&0xffff)
+	return Start{}, malformed("protocol version %d.%d; supported: 3.0", code>>16, code&0xffff)
 }
 
-// PeekCancel tells whether a connection's first message is a whole CancelRequest, and leaves it unread.
+// PeekCancel reports whether a connection's first message is a complete CancelRequest, without consuming it. It waits for as many bytes
+// as a CancelRequest has, or for an error of the connection.
 func PeekCancel(r *bufio.Reader) bool {
 	head, err := r.Peek(cancelBytes)
 	return err == nil && binary.BigEndian.Uint32(head) == cancelBytes && binary.BigEndian.Uint32(head[4:]) == cancelCode
@@ -80,7 +81,7 @@
 // readCancel reads the rest of a CancelRequest.
 func readCancel(r *bufio.Reader, length uint32) (Start, error) {
 	if length != cancelBytes {
-		return Start{}, malformed("cancel request of length %d, allowed is 16", length)
+		return Start{}, malformed("CancelRequest of length %d; allowed: 16", length)
 	}
 	var key [cancelBytes - startHeaderBytes]byte
 	if _, err := io.ReadFull(r, key[:]); err != nil {
@@ -89,17 +90,17 @@
 	return Start{Kind: StartCancel, Key: Key{binary.BigEndian.Uint32(key[:4]), binary.BigEndian.Uint32(key[4:])}}, nil
 }
 
-// parseParameters parses the names and values of a start-up message; an empty name ends them.
+// parseParameters parses the parameter names and values of a start-up message; an empty name ends the list.
 func parseParameters(body []byte) (map[string]string, error) {
 	params := map[string]string{}
 	for {
 		name, rest, ok := bytes.Cut(body, []byte{0})
 		if !ok {
-			return nil, malformed("start-up parameters without their end")
+			return nil, malformed("start-up parameters without a terminating zero byte")
 		}
 		if len(name) == 0 {
 			if len(rest) > 0 {
-				return nil, malformed("%d bytes after the start-up parameters", len(rest))
+				return nil, malformed("%d bytes after the end of the start-up parameters", len(rest))
 			}
 			return params, nil
 		}
