--- a/frontend/postgres/answer.go
+++ b/frontend/postgres/answer.go
@@ -8,29 +8,29 @@
 	"embershunt/internal/pgwire"
 )
 
-// SQLSTATEs. Those of class 53 and 57P03 tell a client that a retry does no harm: no other error may have one of them.
+// SQLSTATEs. Class 53 and 57P03 tell a client that a retry does no harm: no other error may have one of them.
 const (
-	codeFull      = "53300"
-	codeOverload  = "53000"
-	codeDraining  = "57P03"
-	codeCancelled = "57014"
-	codeStopped   = "57P01"
-	codeProtocol  = "08P01"
-	codeBadField  = "22023"
-	codeOpen      = "55006"
-	codeTooLong   = "54000"
-	codeAttempt   = "58000"
-	codeBroken    = "58030"
-	codeInternal  = "XX000"
-	codeUnknown   = "0A000"
+	codeTooManyConnections = "53300"
+	codeOverload           = "53000"
+	codeDraining           = "57P03"
+	codeCancelled          = "57014" // by the client, or at the deadline
+	codeStopped            = "57P01"
+	codeProtocolViolation  = "08P01"
+	codeBadField           = "22023"
+	codeIDInUse            = "55006" // a query with the same id is open
+	codeTooLong            = "54000"
+	codeAttemptFailed      = "58000"
+	codeResponseBroken     = "58030" // the response broke off
+	codeInternal           = "XX000"
+	codeUnsupported        = "0A000"
 )
 
-// appendError appends an error after which the session goes on.
+// appendError appends an error after which the session continues.
 func appendError(b []byte, code, message string) []byte {
 	return pgwire.AppendReady(pgwire.AppendError(b, pgwire.Error, code, message))
 }
 
-// encodeOutcome encodes a query's outcome as messages.
+// encodeOutcome encodes a query's outcome as the messages of its answer.
 func encodeOutcome(o dispatch.Outcome) []byte {
 	switch o.Kind {
 	case dispatch.Served:
@@ -51,12 +51,12 @@
 	return appendError(nil, code, message)
 }
 
-// encodeFailure encodes the outcome of a query that may have run.
+// encodeFailure encodes the failure of a query that may have run.
 func encodeFailure(reason dispatch.Reason) []byte {
 	return appendError(nil, failureCode(reason), "failed: "+string(reason))
 }
 
-// failureCode is the SQLSTATE of a failure.
+// failureCode returns the SQLSTATE of a failure.
 func failureCode(r dispatch.Reason) string {
 	switch r {
 	case dispatch.ReasonClientDisconnected, dispatch.ReasonDeadline:
@@ -64,20 +64,20 @@
 	case dispatch.ReasonStopped:
 		return codeStopped
 	case dispatch.ReasonBroken:
-		return codeBroken
+		return codeResponseBroken
 	case dispatch.ReasonInternal:
 		return codeInternal
 	}
-	return codeAttempt
+	return codeAttemptFailed
 }
 
-// Estimates of an encoded result's size in bytes, beside the text of its rows.
+// Estimated bytes of an encoded result in addition to the text of its rows, to allocate its buffer once.
 const (
 	rowOverheadBytes    = 20
 	resultOverheadBytes = 160
 )
 
-// encodeRows encodes a result.
+// encodeRows encodes a result as the messages of its answer.
 func encodeRows(r *lineproto.Result) []byte {
 	rows := 0
 	r.Rows(func([][]byte) { rows++ })
--- a/frontend/postgres/close_reason.go
+++ b/frontend/postgres/close_reason.go
@@ -2,28 +2,29 @@
 
 import "sync/atomic"
 
-// closeReason is why a session has ended.
+// closeReason is the reason for which a session ended.
 type closeReason uint8
 
 const (
 	closedByClient       closeReason = iota // the client closed its side, or sent Terminate
-	closedIdle                              // it sent no query for too long
-	closedEvicted                           // it made room for another client, with no answer pending
-	closedDisconnected                      // it was closing already and was cut off to make room at once
+	closedIdle                              // the client sent no query for too long
+	closedEvicted                           // evicted to make room for another client, with no answer pending
+	closedAborted                           // already closing, and closed at once to make room for another client
 	closedDispatcherEnds                    // the dispatcher ends
-	closedUnreadable                        // it sent what cannot be read
+	closedUnreadable                        // the client sent a malformed, incomplete, too long or unsupported message
 	closedWriteFailed                       // an answer could not be written
-	closedAtCapacity                        // it was rejected: too many connections
-	closeReasons
+	closedAtCapacity                        // rejected because there were too many connections
+	closeReasonCount
 )
 
 // closeReasonNames are the names of the reasons in metrics and logs.
-var closeReasonNames = [closeReasons]string{"client", "idle", "evicted", "cut", "dispatcher_ends", "unreadable", "write_failed", "no_room"}
+var closeReasonNames = [closeReasonCount]string{"client", "idle", "evicted", "cut", "dispatcher_ends", "unreadable", "write_failed",
+	"no_room"}
 
 // closeCounts counts sessions that have ended, by reason.
-type closeCounts [closeReasons]atomic.Int64
+type closeCounts [closeReasonCount]atomic.Int64
 
-// recordClose records why the session ends; the first reason counts.
+// recordClose counts and logs the reason for which the session ends. Only the first call has an effect.
 func (s *session) recordClose(reason closeReason) {
 	s.closeOnce.Do(func() {
 		s.front.closeCounts[reason].Add(1)
@@ -31,7 +32,7 @@
 	})
 }
 
-// CloseCounts is how many sessions have ended for each reason, by name and in a fixed order.
+// CloseCounts returns the names of the reasons for which sessions end, in a fixed order, and the number of sessions ended for each.
 func (f *Front) CloseCounts() (names []string, counts []int64) {
 	for i, name := range closeReasonNames {
 		names, counts = append(names, name), append(counts, f.closeCounts[i].Load())
--- a/frontend/postgres/eviction.go
+++ b/frontend/postgres/eviction.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// What makes a connection one of the first to be evicted: clients close idle ones themselves after a while, and send their first query at
-// once.
+// Times that clients usually keep to: they close a connection themselves after it has been idle for a while, and send their first query as
+// soon as they are connected. Sessions that exceed one of them are evicted before others.
 const (
-	usualIdle  = 5 * time.Second
-	usualBegin = 500 * time.Millisecond
+	usualIdleTime        = 5 * time.Second
+	usualFirstQueryDelay = 500 * time.Millisecond
 )
 
-// evictionRank orders sessions by how little an eviction costs their clients. An idle client only has to connect again; a new one may have
-// a query on its way.
+// evictionRank orders sessions for eviction: the higher the rank, the less an eviction costs the client. A client whose session is idle
+// only has to connect again; a new client may have sent a query that has not arrived yet.
 type evictionRank uint8
 
 const (
-	rankReceiving   evictionRank = iota // a message is in progress: it is refused
+	rankReceiving   evictionRank = iota // a message was received in part, and would be rejected
 	rankNew                             // no query yet
-	rankIdle                            // idle for a usual time
-	rankOverdue                         // without a first query for longer than usual
-	rankLongIdle                        // idle for longer than usual
-	rankUnevictable evictionRank = 255  // answers are pending, or it is closing or to be rejected
+	rankIdle                            // idle for at most usualIdleTime
+	rankOverdue                         // no query within usualFirstQueryDelay
+	rankLongIdle                        // idle for longer than usualIdleTime
+	rankUnevictable evictionRank = 255  // answers are pending, or the session is closing or over capacity
 )
 
-// evictionRank is the session's rank now, and when its last command or answer was.
+// evictionRank returns the session's rank now, and the time of its last activity.
 func (s *session) evictionRank(now time.Time) (rank evictionRank, lastActivity time.Time) {
 	phase, queried, lastActivity := s.snapshot()
 	if phase == working || phase == closing || s.state.overCapacity {
@@ -32,9 +32,9 @@
 	switch {
 	case phase == receiving:
 		rank = rankReceiving
-	case queried && age > usualIdle:
+	case queried && age > usualIdleTime:
 		rank = rankLongIdle
-	case !queried && age > usualBegin:
+	case !queried && age > usualFirstQueryDelay:
 		rank = rankOverdue
 	case queried:
 		rank = rankIdle
@@ -44,12 +44,12 @@
 	return rank, lastActivity
 }
 
-// evict closes one session without pending answers: of those with the highest rank the one with the oldest activity; false where all have
-// pending answers. With immediately set a session that is closing already is disconnected first, if there is one.
+// evict begins the close of one session: among those with the highest rank, the one with the oldest activity. It returns false if no
+// session may be evicted. With immediately set, it aborts a session that is closing already instead, if there is one.
 func (f *Front) evict(immediately bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if immediately && f.disconnectClosing() {
+	if immediately && f.abortClosing() {
 		return true
 	}
 	for {
@@ -57,17 +57,17 @@
 		if victim == nil {
 			return false
 		}
-		cause := evicted
+		ev := evicted
 		if rank == rankReceiving {
-			cause = dispatcherEnds // its message is read and refused, as at the end
+			ev = dispatcherEnds // the session's message is read and rejected, as at shutdown
 		}
-		if victim.beginClose(cause) { // else a command came first: another victim is chosen
+		if victim.beginClose(ev) { // else a message came first: the next victim is chosen
 			return true
 		}
 	}
 }
 
-// evictionVictim chooses the session to evict; nil where there is none. f.mu is held.
+// evictionVictim chooses the session to evict; it returns nil if no session may be evicted. f.mu is held.
 func (f *Front) evictionVictim() (victim *session, rank evictionRank) {
 	var oldest time.Time
 	now := time.Now()
@@ -83,23 +83,23 @@
 	return victim, rank
 }
 
-// disconnectClosing closes the connection of a session that is closing without pending answers: of those whose close has come furthest
-// the oldest; false where there is none. f.mu is held.
-func (f *Front) disconnectClosing() bool {
+// abortClosing closes the connection of a session that is closing without pending answers, or is going to be rejected: among those with the
+// latest stage, the oldest session. It returns false if there is none. f.mu is held.
+func (f *Front) abortClosing() bool {
 	var oldest *session
-	furthest := notClosing
+	latest := notClosing
 	for _, s := range f.sessions {
 		stage := s.closeStage()
-		if stage == notClosing || stage < furthest || stage == furthest && !s.state.startedAt.Before(oldest.state.startedAt) {
+		if stage == notClosing || stage < latest || stage == latest && !s.state.startedAt.Before(oldest.state.startedAt) {
 			continue
 		}
-		oldest, furthest = s, stage
+		oldest, latest = s, stage
 	}
 	if oldest == nil {
 		return false
 	}
 	delete(f.sessions, oldest.key.Process)
-	oldest.recordClose(closedDisconnected)
+	oldest.recordClose(closedAborted)
 	oldest.closeConn()
 	return true
 }
--- a/frontend/postgres/front.go
+++ b/frontend/postgres/front.go
@@ -1,8 +1,9 @@
-// Package postgres is the frontend of the platform's clients: PostgreSQL wire protocol 3.0, simple queries, one at a time on a session,
-// with the fields that the dispatcher needs in a comment before the statement. It knows no node and decides nothing.
+// Package postgres is the frontend for the platform's clients. It speaks PostgreSQL wire protocol 3.0 and executes simple queries, one at a
+// time on each session. A comment before the statement has the fields that the dispatcher needs. Admission and routing are decided by the
+// dispatcher's loop, not here.
 //
-// A session's states and transitions are in session_state.go; session.go reads its messages, session_worker.go answers them,
-// session_close.go closes it. eviction.go chooses the session that makes room for another client.
+// session_state.go has the states of a session and their transitions; session.go reads a session's messages, session_worker.go answers
+// them, and session_close.go closes the session. eviction.go chooses the session that is closed to make room for another client.
 package postgres
 
 import (
@@ -30,11 +31,11 @@
 	Settings     policy.Settings // names of classes and tenants, deadlines, memory of machines
 	MaxSessions  int             // open connections; default 256
 	MaxStatement int             // bytes of one message; default 64 KiB
-	IdleTimeout  time.Duration   // a session without a query for so long is closed; default 30 s
+	IdleTimeout  time.Duration   // a session that sends no query for this long is closed; default 30 s
 	BeginTimeout time.Duration   // from the connect to the first query, and from a message's first byte to its last; default 2 s
-	WriteTimeout time.Duration   // for the client to take an answer; default 5 s
-	DrainIdle    time.Duration   // the drain at the end is over after so long without a connection or a query; default 200 ms
-	MaxClosing   int             // connections beyond MaxSessions that are closing; default 8
+	WriteTimeout time.Duration   // for the client to receive an answer; default 5 s
+	DrainIdle    time.Duration   // the drain at shutdown is over after this long without a new connection or query; default 200 ms
+	MaxClosing   int             // connections allowed beyond MaxSessions while sessions are closing; default 8
 }
 
 // setDefaults replaces zero values.
@@ -51,7 +52,7 @@
 	}
 }
 
-// Front serves sessions.
+// Front accepts clients' connections and serves their sessions.
 type Front struct {
 	options Options
 	intake  *frontend.Intake
@@ -59,26 +60,26 @@
 
 	mu          sync.Mutex
 	sessions    map[uint32]*session // by the process number of their key
-	traces      map[string]struct{} // of open queries
-	closesBegun chan struct{}       // closed at the end, when every session was told to close
+	traces      map[string]struct{} // ids of the open queries, as their clients state them
+	closesBegun chan struct{}       // closed at shutdown, after beginClose was called for every session
 
 	startedAt      time.Time
-	lastActivity   atomic.Int64 // of a connection or a query, in nanoseconds since startedAt
+	lastActivity   atomic.Int64 // time of the last connect or query, in nanoseconds since startedAt
 	acceptErrors   atomic.Int64
 	closeCounts    closeCounts
-	rejected       atomic.Int64 // connections closed because there were too many
-	protocolErrors atomic.Int64 // messages that could not be read or used
+	rejected       atomic.Int64 // connections rejected because there were too many
+	protocolErrors atomic.Int64 // messages that were malformed, or could not be used
 }
 
-// New returns a frontend; nothing is served before Serve.
+// New returns a frontend that hands its queries to intake. It accepts connections once Serve is called.
 func New(o Options, intake *frontend.Intake) *Front {
 	o.setDefaults()
 	return &Front{options: o, intake: intake, sessions: map[uint32]*session{}, traces: map[string]struct{}{},
 		closesBegun: make(chan struct{}), startedAt: time.Now()}
 }
 
-// Counts is how many sessions are open and not closing, how many were rejected because there were too many, and how many messages
-// could not be read or used.
+// Counts returns the number of sessions that are open and not closing, of connections rejected because there were too many, and of messages
+// that were malformed or could not be used.
 func (f *Front) Counts() (open int, rejected, protocolErrors int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,7 +96,7 @@
 	return open
 }
 
-// Listener is where connections come from, such as a *net.TCPListener.
+// Listener is a listener whose Accept can be interrupted by a deadline, such as a *net.TCPListener.
 type Listener interface {
 	net.Listener
 	SetDeadline(time.Time) error
@@ -103,9 +104,10 @@
 
 var _ Listener = (*net.TCPListener)(nil)
 
-// Serve accepts connections until ctx ends, which must not be before the loop has ended: then every query that was received has its
-// answer, and new ones are refused. Serve accepts connections until none has come for a while, so that none is left in the system's
-// backlog; then every session closes, behind its pending answers.
+// Serve accepts connections until ctx ends. ctx must not end before the dispatcher's loop has ended: from then on every query that was
+// received has its answer, and new queries are rejected. After ctx has ended, Serve goes on accepting until nothing has come for DrainIdle,
+// or for maxDrainIdles times DrainIdle, so that no connection is left in the listener's backlog. Then it closes every session after its
+// pending answers, and returns.
 func (f *Front) Serve(ctx context.Context, l Listener) error {
 	interrupt := func() {
 		_ = l.SetDeadline(time.Now()) // fails only on a closed listener, whose Accept fails as well
@@ -115,7 +117,7 @@
 	f.acceptUntilDrained(ctx, l)
 	_ = l.Close() // it may be closed already
 	f.mu.Lock()
-	for _, s := range f.sessions { // each by itself: the order does not matter
+	for _, s := range f.sessions { // in any order: a close does not depend on other sessions
 		s.beginClose(dispatcherEnds)
 	}
 	f.mu.Unlock()
@@ -123,10 +125,12 @@
 	return f.group.Wait()
 }
 
-// maxDrainIdles is how long the drain at the end lasts at most, in times of DrainIdle.
+// maxDrainIdles bounds the duration of the drain at shutdown, as a multiple of DrainIdle, so that clients that never stop sending do not
+// delay the shutdown.
 const maxDrainIdles = 8
 
-// acceptUntilDrained accepts connections until ctx has ended and nothing has come for DrainIdle, or the listener is closed.
+// acceptUntilDrained accepts connections until ctx has ended and no connection or query has come for DrainIdle, or until the listener is
+// closed.
 func (f *Front) acceptUntilDrained(ctx context.Context, l Listener) {
 	var endedAt time.Time // when ctx was seen to have ended
 	for {
@@ -163,17 +167,19 @@
 // recordActivity records that a client has connected or sent a query.
 func (f *Front) recordActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
 
-// acceptPause is how long accepting pauses after an error such as a lack of descriptors.
+// acceptPause is the pause after an error of Accept such as a lack of file descriptors.
 const acceptPause = 5 * time.Millisecond
 
-// handleAcceptError handles an error of accept(2). A connection that was aborted before it was accepted says nothing about the next one.
-// Where this process has no descriptor left an idle connection makes room; what the whole system lacks is no client's fault here.
+// handleAcceptError handles an error of accept(2). An interrupted call or a connection that was aborted before it was accepted is ignored,
+// because the next Accept may succeed at once; after any other error accepting pauses. If this process has no file descriptor left
+// (EMFILE), a session is evicted to free one. If the whole system is short of a resource, sessions stay open: their clients did not cause
+// that.
 func (f *Front) handleAcceptError(ctx context.Context, err error) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EPROTO) {
 		return
 	}
 	f.acceptErrors.Add(1)
-	f.options.Log.Warn("connection not accepted", "error", err)
+	f.options.Log.Warn("accept failed", "error", err)
 	if errors.Is(err, syscall.EMFILE) {
 		f.evict(true)
 	}
@@ -185,8 +191,9 @@
 	}
 }
 
-// accept starts a session. Where the bound is reached and no session can be evicted, the new one may only cancel another session's
-// query, or is rejected.
+// accept starts a session for a connection. At the bound on sessions it evicts one first. If none can be evicted, the new session may only
+// cancel another session's query, and is rejected otherwise. If too many sessions are closing besides, one of them is aborted; if that is
+// not possible either, the new connection is closed at once.
 func (f *Front) accept(conn net.Conn) {
 	f.mu.Lock()
 	atBound := len(f.sessions) >= f.options.MaxSessions && f.openSessions() >= f.options.MaxSessions
@@ -194,7 +201,7 @@
 	overCapacity := atBound && !f.evict(false)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.sessions) >= f.options.MaxSessions+f.options.MaxClosing && !f.disconnectClosing() {
+	if len(f.sessions) >= f.options.MaxSessions+f.options.MaxClosing && !f.abortClosing() {
 		f.rejected.Add(1)
 		_ = conn.Close() // nothing was read from it
 		return
@@ -205,7 +212,7 @@
 	f.group.Go(func() error { s.run(); return nil })
 }
 
-// newKey is a key whose process number no session has; f.mu is held.
+// newKey returns a random key with a process number that no session has; f.mu is held.
 func (f *Front) newKey() pgwire.Key {
 	for {
 		k := pgwire.Key{Process: rand.Uint32N(1<<31-1) + 1, Secret: rand.Uint32()}
@@ -215,7 +222,7 @@
 	}
 }
 
-// cancel cancels what the client of the session with a key has sent.
+// cancel cancels the queries of the session with key k; it does nothing if no session has that key.
 func (f *Front) cancel(k pgwire.Key) {
 	f.mu.Lock()
 	s := f.sessions[k.Process]
@@ -225,8 +232,8 @@
 	}
 }
 
-// forget removes a session that has ended.
-func (f *Front) forget(s *session) {
+// removeSession removes a session that has ended. It may have been removed already, and its process number assigned to another session.
+func (f *Front) removeSession(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sessions[s.key.Process] == s {
@@ -234,7 +241,7 @@
 	}
 }
 
-// registerTrace registers an open query by its id; false where a query with that id is open already.
+// registerTrace registers the id of an open query; it returns false if a query with that id is open already.
 func (f *Front) registerTrace(trace string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -243,7 +250,7 @@
 	return !open
 }
 
-// releaseTrace removes a query's id.
+// releaseTrace removes the id of a query that is not open any more.
 func (f *Front) releaseTrace(trace string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/frontend/postgres/query_fields.go
+++ b/frontend/postgres/query_fields.go
@@ -13,22 +13,22 @@
 	"embershunt/policy"
 )
 
-// queryFields are what a client states of its query, in the comment before the statement.
+// queryFields are the fields of the comment before a statement, and the statement. A name in quotes is that of the field in the comment.
 type queryFields struct {
 	trace          string        // the query's id, "trace"
-	class          int           // "route"
-	tenant         int           // "customer"; -1: none was named
-	clientTimeout  time.Duration // how long the client waits, "patience"
+	class          int           // "route"; index in policy.Settings.Classes, as tenant is in Tenants
+	tenant         int           // "customer"; -1: none
+	clientTimeout  time.Duration // how long the client waits for the answer, "patience" in milliseconds
 	idempotencyKey string        // "nonce"; "": none
-	workEstimate   time.Duration // CPU time, "weight"; 0: none was stated
-	memoryMB       float64       // "need_mb"; 0: none was stated
+	workEstimate   time.Duration // CPU time, "weight" in milliseconds; 0: none
+	memoryMB       float64       // "need_mb"; 0: none
 	text           string        // the statement without the comment
 }
 
-// BadFieldError means that a field of a query's comment cannot be used.
+// BadFieldError means that a field of a query's comment, the comment itself or the statement cannot be used.
 type BadFieldError struct{ Field, Found, Allowed string }
 
-// Error names the field, what was found and what is allowed.
+// Error names the field, its value and what is allowed.
 func (e *BadFieldError) Error() string {
 	if e.Found == "" {
 		return fmt.Sprintf("%s: missing; allowed: %s", e.Field, e.Allowed)
@@ -37,20 +37,20 @@
 }
 
 const (
-	// maxWorkMillis bounds a work estimate that can be meant: eleven days on one core.
+	// maxWorkMillis is the largest plausible work estimate, in milliseconds: eleven days on one core.
 	maxWorkMillis = 1e9
-	// maxClassDeadlines bounds a client timeout that can be meant, in times of the class's deadline: a client may start to count a little
-	// earlier than that does, so that the deadline itself is no bound.
+	// maxClassDeadlines is the largest plausible client timeout, as a multiple of the class's deadline. The deadline itself would be too
+	// low a bound: a client may start to count a little earlier.
 	maxClassDeadlines = 2
-	// maxMachineMemories bounds a memory estimate that can be meant, in times of the largest machine's memory: estimates are rough.
+	// maxMachineMemories is the largest plausible memory estimate, as a multiple of the largest machine's memory: estimates are rough.
 	maxMachineMemories = 100
-	// maxFields bounds the fields of a comment.
+	// maxFields bounds the number of fields in a comment.
 	maxFields = 32
-	// traceDigits is the length of a query's id, in hexadecimal digits.
+	// traceDigits is the number of hexadecimal digits of a query's id.
 	traceDigits = 16
 )
 
-// parseQuery parses the comment of a statement. The error is a *BadFieldError.
+// parseQuery parses a statement with its comment. An error is a *BadFieldError.
 func parseQuery(statement string, s *policy.Settings) (queryFields, error) {
 	q := queryFields{tenant: -1}
 	fields, text, err := splitComment(statement)
@@ -75,12 +75,12 @@
 	}
 	q.idempotencyKey = fields["nonce"]
 	if q.idempotencyKey != "" && !lineproto.IsToken(q.idempotencyKey) || q.idempotencyKey == "" && class.Effect == policy.IdempotentByKey {
-		return q, &BadFieldError{"nonce", q.idempotencyKey, "a key of 1 to 64 letters and digits, in keyed classes"}
+		return q, &BadFieldError{"nonce", q.idempotencyKey, "a key of 1 to 64 letters, digits, '-', '_' or '.'; required in keyed classes"}
 	}
 	return q, nil
 }
 
-// parseNames parses the fields that name something of the settings.
+// parseNames parses the fields that name a class or tenant of the settings.
 func (q *queryFields) parseNames(fields map[string]string, s *policy.Settings) (err error) {
 	q.class, err = parseName("route", fields["route"], len(s.Classes), func(i int) string { return s.Classes[i].Name })
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// maxMemoryMB bounds a memory estimate.
+// maxMemoryMB returns the largest memory estimate that is accepted.
 func maxMemoryMB(s *policy.Settings) float64 {
 	largest := 0.0
 	for _, k := range s.Kinds {
@@ -127,7 +127,7 @@
 	return largest * maxMachineMemories
 }
 
-// splitComment splits a statement into the fields of the comment that it starts with, and its text.
+// splitComment splits a statement into the fields of the comment at its start and the text after the comment.
 func splitComment(statement string) (fields map[string]string, text string, err error) {
 	body, ok := strings.CutPrefix(strings.TrimLeft(statement, " \t\r\n"), "/*")
 	if !ok {
@@ -135,7 +135,7 @@
 	}
 	comment, text, ok := strings.Cut(body, "*/")
 	if !ok {
-		return nil, "", &BadFieldError{"comment", "", "a comment that ends"}
+		return nil, "", &BadFieldError{"comment", "", "a comment with */ at its end"}
 	}
 	fields = map[string]string{}
 	for field := range strings.SplitSeq(comment, ",") {
@@ -149,12 +149,12 @@
 	return fields, strings.TrimLeft(text, " \t\r\n"), nil
 }
 
-// isHex reports whether a text is n hexadecimal digits.
+// isHex reports whether s consists of n hexadecimal digits.
 func isHex(s string, n int) bool {
 	return len(s) == n && strings.Trim(s, "0123456789abcdefABCDEF") == ""
 }
 
-// parseName finds a name among n names and returns its index.
+// parseName returns the index i at which nameOf(i) is name, with i from 0 to n-1. The error names the field.
 func parseName(field, name string, n int, nameOf func(int) string) (int, error) {
 	var allowed []string
 	for i := range n {
@@ -166,7 +166,8 @@
 	return -1, &BadFieldError{field, name, strings.Join(allowed, ", ")}
 }
 
-// parseNumber parses a plain decimal number between bounds; NaN, infinities, exponents and signs are not allowed.
+// parseNumber parses a plain decimal number between two bounds; NaN, infinities, exponents and signs are not allowed. The error names the
+// field.
 func parseNumber(field, s string, minimum, maximum float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || strings.Trim(s, "0123456789.") != "" || !(v >= minimum && v <= maximum) {
@@ -175,7 +176,7 @@
 	return v, nil
 }
 
-// traits are the query's traits for the policy.
+// traits returns the traits by which the policy treats the query.
 func (q *queryFields) traits() *classify.Traits {
 	return &classify.Traits{Class: q.class, Tenant: q.tenant, Cost: q.workEstimate, MemoryMB: q.memoryMB, Tables: tableGroup(q.text)}
 }
--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -13,24 +13,25 @@
 	"embershunt/internal/pgwire"
 )
 
-// session is one client connection. Its reader (run) owns the end of the connection; a worker, which runs while answers are pending,
-// writes them one after the other. What may happen when is decided by its sessionState.
+// session is one client connection. Its reader (run) reads messages and closes the connection at the end. A worker, which runs while
+// answers are pending, executes queued commands and writes their answers one after the other. The sessionState decides which event is
+// accepted when.
 //
-// Locks are taken in the order Front.mu, session.mu; writeMu is never held together with another one.
+// Locks are taken in the order Front.mu, session.mu; writeMu is never held together with another lock.
 type session struct {
 	front        *Front
 	conn         net.Conn
 	key          pgwire.Key
-	disconnected chan struct{} // closed when the client has disconnected
+	disconnected chan struct{} // closed by disconnect
 
 	mu          sync.Mutex
 	state       sessionState
 	queueShrunk sync.Cond              // signalled when the queue of commands gets shorter
-	query       *frontend.PendingQuery // the one that the worker waits for; nil: none
+	query       *frontend.PendingQuery // the query whose outcome the worker waits for; nil: none
 
 	writeMu  sync.Mutex
 	finished bool        // the last message was written
-	failing  atomic.Bool // the last message is about to be written: pending answers are dropped, whichever goroutine is faster
+	failing  atomic.Bool // the reader is about to write the last message: answers are dropped, even if the worker gets writeMu first
 
 	closeOnce sync.Once // see recordClose
 }
@@ -43,26 +44,27 @@
 	return s
 }
 
-// snapshot is sessionState.snapshot under the session's lock.
+// snapshot calls sessionState.snapshot under the session's lock.
 func (s *session) snapshot() (p phase, queried bool, lastActivity time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.snapshot()
 }
 
-// closeStage is sessionState.closeStage under the session's lock.
+// closeStage calls sessionState.closeStage under the session's lock.
 func (s *session) closeStage() closeStage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.closeStage()
 }
 
-// readBufferBytes is small: a query is read in one or two pieces, and most connections are idle most of the time.
+// readBufferBytes is the size of a session's read buffer. It is small because most connections are idle most of the time, and large enough
+// to read a usual query in one or two pieces.
 const readBufferBytes = 1 << 10
 
-// run reads messages until the session ends, and closes the connection.
+// run reads messages until the session ends, and then closes the connection.
 func (s *session) run() {
-	defer s.front.forget(s)
+	defer s.front.removeSession(s)
 	defer s.closeConn()
 	defer s.disconnect()
 	defer s.recordClose(closedByClient)
@@ -102,7 +104,7 @@
 	}
 }
 
-// handleMessage handles one complete message; false where the session has ended with it.
+// handleMessage handles one complete message; it returns false if the session ends with it.
 func (s *session) handleMessage(r *bufio.Reader, kind byte, body []byte) bool {
 	switch kind {
 	case pgwire.Query:
@@ -111,8 +113,8 @@
 			s.failRead(r, err)
 			return false
 		}
-		if !s.enqueue(command{text, time.Now()}) { // the session was closed meanwhile
-			s.refuseCommand()
+		if !s.enqueue(command{text, time.Now()}) { // the session began to close while the message was read
+			s.rejectCommand()
 			s.closeGracefully(r)
 			return false
 		}
@@ -121,14 +123,14 @@
 		return false
 	}
 	s.front.protocolErrors.Add(1)
-	s.fail(r, codeUnknown, fmt.Sprintf("message type %q; allowed are simple queries", kind))
+	s.fail(r, codeUnsupported, fmt.Sprintf("message type %q is not supported; allowed: simple queries", kind))
 	return false
 }
 
-// maxStartMessages bounds the first messages of a connection: one request each for two kinds of encryption, and the start-up.
+// maxStartMessages bounds the messages of a handshake: one request each for TLS and GSSAPI encryption, and the start-up message.
 const maxStartMessages = 3
 
-// handshake reads the first messages; false where no session follows.
+// handshake reads messages up to the start-up message and answers them; it returns false if no session follows.
 func (s *session) handshake(r *bufio.Reader) bool {
 	for range maxStartMessages {
 		_, err := r.Peek(1)
@@ -136,7 +138,8 @@
 			s.reject(r)
 			return false
 		}
-		// A first query that is on its way may be sent elsewhere.
+		// The session closes before its first message was read. Its client may send a query to another dispatcher instead, but a
+		// cancel can only be carried out here.
 		if isTimeout(err) && s.waitTimedOut() || err == nil && !s.startMessage(s.state.startedAt) {
 			if !s.awaitCancel(r) {
 				s.closeGracefully(r)
@@ -161,24 +164,24 @@
 		}
 		return s.write(pgwire.AppendStartupResponse(make([]byte, 0, 256), s.key))
 	}
-	s.fail(r, codeProtocol, "encryption was asked for again; there is none")
+	s.fail(r, codeProtocolViolation, "encryption requested too often; it is not supported")
 	return false
 }
 
-// awaitCancel tells whether the first message of a closing session is a cancel of another one: that is heard all the same.
+// awaitCancel reports whether the first message of a closing session is a CancelRequest. It waits for that message for drainInputTimeout.
 func (s *session) awaitCancel(r *bufio.Reader) bool {
 	s.setReadDeadline(time.Now().Add(drainInputTimeout))
 	return pgwire.PeekCancel(r)
 }
 
-// reject ends a session for which there is no capacity.
+// reject ends a session that was accepted beyond the bound on sessions.
 func (s *session) reject(r *bufio.Reader) {
 	s.front.rejected.Add(1)
 	s.recordClose(closedAtCapacity)
-	s.fail(r, codeFull, "too many connections; nothing was read")
+	s.fail(r, codeTooManyConnections, "too many connections; nothing was read")
 }
 
-// awaitMessage sets until when the next message may start.
+// awaitMessage records that no message is in progress, and sets the deadline for the start of the next one.
 func (s *session) awaitMessage() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +190,7 @@
 	s.setReadDeadline(s.state.readDeadline(now))
 }
 
-// waitTimedOut begins the close of a session whose wait for a message is over; false where a command or an answer came first.
+// waitTimedOut begins the close of a session whose read deadline has passed; it returns false if a command or an answer came first.
 func (s *session) waitTimedOut() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +204,8 @@
 	return true
 }
 
-// startMessage notes that a message has started, which must be complete within the begin timeout after from; false where the session
-// closes.
+// startMessage records that a message has started, which must be complete within BeginTimeout after from. It returns false if the session
+// is closing.
 func (s *session) startMessage(from time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,8 +216,8 @@
 	return true
 }
 
-// enqueue accepts a command; false where the session closes. It waits while too much is pipelined, and where the session closes behind
-// the answers that are pending.
+// enqueue adds a command to the queue and starts a worker if none runs; it returns false if the session is closing. It waits while too much
+// is pipelined. If the session is to close after its pending answers, it waits for that close.
 func (s *session) enqueue(c command) bool {
 	s.front.recordActivity()
 	s.mu.Lock()
@@ -233,31 +236,33 @@
 	return true
 }
 
-// failRead answers a message that cannot be read; nothing after it can be read either.
+// failRead ends the session after a message that could not be read, since nothing after that message can be read either. It sends the
+// reason to the client, unless the connection itself failed.
 func (s *session) failRead(r *bufio.Reader, err error) {
 	var format *pgwire.FormatError
 	switch {
 	case errors.As(err, &format):
 		s.front.protocolErrors.Add(1)
-		s.fail(r, codeProtocol, format.What)
+		s.fail(r, codeProtocolViolation, format.What)
 	case errors.Is(err, pgwire.ErrTooLong):
 		s.front.protocolErrors.Add(1)
-		s.fail(r, codeTooLong, fmt.Sprintf("message too long; allowed are %d bytes", s.front.options.MaxStatement))
+		s.fail(r, codeTooLong, fmt.Sprintf("message too long; allowed: %d bytes", s.front.options.MaxStatement))
 	case isTimeout(err):
-		s.fail(r, codeProtocol, "no whole message came in time")
+		s.fail(r, codeProtocolViolation, "message not complete in time")
 	}
 }
 
-// setReadDeadline sets until when the reader waits.
+// setReadDeadline sets the deadline of the reader's current or next read.
 func (s *session) setReadDeadline(at time.Time) {
 	_ = s.conn.SetReadDeadline(at) // fails only on a closed connection, which the reader notices
 }
 
-// write writes complete messages, and nothing after the last one; false where they could not be written.
+// write writes complete messages; it returns false if they could not be written. Messages that come after the session's last message, or
+// while that is about to be written, are dropped.
 func (s *session) write(b []byte) bool { return s.writeMessages(b, false) }
 
-// writeLast writes the last messages of the session.
-func (s *session) writeLast(b []byte) { s.writeMessages(b, true) } // the close follows whether the client takes them or not
+// writeLast writes the session's last message. An error is ignored: the close follows whether the client receives the message or not.
+func (s *session) writeLast(b []byte) { s.writeMessages(b, true) }
 
 func (s *session) writeMessages(b []byte, last bool) bool {
 	s.writeMu.Lock()
@@ -271,7 +276,7 @@
 	return err == nil
 }
 
-// isTimeout reports whether a read or accept ended by its deadline.
+// isTimeout reports whether a read or accept failed because its deadline passed.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return errors.As(err, &timeout) && timeout.Timeout()
--- a/frontend/postgres/session_close.go
+++ b/frontend/postgres/session_close.go
@@ -9,22 +9,23 @@
 	"embershunt/internal/pgwire"
 )
 
-// How a session is closed: what was sent before the close is read for drainInputTimeout and refused. After the last message what still
-// arrives is discarded, because a close with unread bytes resets the connection, and the client may lose that message.
+// Bounds of the close of a session. Commands that were sent before the close are read and rejected until none has come for
+// drainInputTimeout. Whatever arrives after the last message was written is discarded: closing a connection with unread bytes resets it,
+// and the client may lose the last message.
 const (
 	drainInputTimeout    = time.Millisecond       // without another message
-	maxDrainInputTimeout = 50 * time.Millisecond  // in all: a client may connect again as soon as it is refused
-	lingerTimeout        = 250 * time.Millisecond // several times the delay between a request and a close that cross each other
+	maxDrainInputTimeout = 50 * time.Millisecond  // in total: a client may connect again as soon as its command is rejected
+	lingerTimeout        = 250 * time.Millisecond // several times the delay by which a request may cross the close
 	maxLingerBytes       = 256 << 10
 )
 
-// halfCloser is a connection whose sending side can be closed alone.
+// halfCloser is a connection whose sending side can be closed by itself.
 type halfCloser interface{ CloseWrite() error }
 
 var _ halfCloser = (*net.TCPConn)(nil)
 
-// beginClose begins the close of a session without pending answers. A session with pending answers closes behind them where the
-// dispatcher ends (ev is dispatcherEnds, else evicted). It reports whether the session closes now.
+// beginClose begins the close of a session without pending answers; ev is evicted or dispatcherEnds. A session with pending answers closes
+// after them for dispatcherEnds, and stays open for evicted. beginClose reports whether the close has begun.
 func (s *session) beginClose(ev event) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,13 +38,14 @@
 	} else {
 		s.recordClose(closedEvicted)
 	}
-	if !s.state.receiving { // else the message that has started is read to its end, and refused
+	if !s.state.receiving { // else the message that has started is read to its end, and rejected
 		s.setReadDeadline(s.state.readDeadline(now))
 	}
 	return true
 }
 
-// closeGracefully ends a session without pending answers. Queries that were sent before are refused: nothing runs for them.
+// closeGracefully ends a session without pending answers. Commands that were sent before the close are read and rejected; they are not
+// submitted.
 func (s *session) closeGracefully(r *bufio.Reader) {
 	defer s.setReceiving(false)
 	for until := time.Now().Add(maxDrainInputTimeout); !s.state.overCapacity && time.Now().Before(until); {
@@ -58,24 +60,24 @@
 		if err != nil || kind != pgwire.Query {
 			break
 		}
-		s.refuseCommand()
+		s.rejectCommand()
 	}
 	s.linger(r)
 }
 
-// setReceiving records whether a message of a closing session is being read and refused.
+// setReceiving records whether the reader of a closing session is reading a message in order to reject it.
 func (s *session) setReceiving(receiving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.receiving = receiving
 }
 
-// refuseCommand answers a command that came too late. The write may fail: the session ends anyway.
-func (s *session) refuseCommand() {
+// rejectCommand rejects a command that was read after the close had begun. The write may fail: the session ends anyway.
+func (s *session) rejectCommand() {
 	s.writeError(codeDraining, "the dispatcher closes this session; nothing was run")
 }
 
-// linger ends the sending side and discards what arrives, within bounds.
+// linger closes the sending side and discards whatever arrives, until the client closes its side or a bound is reached.
 func (s *session) linger(r *bufio.Reader) {
 	s.mu.Lock()
 	s.state.apply(sendingEnded, time.Now())
@@ -88,7 +90,7 @@
 	_, _ = io.CopyN(io.Discard, r, maxLingerBytes) // ends at the deadline, the bound or the client's close
 }
 
-// fail writes the session's last message and closes it; the queries of its client are cancelled.
+// fail ends the session with an error as its last message, and cancels its queries.
 func (s *session) fail(r *bufio.Reader, code, message string) {
 	s.recordClose(closedUnreadable)
 	s.failing.Store(true)
@@ -97,7 +99,7 @@
 	s.linger(r)
 }
 
-// disconnect records that the client is gone, or cannot be read or written any more: its queries are cancelled.
+// disconnect records that the client has disconnected, or that its connection cannot be read or written any more, and cancels its queries.
 func (s *session) disconnect() {
 	s.mu.Lock()
 	if !s.state.disconnected {
@@ -112,7 +114,7 @@
 	}
 }
 
-// closeConn closes the connection.
+// closeConn closes the connection. It may be called more than once.
 func (s *session) closeConn() {
-	_ = s.conn.Close() // its reader and worker may both close it
+	_ = s.conn.Close() // an error means that it was closed before: reader, worker and abortClosing may each close it
 }
--- a/frontend/postgres/session_state.go
+++ b/frontend/postgres/session_state.go
@@ -6,88 +6,90 @@
 	"embershunt/permit"
 )
 
-// phase is where a session stands. It changes by sessionState.apply only, under session.mu, so that a command and a close that cross
-// each other have one order: a command is accepted as a whole, or nothing of it is.
+// phase is the state of a session. Only sessionState.apply changes it, under session.mu, so that a command and a close that come at the
+// same time have one order: a command is accepted completely or not at all.
 type phase uint8
 
 const (
 	starting  phase = iota // no command was received yet
 	idle                   // no answer is pending
-	receiving              // starting or idle, with a message that is not complete; only in snapshots
-	working                // commands were received whose answers are not written; a worker runs
-	closing                // accepts no command: what was sent before the close is refused, what is sent after it is dropped
+	receiving              // starting or idle, and a message was received in part; only snapshot returns it
+	working                // answers are pending; a worker runs
+	closing                // no command is accepted: one sent before the close is rejected, one sent after it is discarded
 )
 
-// event is what happens to a session.
+// event is an event that may change a session's state.
 type event uint8
 
 const (
-	messageStarted     event = iota // the first byte of a message is there
+	messageStarted     event = iota // the first byte of a message was received
 	messageEnded                    // the reader waits for the next message
 	commandReceived                 // a command was read completely
-	queryRecognized                 // a command can be used
-	queueEmptied                    // the worker has written the last answer
-	waitTimedOut                    // the wait for a message is over
-	evicted                         // the connection is needed for another client
+	queryRecognized                 // a command is empty, or has fields and an id that can be used
+	queueEmptied                    // the worker has written the last pending answer
+	waitTimedOut                    // the read deadline for the start of a message has passed
+	evicted                         // the session is to make room for another client
 	dispatcherEnds                  // the frontend closes all sessions
-	sendingEnded                    // the last message was written; what still arrives is discarded
-	clientDisconnected              // the client is gone, or is treated as such: it cannot be read or written any more
+	sendingEnded                    // the last message was written; whatever still arrives is discarded
+	clientDisconnected              // the client has disconnected, or its connection cannot be read or written any more
 )
 
-// sessionState is the state machine of one session. It does no I/O and has no clock or lock: session.mu protects it.
+// sessionState is the state machine of one session. It does no I/O and has no clock or lock: session.mu protects it. In the table "-" means
+// that the phase stays, and "message in progress" that receiving is set.
 //
 //	event               starting, idle             working                  closing
 //	messageStarted      message in progress        message in progress      not accepted
 //	commandReceived     working                    -                        not accepted
-//	queueEmptied        -                          idle, or closing where   idle (see below)
+//	queueEmptied        -                          idle, or closing where   the same (see below)
 //	                                               a close is due
 //	waitTimedOut        closing, unless a command  not accepted             -
 //	                    or answer came first
 //	evicted             closing, unless a message  not accepted             not accepted
 //	                    is in progress
 //	dispatcherEnds      closing                    not accepted; closes     not accepted
-//	                                               behind its answers
+//	                                               after its answers
 //	sendingEnded        closing                    closing                  -
 //
-// A session whose sending ends while its worker runs is closing, and returns to idle or closing when the worker has finished.
+// A session whose sending ends while its worker runs is closing until the worker has finished. Then it is idle, or closing where a close is
+// due; its reader ends in either case.
 type sessionState struct {
-	overCapacity bool // it may only cancel another session's query, or is rejected; never changes
+	overCapacity bool // it may only cancel another session's query, and is rejected otherwise; never changes
 	startedAt    time.Time
 	limits       waitLimits
 
 	phase             phase
 	receiving         bool      // a message has started and is not complete
-	lastActivity      time.Time // of the last command or answer
-	queried           bool      // it has sent a query
-	closeWhenAnswered bool      // it closes as soon as no answer is pending
-	disconnected      bool      // its client is gone, or treated as such
-	lingering         bool      // the last message was written; what still arrives is discarded
-	cancelledAt       time.Time // when the client cancelled while nothing was pending; zero: it did not
+	lastActivity      time.Time // when the last command that can be used was begun, or the queue emptied; at first when the session started
+	queried           bool      // the client has sent a command that can be used
+	closeWhenAnswered bool      // the session closes as soon as no answer is pending
+	disconnected      bool      // after clientDisconnected
+	lingering         bool      // the last message was written; whatever still arrives is discarded
+	cancelledAt       time.Time // when the client cancelled while nothing was pending; zero: no such cancel
 
 	commands             []command // pipelined: received and not yet begun
-	queuedBytes          int       // of those
-	protocolErrorsInARow int
+	queuedBytes          int       // of their texts
+	protocolErrorsInARow int       // commands in a row that could not be used
 }
 
-// waitLimits bound how long a connection may go without a message.
+// waitLimits bound how long a session waits for the start of a message.
 type waitLimits struct {
-	begin time.Duration // before its first query
-	idle  time.Duration // after a query or an answer
+	begin time.Duration // from the connect to the first query
+	idle  time.Duration // after the last activity
 }
 
 // command is a query that was read completely and has no answer yet.
 type command struct {
 	text       string
-	receivedAt time.Time // of its last byte; zero: it was cancelled
+	receivedAt time.Time // when its last byte was received; zero: the command was cancelled
 }
 
-// Bounds of the commands that are pipelined on one session; beyond them the socket's buffer holds the rest.
+// Bounds of the commands that are pipelined on one session. At a bound the reader stops reading, and the rest stays in the socket's buffer.
 const (
 	maxPipelinedCommands = 128
 	maxPipelinedBytes    = 32 << 10
 )
 
-// apply applies an event; false where the state does not accept it.
+// apply applies an event; it returns false if the state does not accept it.
 func (s *sessionState) apply(ev event, now time.Time) bool {
 	switch ev {
 	case messageStarted:
@@ -130,7 +132,7 @@
 	return true
 }
 
-// mayClose reports whether the session may be closed now; ending: the dispatcher ends.
+// mayClose reports whether the session may be closed now; ending says that the dispatcher ends.
 func (s *sessionState) mayClose(ending bool) bool {
 	c := permit.Connection{Receiving: s.receiving, DispatcherEnds: ending}
 	if s.phase == working {
@@ -139,7 +141,8 @@
 	return c.Close() == permit.Permitted
 }
 
-// snapshot is the phase as others see it, whether the session has sent a query, and when the last command or answer was.
+// snapshot returns the phase, with receiving for a partly received message, whether a query was received, and the time of the last
+// activity.
 func (s *sessionState) snapshot() (p phase, queried bool, lastActivity time.Time) {
 	if p = s.phase; s.receiving && (p == starting || p == idle) {
 		p = receiving
@@ -147,17 +150,17 @@
 	return p, s.queried, s.lastActivity
 }
 
-// closeStage is how far the close of a session has come.
+// closeStage is the progress of a session's close. Later stages have higher values.
 type closeStage uint8
 
 const (
-	notClosing    closeStage = iota // it does not close, or an answer is pending
-	atCapacity                      // it is to be rejected
-	drainingInput                   // commands that were sent before the close are read and refused
-	lingering                       // the last message was written; what still arrives is discarded
+	notClosing    closeStage = iota // the session stays open, or has a pending answer or a partly received message
+	atCapacity                      // the session is over capacity and is going to be rejected
+	drainingInput                   // commands that were sent before the close are read and rejected
+	lingering                       // the last message was written; whatever still arrives is discarded
 )
 
-// closeStage is the stage of the session's close.
+// closeStage returns the stage of the session's close.
 func (s *sessionState) closeStage() closeStage {
 	switch {
 	case s.lingering:
@@ -172,34 +175,34 @@
 	return notClosing
 }
 
-// readDeadline is until when the next message may start; zero: there is no limit.
+// readDeadline returns the deadline for the start of the next message; the zero time means none.
 func (s *sessionState) readDeadline(now time.Time) time.Time {
 	switch {
 	case s.phase == closing:
 		return now.Add(drainInputTimeout)
-	case s.phase == working: // the deadlines of its queries hold
+	case s.phase == working: // the deadlines of its queries apply instead
 		return time.Time{}
 	case s.overCapacity:
-		return s.startedAt.Add(usualBegin)
+		return s.startedAt.Add(usualFirstQueryDelay)
 	case !s.queried:
 		return s.startedAt.Add(s.limits.begin)
 	}
 	return s.lastActivity.Add(s.limits.idle)
 }
 
-// mustWait reports whether a command must wait before it is accepted: too much is pipelined, or the session closes behind the answers
-// that are pending.
+// mustWait reports whether a command must wait before it is accepted: too much is pipelined, or the session is to close after its pending
+// answers.
 func (s *sessionState) mustWait(c command) bool {
 	return s.closeWhenAnswered && s.phase == working || len(s.commands) >= maxPipelinedCommands ||
 		len(s.commands) > 0 && s.queuedBytes+len(c.text) > maxPipelinedBytes
 }
 
-// push adds a command that was accepted to the queue.
+// push adds an accepted command to the queue.
 func (s *sessionState) push(c command) {
 	s.commands, s.queuedBytes = append(s.commands, c), s.queuedBytes+len(c.text)
 }
 
-// pop takes the oldest command out of the queue; false where it is empty.
+// pop removes the oldest command from the queue; ok is false if the queue is empty.
 func (s *sessionState) pop() (c command, ok bool) {
 	if len(s.commands) == 0 {
 		return c, false
@@ -209,11 +212,12 @@
 	return c, true
 }
 
-// cancelWindow is how long after a cancel a query may be received that the cancel was meant for: clients close the session then.
+// cancelWindow is how long a cancel that found nothing pending applies to the next query of the session. A later query is not the one that
+// the client meant: clients close the session after a cancel.
 const cancelWindow = 500 * time.Millisecond
 
-// cancel cancels the queued commands, which were received before the cancel. Where nothing is pending the cancel holds for a query that
-// is on its way.
+// cancel cancels the queued commands, which were received before the cancel. If no command is queued and no query is pending, it records
+// the cancel for a query that may still arrive.
 func (s *sessionState) cancel(pending bool, now time.Time) {
 	if !pending && len(s.commands) == 0 {
 		s.cancelledAt = now
@@ -223,7 +227,8 @@
 	}
 }
 
-// maySubmit reports whether a query may be submitted: its client is there and did not cancel it. It uses up a cancel.
+// maySubmit reports whether a query may be submitted: its client is connected and did not cancel the query before it arrived. A recorded
+// cancel applies to one query only.
 func (s *sessionState) maySubmit(now time.Time) bool {
 	cancelled := !s.cancelledAt.IsZero() && now.Sub(s.cancelledAt) < cancelWindow
 	s.cancelledAt = time.Time{}
--- a/frontend/postgres/session_worker.go
+++ b/frontend/postgres/session_worker.go
@@ -13,7 +13,7 @@
 	"embershunt/policy"
 )
 
-// answerCommands answers commands in their order, until there are none.
+// answerCommands is the session's worker: it answers queued commands in order until the queue is empty.
 func (s *session) answerCommands() {
 	for {
 		c, ok := s.nextCommand()
@@ -23,12 +23,13 @@
 		if !s.answer(c) {
 			s.recordClose(closedWriteFailed)
 			s.disconnect()
-			s.closeConn() // the reader notices it, and ends
+			s.closeConn() // ends the reader
 		}
 	}
 }
 
-// nextCommand takes the next command out of the queue. Where there is none the worker has ended: the next command starts another one.
+// nextCommand takes the next command from the queue. If the queue is empty, it records that the worker has ended; the next command starts
+// another worker.
 func (s *session) nextCommand() (c command, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,10 +50,10 @@
 	return c, false
 }
 
-// answer gives a command its one answer; false where it cannot be written.
+// answer executes a command and writes its one answer; it returns false if the answer could not be written.
 func (s *session) answer(c command) bool {
 	if strings.Trim(c.text, " \t\r\n;") == "" {
-		s.recordUse()
+		s.recordQueryRecognized()
 		return s.write(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
 	}
 	q, err := parseQuery(c.text, &s.front.options.Settings)
@@ -60,14 +61,15 @@
 		return s.answerProtocolError(codeBadField, err.Error())
 	}
 	remaining := q.clientTimeout - time.Since(c.receivedAt)
-	if c.receivedAt.IsZero() || remaining <= 0 { // cancelled, or its timeout was over before its turn: nothing was sent
+	if c.receivedAt.IsZero() || remaining <= 0 { // cancelled, or timed out in the queue: nothing was sent
 		return s.writeError(codeOverload, "over before its turn; nothing was run")
 	}
 	if !s.front.registerTrace(q.trace) {
-		return s.answerProtocolError(codeOpen, fmt.Sprintf("trace %s: the id is open already; allowed is a new one for each request", q.trace))
+		return s.answerProtocolError(codeIDInUse,
+			fmt.Sprintf("trace %s: a query with this id is open already; allowed: a new id for each query", q.trace))
 	}
 	outcome, err := s.execute(q, remaining)
-	s.front.releaseTrace(q.trace) // not open any more when the client reads the answer
+	s.front.releaseTrace(q.trace) // before the client can read the answer and use the id again
 	if err != nil {
 		return s.answerProtocolError(codeBadField, err.Error())
 	}
@@ -77,7 +79,7 @@
 	return s.write(encodeOutcome(outcome))
 }
 
-// execute submits a query and waits for its outcome. The error says that its fields cannot be used.
+// execute submits a query and waits for its outcome. An error means that the query's fields cannot be used.
 func (s *session) execute(q queryFields, remaining time.Duration) (dispatch.Outcome, error) {
 	class := &s.front.options.Settings.Classes[q.class]
 	work := &lineproto.Request{ID: q.trace, Class: class.Name, Text: q.text, Priority: -1}
@@ -94,9 +96,9 @@
 	return <-pending.Done, nil
 }
 
-// submit hands a query to the intake, unless its client has disconnected or cancelled it; nil then.
+// submit hands a query to the intake. It returns nil if the client has disconnected or cancelled the query.
 func (s *session) submit(c frontend.Call) (*frontend.PendingQuery, error) {
-	s.recordUse()
+	s.recordQueryRecognized()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.state.maySubmit(time.Now()) {
@@ -109,22 +111,23 @@
 	return q, err
 }
 
-// recordUse records that a command can be used.
-func (s *session) recordUse() {
+// recordQueryRecognized records that a command can be used.
+func (s *session) recordQueryRecognized() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.apply(queryRecognized, time.Now())
 }
 
-// Bounds of the pause after commands that cannot be used; it doubles with each in a row.
+// The pause after a command that cannot be used. It doubles with each such command in a row.
 const (
-	protocolErrorPause    = 20 * time.Millisecond
+	protocolErrorPause    = 20 * time.Millisecond // after the first
 	maxProtocolErrorPause = time.Second
-	maxPauseDoublings     = 10
+	maxPauseDoublings     = 10 // keeps the shift from overflowing
 )
 
-// answerProtocolError answers a command that cannot be used; false where the answer cannot be written. A client that sends the next one
-// at once waits for its answer, ever longer: the time of a dispatcher belongs to clients that can be served.
+// answerProtocolError answers a command that cannot be used, and then pauses the worker; it returns false if the answer could not be
+// written. A client that sends such commands in a row waits ever longer for the next answer, so that it takes little time from clients that
+// can be served.
 func (s *session) answerProtocolError(code, message string) bool {
 	s.front.protocolErrors.Add(1)
 	s.mu.Lock()
@@ -143,12 +146,12 @@
 	return true
 }
 
-// writeError answers a command with an error; the session goes on.
+// writeError answers a command with an error after which the session continues; it returns false if the answer could not be written.
 func (s *session) writeError(code, message string) bool {
 	return s.write(appendError(nil, code, message))
 }
 
-// cancel cancels what the session's client has sent. The session goes on.
+// cancel cancels the session's pending query and queued commands. The session continues.
 func (s *session) cancel() {
 	s.mu.Lock()
 	q := s.query
--- a/frontend/postgres/tokens.go
+++ b/frontend/postgres/tokens.go
@@ -2,14 +2,14 @@
 
 import "strings"
 
-// token is a piece of a statement: an identifier or keyword, or one character of punctuation.
+// token is a part of a statement: an identifier, keyword or number, or one character of punctuation.
 type token struct {
-	text   string
-	name   bool // an identifier or keyword
-	quoted bool // an identifier in double quotes
+	text   string // of a quoted identifier: without the quotes
+	name   bool   // an identifier, keyword or number
+	quoted bool   // an identifier in double quotes
 }
 
-// keyword is the token in lower case where it may be a keyword, else "".
+// keyword returns the token in lower case if it may be a keyword, otherwise "".
 func (t token) keyword() string {
 	if !t.name || t.quoted {
 		return ""
@@ -17,10 +17,10 @@
 	return strings.ToLower(t.text)
 }
 
-// isPunctuation reports whether the token is a character of punctuation.
+// isPunctuation reports whether the token is the punctuation character c.
 func (t token) isPunctuation(c string) bool { return !t.name && t.text == c }
 
-// tokens yields the tokens of a statement, without its strings and comments.
+// tokens calls yield for the tokens of a statement, without its strings and comments, until yield returns false.
 func tokens(s string, yield func(token) bool) {
 	for i := 0; i < len(s); {
 		if end := skipIgnored(s, i); end > i {
@@ -35,7 +35,7 @@
 	}
 }
 
-// skipIgnored returns the end of the white space, comment or string that starts at i; i where none does.
+// skipIgnored returns the end of the white space, comment or string that starts at i, or i if none does.
 func skipIgnored(s string, i int) int {
 	switch c := s[i]; {
 	case isSpace(c):
@@ -47,20 +47,20 @@
 	case c == '\'':
 		return skipString(s, i, isEscapeString(s, i))
 	case c == '$':
-		return skipDollar(s, i)
+		return skipDollarQuoted(s, i)
 	}
 	return i
 }
 
-// readToken reads the token that starts at i, and returns its end.
+// readToken returns the token that starts at i, and its end.
 func readToken(s string, i int) (t token, end int) {
 	switch c := s[i]; {
 	case c == '"':
 		text, end := readQuoted(s, i)
 		return token{text: text, name: true, quoted: true}, end
-	case isName(c):
+	case isNameByte(c):
 		end = i
-		for end < len(s) && (isName(s[end]) || s[end] == '$') {
+		for end < len(s) && (isNameByte(s[end]) || s[end] == '$') {
 			end++
 		}
 		return token{text: s[i:end], name: true}, end
@@ -68,7 +68,7 @@
 	return token{text: s[i : i+1]}, i + 1
 }
 
-// readQuoted reads an identifier in double quotes, in which a quote is written twice.
+// readQuoted returns the identifier in double quotes that starts at i, and its end. A quote within it is written twice.
 func readQuoted(s string, i int) (name string, end int) {
 	var b strings.Builder
 	for i++; i < len(s); i++ {
@@ -87,11 +87,11 @@
 	return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' || c == '\v'
 }
 
-func isName(c byte) bool {
+func isNameByte(c byte) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '_' || c >= 0x80
 }
 
-// skipLine skips a comment that ends with its line.
+// skipLine returns the end of the line comment that starts at i.
 func skipLine(s string, i int) int {
 	if end := strings.IndexByte(s[i:], '\n'); end >= 0 {
 		return i + end + 1
@@ -99,7 +99,7 @@
 	return len(s)
 }
 
-// skipComment skips a block comment; these nest.
+// skipComment returns the end of the block comment that starts at i. Block comments nest.
 func skipComment(s string, i int) int {
 	depth := 0
 	for i < len(s) {
@@ -119,12 +119,12 @@
 	return i
 }
 
-// isEscapeString reports whether the quote at i starts a string with escapes: an E that is not the end of a name stands before it.
+// isEscapeString reports whether the quote at i starts a string with backslash escapes: an E precedes it that is not the end of a name.
 func isEscapeString(s string, i int) bool {
-	return i > 0 && (s[i-1] == 'e' || s[i-1] == 'E') && (i == 1 || !isName(s[i-2]))
+	return i > 0 && (s[i-1] == 'e' || s[i-1] == 'E') && (i == 1 || !isNameByte(s[i-2]))
 }
 
-// skipString skips a string. A quote in it is written twice, or after a backslash where escapes are on.
+// skipString returns the end of the string that starts at i. A quote within it is written twice, or after a backslash if escapes is set.
 func skipString(s string, i int, escapes bool) int {
 	for i++; i < len(s); i++ {
 		switch {
@@ -139,10 +139,10 @@
 	return len(s)
 }
 
-// skipDollar skips a string between dollar tags, or a single dollar.
-func skipDollar(s string, i int) int {
+// skipDollarQuoted returns the end of the dollar-quoted string that starts at i, or of the single dollar if there is no such string.
+func skipDollarQuoted(s string, i int) int {
 	end := i + 1
-	for end < len(s) && isName(s[end]) {
+	for end < len(s) && isNameByte(s[end]) {
 		end++
 	}
 	if end >= len(s) || s[end] != '$' || end > i+1 && s[i+1] >= '0' && s[i+1] <= '9' {
