--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -11,14 +11,14 @@
 	"embershunt/dispatch"
 )
 
-// faultyListener is a listener whose Accept fails some times before it returns a connection.
+// faultyListener is a listener whose Accept fails a set number of times before it accepts connections again.
 type faultyListener struct {
 	*net.TCPListener
 
 	mu          sync.Mutex
 	errno       syscall.Errno
-	times       int
-	allReturned chan struct{} // closed when the last error was returned
+	times       int           // errors still to be returned
+	allReturned chan struct{} // closed when the last error is returned
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
@@ -34,7 +34,7 @@
 	return l.TCPListener.Accept()
 }
 
-// fail makes the next calls of Accept fail.
+// fail makes the next calls of Accept fail with errno, as many as times says. The channel is closed when the last one fails.
 func (l *faultyListener) fail(errno syscall.Errno, times int) <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,8 +42,9 @@
 	return l.allReturned
 }
 
-// An error of accept(2) closes no other connection, unless this process lacks descriptors: then idle ones are closed.
-func TestAcceptErrorsCloseNobodyElse(t *testing.T) {
+// An error of accept(2) closes no open connection, unless this process has no file descriptor left (EMFILE): then an idle one is closed.
+// The frontend accepts connections again after the error.
+func TestAcceptErrorsKeepOpenConnections(t *testing.T) {
 	for errno, closes := range map[syscall.Errno]bool{syscall.ECONNABORTED: false, syscall.EINTR: false, syscall.ENFILE: false,
 		syscall.ENOBUFS: false, syscall.ENOMEM: false, syscall.EMFILE: true} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -60,9 +61,9 @@
 			}
 			allReturned := listener.fail(errno, 20)
 			if closes {
-				s.connect() // ends the Accept that waits already; the errors come after it, and may close this connection too
+				s.connect() // ends the Accept that is waiting; the errors follow, and may close this connection too
 			} else {
-				s.session() // the same, and it is served among the errors
+				s.session() // the same; this connection is served while Accept fails
 			}
 			<-allReturned
 			after := s.session()
@@ -75,21 +76,22 @@
 			}
 			if closes {
 				if got := idle.until(0); got != "." {
-					t.Errorf("the idle one got %q", got)
+					t.Errorf("the idle client got %q", got)
 				}
 				return
 			}
 			send(idle, queryWithFields(3, "SELECT 1"))
 			if got := idle.until('Z'); got != "TCZ" {
-				t.Errorf("the idle one got %q", got)
+				t.Errorf("the idle client got %q", got)
 			}
 		})
 	}
 }
 
-// The reason for which a session ended is counted, once each.
-func TestClosuresAreCounted(t *testing.T) {
-	s := startServer(t, Options{IdleTimeout: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
+// Every session that ends is counted once, under the reason for which it ended.
+func TestCloseCounts(t *testing.T) {
+	s := startServer(t, Options{IdleTimeout: 50 * time.Millisecond},
+		func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
 	closeConn(t, s.session())
 	send(s.session(), []byte{0xff, 0xff, 0xff, 0xff, 0xff})
 	idle := s.session()
@@ -108,6 +110,6 @@
 		}
 	}
 	if total != 4 {
-		t.Errorf("%d counted", total)
+		t.Errorf("%d sessions counted, want 4", total)
 	}
 }
--- a/frontend/postgres/cancel_test.go
+++ b/frontend/postgres/cancel_test.go
@@ -8,8 +8,8 @@
 	"embershunt/internal/pgwire"
 )
 
-// A client gives its query up by a cancel with its key, or by closing the connection; another key does nothing. The dispatcher is notified
-// once.
+// The dispatcher is notified, once, of a client that cancels its query with the session's key or closes the connection. A cancel with
+// another key has no effect.
 func TestClientsThatDisconnect(t *testing.T) {
 	s := startServer(t, Options{}, nil)
 	wait := func() string {
@@ -38,18 +38,18 @@
 		t.Errorf("%s disconnected, want 01", id)
 	}
 	if got := a.until('Z'); got != "E(57014)Z" {
-		t.Errorf("%s", got)
+		t.Errorf("the cancelled query got %s", got)
 	}
 	closeConn(t, b)
 	if id := wait(); id != "02" {
 		t.Errorf("%s disconnected, want 02", id)
 	}
-	send(a, queryWithFields(3, "SELECT 1")) // the session goes on
+	send(a, queryWithFields(3, "SELECT 1")) // the session continues
 	s.waitForOpen(1)
 }
 
-// A client that disconnects or cancels gives up all commands that it has pipelined: one of them was submitted, and is reported as
-// disconnected; the others are never submitted.
+// A client that disconnects or cancels with pipelined commands cancels all of them: the one that was submitted is reported as disconnected,
+// and the others are never submitted.
 func TestDisconnectCancelsPipelinedCommands(t *testing.T) {
 	for name, disconnect := range map[string]func(s *testServer, c *client){
 		"close":     func(_ *testServer, c *client) { closeConn(c.t, c) },
@@ -61,7 +61,7 @@
 			c := s.session()
 			send(c, append(queryWithFields(1, "SELECT 1"), append(queryWithFields(2, "SELECT 1"), queryWithFields(3, "SELECT 1")...)...))
 			s.waitForOpen(1)
-			for pipelined := 0; pipelined < 2; { // both were read
+			for pipelined := 0; pipelined < 2; { // until both were read
 				s.front.mu.Lock()
 				for _, o := range s.front.sessions {
 					o.mu.Lock()
@@ -87,7 +87,7 @@
 	}
 }
 
-// A cancel whose query has not been read yet: the query is not submitted when it is read.
+// A query that the client has sent and cancelled, and that was not read before the cancel, is not submitted when it is read.
 func TestCancelBeforeItsQuery(t *testing.T) {
 	s := startServer(t, Options{}, nil)
 	c := s.session()
@@ -97,12 +97,12 @@
 	s.front.cancel(c.key)
 	open()
 	if got := c.until('Z'); got != "E(57014)Z" {
-		t.Errorf("%s", got)
+		t.Errorf("the cancelled query got %s", got)
 	}
 	s.waitForOpen(0)
 }
 
-// A cancel on a connection that is closed to make room, before it was read, is heard all the same.
+// A CancelRequest is carried out even if its connection is evicted before the request was read.
 func TestCancelOnAnEvictedConnection(t *testing.T) {
 	s := startServer(t, Options{}, nil)
 	a := s.session()
@@ -134,6 +134,6 @@
 			t.Errorf("%s disconnected, want 01", id)
 		}
 	default:
-		t.Error("the cancel was not heard")
+		t.Error("the cancel was not carried out")
 	}
 }
--- a/frontend/postgres/eviction_test.go
+++ b/frontend/postgres/eviction_test.go
@@ -7,14 +7,14 @@
 	"embershunt/dispatch"
 )
 
-// At the bound on sessions silent connections are evicted, those with an open query never; where all have one, a new connection is rejected
-// with the message that nothing was read.
+// At the bound on sessions, sessions without a query are evicted, and those with an open query never. If all have an open query, a new
+// connection is rejected with the code for too many connections.
 func TestTooManyConnections(t *testing.T) {
 	s := startServer(t, Options{MaxSessions: 4, BeginTimeout: time.Minute}, nil)
 	busy := s.session()
 	send(busy, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
-	for range 20 { // silent ones
+	for range 20 { // they send nothing
 		s.connect()
 	}
 	other := s.session()
@@ -26,20 +26,21 @@
 		s.waitForOpen(3 + i)
 	}
 	if got := s.connect().until('Z'); got != "E(53300)." {
-		t.Errorf("one too many: %s", got)
+		t.Errorf("the connection above the bound got %s", got)
 	}
 	if open, rejected, _ := s.front.Counts(); open != 4 || rejected != 1 {
 		t.Errorf("%d open, %d rejected", open, rejected)
 	}
 }
 
-// In a flood of clients that send one query and stay, a client that has just connected is not the one to be evicted: its query is on its
-// way, while an idle client only has to connect again.
+// At the bound on sessions, an idle session is evicted before one that has just been opened: the new client's query may be on its way,
+// while the idle client only has to connect again. Without that order, a flood of clients that send one query and stay starves new clients.
 func TestNewSessionsAreNotEvictedFirst(t *testing.T) {
-	s := startServer(t, Options{MaxSessions: 8, BeginTimeout: time.Minute}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
+	s := startServer(t, Options{MaxSessions: 8, BeginTimeout: time.Minute},
+		func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(0), true })
 	for i := range 60 {
 		fresh := s.session()
-		for j := range 3 { // each sends one query and stays
+		for j := range 3 { // each sends one query and stays connected
 			c := s.session()
 			send(c, queryWithFields(10*i+j, "SELECT 1"))
 			if got := c.until('Z'); got != "TCZ" {
@@ -48,13 +49,13 @@
 		}
 		send(fresh, queryWithFields(10*i+9, "SELECT 1"))
 		if got := fresh.until('Z'); got != "TCZ" {
-			t.Fatalf("the newcomer %d: %s", i, got)
+			t.Fatalf("new client %d: %s", i, got)
 		}
 	}
 }
 
-// Where all sessions are busy a client can still cancel its query, and a new connection is rejected with the message that nothing was
-// read, whatever it has sent.
+// At the bound on sessions, with an open query on each, a client can still cancel its query. Any other new connection is rejected with the
+// code for too many connections, whatever it has sent.
 func TestCancelAtTheBound(t *testing.T) {
 	s := startServer(t, Options{MaxSessions: 1}, nil)
 	busy := s.session()
@@ -64,12 +65,12 @@
 		c := s.connect()
 		send(c, append(append([]byte{}, startupMessage...), queryWithFields(2, "SELECT 1")...))
 		if got := c.until('Z'); got != "E(53300)." {
-			t.Fatalf("a newcomer got %s", got)
+			t.Fatalf("a new client got %s", got)
 		}
 	}
 	c := s.connect()
 	send(c, cancelRequest(busy.key))
 	if got := busy.until('Z'); got != "E(57014)Z" {
-		t.Errorf("%s", got)
+		t.Errorf("the cancelled query got %s", got)
 	}
 }
--- a/frontend/postgres/query_fields_test.go
+++ b/frontend/postgres/query_fields_test.go
@@ -11,7 +11,8 @@
 
 func testSettings() policy.Settings {
 	return policy.Settings{Peers: 1, Classes: []policy.Class{
-		{Name: "lookup", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 3e6}, {Name: "load", PriorityWeight: 5, LatencyObjective: 3e6, Deadline: 9e6, Effect: policy.IdempotentByKey}},
+		{Name: "lookup", PriorityWeight: 1, LatencyObjective: 1e6, Deadline: 3e6},
+		{Name: "load", PriorityWeight: 5, LatencyObjective: 3e6, Deadline: 9e6, Effect: policy.IdempotentByKey}},
 		Kinds: []policy.Kind{{Cores: 8, MemoryMB: 1000}}, Tenants: []policy.Tenant{{Name: "motor"}, {Name: "property"}}}
 }
 
@@ -19,7 +20,8 @@
 
 func TestFields(t *testing.T) {
 	s := testSettings()
-	a, err := parseQuery("/* route=load, trace=9B1F03aa5c7e2d41,patience=1500.5,customer=property,nonce=5c0f,weight=820.0,need_mb=96,new=1 */\n\tINSERT INTO sales_17.orders\r\nSELECT '/* x */' ", &s)
+	a, err := parseQuery("/* route=load, trace=9B1F03aa5c7e2d41,patience=1500.5,customer=property,nonce=5c0f,weight=820.0,need_mb=96,"+
+		"new=1 */\n\tINSERT INTO sales_17.orders\r\nSELECT '/* x */' ", &s)
 	want := queryFields{trace: "9B1F03aa5c7e2d41", class: 1, tenant: 1, clientTimeout: 1500500 * time.Microsecond, idempotencyKey: "5c0f",
 		workEstimate: 820 * time.Millisecond, memoryMB: 96, text: "INSERT INTO sales_17.orders\r\nSELECT '/* x */' "}
 	if err != nil || a != want {
@@ -31,7 +33,8 @@
 	if a, err = parseQuery(strings.Replace(good, "1500", "3016", 1), &s); err != nil || a.clientTimeout != 3016*time.Millisecond {
 		t.Errorf("a little over the deadline of 3 s: %+v, %v", a, err)
 	}
-	// Each of these would void the run, or be served to somebody who must not be, if it went on to a node.
+	// Each of these must be rejected here: passed on to a node it would make the run invalid, or be served for a client that must not be
+	// served.
 	for in, field := range map[string]string{
 		"SELECT 1":                 "comment",
 		"/* route=lookup SELECT 1": "comment",
@@ -64,13 +67,13 @@
 		_, err := parseQuery(in, &s)
 		var bad *BadFieldError
 		if !errors.As(err, &bad) || bad.Field != field || bad.Allowed == "" {
-			t.Errorf("%q: %v, want a word on %s", in, err, field)
+			t.Errorf("%q: %v, want an error of the field %s", in, err, field)
 		}
 	}
 }
 
-// The group of tables is in the name of the schema, never in a string, a comment, an alias or the schema staging.
-func TestGroup(t *testing.T) {
+// The group of a statement's tables comes from the name of their schema, never from a string, a comment, an alias or the schema staging.
+func TestTableGroup(t *testing.T) {
 	for in, want := range map[string]int64{
 		"SELECT day, count(*), max(note) FROM sales_17.orders WHERE tag = '3f9c' GROUP BY day":        17,
 		"INSERT INTO sales_4.orders SELECT * FROM staging.batch_9":                                    4,
@@ -104,7 +107,8 @@
 		if err != nil {
 			return
 		}
-		if !strings.HasSuffix(in, a.text) || len(a.trace) != 16 || a.clientTimeout <= 0 || a.clientTimeout > 10*time.Second || a.workEstimate < 0 || a.memoryMB < 0 {
+		if !strings.HasSuffix(in, a.text) || len(a.trace) != 16 || a.clientTimeout <= 0 || a.clientTimeout > 10*time.Second ||
+			a.workEstimate < 0 || a.memoryMB < 0 {
 			t.Errorf("%q: %+v", in, a)
 		}
 		if tableGroup(a.text) < 0 {
--- a/frontend/postgres/server_test.go
+++ b/frontend/postgres/server_test.go
@@ -22,13 +22,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// testDispatcher is what a frontend posts to: it answers queries, or leaves them open until a test does.
+// testDispatcher is the frontend.Poster of a test. It answers queries, or leaves them open until the test answers them.
 type testDispatcher struct {
-	answer func(q *dispatch.Query) (dispatch.Outcome, bool)
+	answer func(q *dispatch.Query) (dispatch.Outcome, bool) // false: the query stays open; nil: all do
 
 	mu           sync.Mutex
-	open         map[string]*dispatch.Query
-	disconnected chan string // ids of the queries whose client disconnected
+	open         map[string]*dispatch.Query // by the dispatcher's id
+	disconnected chan string                // ids, as clients state them, of open queries whose client disconnected
 }
 
 func (d *testDispatcher) Post(ev dispatch.Event) {
@@ -57,10 +57,11 @@
 	}
 }
 
-// servedRows is a served answer of so many rows.
+// servedRows returns the outcome of a query that was served with so many rows.
 func servedRows(rows int) dispatch.Outcome {
 	r := &lineproto.Result{}
-	a, err := lineproto.NewReader(strings.NewReader(fmt.Sprintf("a data total=1 %d\r\n%s\r\n", 6*rows, strings.Repeat("x\ty\tz\n", rows)))).Read()
+	a, err := lineproto.NewReader(strings.NewReader(fmt.Sprintf("a data total=1 %d\r\n%s\r\n",
+		6*rows, strings.Repeat("x\ty\tz\n", rows)))).Read()
 	if err != nil {
 		panic(err)
 	}
@@ -70,27 +71,27 @@
 	return dispatch.Outcome{Kind: dispatch.Served, Result: r}
 }
 
-// testServer is a frontend that serves, with its dispatcher.
+// testServer is a frontend that serves on a local address, with its dispatcher.
 type testServer struct {
 	t          *testing.T
 	front      *Front
 	dispatcher *testDispatcher
 	address    string
 	gate       *gatedListener
-	stop       func()
-	beginEnd   func() // ends the frontend without waiting for it
+	stop       func() // ends the frontend and waits until it has ended
+	beginEnd   func() // ends the frontend without waiting
 }
 
-// gatedListener is a listener whose connections hold back what they have read while the gate is closed.
+// gatedListener is a listener with a gate. While the gate is closed, a Read of one of its connections that has got data does not return.
 type gatedListener struct {
 	*net.TCPListener
 
 	mu      sync.Mutex
-	barrier chan struct{} // nil: open
-	held    chan struct{} // gets a value for each read that is held back
+	barrier chan struct{} // closed when the gate opens; nil: the gate is open
+	held    chan struct{} // receives a value for each Read that is held back
 }
 
-// close closes the gate until open is called.
+// close closes the gate. The function that it returns opens the gate again.
 func (g *gatedListener) close() (open func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,7 +131,8 @@
 	return n, err
 }
 
-// startServer starts a frontend whose queries answer answers, as far as it returns true; nil: it answers none.
+// startServer starts a frontend whose queries are answered by answer. A query for which answer returns false stays open; nil leaves all
+// open.
 func startServer(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool)) *testServer {
 	t.Helper()
 	gate := &gatedListener{}
@@ -142,7 +144,7 @@
 	return s
 }
 
-// startServerOn starts a frontend on a listener that wrap makes of a real one.
+// startServerOn starts a frontend as startServer does, on the listener that wrap returns for a TCP listener.
 func startServerOn(t *testing.T, o Options, answer func(q *dispatch.Query) (dispatch.Outcome, bool),
 	wrap func(*net.TCPListener) Listener) *testServer {
 	t.Helper()
@@ -172,27 +174,27 @@
 	return s
 }
 
-// client is one connection to a frontend.
+// client is a client's connection to a frontend.
 type client struct {
 	t *testing.T
 	net.Conn
 	r   *bufio.Reader
-	key pgwire.Key
+	key pgwire.Key // from BackendKeyData
 }
 
-// startupMessage is what a client sends first.
+// startupMessage is a start-up message.
 var startupMessage = append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...)
 
-// message is a client's message.
+// message returns a client's message.
 func message(kind byte, body string) []byte {
 	n := len(body) + 4
 	return append([]byte{kind, byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}, body...)
 }
 
-// query is the message of a simple query.
+// query returns the message of a simple query.
 func query(text string) []byte { return message('Q', text+"\x00") }
 
-// connect opens a connection.
+// connect opens a connection without sending anything.
 func (s *testServer) connect() *client {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.address)
@@ -217,7 +219,8 @@
 	return c
 }
 
-// until reads messages up to one of a kind, or to the end, and returns their kinds; an error's SQLSTATE follows its kind.
+// until reads messages up to the first of kind last, or to the end of the connection, and returns their kinds. The SQLSTATE of an error,
+// and its pause in milliseconds, follow its kind in parentheses; "." stands for the end of the connection.
 func (c *client) until(last byte) (kinds string) {
 	for {
 		kind, body, err := pgwire.ReadMessage(c.r, nil, 1<<20)
@@ -244,12 +247,12 @@
 	}
 }
 
-// queryWithFields is a query with the fields that it needs.
-func queryWithFields(trace int, rest string) []byte {
-	return query(fmt.Sprintf("/* route=lookup,trace=%016x,patience=2000 */ %s", trace, rest))
+// queryWithFields returns the message of a query of class lookup with the required fields before the statement.
+func queryWithFields(trace int, statement string) []byte {
+	return query(fmt.Sprintf("/* route=lookup,trace=%016x,patience=2000 */ %s", trace, statement))
 }
 
-// waitForOpen waits until so many queries are open at the dispatcher.
+// waitForOpen waits until exactly n queries are open at the dispatcher.
 func (s *testServer) waitForOpen(n int) {
 	s.t.Helper()
 	for range 5000 {
@@ -261,24 +264,24 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	s.t.Fatalf("not %d open", n)
+	s.t.Fatalf("the dispatcher does not have %d open queries", n)
 }
 
-// cancelRequest is what a connection sends to cancel a session's query.
+// cancelRequest returns the CancelRequest for the session with key k.
 func cancelRequest(k pgwire.Key) []byte {
 	b := []byte{0, 0, 0, 16, 4, 210, 22, 46}
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(b, k.Process), k.Secret)
 }
 
-// send writes what a client sends; the frontend may have closed the connection, which the test sees by what it reads.
+// send writes messages. An error is ignored: if the frontend has closed the connection, the test notices when it reads.
 func send(c io.Writer, messages []byte) { _, _ = c.Write(messages) }
 
-// closeConn closes a client's connection.
+// closeConn closes a connection or listener of the test.
 func closeConn(t *testing.T, c io.Closer) {
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The gate must not hide that connections can close their sending side alone.
+// gatedConn must keep the CloseWrite of its TCP connection: without it sessions would not linger.
 var _ halfCloser = gatedConn{}
--- a/frontend/postgres/session_answers_test.go
+++ b/frontend/postgres/session_answers_test.go
@@ -10,14 +10,14 @@
 	"embershunt/dispatch"
 )
 
-// Whatever the order in which queries arrive, are answered and cancelled, the session is evicted, the frontend ends or the client closes:
-// every query submitted has exactly one answer, in its place; without a close in between every query sent has one.
+// Every submitted query has exactly one answer, in order, whatever the order in which queries arrive, are answered and cancelled, the
+// session is evicted, the frontend ends or the client closes. Unless a close came in between, every query sent has an answer.
 func TestEveryQueryHasOneAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newSessionModel(t)
 		defer m.server.stop()
-		for _, op := range rapid.SliceOfN(rapid.SampledFrom([]string{"send", "send", "send", "two", "half", "answer", "answer", "cancel", "evict",
-			"end", "close"}), 1, 12).Draw(rt, "ops") {
+		for _, op := range rapid.SliceOfN(rapid.SampledFrom([]string{"send", "send", "send", "two", "half", "answer", "answer", "cancel",
+			"evict", "end", "close"}), 1, 12).Draw(rt, "ops") {
 			if m.closed {
 				break
 			}
@@ -27,15 +27,15 @@
 	})
 }
 
-// sessionModel drives one session and counts what must be answered.
+// sessionModel drives one session and counts the queries that must be answered.
 type sessionModel struct {
 	server    *testServer
 	client    *client
 	submitted chan *dispatch.Query
 
 	sent         int  // queries
-	taken        int  // queries that were submitted and received by the test
-	closeCrossed bool // the session was evicted, or the frontend ended, while queries might have been on their way
+	taken        int  // submitted queries that the model has seen
+	closeCrossed bool // the session was evicted, or the frontend ended, while queries might not have been read yet
 	closed       bool // by the client
 }
 
@@ -49,7 +49,7 @@
 	return m
 }
 
-// step takes one step of the client, the dispatcher or the frontend.
+// step carries out one operation of the client, the dispatcher or the frontend.
 func (m *sessionModel) step(op string) {
 	switch op {
 	case "send":
@@ -79,13 +79,13 @@
 	}
 }
 
-// nextQuery is the next query to send.
+// nextQuery returns the next query to send, and counts it as sent.
 func (m *sessionModel) nextQuery() []byte {
 	m.sent++
 	return queryWithFields(m.sent-1, "SELECT 1")
 }
 
-// answer answers a query, unless it was answered as disconnected.
+// answer answers a query, unless the dispatcher has answered it because its client disconnected.
 func (m *sessionModel) answer(q *dispatch.Query) {
 	m.taken++
 	d := m.server.dispatcher
@@ -98,7 +98,7 @@
 	}
 }
 
-// finish ends the frontend, answers what is open meanwhile, and returns what the client has read.
+// finish ends the frontend, answers the queries that are open meanwhile, and returns the kinds of the messages that the client has read.
 func (m *sessionModel) finish() (read string) {
 	m.server.beginEnd()
 	stopped := make(chan struct{})
@@ -123,14 +123,14 @@
 	return <-answers
 }
 
-// check compares what the client has read with what was sent and submitted.
+// check compares the answers that the client has read with the queries sent and submitted, and checks that no state is left.
 func (m *sessionModel) check(rt *rapid.T, read string) {
 	for _, answer := range []string{"TDCZ", "E(57014)Z", "E(57P03)Z", "E(53000)Z"} {
 		read = strings.ReplaceAll(read, answer, "+")
 	}
 	answers := strings.Count(read, "+")
 	if !m.closed && read != strings.Repeat("+", answers)+"." {
-		rt.Fatalf("not only complete answers: %s", read)
+		rt.Fatalf("incomplete or unknown answer: %s", read)
 	}
 	if !m.closed && (answers < m.taken || answers > m.sent || !m.closeCrossed && answers != m.sent) {
 		rt.Fatalf("%d queries sent, %d submitted, %d answers", m.sent, m.taken, answers)
@@ -139,12 +139,12 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) > 0 || len(f.sessions) > 0 || len(f.traces) > 0 {
-		rt.Fatalf("%d queries, %d sessions, %d ids left", len(d.open), len(f.sessions), len(f.traces))
+		rt.Fatalf("%d queries, %d sessions and %d ids are left", len(d.open), len(f.sessions), len(f.traces))
 	}
 }
 
-// Thousands of sessions and ids: nothing is left of them.
-func TestNothingIsLeftOfSessions(t *testing.T) {
+// No state of sessions and ids is left after thousands of them: only a bounded number of sessions while serving, and none at the end.
+func TestEndedSessionsLeaveNoState(t *testing.T) {
 	s := startServer(t, Options{MaxSessions: 16}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 	for i := range 2000 {
 		c := s.connect()
--- a/frontend/postgres/session_close_test.go
+++ b/frontend/postgres/session_close_test.go
@@ -10,19 +10,20 @@
 	"embershunt/dispatch"
 )
 
-// A query that has arrived but was not handled when its session begins to close is accepted as a whole or not at all. Here the close
-// comes first: the query is refused, since nothing runs for it, and never submitted.
-func TestCloseAgainstAQuery(t *testing.T) {
+// A query that has arrived, but was not read when its session begins to close, is accepted completely or not at all. Here the close comes
+// first: the query is rejected with the code for draining, and never submitted.
+func TestQueryReadAfterCloseBegan(t *testing.T) {
 	for name, beginClose := range map[string]func(s *testServer) bool{
-		"evicted":        func(s *testServer) bool { return s.front.evict(false) },
-		"end of a drain": func(s *testServer) bool { s.beginEnd(); <-s.front.closesBegun; return true },
+		"evicted":  func(s *testServer) bool { return s.front.evict(false) },
+		"shutdown": func(s *testServer) bool { s.beginEnd(); <-s.front.closesBegun; return true },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := startServer(t, Options{DrainIdle: time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
+			s := startServer(t, Options{DrainIdle: time.Millisecond},
+				func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 			c := s.session()
 			send(c, queryWithFields(1, "SELECT 1"))
 			c.until('Z')
-			for isIdle := false; !isIdle; { // the answer is read before its worker has ended
+			for isIdle := false; !isIdle; { // the client may read the answer before the worker has ended
 				s.front.mu.Lock()
 				for _, o := range s.front.sessions {
 					phase, _, _ := o.snapshot()
@@ -36,16 +37,16 @@
 			closed := beginClose(s)
 			open()
 			if !closed {
-				t.Fatal("not closed")
+				t.Fatal("the session does not close")
 			}
 			if got := c.until('.'); got != "E(57P03)Z." {
-				t.Errorf("%s", got)
+				t.Errorf("the query got %s", got)
 			}
 		})
 	}
 }
 
-// An answer that is being written when its session is to close is written completely, and is the only one.
+// A query that is open when its session is to close has its complete answer, and no other message, before the close.
 func TestNoCloseBeforeTheAnswer(t *testing.T) {
 	s := startServer(t, Options{MaxSessions: 1}, nil)
 	c := s.session()
@@ -61,13 +62,13 @@
 	}
 	s.dispatcher.mu.Unlock()
 	if got := c.until('.'); got != "T"+strings.Repeat("D", 1000)+"CZ." {
-		t.Errorf("%d bytes of an answer", len(got))
+		t.Errorf("%d messages of the answer", len(got))
 	}
 }
 
-// Connections that arrive while the frontend ends, and were not accepted yet, are answered: the frontend goes on until nothing has arrived
-// for a while. Idle sessions end without a reset.
-func TestLateConnectionsAtTheEnd(t *testing.T) {
+// Connections that arrive during shutdown are accepted and answered: the frontend accepts until none has come for DrainIdle. Idle sessions
+// are closed without a reset.
+func TestConnectionsDuringShutdown(t *testing.T) {
 	stopped := make(chan struct{})
 	s := startServer(t, Options{DrainIdle: 50 * time.Millisecond}, func(*dispatch.Query) (dispatch.Outcome, bool) {
 		<-stopped
@@ -86,12 +87,12 @@
 		}
 	}
 	if _, err := idleClient.r.ReadByte(); err != io.EOF {
-		t.Errorf("an idle session ends with %v", err)
+		t.Errorf("an idle session ends with %v, want EOF", err)
 	}
 }
 
-// A client that never stops sending does not hold up the end, neither while it is served nor when its session closes.
-func TestTheEndDoesNotWaitForAFlood(t *testing.T) {
+// A client that never stops sending does not delay the shutdown, neither while it is served nor while its session closes.
+func TestFloodDoesNotDelayShutdown(t *testing.T) {
 	var group sync.WaitGroup
 	var s *testServer
 	s = startServer(t, Options{DrainIdle: 5 * time.Millisecond}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
@@ -122,22 +123,22 @@
 	})
 	begun := time.Now()
 	s.stop()
-	if took := time.Since(begun); took > 5*time.Second { // far longer than DrainIdle, draining the input and lingering; the flood has no end
-		t.Errorf("the end took %v", took)
+	if took := time.Since(begun); took > 5*time.Second { // far longer than DrainIdle, draining input and lingering; the flood has no end
+		t.Errorf("the shutdown took %v", took)
 	}
 	closeConn(t, c)
 	group.Wait()
 }
 
-// Queries that are open when the frontend stops are answered before connections close.
-func TestAnswersAreWrittenBeforeTheEnd(t *testing.T) {
+// Queries that are open when the frontend ends are answered before their connections are closed.
+func TestOpenQueriesAreAnsweredAtShutdown(t *testing.T) {
 	s := startServer(t, Options{}, nil)
 	c := s.session()
 	send(c, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
 	done := make(chan struct{})
 	go func() { s.stop(); close(done) }()
-	for _, q := range s.dispatcher.open { // the loop has ended: nobody else reads it
+	for _, q := range s.dispatcher.open { // without lock: no event is posted any more
 		q.Client.Answer(servedRows(1000))
 	}
 	if got := c.until('Z'); strings.Count(got, "D") != 1000 {
--- a/frontend/postgres/session_state_test.go
+++ b/frontend/postgres/session_state_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The transitions of a session's states, as the table at sessionState has them.
+// The transitions of a session's phases are those of the table at sessionState.
 func TestSessionTransitions(t *testing.T) {
 	type state struct {
 		phase     phase
@@ -45,8 +45,8 @@
 	}
 }
 
-// A session that has pending answers when the dispatcher ends closes behind them; one that is evicted meanwhile does not.
-func TestSessionClosesBehindItsAnswers(t *testing.T) {
+// A session with pending answers closes after the last of them if the dispatcher ends, but not because of an eviction.
+func TestSessionClosesAfterItsAnswers(t *testing.T) {
 	for ev, want := range map[event]phase{dispatcherEnds: closing, evicted: idle} {
 		s := sessionState{}
 		now := time.Now()
@@ -60,7 +60,7 @@
 	}
 }
 
-// A message within its time, or a session that just became active, does not time out.
+// The wait for a message times out only after the deadline that applies to the session.
 func TestWaitTimesOutAtItsDeadline(t *testing.T) {
 	now := time.Now()
 	limits := waitLimits{begin: time.Second, idle: time.Minute}
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -13,7 +13,7 @@
 	"embershunt/internal/lineproto"
 )
 
-// The first query may follow the start-up message at once, and everything may arrive in pieces; the empty query is answered.
+// A query may follow the start-up message without waiting for its answer, and both may arrive in pieces. An empty query has its own answer.
 func TestQueriesInPieces(t *testing.T) {
 	s := startServer(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
 		if q.Work.(*lineproto.Request).Text != "SELECT 'ü'" || q.TableGroup != 0 || q.Deadline <= 0 {
@@ -46,11 +46,11 @@
 	}
 	send(c, message('X', ""))
 	if _, err := c.r.ReadByte(); err != io.EOF {
-		t.Errorf("after the end: %v", err)
+		t.Errorf("after Terminate: %v, want EOF", err)
 	}
 }
 
-// Whatever cannot be used is answered by an error that permits no retry, or by a close, and affects no other client.
+// A message that cannot be used is answered with an error whose code permits no retry, or with a close. It affects no other client.
 func TestInvalidMessages(t *testing.T) {
 	const begin = 200 * time.Millisecond
 	s := startServer(t, Options{BeginTimeout: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
@@ -64,18 +64,19 @@
 	}{
 		"noise":                      {[]byte("\x00\x01\x02\x03noise that is no start-up"), "E(08P01)."},
 		"silence":                    {nil, "."},
-		"half a start-up":            {startupMessage[:11], "E(08P01)."},
+		"a truncated start-up":       {startupMessage[:11], "E(08P01)."},
 		"silence after the start-up": {startupMessage, "."},
-		"half a query":               {append(startupMessage[:len(startupMessage):len(startupMessage)], queryWithFields(1, "SELECT 1")[:30]...), "E(08P01)."},
+		"a truncated query": {append(startupMessage[:len(startupMessage):len(startupMessage)],
+			queryWithFields(1, "SELECT 1")[:30]...), "E(08P01)."},
 		"no fields":                  {query("SELECT 1"), "E(22023)Z"},
 		"an unknown class":           {query("/* route=x,trace=9b1f03aa5c7e2d41,patience=15 */ SELECT 1"), "E(22023)Z"},
 		"no id":                      {query("/* route=lookup,patience=15 */ SELECT 1"), "E(22023)Z"},
-		"an id that is open":         {queryWithFields(77, "SELECT 2"), "E(55006)Z"},
-		"60 MB":                      {append([]byte{'Q', 3, 0x93, 0x87, 0}, make([]byte, 100000)...), "E(54000)."},
+		"an id that is in use":       {queryWithFields(77, "SELECT 2"), "E(55006)Z"},
+		"too long a message":         {append([]byte{'Q', 3, 0x93, 0x87, 0}, make([]byte, 100000)...), "E(54000)."}, // 60 MB
 		"a negative length":          {[]byte{'Q', 255, 255, 255, 240}, "E(08P01)."},
 		"an unknown type":            {message('P', "x"), "E(0A000)."},
 		"a statement without an end": {message('Q', "SELECT"), "E(08P01)."},
-		"one behind an open one":     {append(queryWithFields(4, "SELECT held"), 0), "E(08P01)."},
+		"a truncated second message": {append(queryWithFields(4, "SELECT held"), 0), "E(08P01)."},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var cl *client
@@ -91,10 +92,10 @@
 				got = cl.until('Z')
 			}
 			if got != c.want {
-				t.Errorf("%s, want %s", got, c.want)
+				t.Errorf("got %s, want %s", got, c.want)
 			}
 			if took := time.Since(begun); took > 10*begin {
-				t.Errorf("after %v", took)
+				t.Errorf("answered after %v", took)
 			}
 		})
 	}
@@ -110,7 +111,7 @@
 	}
 }
 
-// Clients that send much at once and disconnect without reading affect no other client, and nothing of theirs is left.
+// Clients that send many queries at once and disconnect without reading the answers affect no other client, and leave no session or id.
 func TestFloodThatDisconnects(t *testing.T) {
 	s := startServer(t, Options{MaxStatement: 4096}, func(*dispatch.Query) (dispatch.Outcome, bool) { return servedRows(1), true })
 	usual := s.session()
@@ -144,8 +145,7 @@
 	}
 }
 
-// Commands sent at once are answered one after the other, completely and in order, however many there are; nothing is submitted before
-// its turn.
+// Commands sent at once are answered completely and in order, however many there are, and only one is submitted at a time.
 func TestCommandsSentAtOnce(t *testing.T) {
 	var mu sync.Mutex
 	concurrent, maxConcurrent, n := 0, 0, 0
@@ -185,11 +185,11 @@
 		}
 	}
 	if maxConcurrent != 1 {
-		t.Errorf("%d at once", maxConcurrent)
+		t.Errorf("%d queries submitted at once, want 1", maxConcurrent)
 	}
 }
 
-// A client that sends invalid queries in a row waits for each answer, ever longer.
+// A client that sends invalid queries in a row waits longer for each answer.
 func TestBadQueriesInARowAreSlowed(t *testing.T) {
 	s := startServer(t, Options{}, nil)
 	c := s.session()
@@ -199,6 +199,6 @@
 		c.until('Z')
 	}
 	if took := time.Since(begun); took < 15*protocolErrorPause { // 1 + 2 + 4 + 8, before the fifth answer
-		t.Errorf("five bad queries in %v", took)
+		t.Errorf("five invalid queries answered in %v", took)
 	}
 }
