--- a/internal/flightwire/frame.go
+++ b/internal/flightwire/frame.go
@@ -1,5 +1,6 @@
-// Package flightwire is the Arrow Flight wire as a dispatcher sees it: messages of the envelope are parsed by hand
-// (Flight.proto and FlightSql.proto of Apache Arrow 18), result frames are passed on as bytes. Arrow data is not decoded.
+// Package flightwire encodes and decodes Arrow Flight messages as far as a dispatcher needs them (Flight.proto and
+// FlightSql.proto of Apache Arrow 18). Control messages and the envelopes of FlightData are parsed by hand; result frames
+// are forwarded as bytes. Arrow data is not decoded.
 package flightwire
 
 import (
@@ -11,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Frame is one gRPC message as bytes. Its buffers are counted: whoever received a frame frees it once.
+// Frame is one gRPC message as bytes. Its buffers are reference-counted: the receiver of a frame calls Free once.
 type Frame struct{ buffers mem.BufferSlice }
 
 // NewFrame returns a frame that holds b; b is not copied and must not change.
@@ -22,10 +23,10 @@
 	return &Frame{buffers: mem.BufferSlice{mem.SliceBuffer(b)}}
 }
 
-// Len is the length in bytes.
+// Len returns the length in bytes.
 func (f *Frame) Len() int { return f.buffers.Len() }
 
-// Bytes returns the content as one slice, copied where it lay in several buffers.
+// Bytes returns the content as one slice, copied if it is spread over several buffers. The slice is valid until Free.
 func (f *Frame) Bytes() []byte {
 	if len(f.buffers) == 1 {
 		return f.buffers[0].ReadOnlyData()
@@ -33,14 +34,14 @@
 	return f.buffers.Materialize()
 }
 
-// Free gives the buffers back; the frame is empty then.
+// Free releases the buffers and leaves the frame empty.
 func (f *Frame) Free() {
 	f.buffers.Free()
 	f.buffers = nil
 }
 
-// Codec passes Frames through unopened and leaves every other message to protobuf. It is named "proto", since that
-// is what it carries.
+// Codec passes Frames through without decoding them and leaves every other message to protobuf. Its name is "proto",
+// the content subtype of protobuf, since the bytes of a Frame are a protobuf message.
 type Codec struct{}
 
 var _ encoding.CodecV2 = Codec{}
@@ -79,39 +80,40 @@
 	return fmt.Errorf("flightwire: cannot receive a %T", v)
 }
 
-// Envelope tells the parts of a FlightData message (Flight.proto, message FlightData), by their lengths in bytes.
+// Envelope holds the lengths in bytes of the fields of a FlightData message (Flight.proto).
 type Envelope struct{ Descriptor, Header, Metadata, Body int }
 
-// Errors of the envelope.
+// Errors of Frame.Envelope.
 var (
 	errTruncated = errors.New("message ends inside a field")
-	errVarint    = errors.New("varint of more than ten bytes")
+	errVarint    = errors.New("varint of more than ten bytes") // or of ten bytes that exceed 64 bits
 )
 
-// cursor walks over buffers without copying them together.
+// cursor reads a message from its buffers without joining them into one.
 type cursor struct {
-	rest      mem.BufferSlice
-	at        int
-	remaining int
+	buffers   mem.BufferSlice // not yet read to their end
+	offset    int             // in the first of buffers
+	remaining int             // unread bytes in all of buffers
 }
 
-func (c *cursor) next() (byte, error) {
-	for len(c.rest) > 0 && c.at == c.rest[0].Len() {
-		c.rest, c.at = c.rest[1:], 0
+func (c *cursor) readByte() (byte, error) {
+	for len(c.buffers) > 0 && c.offset == c.buffers[0].Len() {
+		c.buffers, c.offset = c.buffers[1:], 0
 	}
-	if len(c.rest) == 0 {
+	if len(c.buffers) == 0 {
 		return 0, errTruncated
 	}
-	b := c.rest[0].ReadOnlyData()[c.at]
-	c.at++
+	b := c.buffers[0].ReadOnlyData()[c.offset]
+	c.offset++
 	c.remaining--
 	return b, nil
 }
 
+// varint reads a base-128 varint.
 func (c *cursor) varint() (uint64, error) {
 	var v uint64
 	for shift := 0; shift < 70; shift += 7 {
-		b, err := c.next()
+		b, err := c.readByte()
 		if err != nil {
 			return 0, err
 		}
@@ -126,37 +128,38 @@
 	return 0, errVarint
 }
 
+// skip passes over n bytes.
 func (c *cursor) skip(n uint64) error {
 	if n > uint64(c.remaining) {
 		return errTruncated
 	}
 	c.remaining -= int(n)
 	for n > 0 {
-		here := uint64(c.rest[0].Len() - c.at)
-		if n < here {
-			c.at += int(n)
+		unread := uint64(c.buffers[0].Len() - c.offset)
+		if n < unread {
+			c.offset += int(n)
 			return nil
 		}
-		n -= here
-		c.rest, c.at = c.rest[1:], 0
+		n -= unread
+		c.buffers, c.offset = c.buffers[1:], 0
 	}
 	return nil
 }
 
-// Envelope walks the fields of a FlightData message and checks that they fill it. The content of the fields is not
-// looked at. Unknown fields are passed over, as protobuf asks.
+// Envelope reads the tags and lengths of a FlightData message and checks that the last field ends where the message ends.
+// It does not read the content of fields. Unknown fields are skipped, as protobuf requires.
 func (f *Frame) Envelope() (Envelope, error) {
 	var e Envelope
-	c := cursor{rest: f.buffers, remaining: f.buffers.Len()}
+	c := cursor{buffers: f.buffers, remaining: f.buffers.Len()}
 	for c.remaining > 0 {
-		at := f.Len() - c.remaining
+		fieldOffset := f.Len() - c.remaining
 		tag, err := c.varint()
 		if err != nil {
-			return e, fmt.Errorf("FlightData, byte %d: %w", at, err)
+			return e, fmt.Errorf("FlightData, byte %d: %w", fieldOffset, err)
 		}
-		n := uint64(0)
+		n := uint64(0) // length of the field's value
 		switch tag & 7 {
-		case 0:
+		case 0: // a varint is skipped by reading it
 			_, err = c.varint()
 		case 1:
 			n = 8
@@ -174,7 +177,7 @@
 			err = errors.New("field number 0")
 		}
 		if err != nil {
-			return e, fmt.Errorf("FlightData, field %d at byte %d: %w", tag>>3, at, err)
+			return e, fmt.Errorf("FlightData, field %d at byte %d: %w", tag>>3, fieldOffset, err)
 		}
 		switch tag {
 		case 1<<3 | 2:
--- a/internal/flightwire/message.go
+++ b/internal/flightwire/message.go
@@ -19,16 +19,17 @@
 	MethodListActions = "/" + Service + "/ListActions"
 )
 
-// typePrefix starts the type URL of every Flight SQL command (FlightSql.proto wraps them in google.protobuf.Any).
+// typePrefix is the prefix of the type URL of every Flight SQL command (FlightSql.proto wraps them in google.protobuf.Any).
 const typePrefix = "type.googleapis.com/arrow.flight.protocol.sql."
 
-// Bytes is one length-delimited field of a message.
+// Bytes is a length-delimited field of a message.
 type Bytes struct {
 	Number int
 	Value  []byte
 }
 
-// Fields reads a message: its length-delimited fields in order, and its varints by number. The values point into b.
+// Fields returns the length-delimited fields of a message in order, and its varints by field number, of which the last
+// value counts. Fields of other wire types are skipped. The values point into b.
 func Fields(b []byte) (fields []Bytes, varints map[int]uint64, err error) {
 	size := len(b)
 	for len(b) > 0 {
@@ -36,19 +37,19 @@
 		if n < 0 {
 			return nil, nil, fmt.Errorf("tag at byte %d: %w", size-len(b), protowire.ParseError(n))
 		}
-		at := size - len(b)
+		offset := size - len(b)
 		b = b[n:]
 		switch typ {
 		case protowire.BytesType:
 			v, n := protowire.ConsumeBytes(b)
 			if n < 0 {
-				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
+				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, offset, protowire.ParseError(n))
 			}
 			fields, b = append(fields, Bytes{int(num), v}), b[n:]
 		case protowire.VarintType:
 			v, n := protowire.ConsumeVarint(b)
 			if n < 0 {
-				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
+				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, offset, protowire.ParseError(n))
 			}
 			if varints == nil {
 				varints = map[int]uint64{}
@@ -57,7 +58,7 @@
 		default:
 			n := protowire.ConsumeFieldValue(num, typ, b)
 			if n < 0 {
-				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, at, protowire.ParseError(n))
+				return nil, nil, fmt.Errorf("field %d at byte %d: %w", num, offset, protowire.ParseError(n))
 			}
 			b = b[n:]
 		}
@@ -65,7 +66,7 @@
 	return fields, varints, nil
 }
 
-// Field returns the last value of a field, as protobuf reads a singular one; nil if it is absent.
+// Field returns the last value of a length-delimited field, as protobuf reads a singular field; nil if it is absent.
 func Field(b []byte, number int) ([]byte, error) {
 	fields, _, err := Fields(b)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return v, nil
 }
 
-// AppendBytes appends one length-delimited field; empty ones are left out, as proto3 does.
+// AppendBytes appends a length-delimited field; an empty value is left out, as in proto3.
 func AppendBytes[T ~string | ~[]byte](b []byte, number int, v T) []byte {
 	if len(v) == 0 {
 		return b
@@ -89,7 +90,7 @@
 	return protowire.AppendBytes(b, []byte(v))
 }
 
-// AppendVarint appends one varint field; zero is left out, as proto3 does.
+// AppendVarint appends a varint field; zero is left out, as in proto3.
 func AppendVarint(b []byte, number int, v uint64) []byte {
 	if v == 0 {
 		return b
@@ -98,14 +99,14 @@
 	return protowire.AppendVarint(b, v)
 }
 
-// Command is a Flight SQL command or an action's body, taken out of its Any.
+// Command is a Flight SQL command, or the body of an action, unpacked from its Any.
 type Command struct {
 	Name string // message name, such as CommandStatementQuery
-	Body []byte
-	Any  []byte // the whole Any, as it came
+	Body []byte // the message, encoded
+	Any  []byte // the whole Any, as received
 }
 
-// ParseCommand reads a google.protobuf.Any that holds a Flight SQL message.
+// ParseCommand unpacks a google.protobuf.Any that holds a Flight SQL message.
 func ParseCommand(b []byte) (Command, error) {
 	fields, _, err := Fields(b)
 	if err != nil {
@@ -131,20 +132,21 @@
 	return c, nil
 }
 
-// NewCommand wraps a message in an Any.
+// NewCommand packs an encoded message into an Any.
 func NewCommand(name string, body []byte) []byte {
 	return AppendBytes(AppendBytes(nil, 1, typePrefix+name), 2, body)
 }
 
-// Statement is what the commands with a statement or a handle carry (CommandStatementQuery, CommandStatementUpdate,
-// ActionCreatePreparedStatementRequest; CommandPreparedStatementQuery and -Update and the Close action have the
-// handle in the same place).
+// Statement is the content of the messages with a statement (CommandStatementQuery, CommandStatementUpdate,
+// ActionCreatePreparedStatementRequest) or with a handle, which has the same field number (CommandPreparedStatementQuery,
+// CommandPreparedStatementUpdate, ActionClosePreparedStatementRequest, TicketStatementQuery).
 type Statement struct {
 	Text        []byte // field 1: the statement or the handle
-	Transaction []byte // field 2
+	Transaction []byte // field 2: the transaction's id; nil: none
 }
 
-// ParseStatement reads the body of such a command. Statements must be UTF-8; a handle is any bytes.
+// ParseStatement reads the body of a command with a statement or, if handle is set, a handle. A statement must be UTF-8;
+// a handle may be any bytes.
 func ParseStatement(body []byte, handle bool) (Statement, error) {
 	fields, _, err := Fields(body)
 	if err != nil {
@@ -165,7 +167,7 @@
 	return s, nil
 }
 
-// StatementCommand builds a command that holds one statement or handle.
+// StatementCommand builds a command that holds a statement or a handle, without a transaction.
 func StatementCommand[T ~string | ~[]byte](name string, text T) []byte {
 	return NewCommand(name, AppendBytes(nil, 1, text))
 }
@@ -175,7 +177,7 @@
 	return AppendBytes(AppendVarint(nil, 1, 2), 2, cmd)
 }
 
-// ParseDescriptor returns the command of a FlightDescriptor; only type CMD is taken (FlightSql.proto).
+// ParseDescriptor returns the command of a FlightDescriptor, which must be of type CMD: Flight SQL uses no other.
 func ParseDescriptor(b []byte) ([]byte, error) {
 	fields, varints, err := Fields(b)
 	if err != nil {
@@ -192,7 +194,7 @@
 	return nil, nil
 }
 
-// FirstTicket returns the ticket of a FlightInfo's endpoints and their count.
+// FirstTicket returns the ticket of the first endpoint of a FlightInfo, and the number of its endpoints.
 func FirstTicket(info []byte) (ticket []byte, endpoints int, err error) {
 	fields, _, err := Fields(info)
 	if err != nil {
@@ -214,16 +216,17 @@
 	return ticket, endpoints, nil
 }
 
-// FlightInfo builds a FlightInfo with one endpoint without location, which means "ask the service that gave this".
-// Schema is an encapsulated IPC message or empty; totals are not known (-1). Expires is Unix seconds; 0 leaves it out.
+// FlightInfo builds a FlightInfo with one endpoint. The endpoint has no location: the ticket is redeemed at the service
+// that returned the FlightInfo. schema is an encapsulated IPC message or empty; the total records and bytes are -1, which
+// means unknown. expires is in Unix seconds; 0 leaves the expiration out.
 func FlightInfo(schema, descriptor, ticket []byte, expires int64) []byte {
-	end := AppendBytes(nil, 1, AppendBytes(nil, 1, ticket))
+	endpoint := AppendBytes(nil, 1, AppendBytes(nil, 1, ticket))
 	if expires > 0 {
-		end = AppendBytes(end, 3, AppendVarint(nil, 1, uint64(expires)))
+		endpoint = AppendBytes(endpoint, 3, AppendVarint(nil, 1, uint64(expires)))
 	}
 	b := AppendBytes(nil, 1, schema)
 	b = AppendBytes(b, 2, descriptor)
-	b = AppendBytes(b, 3, end)
+	b = AppendBytes(b, 3, endpoint)
 	b = AppendVarint(b, 4, ^uint64(0))
 	return AppendVarint(b, 5, ^uint64(0))
 }
@@ -234,7 +237,7 @@
 	Body []byte
 }
 
-// ParseAction reads it.
+// ParseAction reads an Action message.
 func ParseAction(b []byte) (Action, error) {
 	fields, _, err := Fields(b)
 	if err != nil {
@@ -252,10 +255,10 @@
 	return a, nil
 }
 
-// Encode is the message as bytes.
+// Encode returns the encoded Action message.
 func (a Action) Encode() []byte { return AppendBytes(AppendBytes(nil, 1, a.Type), 2, a.Body) }
 
-// Uint32s reads a repeated uint32 field, packed or not.
+// Uint32s returns the values of a repeated uint32 field, packed or not.
 func Uint32s(b []byte, number int) ([]uint32, error) {
 	var out []uint32
 	for len(b) > 0 {
