--- a/frontend/cache.go
+++ b/frontend/cache.go
@@ -8,19 +8,20 @@
 	"github.com/zeebo/blake3"
 )
 
-// Cache holds answers of nodes about statements: a bounded number, each for the same lifetime, evicting the least recently used.
-// Keys are hashed, so that a statement of megabytes takes no more memory than a short one. It is safe for concurrent use.
+// Cache holds what nodes answer about statements, such as their schemas. It evicts the least recently used entry when it is full,
+// and every entry expires after the same lifetime. Keys are stored as hashes, so that a statement of megabytes takes no more memory
+// than a short one. It is safe for concurrent use.
 type Cache struct {
 	maxEntries int
 	lifetime   time.Duration
 
 	mu      sync.Mutex
-	order   *list.List // of *cacheEntry, the most recently used first
-	entries map[[32]byte]*list.Element
+	order   *list.List                 // of *cacheEntry, the most recently used first
+	entries map[[32]byte]*list.Element // by hash of the key
 }
 
 type cacheEntry struct {
-	key    [32]byte
+	key    [32]byte // hash of the key
 	value  []byte
 	expiry time.Time
 }
@@ -33,7 +34,7 @@
 	return &Cache{maxEntries: maxEntries, lifetime: lifetime, order: list.New(), entries: map[[32]byte]*list.Element{}}
 }
 
-// Get returns the cached answer of a key; the caller must not change it.
+// Get returns the cached answer of a key, and whether there is one. The caller must not change the answer.
 func (c *Cache) Get(key string, now time.Time) ([]byte, bool) {
 	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
@@ -52,7 +53,7 @@
 	return entry.value, true
 }
 
-// Put caches an answer, unless it is too large.
+// Put caches an answer, unless it has more than maxCachedBytes. It replaces an earlier answer of the same key.
 func (c *Cache) Put(key string, value []byte, now time.Time) {
 	if len(value) > maxCachedBytes {
 		return
--- a/frontend/intake.go
+++ b/frontend/intake.go
@@ -1,5 +1,6 @@
-// Package frontend has what the frontends share: the way from a call to a classified query and its one final answer, and the
-// sessions whose state one node holds. A frontend itself, in a package below, speaks a protocol: it reads calls and writes answers.
+// Package frontend holds the code that all frontends share: Intake turns a client's call into a classified query and waits for its
+// final answer, and Sessions runs the statements of sessions whose state one node holds. The frontends themselves are the packages
+// below: each reads calls and writes answers in one protocol.
 package frontend
 
 import (
@@ -13,7 +14,7 @@
 	"embershunt/dispatch"
 )
 
-// Poster accepts events; *dispatch.Loop is one.
+// Poster accepts events for the dispatch loop; *dispatch.Loop implements it.
 type Poster interface{ Post(dispatch.Event) }
 
 var (
@@ -21,7 +22,7 @@
 	_ dispatch.Client = (*PendingQuery)(nil)
 )
 
-// Authenticator checks a name and password.
+// Authenticator checks a user's name and password.
 type Authenticator interface {
 	Check(user, password string) bool
 }
@@ -31,43 +32,44 @@
 type Intake struct {
 	poster       Poster
 	clock        dispatch.Clock
-	prefix       string // of query ids, drawn for each process
-	serial       atomic.Uint64
+	prefix       string        // of query ids, drawn at random for each process
+	serial       atomic.Uint64 // of the last query
 	tables       atomic.Pointer[Tables]
-	unclassified atomic.Int64
+	unclassified atomic.Int64 // see Unclassified
 }
 
-// NewIntake returns an intake with its first tables.
+// NewIntake returns an intake that starts with the tables t.
 func NewIntake(p Poster, clock dispatch.Clock, t Tables) *Intake {
 	i := &Intake{poster: p, clock: clock, prefix: fmt.Sprintf("%08x", rand.Uint32())}
 	i.SetTables(t)
 	return i
 }
 
-// SetTables puts other tables in force for later calls.
+// SetTables replaces the tables for later calls.
 func (i *Intake) SetTables(t Tables) { i.tables.Store(&t) }
 
-// Tables are those in force.
+// Tables returns the tables in force; the caller must not change them.
 func (i *Intake) Tables() *Tables { return i.tables.Load() }
 
-// Unclassified counts the queries to which no rule and no hint gave a class: they got the default one.
+// Unclassified returns how many queries got the default class because no rule and no hint gave them a class.
 func (i *Intake) Unclassified() int64 { return i.unclassified.Load() }
 
 // Disconnect tells the loop that a query's client has disconnected.
 func (i *Intake) Disconnect(id string) { i.poster.Post(dispatch.ClientDisconnected{ID: id}) }
 
-// Call is one query as a frontend makes it.
+// Call is one query as a frontend submits it.
 type Call struct {
 	Facts      classify.Facts
-	Traits     *classify.Traits // from the protocol itself; nil: rules and hints decide
+	Traits     *classify.Traits // given by the protocol itself; nil: derived from rules and hints
 	Protocol   uint8            // a bit of nodelist.Speaks
-	Remaining  time.Duration    // until its deadline; 0: that of its class
-	Work       any              // for the fleet
-	StickyTo   string           // the node that holds the state of its session; "": any
-	MemoryMB   float64          // hint of the protocol, where rules and hints give none
-	OnReceived func(id string)  // called with the query's id before the loop gets it; nil: not
+	Remaining  time.Duration    // until the client's deadline; 0: the deadline of its class applies
+	Work       any              // what the fleet sends to the node, such as a *flightwire.Call
+	StickyTo   string           // the node that holds the state of its session; "": any node
+	MemoryMB   float64          // from the protocol; used where rules and hints give none; 0: unknown
+	OnReceived func(id string)  // called with the query's id before the loop receives the query; may be nil
 }
 
+// deadline returns the time from now to the call's deadline: the client's, or that of its class.
 func (c *Call) deadline(t *Tables, traits classify.Traits) time.Duration {
 	if c.Remaining > 0 {
 		return c.Remaining
@@ -75,7 +77,7 @@
 	return t.Deadlines[traits.Class]
 }
 
-// Tenant is the name of a call's tenant; "" where its hints cannot be used.
+// Tenant returns the name of a call's tenant; "" where its hints are invalid or the tenant has no name.
 func (i *Intake) Tenant(c Call) string {
 	t := i.Tables().Classes
 	traits, err := t.Classify(c.Facts)
@@ -85,7 +87,7 @@
 	return t.Tenants[traits.Tenant]
 }
 
-// Deadline is the time from now to a call's deadline. The error is classify's.
+// Deadline returns the time from now to a call's deadline. The error is a *classify.BadHintError.
 func (i *Intake) Deadline(c Call) (time.Duration, error) {
 	tables := i.Tables()
 	traits, err := tables.Classes.Classify(c.Facts)
@@ -95,7 +97,7 @@
 	return c.deadline(tables, traits), nil
 }
 
-// PendingQuery is one query that waits for its final answer.
+// PendingQuery is a query that waits for its final answer.
 type PendingQuery struct {
 	Done   chan dispatch.Outcome // receives the final answer, once
 	intake *Intake
@@ -105,10 +107,10 @@
 // Answer implements dispatch.Client.
 func (q *PendingQuery) Answer(outcome dispatch.Outcome) { q.Done <- outcome }
 
-// Disconnect says that the client has disconnected; Done receives the answer at once.
+// Disconnect tells the loop that the client has disconnected; Done then receives the final answer at once.
 func (q *PendingQuery) Disconnect() { q.intake.Disconnect(q.id) }
 
-// Submit hands a call to the loop. The error is classify's: hints that cannot be used.
+// Submit classifies a call and posts it to the loop as a query. The error is a *classify.BadHintError: the call's hints are invalid.
 func (i *Intake) Submit(c Call) (*PendingQuery, error) {
 	tables := i.Tables()
 	traits, err := i.traits(c, tables)
@@ -142,7 +144,8 @@
 	return q, nil
 }
 
-// traits classifies a call, unless its protocol has, and counts those that no rule and no hint gave a class.
+// traits returns the traits that the protocol gives, or else classifies the call. It counts the calls without a class from a rule or
+// hint.
 func (i *Intake) traits(c Call, tables *Tables) (traits classify.Traits, err error) {
 	if c.Traits != nil {
 		traits = *c.Traits
@@ -158,8 +161,8 @@
 	return traits, nil
 }
 
-// Execute hands a call to the loop and waits for its final answer. When ctx ends, the client counts as disconnected and the answer
-// comes at once.
+// Execute submits a call and waits for its final answer. When ctx ends, the client counts as disconnected and the answer comes at
+// once. The error is that of Submit.
 func (i *Intake) Execute(ctx context.Context, c Call) (dispatch.Outcome, error) {
 	q, err := i.Submit(c)
 	if err != nil {
--- a/frontend/session_error.go
+++ b/frontend/session_error.go
@@ -7,18 +7,18 @@
 	"embershunt/session"
 )
 
-// SessionError is the error of a statement that was rejected or cancelled because of its session.
+// SessionError is the error of a statement that its session rejected, or that failed because its session ended.
 type SessionError struct {
 	Reason     session.Reason
-	State      session.State
-	RetryAfter time.Duration
-	Stopped    bool // it was running
+	State      session.State // of the session
+	RetryAfter time.Duration // when the client may begin a new session; 0: no advice
+	Stopped    bool          // the statement had been started; false: it was rejected
 }
 
 // Error implements error.
 func (e *SessionError) Error() string { return fmt.Sprintf("%s: %s", e.Reason, reasonTexts[e.Reason]) }
 
-// reasonTexts are the reasons in words, for clients.
+// reasonTexts describe the reasons to clients.
 var reasonTexts = map[session.Reason]string{
 	session.ReasonBusy:            "another statement of this session runs",
 	session.ReasonTooManySessions: "no room for another session: not begun",
@@ -38,5 +38,5 @@
 	session.ReasonTransactionDone: "the transaction was committed or rolled back already",
 }
 
-// NothingCommitted says whether it is certain that the failed statement committed nothing.
+// NothingCommitted reports whether it is certain that the failed statement committed nothing.
 func (e *SessionError) NothingCommitted() bool { return e.Reason != session.ReasonCommitUnknown }
--- a/frontend/sessions.go
+++ b/frontend/sessions.go
@@ -11,8 +11,8 @@
 	"embershunt/session"
 )
 
-// Sessions runs the statements of sessions as the session machine decides: one lock guards the machine, and statements wait for
-// their answers outside of it. All frontends of a dispatcher share one. It is safe for concurrent use.
+// Sessions runs the statements of sessions as the session machine decides. One lock guards the machine; it is not held while a
+// statement waits for its answer. All frontends of a dispatcher share one. It is safe for concurrent use.
 type Sessions struct {
 	intake   *Intake
 	clock    dispatch.Clock
@@ -20,21 +20,22 @@
 
 	mu      sync.Mutex
 	machine *session.Machine
-	serial  uint64
+	serial  uint64                         // of the last statement
 	running map[uint64]chan session.Cancel // by serial of the statement
-	handles map[string][]byte              // the nodes' own names of transactions, by session
-	nodes   map[string]time.Time           // start times of the listed nodes
+	handles map[string][]byte              // the nodes' handles of transactions, by session
+	nodes   map[string]time.Time           // start times of the listed nodes, by node
 
-	wake chan struct{} // holds a token when the machine's next timer may have changed
+	wake chan struct{} // of capacity 1: signals Run that the machine's next timer may have changed
 }
 
-// Releaser asks a node to release what it holds of a session; handle is the node's own name of the transaction, nil where it is
-// not known. It does not block; done is called once.
+// Releaser asks a node to release the state that it holds of a session. handle is the node's handle of the transaction, nil where
+// it is not known. Release does not block; it calls done once, on another goroutine, with whether the node released the state. If
+// the releaser is closed before that, done is not called.
 type Releaser interface {
 	Release(node, session string, handle []byte, done func(ok bool))
 }
 
-// NewSessions returns sessions with their limits.
+// NewSessions returns sessions that are bounded by the limits l.
 func NewSessions(i *Intake, clock dispatch.Clock, l session.Limits, r Releaser) *Sessions {
 	return &Sessions{
 		intake:   i,
@@ -55,7 +56,7 @@
 	s.step(session.ClientClosed{ID: id})
 }
 
-// SetNodes puts a node list in force.
+// SetNodes applies a node list. Removed nodes count as not listed.
 func (s *Sessions) SetNodes(list []nodelist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +67,7 @@
 			continue
 		}
 		started := n.Started
-		if !started.IsZero() { // in the resolution of tokens
+		if !started.IsZero() { // rounded like the start times in tokens, so that the two compare equal
 			started = time.UnixMicro(started.UnixMicro())
 		}
 		s.nodes[n.ID] = started
@@ -76,7 +77,7 @@
 	s.step(ev)
 }
 
-// drainsIn is the time until an announced drain, at least 1; 0 where there is none.
+// drainsIn returns the time until an announced drain, at least 1 µs; 0 where no drain is announced.
 func drainsIn(at time.Time) session.Micros {
 	if at.IsZero() {
 		return 0
@@ -84,27 +85,28 @@
 	return max(time.Until(at).Microseconds(), 1)
 }
 
-// Status counts the sessions known, those with state, and these by node.
+// Status returns the number of known sessions, of sessions with state, and of the latter by node.
 func (s *Sessions) Status() (known, withState int, byNode map[string]int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.machine.Status()
 }
 
-// stateOf is the state of a session; mu is held.
+// stateOf returns the state of a session; the caller holds mu.
 func (s *Sessions) stateOf(id string) session.State {
 	state, _ := s.machine.State(id)
 	return state
 }
 
-// step steps the machine, carries out the actions that concern no caller, and returns all; mu is held.
+// step applies an event to the machine, carries out its Cancel, Unstick and Release actions, and returns all actions. The caller
+// holds mu.
 func (s *Sessions) step(ev session.Event) []session.Action {
 	actions := s.machine.Step(s.clock.Now(), ev)
 	for _, a := range actions {
 		switch a := a.(type) {
 		case session.Cancel:
 			if cancel := s.running[a.Serial]; cancel != nil {
-				cancel <- a // does not block: a statement is cancelled once
+				cancel <- a // does not block: the channel holds one value, and a statement is cancelled once
 			}
 		case session.Unstick:
 			delete(s.handles, a.ID)
@@ -125,7 +127,8 @@
 	return actions
 }
 
-// pruneHandles drops the handles of sessions that ended without an Unstick, once there are many of them.
+// pruneHandles drops the handles of sessions that ended without an Unstick. It runs only once the handles outnumber twice the
+// sessions with state by more than 100, since it reads all of them. The caller holds mu.
 func (s *Sessions) pruneHandles() {
 	if len(s.handles) <= 2*s.machine.WithState()+100 {
 		return
@@ -147,7 +150,7 @@
 	}
 }
 
-// awaitTimer waits for the machine's next timer and fires it; it returns early when that may have changed or ctx ends.
+// awaitTimer waits for the machine's next timer and fires it. It returns early when the next timer may have changed or ctx ends.
 func (s *Sessions) awaitTimer(ctx context.Context) {
 	s.mu.Lock()
 	at, ok := s.machine.Next()
--- a/frontend/statement.go
+++ b/frontend/statement.go
@@ -11,17 +11,18 @@
 	"embershunt/session"
 )
 
-// NewSessionID returns an id that no other session has, of any dispatcher.
+// NewSessionID returns a random id of 128 bits, unique among the sessions of all dispatchers.
 func NewSessionID() string { return fmt.Sprintf("%016x%016x", rand.Uint64(), rand.Uint64()) }
 
-// StickySession is where the state of a session is: all that another dispatcher needs to continue it, as its token holds it.
+// StickySession says which node holds the state of a session. It is the content of the session's token, with which any dispatcher
+// can continue the session.
 type StickySession struct {
-	ID      string
-	Tenant  string
-	Node    string
-	Started time.Time // of the node
+	ID      string    // of the session
+	Tenant  string    // by name
+	Node    string    // id of the node that holds the state
+	Started time.Time // start time of the node when the state was created
 	Since   time.Time // when the state was created
-	Handle  []byte    // the node's own name of the transaction
+	Handle  []byte    // the node's handle of the transaction
 }
 
 // Statement is one statement of a session.
@@ -31,40 +32,41 @@
 	Token         *StickySession // from the client's token; nil: it has none
 	ID            string         // of the session, where Token is nil
 	Tenant        int
-	Name          string // of the table, for session.CreateState and DropState
-	OutlivesState bool   // the session goes on without its state
-	// OnDraining is called with the time for which the session's node still accepts its statements, where it is to drain.
+	Name          string // of the table or option, for session.CreateState and DropState
+	OutlivesState bool   // the session goes on without its state, as a connection does
+	// OnDraining is called before the statement is sent if the session's node drains or is about to, with the time for which the
+	// node still accepts the session's statements; may be nil.
 	OnDraining func(remaining time.Duration)
-	// Handle reads the node's own name of the transaction out of the answer to a session.Begin.
+	// Handle extracts the node's handle of the transaction from the answer to a session.Begin; may be nil.
 	Handle func(outcome dispatch.Outcome) []byte
 }
 
-// execution is one statement under way.
+// execution is a statement that the machine has admitted and that is running.
 type execution struct {
 	statement Statement
 	sessionID string
 	tenant    string
 	serial    uint64
-	run       session.Run
-	cancel    chan session.Cancel // receives one value when the session ends meanwhile
+	run       session.Run         // the machine's action
+	cancel    chan session.Cancel // receives one value if the session ends while the statement runs
 }
 
-// Execute runs a statement of a session and waits for its final answer. The answer to the statement that creates the first state
-// comes with where that state is. The error is a *SessionError or classify's.
-func (s *Sessions) Execute(ctx context.Context, c Call, st Statement) (dispatch.Outcome, *StickySession, error) {
-	e, err := s.begin(c, st)
+// Execute runs a statement of a session and waits for its final answer. If the statement creates the session's first state, Execute
+// also returns where that state is. The error is a *SessionError or a *classify.BadHintError.
+func (s *Sessions) Execute(ctx context.Context, c Call, statement Statement) (dispatch.Outcome, *StickySession, error) {
+	e, err := s.begin(c, statement)
 	if err != nil {
 		return dispatch.Outcome{}, nil, err
 	}
-	if e.run.DrainsIn > 0 && st.OnDraining != nil {
-		st.OnDraining(time.Duration(e.run.DrainsIn) * time.Microsecond)
+	if e.run.DrainsIn > 0 && statement.OnDraining != nil {
+		statement.OnDraining(time.Duration(e.run.DrainsIn) * time.Microsecond)
 	}
-	if c.StickyTo = e.run.StickyTo; st.Token != nil {
-		c.StickyTo = st.Token.Node // never elsewhere, whatever the machine knows
+	if c.StickyTo = e.run.StickyTo; statement.Token != nil {
+		c.StickyTo = statement.Token.Node // no other node has the state, whatever the machine says
 	}
 	query, err := s.intake.Submit(c)
 	if err != nil {
-		_, _ = s.end(e, dispatch.Outcome{}, err) // nothing was sent: the error of the call is the answer
+		_, _ = s.end(e, dispatch.Outcome{}, err) // nothing was sent, so the answer is the error of Submit
 		return dispatch.Outcome{}, nil, err
 	}
 	outcome, cancelled := e.await(ctx, query)
@@ -76,19 +78,20 @@
 	return outcome, sticky, err
 }
 
-// begin asks the machine whether a statement may run; the error is a *SessionError.
-func (s *Sessions) begin(c Call, st Statement) (*execution, error) {
-	e := &execution{statement: st, sessionID: st.ID, tenant: s.intake.Tenant(c), cancel: make(chan session.Cancel, 1)}
+// begin asks the machine whether a statement may run. The error is a *SessionError.
+func (s *Sessions) begin(c Call, statement Statement) (*execution, error) {
+	e := &execution{statement: statement, sessionID: statement.ID, tenant: s.intake.Tenant(c), cancel: make(chan session.Cancel, 1)}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if st.Token != nil {
-		e.sessionID, e.tenant = st.Token.ID, st.Token.Tenant
-		s.resume(st.Token)
+	if statement.Token != nil {
+		e.sessionID, e.tenant = statement.Token.ID, statement.Token.Tenant
+		s.resume(statement.Token)
 	}
 	s.serial++
 	e.serial = s.serial
-	for _, a := range s.step(session.StatementReceived{ID: e.sessionID, Serial: e.serial, Tenant: e.tenant, Kind: st.Kind, Name: st.Name,
-		ReadOnly: st.ReadOnly, HasToken: st.Token != nil, OutlivesState: st.OutlivesState}) {
+	for _, a := range s.step(session.StatementReceived{ID: e.sessionID, Serial: e.serial, Tenant: e.tenant, Kind: statement.Kind,
+		Name: statement.Name, ReadOnly: statement.ReadOnly, HasToken: statement.Token != nil,
+		OutlivesState: statement.OutlivesState}) {
 		switch a := a.(type) {
 		case session.Run:
 			e.run = a
@@ -102,7 +105,8 @@
 	return e, nil
 }
 
-// resume makes the session of a token known to the machine, where it is not; mu is held.
+// resume adds the session of a token to the machine, and the handle of its transaction, where they are not known. The caller holds
+// mu.
 func (s *Sessions) resume(token *StickySession) {
 	if s.stateOf(token.ID) == session.Free {
 		since := s.clock.Now() - time.Since(token.Since).Microseconds()
@@ -113,8 +117,8 @@
 	}
 }
 
-// await waits for the final answer of a statement's query. The query counts as disconnected, and is answered at once, when ctx ends
-// or when the session ends meanwhile; await returns the machine's action in the latter case.
+// await waits for the final answer of a statement's query. When ctx or the session ends, the client counts as disconnected and the
+// answer comes at once. If the session ended, await also returns the machine's Cancel.
 func (e *execution) await(ctx context.Context, q *PendingQuery) (dispatch.Outcome, *session.Cancel) {
 	select {
 	case outcome := <-q.Done:
@@ -128,8 +132,8 @@
 	}
 }
 
-// end tells the machine of a statement's end. It returns where the session's state is from now on, if the statement created its
-// first, and a *SessionError where the session ended with it.
+// end tells the machine how a statement ended. If the statement created the session's first state, end returns where that state is.
+// If the session ended with the statement, end returns a *SessionError.
 func (s *Sessions) end(e *execution, outcome dispatch.Outcome, submitErr error) (*StickySession, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,8 +145,9 @@
 	}
 	var sticky *StickySession
 	for _, a := range s.step(ended) {
-		if st, ok := a.(session.Stick); ok && st.ID == e.sessionID {
-			sticky = &StickySession{ID: st.ID, Tenant: e.tenant, Node: st.Node, Started: st.Started, Since: time.Now(), Handle: s.handles[st.ID]}
+		if stick, ok := a.(session.Stick); ok && stick.ID == e.sessionID {
+			sticky = &StickySession{ID: stick.ID, Tenant: e.tenant, Node: stick.Node, Started: stick.Started, Since: time.Now(),
+				Handle: s.handles[stick.ID]}
 		}
 	}
 	state, reason := s.machine.State(e.sessionID)
@@ -154,7 +159,7 @@
 	return sticky, nil
 }
 
-// outcomeOf is the outcome of a statement for the machine: Unknown unless it is certain what the statement did.
+// outcomeOf returns the outcome of a statement for the machine: session.Unknown unless it is certain what the statement did.
 func outcomeOf(outcome dispatch.Outcome, submitErr error) session.Outcome {
 	switch {
 	case submitErr != nil || outcome.Attempts == 0 || outcome.Kind == dispatch.Shed:
--- a/frontend/tables.go
+++ b/frontend/tables.go
@@ -6,15 +6,15 @@
 	"embershunt/classify"
 )
 
-// Tables are what a change of settings changes for the frontends.
+// Tables are the settings of the frontends that can change while the dispatcher runs.
 type Tables struct {
-	SettingsSerial uint64 // of the settings whose indexes the classes are
+	SettingsSerial uint64 // version of the settings; classes and tenants are indexes into these settings
 	Classes        *classify.Table
-	Deadlines      []time.Duration // by class, for calls that state none
-	ResponseMargin time.Duration   // subtracted from a deadline for the way back, a tenth of it at most
-	TicketLife     time.Duration
-	PreparedLife   time.Duration
-	BearerLife     time.Duration
-	MaxStatement   int // bytes; must not exceed that of the start
-	MaxParams      int // bytes of bound parameters; likewise
+	Deadlines      []time.Duration // by class, for calls without a deadline of their own
+	ResponseMargin time.Duration   // subtracted from each deadline, for the way of the answer to the client; at most a tenth of it
+	TicketLife     time.Duration   // how long a ticket is valid
+	PreparedLife   time.Duration   // how long a prepared statement's handle and a session cookie are valid
+	BearerLife     time.Duration   // how long a bearer token is valid
+	MaxStatement   int             // bytes; must not exceed the value at start, from which gRPC's message limit is set
+	MaxParams      int             // bytes of bound parameters; likewise
 }
