--- a/frontend/flightsql/action.go
+++ b/frontend/flightsql/action.go
@@ -10,8 +10,8 @@
 	"embershunt/internal/flightwire"
 )
 
-// actions are the DoAction types served, in the order of ListActions and with their descriptions there. run returns the body
-// of the one Result; nil: none is sent.
+// actions are the supported DoAction types with their descriptions, in the order in which ListActions returns them. run returns
+// the body of the single Result; nil: no Result is sent.
 var actions = []struct {
 	name, description string
 	run               func(f *Front, c *caller, body []byte) ([]byte, error)
@@ -29,6 +29,7 @@
 	{"CloseSession", "Ends the session: its cookie is taken back.", (*Front).closeSession},
 }
 
+// listActions sends the supported actions.
 func (f *Front) listActions(stream grpc.ServerStream) error {
 	if _, err := f.authenticate(stream); err != nil {
 		return err
@@ -41,6 +42,7 @@
 	return nil
 }
 
+// doAction runs an action.
 func (f *Front) doAction(stream grpc.ServerStream) error {
 	c, request, err := f.receiveFirst(stream)
 	if err != nil {
@@ -68,14 +70,14 @@
 		strings.Join(known, ", "))
 }
 
-// parseAction reads the body of an action, which must be a message of this name.
+// parseAction unpacks the body of an action, which must be a message of this name.
 func parseAction(body []byte, name string) (flightwire.Command, error) {
 	cmd, err := flightwire.ParseCommand(body)
 	if err != nil {
 		return cmd, malformed(err)
 	}
 	if cmd.Name != name {
-		return cmd, status.Errorf(codes.InvalidArgument, "body is a %s, wanted is an %s", cmd.Name, name)
+		return cmd, status.Errorf(codes.InvalidArgument, "action body: message %s, expected %s", cmd.Name, name)
 	}
 	return cmd, nil
 }
--- a/frontend/flightsql/authentication.go
+++ b/frontend/flightsql/authentication.go
@@ -16,12 +16,12 @@
 	"embershunt/internal/seal"
 )
 
-// authorization is the header, and the trailer of Handshake, that credentials and tokens are in.
+// authorization is the name of the header, and of the trailer of Handshake, that holds credentials or a token.
 const authorization = "authorization"
 
-var errUnauthenticated = status.Error(codes.Unauthenticated, "authorization: wanted is Bearer with a token of Handshake, or Basic")
+var errUnauthenticated = status.Error(codes.Unauthenticated, "authorization header: expected Bearer with a token from Handshake, or Basic")
 
-// caller is who makes a call, and with what.
+// caller is the authenticated client of a call, with the call's stream, headers and session options.
 type caller struct {
 	stream  grpc.ServerStream
 	user    string
@@ -29,7 +29,7 @@
 	options map[string]string // session options; nil until loaded
 }
 
-// header returns the first value of a call header; "": there is none.
+// header returns the first value of a call header; "" if it is absent.
 func (c *caller) header(name string) string {
 	if v := c.headers.Get(name); len(v) > 0 {
 		return v[0]
@@ -37,10 +37,11 @@
 	return ""
 }
 
-// authenticate identifies who makes a call.
+// authenticate checks the bearer token or the credentials of a call and returns its caller. A call without either is accepted only
+// with AnyUser.
 func (f *Front) authenticate(stream grpc.ServerStream) (*caller, error) {
 	c := &caller{stream: stream}
-	c.headers, _ = metadata.FromIncomingContext(stream.Context()) // none: as without headers
+	c.headers, _ = metadata.FromIncomingContext(stream.Context()) // nil where there are none
 	scheme, credentials, _ := strings.Cut(c.header(authorization), " ")
 	switch strings.ToLower(scheme) {
 	case "bearer":
@@ -69,10 +70,10 @@
 	return c, nil
 }
 
-// checkBasic checks the credentials of RFC 7617 and returns the user.
+// checkBasic checks Basic credentials (RFC 7617) and returns the user.
 func (f *Front) checkBasic(credentials string) (string, error) {
 	b, err := base64.StdEncoding.DecodeString(credentials)
-	if err != nil { // some clients leave the padding out
+	if err != nil { // some clients omit the padding
 		if b, err = base64.RawStdEncoding.DecodeString(credentials); err != nil {
 			return "", errUnauthenticated
 		}
@@ -86,16 +87,16 @@
 
 func (f *Front) checkPassword(user, password string) error {
 	if !f.options.Auth.Check(user, password) {
-		return status.Error(codes.Unauthenticated, "name or password is wrong")
+		return status.Error(codes.Unauthenticated, "user name or password is wrong")
 	}
 	return nil
 }
 
-// handshake turns a name and password into a bearer token: from the authorization header (the token comes back in the
-// same header, of headers and trailers), or from a BasicAuth message as payload, as older clients do (it comes back as the
-// payload).
+// handshake checks a name and password and returns a bearer token. Clients send the credentials in the authorization header, and
+// get the token in the authorization header and trailer. Older clients send a BasicAuth message as payload, and get the token in
+// the authorization header and as payload.
 func (f *Front) handshake(stream grpc.ServerStream) error {
-	headers, _ := metadata.FromIncomingContext(stream.Context()) // none: as without headers
+	headers, _ := metadata.FromIncomingContext(stream.Context()) // nil where there are none
 	values := headers.Get(authorization)
 	byHeader := len(values) > 0 && strings.HasPrefix(strings.ToLower(values[0]), "basic ")
 	var user string
@@ -114,14 +115,14 @@
 	if err := stream.SetHeader(md); err != nil {
 		return err
 	}
-	if byHeader { // such clients read the trailers after one message, which is safe only if there is none
+	if byHeader { // these clients receive once and then read the trailer, which has arrived by then only if there is no message
 		stream.SetTrailer(md)
 		return nil
 	}
 	return send(stream, flightwire.AppendBytes(nil, 2, token))
 }
 
-// receiveBasicAuth receives a HandshakeRequest with a BasicAuth message as payload, checks it and returns the user.
+// receiveBasicAuth receives a HandshakeRequest with a BasicAuth message as payload, checks its credentials and returns the user.
 func (f *Front) receiveBasicAuth(stream grpc.ServerStream) (string, error) {
 	request, err := receive(stream)
 	if errors.Is(err, io.EOF) {
--- a/frontend/flightsql/cancel.go
+++ b/frontend/flightsql/cancel.go
@@ -5,13 +5,13 @@
 	"embershunt/internal/seal"
 )
 
-// Cancel states of CancelFlightInfoResult (Flight.proto).
+// Values of CancelFlightInfoResult.status (Flight.proto).
 const (
-	cancelling     = 2 // CANCEL_STATUS_CANCELLING: it is being cancelled
-	notCancellable = 3 // CANCEL_STATUS_NOT_CANCELLABLE: nothing runs for it here
+	cancelling     = 2 // CANCEL_STATUS_CANCELLING: the query is being cancelled
+	notCancellable = 3 // CANCEL_STATUS_NOT_CANCELLABLE: no query of the ticket runs at this dispatcher
 )
 
-// cancelFlightInfo cancels what runs here for the ticket in a CancelFlightInfoRequest.
+// cancelFlightInfo cancels the queries that run at this dispatcher for the ticket in a CancelFlightInfoRequest.
 func (f *Front) cancelFlightInfo(c *caller, body []byte) ([]byte, error) {
 	info, err := flightwire.Field(body, 1)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ids := f.running.of(statement.serial)
+	ids := f.running.idsOf(statement.serial)
 	for _, id := range ids {
 		f.intake.Disconnect(id)
 	}
@@ -43,7 +43,8 @@
 	return flightwire.AppendVarint(nil, 1, notCancellable), nil
 }
 
-// cancelQuery reads an ActionCancelQueryRequest (an Any; its field 1 is a FlightInfo).
+// cancelQuery answers CancelQuery, the predecessor of CancelFlightInfo: its body is an ActionCancelQueryRequest in an Any, of which
+// field 1 is a FlightInfo too.
 func (f *Front) cancelQuery(c *caller, body []byte) ([]byte, error) {
 	cmd, err := flightwire.ParseCommand(body)
 	if err != nil {
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -1,10 +1,10 @@
-// Package flightsql is the frontend for JDBC-style sessions: Arrow Flight SQL over gRPC (Flight.proto and FlightSql.proto
-// of Apache Arrow 18). It turns a client's call into one dispatch.Query and hands back the one final answer. It knows no
-// node and decides nothing. Result frames are forwarded as bytes.
+// Package flightsql is the frontend for Arrow Flight SQL over gRPC (Flight.proto and FlightSql.proto of Apache Arrow 18), which
+// JDBC drivers use. It turns a client's call into one dispatch.Query and returns the query's final answer. It does not choose
+// nodes, retry or shed: the dispatcher does. Result frames are forwarded as bytes.
 //
-// It keeps no state between two calls but caches and the list of running queries: tickets, prepared handles, transaction
-// ids and the session cookie are sealed tokens (sealed.go) that any dispatcher with the same key can read. The states of a
-// transaction are those of package session; transaction.go only makes its events out of calls.
+// Between two calls it keeps only caches and the running queries: tickets, prepared handles, transaction ids and the session
+// cookie are sealed tokens (sealed.go) that any dispatcher with the same key can read. Package session tracks the states of
+// transactions; transaction.go turns calls into its statements.
 package flightsql
 
 import (
@@ -25,22 +25,22 @@
 const (
 	defaultSchemaLife    = 5 * time.Minute
 	defaultMaxSchemas    = 4096
-	maxEnvelopeBytes     = 64 << 10 // of a message around its statement and parameters
-	maxHeaderBytes       = 64 << 10
-	maxConcurrentStreams = 10000 // of one connection
+	maxEnvelopeBytes     = 64 << 10 // of a message, apart from its statement and parameters
+	maxHeaderBytes       = 64 << 10 // of a call
+	maxConcurrentStreams = 10000    // of one connection
 )
 
-// Options are the frontend's settings; zero values mean the defaults.
+// Options are the frontend's settings. A zero SchemaTTL or MaxSchemas means the default.
 type Options struct {
 	Log                    *slog.Logger           // nil: nothing is logged
-	Auth                   frontend.Authenticator // checks names and passwords; with AnyUser a call needs none
-	Seal                   *seal.Sealer           // of tickets, handles, transaction ids and cookies
-	SchemaTTL              time.Duration          // how long a statement's schema is cached; default 5 min
-	MaxSchemas             int                    // statements cached; default 4096
-	PassHeaders            []string               // call headers passed on to nodes
-	Sessions               *frontend.Sessions     // nil: transactions are not served
-	TransactionIdleTimeout time.Duration          // of a transaction without a statement
-	TransactionMaxAge      time.Duration          // the longest of a transaction; its token is valid for so long
+	Auth                   frontend.Authenticator // checks names and passwords; with AnyUser, calls need no credentials
+	Seal                   *seal.Sealer           // seals tickets, handles, transaction ids, cookies and bearer tokens
+	SchemaTTL              time.Duration          // how long a node's answer about a statement is cached; default 5 min
+	MaxSchemas             int                    // maximum number of cached answers; default 4096
+	PassHeaders            []string               // names of call headers that are forwarded to nodes
+	Sessions               *frontend.Sessions     // nil: transactions are not supported
+	TransactionIdleTimeout time.Duration          // a transaction without a statement is rolled back after it; 0: nodes set no timeout
+	TransactionMaxAge      time.Duration          // how long a transaction may last; its id is valid for so long
 }
 
 // setDefaults replaces zero values.
@@ -52,22 +52,23 @@
 	}
 }
 
-// Front serves the protocol on a gRPC server made with ServerOptions.
+// Front serves Flight SQL on a gRPC server that was created with ServerOptions.
 type Front struct {
-	options Options
-	intake  *frontend.Intake
-	schemas *frontend.Cache // what nodes answered about statements, see cached
-	running runningQueries
+	options     Options
+	intake      *frontend.Intake
+	answerCache *frontend.Cache // schemas and prepared statements, see cachedAnswer
+	running     runningQueries
 }
 
 // New returns a frontend that submits its queries to an intake.
 func New(o Options, intake *frontend.Intake) *Front {
 	o.setDefaults()
-	return &Front{options: o, intake: intake, schemas: frontend.NewCache(o.MaxSchemas, o.SchemaTTL), running: newRunningQueries()}
+	return &Front{options: o, intake: intake, answerCache: frontend.NewCache(o.MaxSchemas, o.SchemaTTL), running: newRunningQueries()}
 }
 
-// ServerOptions are what a gRPC server needs for this frontend. Messages are read as a whole, so their size is bounded: a
-// statement and its parameters must fit; headers of more than 64 KiB are rejected by the transport.
+// ServerOptions returns the options that a gRPC server needs for this frontend. Messages are read as a whole, so their size is
+// bounded: the bound leaves room for the longest statement and its parameters. The transport rejects headers of more than
+// 64 KiB.
 func (f *Front) ServerOptions() []grpc.ServerOption {
 	tables := f.intake.Tables()
 	return []grpc.ServerOption{grpc.ForceServerCodecV2(flightwire.Codec{}),
@@ -75,7 +76,8 @@
 		grpc.MaxConcurrentStreams(maxConcurrentStreams)}
 }
 
-// Register adds the service. Every method is served as a stream of raw messages, which on the wire is the same.
+// Register adds the service to a gRPC server. Every method, unary ones included, is registered as a stream of raw messages: on the
+// wire the two are the same.
 func (f *Front) Register(s *grpc.Server) {
 	method := func(name string, run func(*Front, grpc.ServerStream) error) grpc.StreamDesc {
 		return grpc.StreamDesc{StreamName: name, ServerStreams: true, ClientStreams: true,
@@ -90,19 +92,20 @@
 			method("DoPut", (*Front).doPut),
 			method("DoAction", (*Front).doAction),
 			method("ListActions", (*Front).listActions),
-			method("ListFlights", unserved("ListFlights")),
-			method("PollFlightInfo", unserved("PollFlightInfo")),
-			method("DoExchange", unserved("DoExchange")),
+			method("ListFlights", unsupported("ListFlights")),
+			method("PollFlightInfo", unsupported("PollFlightInfo")),
+			method("DoExchange", unsupported("DoExchange")),
 		}}, f)
 }
 
-func unserved(name string) func(*Front, grpc.ServerStream) error {
+// unsupported returns a handler that rejects every call of a method.
+func unsupported(name string) func(*Front, grpc.ServerStream) error {
 	return func(*Front, grpc.ServerStream) error {
-		return status.Errorf(codes.Unimplemented, "%s is not part of Flight SQL as served here", name)
+		return status.Errorf(codes.Unimplemented, "method %s is not supported", name)
 	}
 }
 
-// unary makes a stream handler of a function from one request to one answer.
+// unary adapts a function with one request and one answer to a stream handler.
 func unary(run func(*Front, *caller, []byte) ([]byte, error)) func(*Front, grpc.ServerStream) error {
 	return func(f *Front, s grpc.ServerStream) error {
 		c, request, err := f.receiveFirst(s)
@@ -127,7 +130,7 @@
 	return c, request, err
 }
 
-// receive receives one message, copied out of its buffers.
+// receive receives one message and returns a copy of it, so that its buffers can be freed.
 func receive(s grpc.ServerStream) ([]byte, error) {
 	var m flightwire.Frame
 	if err := s.RecvMsg(&m); err != nil {
--- a/frontend/flightsql/message_test.go
+++ b/frontend/flightsql/message_test.go
@@ -21,15 +21,15 @@
 			t.Errorf("end %d: %q, %d, %v", end, token, got, err)
 		}
 	}
-	for what, b := range map[string][]byte{
+	for description, b := range map[string][]byte{
 		"no token":        body("", flightwire.EndCommit),
 		"no end":          body("token", 0),
 		"an unknown end":  body("token", 3),
 		"another message": flightwire.NewCommand("ActionEndSavepointRequest", nil),
-		"no message":      {0xff},
+		"not a message":   {0xff},
 	} {
 		if _, _, err := parseEnd(b, name); status.Code(err) != codes.InvalidArgument {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: %v", description, err)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 		t.Errorf("the descriptor alone: %x, %t, %v", rest, hasHeader, err)
 	}
 	if _, _, err = withoutDescriptor([]byte{0xff}); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("no message: %v", err)
+		t.Errorf("not a message: %v", err)
 	}
 }
 
@@ -53,17 +53,17 @@
 	r.add("", "without a ticket")
 	r.add("ticket", "1")
 	r.add("ticket", "2")
-	ids := r.of("ticket")
+	ids := r.idsOf("ticket")
 	if slices.Sort(ids); !slices.Equal(ids, []string{"1", "2"}) {
 		t.Errorf("ids %v", ids)
 	}
-	if ids := r.of(""); len(ids) != 0 {
+	if ids := r.idsOf(""); len(ids) != 0 {
 		t.Errorf("ids without a ticket: %v", ids)
 	}
 	r.remove("", "without a ticket")
 	r.remove("ticket", "1")
 	r.remove("ticket", "2")
 	if len(r.ids) != 0 {
-		t.Errorf("kept: %v", r.ids)
+		t.Errorf("ids after all queries were removed: %v", r.ids)
 	}
 }
--- a/frontend/flightsql/metadata.go
+++ b/frontend/flightsql/metadata.go
@@ -10,7 +10,8 @@
 	"embershunt/internal/flightwire"
 )
 
-// isMetadata reports whether a command is forwarded to a node as it is, as a query like any other.
+// isMetadata reports whether a command asks for metadata. Such a command is forwarded to a node unchanged, as a query like any other;
+// only DoGet of CommandGetSqlInfo is answered here.
 func isMetadata(name string) bool {
 	switch name {
 	case "CommandGetCatalogs", "CommandGetDbSchemas", "CommandGetTables", "CommandGetTableTypes",
@@ -21,7 +22,8 @@
 	return false
 }
 
-// serverInfo answers GetSqlInfo: it describes the dispatcher, which is the server that the client is connected to.
+// serverInfo holds the answer to CommandGetSqlInfo. It describes the dispatcher, since that is the server that the client is
+// connected to.
 var serverInfo = func() *arrowsql.BaseServer {
 	b := new(arrowsql.BaseServer)
 	for id, v := range map[arrowsql.SqlInfo]any{
@@ -35,13 +37,13 @@
 		arrowsql.SqlInfoFlightSqlServerCancel:       true,
 	} {
 		if err := b.RegisterSqlInfo(id, v); err != nil {
-			panic(err) // cannot be: the values are the ones above
+			panic(err) // does not happen: every value above has the type that its id requires
 		}
 	}
 	return b
 }()
 
-// infoCodes are the codes that a client asks for.
+// infoCodes are the ids of the values that a client asks for.
 type infoCodes []uint32
 
 var _ arrowsql.GetSqlInfo = infoCodes(nil)
@@ -49,7 +51,7 @@
 // GetInfo implements arrowsql.GetSqlInfo.
 func (c infoCodes) GetInfo() []uint32 { return c }
 
-// sendServerInfo answers CommandGetSqlInfo. Its rows are serverInfo's; no node is asked.
+// sendServerInfo answers CommandGetSqlInfo from serverInfo, without a node.
 func sendServerInfo(cmd flightwire.Command, stream grpc.ServerStream) error {
 	ids, err := flightwire.Uint32s(cmd.Body, 1)
 	if err != nil {
@@ -60,7 +62,7 @@
 		return err
 	}
 	w := flight.NewRecordWriter(dataStream{stream}, ipc.WithSchema(schema))
-	defer func() { _ = w.Close() }() // it fails where a client is gone, which misses nothing by it
+	defer func() { _ = w.Close() }() // fails only if the client has disconnected, which then needs no answer
 	for chunk := range chunks {
 		if chunk.Err != nil {
 			return chunk.Err
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// dataStream sends FlightData messages made here.
+// dataStream sends FlightData messages that the dispatcher itself builds.
 type dataStream struct{ stream grpc.ServerStream }
 
 var _ flight.DataStreamWriter = dataStream{}
--- a/frontend/flightsql/prepared.go
+++ b/frontend/flightsql/prepared.go
@@ -10,8 +10,8 @@
 	"embershunt/internal/seal"
 )
 
-// createPrepared asks a node what the statement is (as a query, or from the cache) and seals a handle that is bound to no
-// node.
+// createPrepared returns the schemas of a statement, which a node reports in a query or the cache holds, and a sealed handle that
+// is bound to no node.
 func (f *Front) createPrepared(c *caller, body []byte) ([]byte, error) {
 	cmd, err := parseAction(body, "ActionCreatePreparedStatementRequest")
 	if err != nil {
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	text := string(s.Text)
-	described, err := f.cached(c, "prepare\x00"+text, query{command: cmd.Name,
+	described, err := f.cachedAnswer(c, "prepare\x00"+text, query{command: cmd.Name,
 		call: &flightwire.Call{Kind: flightwire.Prepare, Text: text}})
 	if err != nil {
 		return nil, err
@@ -35,7 +35,7 @@
 		return nil, status.Errorf(codes.Internal, "what the node says of the statement cannot be read: %v", err)
 	}
 	result := flightwire.AppendBytes(nil, 1, f.sealPrepared(sealedStatement{user: c.user, text: text, transaction: s.Transaction}))
-	for _, field := range fields { // dataset and parameter schema, as the node gave them
+	for _, field := range fields { // dataset schema and parameter schema, as the node reported them
 		if field.Number == 2 || field.Number == 3 {
 			result = flightwire.AppendBytes(result, field.Number, field.Value)
 		}
@@ -44,12 +44,12 @@
 	return flightwire.NewCommand("ActionCreatePreparedStatementResult", result), nil
 }
 
-// sealPrepared is the handle of a prepared statement.
+// sealPrepared returns the handle of a prepared statement.
 func (f *Front) sealPrepared(s sealedStatement) []byte {
 	return f.options.Seal.Seal(seal.Prepared, time.Now().Add(f.intake.Tables().PreparedLife), s.encode())
 }
 
-// closePrepared checks a handle; there is nothing to close, since nothing is kept for it.
+// closePrepared only checks the handle: the dispatcher keeps no state of a prepared statement that could be closed.
 func (f *Front) closePrepared(c *caller, body []byte) ([]byte, error) {
 	cmd, err := flightwire.ParseCommand(body)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return nil, err
 }
 
-// bindParams answers with a handle that holds the parameters that the client sends (DoPutPreparedStatementResult).
+// bindParams receives the parameters of a prepared query and answers with a new handle that holds them
+// (DoPutPreparedStatementResult).
 func (f *Front) bindParams(c *caller, cmd flightwire.Command, first []byte) error {
 	prepared, err := f.parseHandle(c, cmd)
 	if err != nil {
--- a/frontend/flightsql/query.go
+++ b/frontend/flightsql/query.go
@@ -18,18 +18,18 @@
 	"embershunt/session"
 )
 
-// query is one query as this frontend makes it.
+// query is one query of a client, before it is submitted.
 type query struct {
 	call           *flightwire.Call
-	statement      string                  // for its classification; "" where the command has none
-	command        string                  // name of the command
-	serial         string                  // of the ticket; "" where it has none
-	transaction    *frontend.StickySession // that it belongs to; nil: none
-	boundary       *frontend.Statement     // of what begins, ends or divides a transaction; nil: anything else
-	newTransaction *frontend.StickySession // set by execute where a transaction was begun
+	statement      string                  // text by which the query is classified; "" where the command has none
+	command        string                  // message name of the command, for classification too
+	serial         string                  // of its ticket; "" where it has none
+	transaction    *frontend.StickySession // in which it runs; nil: none
+	boundary       *frontend.Statement     // set if it begins or ends a transaction or a savepoint; nil: any other query
+	newTransaction *frontend.StickySession // set by execute if it began a transaction
 }
 
-// setStatement makes a query run a statement: with parameters to bind, or else as the command of that name.
+// setStatement sets the statement that a query runs: with parameters to bind or, if params is nil, as the command of that name.
 func (q *query) setStatement(command, text string, params [][]byte) {
 	if params == nil {
 		q.call.Command = statementCommand(command, text, q.transaction)
@@ -38,7 +38,7 @@
 	q.call.Text, q.call.Params = text, params
 }
 
-// statementCommand is a statement's command, in the node's transaction where there is one.
+// statementCommand builds the command of a statement, with the node's handle of its transaction if there is one.
 func statementCommand(name, text string, transaction *frontend.StickySession) []byte {
 	body := flightwire.AppendBytes(nil, 1, text)
 	if transaction != nil {
@@ -47,7 +47,7 @@
 	return flightwire.NewCommand(name, body)
 }
 
-// sessionStatement is what a query means to its session; nil where it belongs to none.
+// sessionStatement returns the query as a statement of its session; nil where it belongs to none.
 func (q *query) sessionStatement() *frontend.Statement {
 	if q.boundary == nil && q.transaction != nil {
 		return &frontend.Statement{Kind: session.Plain, ReadOnly: classify.IsRead(q.statement), Token: q.transaction}
@@ -55,15 +55,16 @@
 	return q.boundary
 }
 
-// frames sends an answer's frames to the client.
-type frames struct{ stream grpc.ServerStream }
+// streamSink sends the frames of an answer to the client.
+type streamSink struct{ stream grpc.ServerStream }
 
-var _ flightwire.Sink = frames{}
+var _ flightwire.Sink = streamSink{}
 
 // Frame implements flightwire.Sink.
-func (s frames) Frame(f *flightwire.Frame) error { return s.stream.SendMsg(f) }
+func (s streamSink) Frame(f *flightwire.Frame) error { return s.stream.SendMsg(f) }
 
-// execute submits a query and waits for its outcome. The error is a status, of a query that has no outcome.
+// execute submits a query and waits for its outcome. The error is a gRPC status, for a query without an outcome: its statement is too
+// long, its hints are invalid, or its session rejected it or ended.
 func (f *Front) execute(c *caller, q *query) (dispatch.Outcome, error) {
 	if maxBytes := f.intake.Tables().MaxStatement; len(q.statement) > maxBytes {
 		return dispatch.Outcome{}, errStatementSize(len(q.statement), maxBytes)
@@ -74,32 +75,32 @@
 		id = received
 		f.running.add(q.serial, id)
 	}
-	v, err := f.submit(c, q, call)
+	outcome, err := f.submit(c, q, call)
 	f.running.remove(q.serial, id)
 	var ended *frontend.SessionError
 	if errors.As(err, &ended) {
-		return v, sessionError(ended)
+		return outcome, sessionError(ended)
 	}
 	if err != nil {
-		return v, status.Error(codes.InvalidArgument, err.Error())
+		return outcome, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return v, nil
+	return outcome, nil
 }
 
-// executeServed is execute with an error for every outcome that is not served.
+// executeServed executes a query and returns an error for every outcome that is not served.
 func (f *Front) executeServed(c *caller, q *query) (dispatch.Outcome, error) {
-	v, err := f.execute(c, q)
+	outcome, err := f.execute(c, q)
 	if err == nil {
-		err = outcomeError(v)
+		err = outcomeError(outcome)
 	}
-	return v, err
+	return outcome, err
 }
 
-// intakeCall is a query as the intake takes it.
+// intakeCall returns a query as a call for the intake, and adds the caller's forwarded headers to the query.
 func (f *Front) intakeCall(c *caller, q *query) frontend.Call {
 	f.loadOptions(c)
-	call := frontend.Call{Protocol: nodelist.FlightSQL, Work: q.call, Facts: classify.Facts{User: c.user, Header: c.header, Option: c.option,
-		Statement: q.statement, Command: q.command}}
+	call := frontend.Call{Protocol: nodelist.FlightSQL, Work: q.call, Facts: classify.Facts{User: c.user, Header: c.header,
+		Option: c.option, Statement: q.statement, Command: q.command}}
 	if deadline, ok := c.stream.Context().Deadline(); ok {
 		call.Remaining = max(time.Until(deadline), 1)
 	}
@@ -111,8 +112,8 @@
 	return call
 }
 
-// submit hands a call to the intake, through its session where it belongs to one.
-func (f *Front) submit(c *caller, q *query, call frontend.Call) (v dispatch.Outcome, err error) {
+// submit submits a call, through Sessions where it belongs to a session, and waits for its outcome.
+func (f *Front) submit(c *caller, q *query, call frontend.Call) (outcome dispatch.Outcome, err error) {
 	statement := q.sessionStatement()
 	if statement == nil {
 		return f.intake.Execute(c.stream.Context(), call)
@@ -123,9 +124,9 @@
 	}
 	q.call.Headers = append(q.call.Headers, flightwire.HeaderSession, id)
 	statement.OnDraining = func(remaining time.Duration) {
-		// The header is advice; it can be set only until the first message of the answer.
+		// The header is advice, so an error is ignored: a header can be set only before the first message of the answer.
 		_ = c.stream.SetHeader(metadata.Pairs(flightwire.HeaderDrainsIn, strconv.FormatInt(remaining.Milliseconds(), 10)))
 	}
-	v, q.newTransaction, err = f.options.Sessions.Execute(c.stream.Context(), call, *statement)
-	return v, err
+	outcome, q.newTransaction, err = f.options.Sessions.Execute(c.stream.Context(), call, *statement)
+	return outcome, err
 }
--- a/frontend/flightsql/running.go
+++ b/frontend/flightsql/running.go
@@ -2,11 +2,11 @@
 
 import "sync"
 
-// runningQueries are the ids of the queries that run here, by the serial number of their ticket, for cancels. Queries
-// without a ticket have the serial "" and are not listed.
+// runningQueries holds the ids of the queries that run at this dispatcher, by the serial number of their ticket, so that
+// they can be cancelled. Queries without a ticket have the serial "" and are not held. It is safe for concurrent use.
 type runningQueries struct {
 	mu  sync.Mutex
-	ids map[string]map[string]bool
+	ids map[string]map[string]bool // set of query ids by serial
 }
 
 func newRunningQueries() runningQueries { return runningQueries{ids: map[string]map[string]bool{}} }
@@ -34,8 +34,8 @@
 	}
 }
 
-// of returns the ids of what runs for a ticket.
-func (r *runningQueries) of(serial string) []string {
+// idsOf returns the ids of the queries that run for a ticket.
+func (r *runningQueries) idsOf(serial string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
--- a/frontend/flightsql/sealed.go
+++ b/frontend/flightsql/sealed.go
@@ -14,15 +14,15 @@
 	"embershunt/internal/seal"
 )
 
-// sealedStatement is what tickets and prepared handles hold: all that is needed to run the statement at any dispatcher with
-// the same key (docs/design-dispatcher.md weighs this against a query that starts at GetFlightInfo). Clients hold such
-// tokens over an upgrade: the fields' numbers stay.
+// sealedStatement is the content of tickets and prepared handles: all that any dispatcher with the same key needs to run the
+// statement (docs/design-dispatcher.md compares this with starting the query at GetFlightInfo). Clients keep such tokens during an
+// upgrade of the dispatchers, so the field numbers must not change.
 type sealedStatement struct {
 	user        string
 	text        string
-	serial      string // tells tickets apart, for cancels
-	params      [][]byte
-	transaction []byte // token of the transaction that it belongs to
+	serial      string   // identifies the ticket, so that its queries can be cancelled; "" in prepared handles
+	params      [][]byte // bound parameters: FlightData messages
+	transaction []byte   // token of the transaction in which it runs; nil: none
 }
 
 func (s sealedStatement) encode() []byte {
@@ -58,13 +58,14 @@
 	return s, nil
 }
 
-// newSerial returns a serial number for a ticket: 8 random bytes.
+// newSerial returns the serial number of a new ticket: 8 random bytes.
 func newSerial() string {
 	return string(binary.BigEndian.AppendUint64(nil, rand.Uint64()))
 }
 
-// encodeTransaction is what a transaction's id seals: its user and where its state is, so that any dispatcher with the same
-// key can go on with it, this one after a restart too (docs/design-session.md). The fields' numbers stay.
+// encodeTransaction returns the content of a transaction's id: its user and where its state is. With it any dispatcher with the same
+// key can continue the transaction, also this one after a restart (docs/design-session.md). Clients keep such ids during an
+// upgrade, so the field numbers must not change.
 func encodeTransaction(user string, s *frontend.StickySession) []byte {
 	b := flightwire.AppendBytes(nil, 1, user)
 	b = flightwire.AppendBytes(b, 2, s.ID)
@@ -103,7 +104,8 @@
 	return user, s, nil
 }
 
-// openToken opens a sealed token; one that cannot be read is the client's mistake.
+// openToken returns the payload of a sealed token. The error is a status: NotFound for an expired token, InvalidArgument for any
+// other that cannot be opened.
 func (f *Front) openToken(p seal.Purpose, token []byte) ([]byte, error) {
 	b, err := f.options.Seal.Open(p, time.Now(), token)
 	if errors.Is(err, seal.ErrExpired) {
@@ -115,7 +117,7 @@
 	return b, nil
 }
 
-// openStatement opens a ticket or handle that was made for this user.
+// openStatement opens a ticket or prepared handle, which must have been made for the same user.
 func (f *Front) openStatement(p seal.Purpose, c *caller, token []byte) (sealedStatement, error) {
 	b, err := f.openToken(p, token)
 	if err != nil {
@@ -128,7 +130,8 @@
 	return s, err
 }
 
-// openTransaction opens a transaction's id; nil where a call has none.
+// openTransaction opens a transaction's id, which must have been made for the same user. It returns nil for an empty id: the call
+// belongs to no transaction.
 func (f *Front) openTransaction(c *caller, token []byte) (*frontend.StickySession, error) {
 	if len(token) == 0 {
 		return nil, nil
@@ -144,7 +147,7 @@
 	return s, err
 }
 
-// joinTransaction makes a query part of the transaction with this id, if any.
+// joinTransaction makes a query run in the transaction with this id; an empty id changes nothing.
 func (f *Front) joinTransaction(c *caller, q *query, token []byte) error {
 	s, err := f.openTransaction(c, token)
 	if err != nil || s == nil {
@@ -154,7 +157,7 @@
 	return nil
 }
 
-// openSavepoint opens a savepoint's id: its transaction, and what the node calls the savepoint.
+// openSavepoint opens a savepoint's id and returns its transaction and the node's handle of the savepoint.
 func (f *Front) openSavepoint(c *caller, token []byte) (transaction *frontend.StickySession, handle []byte, err error) {
 	b, err := f.openToken(seal.Savepoint, token)
 	if err != nil {
@@ -163,7 +166,7 @@
 	if handle, err = flightwire.Field(b, 2); err != nil {
 		return nil, nil, malformed(err)
 	}
-	inner, _ := flightwire.Field(b, 1) // Field 2 was read, so the message is well formed
+	inner, _ := flightwire.Field(b, 1) // field 2 was read, so the message is well formed
 	transaction, err = f.openTransaction(c, inner)
 	return transaction, handle, err
 }
--- a/frontend/flightsql/sealed_test.go
+++ b/frontend/flightsql/sealed_test.go
@@ -12,8 +12,8 @@
 	"embershunt/internal/seal"
 )
 
-// storedTokens were sealed by the build before any rename, with the key of testSealer, and expire in the year 2100. Clients
-// hold such tokens over an upgrade.
+// storedTokens is a file of tokens that an earlier build sealed with the key of testSealer, before the identifiers were renamed. They
+// expire in the year 2100. Clients keep such tokens during an upgrade.
 const storedTokens = "testdata/tokens.txt"
 
 func testSealer(t *testing.T) *seal.Sealer {
@@ -25,7 +25,8 @@
 }
 
 func storedStatement() sealedStatement {
-	return sealedStatement{user: "pobocka", text: "SELECT 1", serial: "12345678", params: [][]byte{[]byte("first"), []byte("second")}, transaction: []byte("token")}
+	return sealedStatement{user: "pobocka", text: "SELECT 1", serial: "12345678",
+		params: [][]byte{[]byte("first"), []byte("second")}, transaction: []byte("token")}
 }
 
 func storedTransaction() *frontend.StickySession {
@@ -33,8 +34,9 @@
 		Started: time.UnixMicro(1_700_000_000_000_001), Since: time.UnixMicro(1_700_000_000_000_002)}
 }
 
-// TestTokensOfTheBuildBefore reads each sealed form value by value, and holds that this build writes the same bytes.
-func TestTokensOfTheBuildBefore(t *testing.T) {
+// TestTokensOfEarlierBuild checks that this build reads every value in the tokens of an earlier build, and seals the same values as the
+// same bytes.
+func TestTokensOfEarlierBuild(t *testing.T) {
 	text, err := os.ReadFile(storedTokens)
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +50,7 @@
 	}
 	lines := strings.Fields(string(text))
 	if len(lines) != len(payloads) {
-		t.Fatalf("%d tokens in %s, wanted %d", len(lines), storedTokens, len(payloads))
+		t.Fatalf("%d tokens in %s, want %d", len(lines), storedTokens, len(payloads))
 	}
 	for i, purpose := range []seal.Purpose{seal.Ticket, seal.Prepared, seal.Transaction} {
 		token, err := hex.DecodeString(lines[i])
@@ -60,8 +62,8 @@
 			t.Errorf("%s: %v", purpose, err)
 			continue
 		}
-		if again := sealer.Seal(purpose, expires, payloads[purpose]); string(again) != string(token) {
-			t.Errorf("%s is sealed as %x, before it was %x", purpose, again, token)
+		if resealed := sealer.Seal(purpose, expires, payloads[purpose]); string(resealed) != string(token) {
+			t.Errorf("%s is sealed as %x, the earlier build sealed it as %x", purpose, resealed, token)
 		}
 		if purpose == seal.Transaction {
 			user, transaction, err := decodeTransaction(payload)
--- a/frontend/flightsql/session.go
+++ b/frontend/flightsql/session.go
@@ -18,16 +18,18 @@
 // cookieName is the session cookie of Flight SQL (FlightSql.proto, session management).
 const cookieName = "arrow_flight_session_id"
 
-// maxSessionBytes bounds a session's options, encoded: cookies of more than 4 KiB are dropped by clients.
+// maxSessionBytes is the maximum size of a session's encoded options. Clients drop cookies of more than 4 KiB, and the cookie holds
+// the options sealed and in base64.
 const maxSessionBytes = 2 << 10
 
-// Codes of Flight.proto in answers to session actions.
+// Enum values of Flight.proto in answers to session actions.
 const (
 	optionInvalidValue = 2 // SetSessionOptionsResult.ErrorValue: INVALID_VALUE
 	sessionClosed      = 1 // CloseSessionResult.Status: CLOSED
 )
 
-// loadOptions returns the options of the session cookie; a cookie that cannot be read, or is another user's, counts as none.
+// loadOptions returns the options in the session cookie, and keeps them in c. A cookie that cannot be read, or that belongs to
+// another user, counts as no cookie.
 func (f *Front) loadOptions(c *caller) map[string]string {
 	if c.options == nil {
 		c.options = decodeOptions(f.openCookie(c), c.user)
@@ -35,7 +37,7 @@
 	return c.options
 }
 
-// openCookie returns what is sealed in the session cookie; nil where there is none or it cannot be read.
+// openCookie returns the payload of the session cookie; nil if there is no cookie or it cannot be read.
 func (f *Front) openCookie(c *caller) []byte {
 	r := http.Request{Header: http.Header{"Cookie": c.headers.Get("cookie")}}
 	cookie, err := r.Cookie(cookieName)
@@ -53,10 +55,10 @@
 	return payload
 }
 
-// option returns a session option; loadOptions comes first.
+// option returns the value of a session option; "" if it is not set. loadOptions must have been called.
 func (c *caller) option(name string) string { return c.options[name] }
 
-// setOptions merges options into the session (SetSessionOptionsRequest). Values are kept as text.
+// setOptions merges the options of a SetSessionOptionsRequest into the session cookie. Values are stored as text.
 func (f *Front) setOptions(c *caller, body []byte) ([]byte, error) {
 	fields, _, err := flightwire.Fields(body)
 	if err != nil {
@@ -101,7 +103,8 @@
 	return result, nil
 }
 
-// closeSession takes the cookie back. A copy of it stays valid until it expires, since nothing is kept here.
+// closeSession makes the client delete its session cookie. A copy of the cookie stays valid until it expires, since the dispatcher
+// keeps no list of sessions.
 func (f *Front) closeSession(c *caller, _ []byte) ([]byte, error) {
 	cookie := http.Cookie{Name: cookieName, Value: "", MaxAge: -1}
 	if err := c.stream.SetHeader(metadata.Pairs("set-cookie", cookie.String())); err != nil {
--- a/frontend/flightsql/session_option.go
+++ b/frontend/flightsql/session_option.go
@@ -11,10 +11,10 @@
 	"embershunt/internal/flightwire"
 )
 
-// encodeOptions is what the session cookie seals: the user, then names and values in turn, by name.
+// encodeOptions returns the payload of the session cookie: the user, then names and values in turn, sorted by name.
 func encodeOptions(user string, options map[string]string) []byte {
 	payload := flightwire.AppendBytes(nil, 1, user)
-	if user == "" { // AppendBytes leaves empty fields out, and the first one must be there
+	if user == "" { // AppendBytes leaves out empty fields, but decodeOptions takes the first field as the user
 		payload = protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), "")
 	}
 	for _, name := range slices.Sorted(maps.Keys(options)) {
@@ -23,7 +23,7 @@
 	return payload
 }
 
-// decodeOptions reads what encodeOptions wrote for the same user; anything else counts as no options.
+// decodeOptions reads a payload that encodeOptions made for the same user; any other payload counts as no options.
 func decodeOptions(payload []byte, user string) map[string]string {
 	options := map[string]string{}
 	fields, _, err := flightwire.Fields(payload)
@@ -38,8 +38,8 @@
 
 var errInvalidOption = errors.New("session option with an invalid value")
 
-// parseOption reads one entry of SetSessionOptionsRequest: a name and a SessionOptionValue, as text. An empty value means
-// that the option is to be removed.
+// parseOption reads one entry of SetSessionOptionsRequest and returns its name, and its SessionOptionValue as text. An empty value
+// means that the option is to be removed. The error is errInvalidOption.
 func parseOption(entry []byte) (name, value string, err error) {
 	fields, _, err := flightwire.Fields(entry)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return name, value, nil
 }
 
-// parseOptionValue reads the value of a SessionOptionValue behind its tag: text, a truth value or an integer.
+// parseOptionValue reads the value that follows the tag of a SessionOptionValue: a string, boolean or 64-bit integer. ok is false for
+// the other types, which are not supported, and for a malformed value.
 func parseOptionValue(number protowire.Number, wireType protowire.Type, encoded []byte) (value string, ok bool) {
 	switch {
 	case number == 1 && wireType == protowire.BytesType:
--- a/frontend/flightsql/session_option_test.go
+++ b/frontend/flightsql/session_option_test.go
@@ -9,7 +9,7 @@
 	"embershunt/internal/flightwire"
 )
 
-func TestOptionsBelongToTheirUser(t *testing.T) {
+func TestDecodeOptionsOfAnotherUser(t *testing.T) {
 	options := map[string]string{"b": "2", "a": "1"}
 	for _, user := range []string{"pobocka", ""} {
 		payload := encodeOptions(user, options)
@@ -20,7 +20,7 @@
 			t.Errorf("another user's options: %v", got)
 		}
 	}
-	for _, payload := range [][]byte{nil, []byte("no message")} {
+	for _, payload := range [][]byte{nil, []byte("not a message")} {
 		if got := decodeOptions(payload, ""); got == nil || len(got) != 0 {
 			t.Errorf("options in %q: %v", payload, got)
 		}
@@ -31,7 +31,7 @@
 	text := func(v string) []byte {
 		return protowire.AppendString(protowire.AppendTag(nil, 1, protowire.BytesType), v)
 	}
-	truth := func(v uint64) []byte {
+	boolean := func(v uint64) []byte {
 		return protowire.AppendVarint(protowire.AppendTag(nil, 2, protowire.VarintType), v)
 	}
 	integer := func(v int64) []byte {
@@ -41,7 +41,7 @@
 		return flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, name), 2, value)
 	}
 	for _, c := range []struct {
-		what        string
+		description string
 		entry       []byte
 		name, value string
 		invalid     bool
@@ -50,17 +50,17 @@
 		{"empty text removes", entry("a", text("")), "a", "", false},
 		{"no value removes", entry("a", nil), "a", "", false},
 		{"no name", entry("", text("1")), "", "", false},
-		{"true", entry("a", truth(1)), "a", "true", false},
-		{"false", entry("a", truth(0)), "a", "false", false},
+		{"true", entry("a", boolean(1)), "a", "true", false},
+		{"false", entry("a", boolean(0)), "a", "false", false},
 		{"an integer", entry("a", integer(-7)), "a", "-7", false},
 		{"a double", entry("a", protowire.AppendFixed64(protowire.AppendTag(nil, 4, protowire.Fixed64Type), 1)), "a", "", true},
-		{"text cut short", entry("a", text("12345")[:4]), "a", "", true},
-		{"an integer cut short", entry("a", integer(1)[:5]), "a", "", true},
-		{"no message", []byte{0xff}, "", "", true},
+		{"truncated text", entry("a", text("12345")[:4]), "a", "", true},
+		{"a truncated integer", entry("a", integer(1)[:5]), "a", "", true},
+		{"not a message", []byte{0xff}, "", "", true},
 	} {
 		name, value, err := parseOption(c.entry)
 		if name != c.name || value != c.value || (err != nil) != c.invalid {
-			t.Errorf("%s: %q = %q, %v", c.what, name, value, err)
+			t.Errorf("%s: %q = %q, %v", c.description, name, value, err)
 		}
 	}
 }
--- a/frontend/flightsql/statement.go
+++ b/frontend/flightsql/statement.go
@@ -12,7 +12,7 @@
 	"embershunt/internal/seal"
 )
 
-// getFlightInfo answers at once, without a query: the ticket holds the statement, and the query begins with DoGet.
+// getFlightInfo answers without a query: the ticket holds the statement or command, and DoGet starts the query.
 func (f *Front) getFlightInfo(c *caller, request []byte) ([]byte, error) {
 	cmd, err := describedCommand(request)
 	if err != nil {
@@ -39,7 +39,7 @@
 		}
 		return f.flightInfo(request, prepared), nil
 	case "CommandStatementSubstraitPlan":
-		return nil, status.Error(codes.Unimplemented, "Substrait plans are not taken: send the statement as SQL")
+		return nil, status.Error(codes.Unimplemented, "Substrait plans are not supported: send the statement as SQL")
 	}
 	if !isMetadata(cmd.Name) {
 		return nil, errUnknownCommand(cmd)
@@ -47,7 +47,7 @@
 	return flightwire.FlightInfo(nil, request, cmd.Any, 0), nil
 }
 
-// flightInfo is a FlightInfo whose ticket holds s, under a serial number of its own.
+// flightInfo returns a FlightInfo whose ticket holds s with a new serial number.
 func (f *Front) flightInfo(descriptor []byte, s sealedStatement) []byte {
 	s.serial = newSerial()
 	expires := time.Now().Add(f.intake.Tables().TicketLife)
@@ -56,7 +56,7 @@
 		expires.Unix())
 }
 
-// describedCommand reads the command in a FlightDescriptor.
+// describedCommand returns the command in a FlightDescriptor.
 func describedCommand(descriptor []byte) (flightwire.Command, error) {
 	b, err := flightwire.ParseDescriptor(descriptor)
 	if err != nil {
@@ -69,7 +69,8 @@
 	return cmd, nil
 }
 
-// parseStatement reads a command that holds a statement, or the handle of a prepared one.
+// parseStatement reads a command that holds a statement or, if handle is set, the handle of a prepared statement. Neither may be
+// empty.
 func (f *Front) parseStatement(cmd flightwire.Command, handle bool) (flightwire.Statement, error) {
 	s, err := flightwire.ParseStatement(cmd.Body, handle)
 	maxBytes := f.intake.Tables().MaxStatement
@@ -84,7 +85,7 @@
 	return s, nil
 }
 
-// parseHandle opens the prepared statement that a command names.
+// parseHandle opens the handle of a prepared statement in a command.
 func (f *Front) parseHandle(c *caller, cmd flightwire.Command) (sealedStatement, error) {
 	s, err := f.parseStatement(cmd, true)
 	if err != nil {
@@ -107,7 +108,7 @@
 	if err != nil {
 		return malformed(err)
 	}
-	q := query{command: cmd.Name, call: &flightwire.Call{Kind: flightwire.Get, Sink: frames{stream}}}
+	q := query{command: cmd.Name, call: &flightwire.Call{Kind: flightwire.Get, Sink: streamSink{stream}}}
 	switch {
 	case cmd.Name == "TicketStatementQuery":
 		if err := f.setTicket(c, &q, cmd); err != nil {
@@ -124,7 +125,7 @@
 	return err
 }
 
-// setTicket makes a query run the statement of a ticket.
+// setTicket sets the statement, parameters and transaction of a query from a ticket.
 func (f *Front) setTicket(c *caller, q *query, cmd flightwire.Command) error {
 	s, err := flightwire.ParseStatement(cmd.Body, true)
 	if err != nil {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// getSchema returns the schema of a statement, from a node or from the cache.
+// getSchema returns the schema of a statement's result, from a node or the cache.
 func (f *Front) getSchema(c *caller, request []byte) ([]byte, error) {
 	cmd, err := describedCommand(request)
 	if err != nil {
@@ -165,24 +166,24 @@
 	case !isMetadata(cmd.Name):
 		return nil, errUnknownCommand(cmd)
 	}
-	return f.cached(c, "schema\x00", q) // a schema runs nothing, so the query has no statement to classify by its effect
+	return f.cachedAnswer(c, "schema\x00", q) // q.statement stays empty: GetSchema runs nothing, so it must not be classified as an update
 }
 
-// cached returns what a node answers about a statement, from the cache where it is fresh enough. The key holds the user,
-// since a node's answer may depend on it.
-func (f *Front) cached(c *caller, key string, q query) ([]byte, error) {
+// cachedAnswer returns a node's answer about a statement, from the cache unless it has expired there. The key contains the user,
+// since the answer may depend on the user.
+func (f *Front) cachedAnswer(c *caller, key string, q query) ([]byte, error) {
 	key = c.user + "\x00" + key + string(q.call.Command)
-	if b, ok := f.schemas.Get(key, time.Now()); ok {
+	if b, ok := f.answerCache.Get(key, time.Now()); ok {
 		return b, nil
 	}
-	v, err := f.execute(c, &q)
+	outcome, err := f.execute(c, &q)
 	if err != nil {
 		return nil, err
 	}
-	if v.Kind != dispatch.Served {
-		return nil, outcomeError(v)
+	if outcome.Kind != dispatch.Served {
+		return nil, outcomeError(outcome)
 	}
-	b := v.Result.([]byte)
-	f.schemas.Put(key, b, time.Now())
+	b := outcome.Result.([]byte)
+	f.answerCache.Put(key, b, time.Now())
 	return b, nil
 }
--- a/frontend/flightsql/status.go
+++ b/frontend/flightsql/status.go
@@ -18,10 +18,10 @@
 	"embershunt/session"
 )
 
-// Domain is the ErrorInfo domain of every answer that is not served.
+// Domain is the domain in the ErrorInfo of every query that is not served.
 const Domain = "embershunt"
 
-// statuses maps each reason to its code and text (docs/operators.md has the table).
+// statuses maps each reason to its gRPC status code and message (docs/operators.md has the table).
 var statuses = map[dispatch.Reason]struct {
 	code codes.Code
 	text string
@@ -39,30 +39,30 @@
 	dispatch.ReasonStopped:            {codes.Unavailable, "failed: the dispatcher was stopped before the answer was in"},
 }
 
-// outcomeError is the status of an outcome; nil where it was served.
-func outcomeError(v dispatch.Outcome) error {
-	if v.Kind == dispatch.Served {
+// outcomeError returns the gRPC status of an outcome; nil if the query was served.
+func outcomeError(outcome dispatch.Outcome) error {
+	if outcome.Kind == dispatch.Served {
 		return nil
 	}
-	e := statuses[v.Reason]
+	e := statuses[outcome.Reason]
 	text := e.text
-	if v.Cause != nil {
-		s, _ := status.FromError(v.Cause) // any error has a message here, also one without a status
-		if v.Reason == dispatch.ReasonStatement {
-			e.code, text = s.Code(), s.Message() // the node's own
+	if outcome.Cause != nil {
+		s, _ := status.FromError(outcome.Cause) // has a message for an error without a status too
+		if outcome.Reason == dispatch.ReasonStatement {
+			e.code, text = s.Code(), s.Message() // code and message of the node
 		} else {
 			text += " (last attempt: " + s.Message() + ")"
 		}
 	}
 	var retryAfter time.Duration
-	if v.Kind == dispatch.Shed {
-		retryAfter = time.Duration(v.RetryAfter) * time.Microsecond
+	if outcome.Kind == dispatch.Shed {
+		retryAfter = time.Duration(outcome.RetryAfter) * time.Microsecond
 	}
-	return detailedError(e.code, text, &errdetails.ErrorInfo{Reason: string(v.Reason), Domain: Domain,
-		Metadata: map[string]string{"final": v.Kind.String(), "attempts": strconv.Itoa(v.Attempts)}}, retryAfter)
+	return detailedError(e.code, text, &errdetails.ErrorInfo{Reason: string(outcome.Reason), Domain: Domain,
+		Metadata: map[string]string{"final": outcome.Kind.String(), "attempts": strconv.Itoa(outcome.Attempts)}}, retryAfter)
 }
 
-// sessionError is the status of a statement that its session rejected or took with it.
+// sessionError returns the gRPC status of a statement that its session rejected, or that failed because its session ended.
 func sessionError(e *frontend.SessionError) error {
 	code, final := codes.Aborted, "failed"
 	switch e.Reason {
@@ -83,35 +83,35 @@
 		Metadata: map[string]string{"final": final, "session": e.State.String(), "commit": commit}}, e.RetryAfter)
 }
 
-// detailedError is a status with an ErrorInfo, and a RetryInfo where retryAfter is positive.
+// detailedError returns a gRPC status with an ErrorInfo, and with a RetryInfo if retryAfter is positive.
 func detailedError(code codes.Code, text string, info *errdetails.ErrorInfo, retryAfter time.Duration) error {
 	details := []protoadapt.MessageV1{info}
 	if retryAfter > 0 {
 		details = append(details, &errdetails.RetryInfo{RetryDelay: durationpb.New(retryAfter)})
 	}
 	s, err := status.New(code, text).WithDetails(details...)
-	if err != nil { // the details always marshal
+	if err != nil { // does not happen: these details can always be marshaled
 		return status.Error(code, text)
 	}
 	return s.Err()
 }
 
-// malformed is the status of a message that cannot be read.
+// malformed returns the gRPC status of a client's message that cannot be decoded.
 func malformed(err error) error {
 	return status.Error(codes.InvalidArgument, strings.TrimPrefix(err.Error(), "proto: "))
 }
 
-// malformedMessage is malformed with the name of the message.
+// malformedMessage returns the status of malformed with the name of the message in front.
 func malformedMessage(name string, err error) error {
 	return malformed(fmt.Errorf("%s: %w", name, err))
 }
 
-// errStatementSize is the status of a statement that is too long; both sizes are in bytes.
+// errStatementSize returns the gRPC status of a statement that is too long; both sizes are in bytes.
 func errStatementSize(size, maxSize int) error {
 	return status.Errorf(codes.InvalidArgument, "statement of %d bytes, allowed are %d", size, maxSize)
 }
 
-// errUnknownCommand is the status of a command that is not served.
+// errUnknownCommand returns the gRPC status of a command that is not supported.
 func errUnknownCommand(cmd flightwire.Command) error {
-	return status.Errorf(codes.Unimplemented, "%s is not known here", cmd.Name)
+	return status.Errorf(codes.Unimplemented, "command %s is not supported", cmd.Name)
 }
--- a/frontend/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -14,7 +14,7 @@
 	"embershunt/session"
 )
 
-// beginTransaction begins a transaction on a node of the dispatcher's choice; all that follows stays there.
+// beginTransaction begins a transaction on a node that the dispatcher chooses. All later statements of the transaction go to that node.
 func (f *Front) beginTransaction(c *caller, body []byte) ([]byte, error) {
 	if f.options.Sessions == nil {
 		return nil, status.Error(codes.Unimplemented, "transactions are not served here")
@@ -26,8 +26,11 @@
 	q := actionQuery("BeginTransaction", name, nil)
 	q.statement = "BEGIN"
 	q.boundary = &frontend.Statement{Kind: session.Begin, ID: frontend.NewSessionID(), Handle: resultHandle}
-	if f.options.TransactionIdleTimeout > 0 { // if this dispatcher vanishes, the node ends the transaction a little later than it would have
-		q.call.Headers = append(q.call.Headers, flightwire.HeaderIdle, strconv.FormatInt((f.options.TransactionIdleTimeout+f.options.TransactionIdleTimeout/2).Milliseconds(), 10))
+	// The node's timeout applies if this dispatcher fails. It is half as long again as the dispatcher's own, so that a dispatcher that
+	// runs ends the transaction first.
+	if f.options.TransactionIdleTimeout > 0 {
+		q.call.Headers = append(q.call.Headers, flightwire.HeaderIdle,
+			strconv.FormatInt((f.options.TransactionIdleTimeout+f.options.TransactionIdleTimeout/2).Milliseconds(), 10))
 	}
 	if _, err := f.executeServed(c, q); err != nil {
 		return nil, err
@@ -36,8 +39,8 @@
 	return flightwire.StatementCommand("ActionBeginTransactionResult", token), nil
 }
 
-// endTransaction commits or rolls back. A commit is sent once: whether one whose answer was lost has happened is not known,
-// and the error says so.
+// endTransaction commits a transaction or rolls it back. A commit is sent once. If its answer is lost, it is not known whether the
+// commit happened, and the error says so.
 func (f *Front) endTransaction(c *caller, body []byte) ([]byte, error) {
 	const name = "ActionEndTransactionRequest"
 	token, end, err := parseEnd(body, name)
@@ -59,7 +62,7 @@
 	return nil, err
 }
 
-// beginSavepoint sets a savepoint: its id is sealed with the transaction's.
+// beginSavepoint sets a savepoint. The savepoint's id seals the transaction's id and the node's handle of the savepoint.
 func (f *Front) beginSavepoint(c *caller, body []byte) ([]byte, error) {
 	const name = "ActionBeginSavepointRequest"
 	cmd, err := parseAction(body, name)
@@ -81,11 +84,11 @@
 	q := actionQuery("BeginSavepoint", name, flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, transaction.Handle), 2, label))
 	q.statement = "SAVEPOINT"
 	q.boundary = &frontend.Statement{Kind: session.Plain, Token: transaction}
-	v, err := f.executeServed(c, q)
+	outcome, err := f.executeServed(c, q)
 	if err != nil {
 		return nil, err
 	}
-	inner := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, token), 2, resultHandle(v))
+	inner := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, token), 2, resultHandle(outcome))
 	savepoint := f.options.Seal.Seal(seal.Savepoint, time.Now().Add(f.options.TransactionMaxAge), inner)
 	return flightwire.StatementCommand("ActionBeginSavepointResult", savepoint), nil
 }
@@ -108,16 +111,16 @@
 	return nil, err
 }
 
-// actionQuery is a query that runs an action on a node; request is the content of its message, which name names.
+// actionQuery returns a query that runs an action on a node. name is the name of the action's message, request its encoded content.
 func actionQuery(action, name string, request []byte) *query {
 	return &query{command: name, call: &flightwire.Call{Kind: flightwire.Do,
 		Action: flightwire.Action{Type: action, Body: flightwire.NewCommand(name, request)}}}
 }
 
-// resultHandle is what a node calls the transaction or savepoint that it began: field 1 of its ActionBeginTransactionResult
-// or ActionBeginSavepointResult; nil where that cannot be read.
-func resultHandle(v dispatch.Outcome) []byte {
-	b, _ := v.Result.([]byte)
+// resultHandle returns the node's handle of the transaction or savepoint that it began: field 1 of its
+// ActionBeginTransactionResult or ActionBeginSavepointResult; nil if that cannot be read.
+func resultHandle(outcome dispatch.Outcome) []byte {
+	b, _ := outcome.Result.([]byte)
 	c, err := flightwire.ParseCommand(b)
 	if err != nil {
 		return nil
@@ -126,7 +129,7 @@
 	return h
 }
 
-// parseEnd reads a request that ends a transaction or savepoint: field 1 is its token, field 2 how it ends.
+// parseEnd reads a request that ends a transaction or savepoint. Field 1 is its token, field 2 is flightwire.EndCommit or EndRollback.
 func parseEnd(body []byte, name string) (token []byte, end uint64, err error) {
 	cmd, err := parseAction(body, name)
 	if err != nil {
--- a/frontend/flightsql/update.go
+++ b/frontend/flightsql/update.go
@@ -39,14 +39,14 @@
 	if err != nil {
 		return err
 	}
-	v, err := f.executeServed(c, &q)
+	outcome, err := f.executeServed(c, &q)
 	if err != nil {
 		return err
 	}
-	return send(stream, v.Result.([]byte))
+	return send(stream, outcome.Result.([]byte))
 }
 
-// setUpdate makes a query run the statement of an update.
+// setUpdate sets the statement and transaction of a query from a CommandStatementUpdate.
 func (f *Front) setUpdate(c *caller, q *query, cmd flightwire.Command) error {
 	s, err := f.parseStatement(cmd, false)
 	if err != nil {
@@ -60,7 +60,8 @@
 	return nil
 }
 
-// setPreparedUpdate makes a query run a prepared update, with the parameters that the client sends.
+// setPreparedUpdate sets the statement and transaction of a query from a prepared update, and its parameters from the messages that
+// the client sends.
 func (f *Front) setPreparedUpdate(c *caller, q *query, cmd flightwire.Command, first []byte) error {
 	prepared, err := f.parseHandle(c, cmd)
 	if err != nil {
@@ -78,8 +79,9 @@
 	return nil
 }
 
-// receiveParams receives the parameters that follow a descriptor: FlightData messages, kept as they are but for the
-// descriptor. nil means that there are none.
+// receiveParams receives the parameters of a prepared statement: all FlightData messages of a DoPut, of which the first also has the
+// descriptor. It returns the messages without descriptors but otherwise unchanged; nil if no message has a header, which means that
+// there are no parameters.
 func (f *Front) receiveParams(stream grpc.ServerStream, first []byte) ([][]byte, error) {
 	var params [][]byte
 	size, hasHeader := 0, false
@@ -89,7 +91,7 @@
 			return nil, err
 		}
 		hasHeader = hasHeader || header
-		maxBytes := f.intake.Tables().MaxParams // the settings may change while a client sends
+		maxBytes := f.intake.Tables().MaxParams // read for each message: the settings may change while the client sends
 		if size += len(param); size > maxBytes {
 			return nil, status.Errorf(codes.InvalidArgument, "parameters of more than %d bytes", maxBytes)
 		}
@@ -110,7 +112,7 @@
 	return params, nil
 }
 
-// withoutDescriptor is a FlightData message without its descriptor (field 1), and whether it has a header (field 2).
+// withoutDescriptor returns a FlightData message without its descriptor (field 1), and whether it has a header (field 2).
 func withoutDescriptor(message []byte) (rest []byte, hasHeader bool, err error) {
 	fields, _, err := flightwire.Fields(message)
 	if err != nil {
--- a/frontend/flightsql/users.go
+++ b/frontend/flightsql/users.go
@@ -15,23 +15,24 @@
 	_ frontend.Authenticator = (*Users)(nil)
 )
 
-// AnyUser accepts every name and password, and calls without any.
+// AnyUser accepts every name and password. With it the frontend also accepts calls without credentials.
 type AnyUser struct{}
 
 // Check implements frontend.Authenticator.
 func (AnyUser) Check(string, string) bool { return true }
 
-// Users checks passwords against bcrypt hashes. bcrypt is slow on purpose and some drivers send the password with every
-// call, so a password that was right is remembered as a hash under a key of this process.
+// Users checks passwords against bcrypt hashes. bcrypt is slow by design and some drivers send the password with every call, so
+// the last correct password of each user is cached as a keyed hash. The key is random and never leaves the process. Users is safe
+// for concurrent use.
 type Users struct {
-	hashes map[string]string
-	key    [32]byte
+	hashes map[string]string // bcrypt hashes by user
+	key    [32]byte          // of the hashes in verified
 
 	mu       sync.Mutex
-	verified map[string][32]byte // user to keyed hash of the password that was right
+	verified map[string][32]byte // keyed hash of the last correct password, by user
 }
 
-// NewUsers returns a check of names (keys) against bcrypt hashes (values).
+// NewUsers returns an authenticator of the users in hashes, a map from name to bcrypt hash.
 func NewUsers(hashes map[string]string) *Users {
 	u := &Users{hashes: hashes, verified: map[string][32]byte{}}
 	copy(u.key[:], newSerial()+newSerial()+newSerial()+newSerial())
@@ -48,7 +49,7 @@
 	if err != nil {
 		return false
 	}
-	_, _ = hasher.Write([]byte(password)) // a hash takes all bytes and returns no error
+	_, _ = hasher.Write([]byte(password)) // writing to a hash does not fail
 	var sum [32]byte
 	hasher.Sum(sum[:0])
 	u.mu.Lock()
