--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -4,7 +4,7 @@
 //
 // Between two calls it keeps only caches and the running queries: tickets, prepared handles, transaction ids and the session
 // cookie are sealed tokens (sealed.go) that any dispatcher with the same key can read. Package session tracks the states of
-// transactions; transaction.go turns calls into its statements.
+// transactions; transaction.go turns calls into session statements.
 package flightsql
 
 import (
@@ -39,11 +39,11 @@
 	MaxSchemas             int                    // maximum number of cached answers; default 4096
 	PassHeaders            []string               // names of call headers that are forwarded to nodes
 	Sessions               *frontend.Sessions     // nil: transactions are not supported
-	TransactionIdleTimeout time.Duration          // a transaction without a statement is rolled back after it; 0: nodes set no timeout
+	TransactionIdleTimeout time.Duration          // of a transaction without a statement; 0: nodes set no timeout
 	TransactionMaxAge      time.Duration          // how long a transaction may last; its id is valid for so long
 }
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values by the defaults.
 func (o *Options) setDefaults() {
 	o.SchemaTTL = cmp.Or(o.SchemaTTL, defaultSchemaLife)
 	o.MaxSchemas = cmp.Or(o.MaxSchemas, defaultMaxSchemas)
--- a/frontend/flightsql/update.go
+++ b/frontend/flightsql/update.go
@@ -80,7 +80,7 @@
 }
 
 // receiveParams receives the parameters of a prepared statement: all FlightData messages of a DoPut, of which the first also has the
-// descriptor. It returns the messages without descriptors but otherwise unchanged; nil if no message has a header, which means that
+// descriptor. It returns the messages without descriptors and leaves out empty ones; nil if no message has a header, which means that
 // there are no parameters.
 func (f *Front) receiveParams(stream grpc.ServerStream, first []byte) ([][]byte, error) {
 	var params [][]byte
@@ -112,7 +112,8 @@
 	return params, nil
 }
 
-// withoutDescriptor returns a FlightData message without its descriptor (field 1), and whether it has a header (field 2).
+// withoutDescriptor returns a FlightData message without its descriptor (field 1), and whether it has a header (field 2). Only
+// length-delimited fields are kept; FlightData has no others.
 func withoutDescriptor(message []byte) (rest []byte, hasHeader bool, err error) {
 	fields, _, err := flightwire.Fields(message)
 	if err != nil {
