--- a/frontend/clickhouse/answer.go
+++ b/frontend/clickhouse/answer.go
@@ -14,7 +14,7 @@
 	"embershunt/session"
 )
 
-// Codes of Exceptions, by their names in ErrorCodes.cpp of ClickHouse; docs/operators.md has the table of final answers.
+// Codes of Exceptions, named as in ClickHouse's ErrorCodes.cpp. docs/operators.md has the table of final answers.
 const (
 	codeBadArguments         int32 = 36
 	codeNotImplemented       int32 = 48
@@ -33,12 +33,12 @@
 
 const (
 	exceptionName       = "DB::Exception"
-	minRetryAfterMillis = 50 // of a query that could not be buffered
+	minRetryAfterMillis = 50 // for a query that was rejected because too many bytes were buffered
 	microsPerMilli      = 1000
 	writeGrace          = 50 * time.Millisecond // how long the end of an answer waits for a write that is under way
 )
 
-// outcomeCodes are the codes of final answers.
+// outcomeCodes maps the reasons of final answers that are not served to the codes of their Exceptions.
 var outcomeCodes = map[dispatch.Reason]int32{
 	dispatch.ReasonOverload:           codeTooManyQueries,
 	dispatch.ReasonFull:               codeTooManyQueries,
@@ -53,8 +53,8 @@
 }
 
 var (
-	errPartialPacket = errors.New("a packet was broken off: the connection cannot go on")
-	errAnswerEnded   = errors.New("the answer has its end")
+	errPartialPacket = errors.New("a packet of the answer was written only in part: the connection cannot be used further")
+	errAnswerEnded   = errors.New("packet after the end of the answer")
 )
 
 // write writes whole packets and flushes them.
@@ -67,14 +67,14 @@
 	return c.writer.Flush()
 }
 
-// reject writes an Exception of this frontend.
+// reject writes an Exception that originates in this frontend.
 func (c *connection) reject(code int32, text string) {
 	c.exceptionSent = true
 	exception := &native.Exception{Code: code, Name: exceptionName, Message: exceptionName + ": " + text}
-	_ = c.write(exception.Encode()) // a client that cannot be written to is noticed by the next read
+	_ = c.write(exception.Encode()) // if the connection is broken, the next read fails
 }
 
-// rejectUnreadable answers a packet that could not be read, or not be buffered.
+// rejectUnreadable writes the Exception for a packet that could not be read or buffered.
 func (c *connection) rejectUnreadable(err error) {
 	var capacity *dispatch.CapacityError
 	switch {
@@ -88,7 +88,7 @@
 	}
 }
 
-// rejectQuery answers a query that has no outcome: its hints cannot be used, or its session has ended.
+// rejectQuery writes the Exception for a query without an outcome: its hints are invalid, or its session rejected it or ended.
 func (c *connection) rejectQuery(err error) {
 	var ended *frontend.SessionError
 	if !errors.As(err, &ended) {
@@ -98,7 +98,8 @@
 	c.reject(sessionException(ended))
 }
 
-// sessionException is the code and text of a statement that its session rejected or took with it.
+// sessionException returns the code and text of the Exception for a statement that its session rejected, or that failed because
+// the session ended.
 func sessionException(ended *frontend.SessionError) (code int32, text string) {
 	code, final := codeAborted, "failed"
 	switch ended.Reason {
@@ -116,8 +117,8 @@
 	return code, text
 }
 
-// answerSink takes the packets of one answer. An attempt may still pass packets when its query has been answered and the next one has
-// begun: they must not be written into the next answer.
+// answerSink receives the packets of one answer. An attempt may pass packets after its query has ended and the next query has begun;
+// the sink rejects these, so that they are not written into the next answer.
 type answerSink struct {
 	connection *connection
 	ended      bool // guarded by connection.mu
@@ -125,7 +126,7 @@
 
 var _ native.Sink = (*answerSink)(nil)
 
-// beginAnswer begins another answer.
+// beginAnswer begins the answer of the next query.
 func (c *connection) beginAnswer() {
 	c.mu.Lock()
 	c.answer, c.partial = &answerSink{connection: c}, false
@@ -148,19 +149,21 @@
 	return err
 }
 
-// endAnswer sees to it that nothing more of the present answer is written. A write that a slow client holds up is broken off.
+// endAnswer ends the current answer: the sink rejects every later packet. A write that a slow client blocks is interrupted after
+// writeGrace.
 func (c *connection) endAnswer() {
 	t := time.AfterFunc(writeGrace, func() {
-		_ = c.conn.SetWriteDeadline(inThePast) // it fails only on a closed connection, where the write fails anyway
+		_ = c.conn.SetWriteDeadline(inThePast) // fails only on a closed connection, where the write fails anyway
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	t.Stop()
 	c.answer.ended = true
-	_ = c.conn.SetWriteDeadline(time.Time{}) // likewise: the next write says so
+	_ = c.conn.SetWriteDeadline(time.Time{}) // fails only on a closed connection, where the next write fails anyway
 }
 
-// finish writes the end of an answer. An error ends the connection.
+// finish writes the end of an answer: EndOfStream for a cancelled query, an Exception for err, else the outcome. It writes nothing
+// for a client that has disconnected. An error ends the connection.
 func (c *connection) finish(v dispatch.Outcome, end ending, err error) error {
 	switch {
 	case end == clientDisconnected:
@@ -178,7 +181,7 @@
 	return c.writeOutcome(v)
 }
 
-// writeOutcome writes a final answer.
+// writeOutcome ends the current answer and writes the outcome of its query.
 func (c *connection) writeOutcome(v dispatch.Outcome) error {
 	c.endAnswer()
 	if c.partial {
@@ -191,11 +194,11 @@
 	return c.write(outcomeException(v).Encode())
 }
 
-// outcomeException is the Exception of a final answer that is not served.
+// outcomeException returns the Exception for an outcome that is not served.
 func outcomeException(v dispatch.Outcome) *native.Exception {
-	var nodes *native.Exception
-	if v.Reason == dispatch.ReasonStatement && errors.As(v.Cause, &nodes) {
-		return nodes // the node's own, unchanged
+	var fromNode *native.Exception
+	if v.Reason == dispatch.ReasonStatement && errors.As(v.Cause, &fromNode) {
+		return fromNode // unchanged
 	}
 	text := fmt.Sprintf("%s: %s (%s, %d attempts)", exceptionName, v.Kind, v.Reason, v.Attempts)
 	if v.Kind == dispatch.Shed {
@@ -205,7 +208,7 @@
 		}
 	}
 	if v.Cause != nil {
-		s, _ := status.FromError(v.Cause) // any error has a message here, also one without a status
+		s, _ := status.FromError(v.Cause) // for an error without a status, s has the error's text
 		text += "; last attempt: " + s.Message()
 	}
 	return &native.Exception{Code: outcomeCodes[v.Reason], Name: exceptionName, Message: text}
--- a/frontend/clickhouse/answer_test.go
+++ b/frontend/clickhouse/answer_test.go
@@ -10,16 +10,16 @@
 	"embershunt/internal/native"
 )
 
-// Packets of a query that was cancelled are not written into the answer to the next query.
-func TestLatePacketsOfTheAnswerBefore(t *testing.T) {
+// Packets that arrive late for a cancelled query must not be written into the answer to the next query.
+func TestLatePacketsOfCancelledQuery(t *testing.T) {
 	var written bytes.Buffer
-	client, ours := net.Pipe()
-	defer func() { _, _ = client.Close(), ours.Close() }()
-	c := newConnection(&Front{}, ours)
+	client, server := net.Pipe()
+	defer func() { _, _ = client.Close(), server.Close() }()
+	c := newConnection(&Front{}, server)
 	c.writer = bufio.NewWriter(&written)
 	sink := func(id string) native.Sink {
 		c.beginAnswer()
-		return c.call(request{query: native.Query{ID: id, Text: "SELECT 1"}}).Work.(*native.Call).Sink
+		return c.newCall(request{query: native.Query{ID: id, Text: "SELECT 1"}}).Work.(*native.Call).Sink
 	}
 	cancelled := sink("a")
 	if err := cancelled.Pass([]byte("a"), false); err != nil {
--- a/frontend/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -15,33 +15,33 @@
 	"embershunt/internal/native"
 )
 
-// bufferBytes is the size of each of a connection's two buffers: thousands of idle clients have them, and what is larger
-// is read and written without them.
+// bufferBytes is the size of a connection's read buffer and of its write buffer. It is small because thousands of idle clients
+// hold both; larger reads and writes bypass the buffers.
 const bufferBytes = 4 << 10
 
-// inThePast is a deadline that ends a read or a write at once.
+// inThePast is a deadline that interrupts a read or a write at once.
 var inThePast = time.Unix(1, 0)
 
-// connection is one connection of a client. One goroutine serves it; a second one may read the next packet meanwhile, and the
-// backend writes an answer's packets to its answerSink.
+// connection is a client's connection. One goroutine serves it, a second one may read the next packet in the background, and the
+// backend passes the packets of an answer to the connection's answerSink.
 type connection struct {
-	front         *Front
-	conn          net.Conn
-	reader        *native.Reader
-	revision      int
-	hello         native.Hello
-	session       sessionState
-	requests      chan request // what a read in the background returned
-	reading       bool         // there is one
-	group         errgroup.Group
-	watchTimer    *time.Timer
-	payload       dispatch.PayloadReservation // of the present query's rows and tables; guarded by payloadAccount's lock
-	exceptionSent bool                        // the last packet may have been an Exception of this frontend
-
-	mu      sync.Mutex // guards what follows, and the order of writes
+	front          *Front
+	conn           net.Conn
+	reader         *native.Reader
+	revision       int // negotiated in the handshake
+	hello          native.Hello
+	session        sessionState
+	requests       chan request // results of background reads
+	readingAhead   bool         // a background read is under way, or its result is in requests
+	group          errgroup.Group
+	readAheadTimer *time.Timer
+	payload        dispatch.PayloadReservation // of the current query's rows and tables; guarded by payloadAccount's lock
+	exceptionSent  bool                        // an Exception of this frontend was written, maybe as the last packet
+
+	mu      sync.Mutex // guards the fields below and the order of writes
 	writer  *bufio.Writer
-	answer  *answerSink // the present answer
-	partial bool        // a packet was written in part
+	answer  *answerSink // of the current query
+	partial bool        // a packet of the current answer was written only in part
 }
 
 func newConnection(f *Front, conn net.Conn) *connection {
@@ -49,7 +49,7 @@
 		writer: bufio.NewWriterSize(conn, bufferBytes)}
 }
 
-// serve runs a connection from its handshake to its end; its caller closes it.
+// serve runs the connection from its handshake to its end. The caller closes the connection.
 func (c *connection) serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, c.interruptReads)
 	defer stop()
@@ -60,35 +60,37 @@
 	err := c.run(ctx)
 	c.session.close(c.front.options.Sessions)
 	c.interruptReads()
-	_ = c.group.Wait() // the background read returns no error: its request has it
+	_ = c.group.Wait() // always nil: the background read reports its error in the request
 	if c.exceptionSent {
 		c.linger()
 	}
 	return err
 }
 
-// interruptReads ends a read that waits, and every later one.
+// interruptReads makes the read under way and every later one fail.
 func (c *connection) interruptReads() {
-	_ = c.conn.SetReadDeadline(inThePast) // it fails only on a closed connection, where reads fail anyway
+	_ = c.conn.SetReadDeadline(inThePast) // fails only on a closed connection, where reads fail anyway
 }
 
-// Bounds of what linger reads and discards.
+// Limits of what linger reads and discards.
 const (
 	lingerTimeout  = 500 * time.Millisecond
 	maxLingerBytes = 64 << 20
 )
 
-// linger lets the client read the last packet: closed at once, with bytes unread, the connection would be reset.
+// linger closes the connection for writing and discards what the client still sends, so that the client can read the last packet.
+// Closing a connection with unread bytes would reset it.
 func (c *connection) linger() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
-		_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))          // without it the byte limit still holds
-		_, _ = io.Copy(io.Discard, io.LimitReader(tcp, maxLingerBytes)) // the connection is closed next, however this ended
+		_ = tcp.SetReadDeadline(time.Now().Add(lingerTimeout))          // if it fails, the byte limit still holds
+		_, _ = io.Copy(io.Discard, io.LimitReader(tcp, maxLingerBytes)) // the caller closes the connection in any case
 	}
 }
 
-// handshake reads the client's Hello and answers it.
+// handshake reads the client's Hello, authenticates the client, answers with the server's Hello and reads the client's addendum.
 func (c *connection) handshake() (err error) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloTimeout)) // it fails only on a closed connection, as the read then does
+	// SetReadDeadline fails only on a closed connection, where the read fails as well.
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloTimeout))
 	if c.hello, err = c.reader.ReadHello(); err != nil {
 		c.reject(codeUnexpectedPacket, err.Error())
 		return err
@@ -108,7 +110,8 @@
 	return c.conn.SetReadDeadline(time.Time{})
 }
 
-// newestRevision is the newest revision of the protocol that this frontend and all nodes speak, as far as known.
+// newestRevision returns the newest protocol revision that this frontend and all nodes speak. It returns native.NewestRevision
+// while the nodes' revision is unknown.
 func (f *Front) newestRevision() int {
 	if f.options.Revision != nil {
 		if r := f.options.Revision(); r >= native.OldestRevision {
@@ -118,9 +121,9 @@
 	return native.NewestRevision
 }
 
-var errUnexpectedRows = errors.New("rows that no INSERT waits for")
+var errUnexpectedRows = errors.New("unexpected Data packet: no INSERT waits for rows")
 
-// run answers the client's packets, one query at a time.
+// run handles the client's packets, one query at a time, until the client closes the connection or an error ends it.
 func (c *connection) run(ctx context.Context) error {
 	defer c.front.payloads.release(&c.payload)
 	for {
--- a/frontend/clickhouse/front.go
+++ b/frontend/clickhouse/front.go
@@ -1,9 +1,9 @@
-// Package clickhouse is the frontend for the ClickHouse native protocol over TCP (docs/design-native.md names the subset
-// that is served). It turns a client's query into one dispatch.Query and writes the one final answer; blocks are forwarded
-// as bytes.
+// Package clickhouse is the frontend for the ClickHouse native protocol over TCP. docs/design-native.md describes the supported
+// subset. The frontend turns each query of a client into one dispatch.Query and writes its one final answer; blocks are
+// forwarded as bytes.
 //
-// A connection's states, the events of its client and what each means are the table in state.go; what a client's statements
-// leave on its connection is in session.go. Both are free of I/O.
+// The state machine of a connection is the table in state.go. The state that a client's statements leave on its connection is
+// in session.go. Neither file does any I/O.
 package clickhouse
 
 import (
@@ -19,33 +19,33 @@
 	"embershunt/frontend"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	defaultMaxPacketBytes         = 16 << 20
 	defaultHelloTimeout           = 5 * time.Second
 	defaultMaxConns               = 20000
 	defaultMaxInsertBytes         = 64 << 20
 	defaultMaxBufferedInsertBytes = 512 << 20
-	defaultSampleLife             = 5 * time.Minute
+	defaultSampleTTL              = 5 * time.Minute
 	defaultMaxSamples             = 4096
 )
 
-// Options are the frontend's settings; zero values mean the defaults.
+// Options holds the frontend's settings. A zero value stands for the default.
 type Options struct {
 	Log                    *slog.Logger           // nil: nothing is logged
 	Auth                   frontend.Authenticator // checks the name and password of a Hello
-	MaxPacketBytes         int                    // bytes; default 16 MiB
-	HelloTimeout           time.Duration          // a connection without a complete Hello by then is closed; default 5 s
+	MaxPacketBytes         int                    // limit of a client's packet; default 16 MiB
+	HelloTimeout           time.Duration          // a connection that sends no complete Hello in this time is closed; default 5 s
 	MaxConns               int                    // further connections are closed at once; default 20000
-	MaxInsertBytes         int                    // rows and external tables of one query; default 64 MiB
-	MaxBufferedInsertBytes int                    // those of all queries together; default 512 MiB
+	MaxInsertBytes         int                    // limit of one query's rows and external tables; default 64 MiB
+	MaxBufferedInsertBytes int                    // limit of the rows and external tables of all queries; default 512 MiB
 	Sessions               *frontend.Sessions     // nil: temporary tables are not served
-	Revision               func() int             // the newest that all nodes speak; 0: not known; nil: the newest there is
+	Revision               func() int             // newest revision that all nodes speak, 0 if unknown; nil: native.NewestRevision
 	SampleTTL              time.Duration          // how long the columns of an INSERT are cached; default 5 min
-	MaxSamples             int                    // INSERT statements whose columns are cached; default 4096
+	MaxSamples             int                    // number of INSERT statements whose columns are cached; default 4096
 }
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values by the defaults.
 func (o *Options) setDefaults() {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -55,7 +55,7 @@
 	o.MaxConns = cmp.Or(o.MaxConns, defaultMaxConns)
 	o.MaxInsertBytes = cmp.Or(o.MaxInsertBytes, defaultMaxInsertBytes)
 	o.MaxBufferedInsertBytes = cmp.Or(o.MaxBufferedInsertBytes, defaultMaxBufferedInsertBytes)
-	o.SampleTTL = cmp.Or(o.SampleTTL, defaultSampleLife)
+	o.SampleTTL = cmp.Or(o.SampleTTL, defaultSampleTTL)
 	o.MaxSamples = cmp.Or(o.MaxSamples, defaultMaxSamples)
 }
 
@@ -64,21 +64,21 @@
 	options  Options
 	intake   *frontend.Intake
 	payloads payloadAccount
-	samples  *frontend.Cache // columns of INSERT statements, as the packets that a node answered with
+	samples  *frontend.Cache // columns of INSERT statements, as the packets that a node sent
 
 	mu         sync.Mutex
 	conns      map[net.Conn]bool
-	connClosed chan struct{} // closed, and replaced, whenever a connection has ended
+	connClosed chan struct{} // closed and replaced whenever a connection closes
 }
 
-// New returns a frontend that submits its queries to an intake.
+// New returns a frontend that submits its queries to the given intake.
 func New(o Options, intake *frontend.Intake) *Front {
 	o.setDefaults()
 	return &Front{options: o, intake: intake, conns: map[net.Conn]bool{}, connClosed: make(chan struct{}),
 		samples: frontend.NewCache(o.MaxSamples, o.SampleTTL), payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
 }
 
-// Serve accepts connections until ctx ends or the listener fails, and returns when all of them are closed.
+// Serve accepts connections until ctx ends or the listener fails, and returns when all connections are closed.
 func (f *Front) Serve(ctx context.Context, l net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
@@ -89,7 +89,7 @@
 	return group.Wait()
 }
 
-// accept starts one goroutine of the group for each connection. A failure of one connection is no failure of the group.
+// accept starts a goroutine of the group for each connection. A failed connection doesn't fail the group.
 func (f *Front) accept(ctx context.Context, l net.Listener, group *errgroup.Group) error {
 	for {
 		conn, err := l.Accept()
@@ -100,7 +100,7 @@
 			return err
 		}
 		if !f.addConn(conn) {
-			_ = conn.Close() // nothing was written, and no Exception could say why: a native client expects a Hello first
+			_ = conn.Close() // without an Exception: a native client expects a Hello first
 			continue
 		}
 		group.Go(func() error {
@@ -113,7 +113,7 @@
 	}
 }
 
-// addConn registers a connection; false: there are as many as allowed.
+// addConn registers a connection. It returns false if MaxConns connections are open already.
 func (f *Front) addConn(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +126,7 @@
 
 // closeConn closes a connection and notifies AwaitConns.
 func (f *Front) closeConn(conn net.Conn) {
-	_ = conn.Close() // what was to be written is written, or failed before
+	_ = conn.Close() // every write has been flushed or has failed already
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, conn)
@@ -134,7 +134,7 @@
 	f.connClosed = make(chan struct{})
 }
 
-// AwaitConns returns when at most maxConns connections are open, or with the context's error.
+// AwaitConns waits until at most maxConns connections are open, or returns the context's error.
 func (f *Front) AwaitConns(ctx context.Context, maxConns int) error {
 	for {
 		f.mu.Lock()
@@ -151,13 +151,14 @@
 	}
 }
 
-// Conns is the number of open connections.
+// Conns returns the number of open connections.
 func (f *Front) Conns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// BufferedInserts returns the bytes of clients' rows and external tables that are buffered, and how many queries were rejected
-// because they alone brought too much (large), or because all of them together would have (full).
+// BufferedInserts returns the buffered bytes of clients' rows and external tables, the number of queries that were rejected
+// because they exceeded MaxInsertBytes (large), and of those that were rejected because too many bytes of all queries were
+// buffered (full).
 func (f *Front) BufferedInserts() (bytes int64, large, full uint64) { return f.payloads.usage() }
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -14,9 +14,9 @@
 	"embershunt/internal/native"
 )
 
-// insert runs an INSERT whose rows come from the client. First the client gets the table's columns, from a node or from the
-// cache; then its rows are buffered here until they are complete; only then is the query submitted, so that a client that
-// stalls keeps no node waiting and a further attempt has the rows at hand.
+// insert runs an INSERT whose rows come from the client. First it sends the client the table's columns, from the cache or from a
+// node, then it buffers the client's rows until they are complete, and only then it submits the query. So a stalled client keeps
+// no node waiting, and a retry has the rows.
 func (c *connection) insert(ctx context.Context, call frontend.Call) error {
 	remaining, err := c.front.intake.Deadline(call)
 	if err != nil {
@@ -43,27 +43,27 @@
 	}
 	call.Remaining = max(time.Until(deadline), time.Millisecond)
 	v, end, err := c.execute(ctx, call)
-	if v.Reason == dispatch.ReasonStatement { // the table's columns may have changed
+	if v.Reason == dispatch.ReasonStatement { // the cached columns may be outdated
 		c.front.samples.Delete(key)
 	}
 	return c.finish(v, end, err)
 }
 
-// executeSample asks a node for the columns that an INSERT takes; nothing is inserted.
+// executeSample requests the columns of an INSERT from a node. Nothing is inserted.
 func (c *connection) executeSample(ctx context.Context, call frontend.Call, work native.Call) (dispatch.Outcome, ending, error) {
 	work.Sample = true
 	call.Work, call.Facts.DescribeOnly = &work, true
 	return c.execute(ctx, call)
 }
 
-var errClientStalled = errors.New("the rows of an INSERT did not come in time")
+var errClientStalled = errors.New("the rows of an INSERT did not arrive before its deadline")
 
-// readRows buffers the client's rows in work, up to the empty block.
+// readRows reads the client's rows into work, up to the empty block that ends them.
 func (c *connection) readRows(ctx context.Context, work *native.Call, deadline time.Time) (ending, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
-		c.watch()
+		c.readAhead()
 		select {
 		case <-ctx.Done():
 			return clientDisconnected, nil
@@ -78,9 +78,9 @@
 	}
 }
 
-// handleWhileReadingRows handles one packet of a client whose INSERT waits for rows; done: there are no more to wait for.
+// handleWhileReadingRows handles a packet of a client whose INSERT waits for rows. done means that no more packets are needed.
 func (c *connection) handleWhileReadingRows(r request, work *native.Call) (done bool, end ending, err error) {
-	c.reading = false
+	c.readingAhead = false
 	switch actions[awaitingRows][r.event()] {
 	case bufferRows:
 		work.Data = append(work.Data, r.data)
@@ -97,13 +97,13 @@
 		c.rejectUnreadable(r.err)
 		return true, clientDisconnected, r.err
 	default:
-		err := fmt.Errorf("packet %d among the rows of an INSERT", r.code)
+		err := fmt.Errorf("unexpected packet %d among the rows of an INSERT", r.code)
 		c.reject(codeUnexpectedPacket, err.Error())
 		return true, clientDisconnected, err
 	}
 }
 
-// sampleKey holds all that the columns of an INSERT depend on.
+// sampleKey returns the cache key of an INSERT's columns: everything that they and their encoding depend on, except for the session.
 func sampleKey(w *native.Call, user string) string {
 	return strings.Join([]string{user, w.Database, strconv.Itoa(w.Revision), strconv.FormatBool(w.Query.Compression),
 		classify.StripComments(w.Query.Text)}, "\x00")
--- a/frontend/clickhouse/payload.go
+++ b/frontend/clickhouse/payload.go
@@ -7,7 +7,7 @@
 	"embershunt/dispatch"
 )
 
-// payloadAccount bounds the bytes of rows and external tables that are buffered for queries, over all connections.
+// payloadAccount bounds the bytes of rows and external tables that all connections buffer for their queries.
 type payloadAccount struct {
 	mu     sync.Mutex
 	budget *dispatch.PayloadBudget
@@ -20,21 +20,21 @@
 
 func (a *payloadAccount) now() dispatch.Micros { return time.Since(a.start).Microseconds() }
 
-// grow reserves n more bytes; the error is a *dispatch.CapacityError.
+// grow adds n bytes to a reservation. The error is a *dispatch.CapacityError.
 func (a *payloadAccount) grow(r *dispatch.PayloadReservation, n int) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.budget.Grow(a.now(), r, int64(n))
 }
 
-// release gives back all that a reservation holds.
+// release frees all bytes of a reservation.
 func (a *payloadAccount) release(r *dispatch.PayloadReservation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.budget.Release(a.now(), r)
 }
 
-// usage returns the reserved bytes and the numbers of reservations that were rejected, by cause.
+// usage returns the reserved bytes and how many queries were rejected because they were too large or because the budget was full.
 func (a *payloadAccount) usage() (bytes int64, large, full uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/frontend/clickhouse/query.go
+++ b/frontend/clickhouse/query.go
@@ -13,13 +13,13 @@
 	"embershunt/nodelist"
 )
 
-// runQuery runs one query to its final answer. An error ends the connection.
+// runQuery runs one query until its final answer is written. An error ends the connection.
 func (c *connection) runQuery(ctx context.Context, r request) error {
 	c.beginAnswer()
 	if done, err := c.answerLocally(r.query.Text); done {
 		return err
 	}
-	call := c.call(r)
+	call := c.newCall(r)
 	if classify.InsertsClientData(r.query.Text) {
 		return c.insert(ctx, call)
 	}
@@ -27,8 +27,8 @@
 	return c.finish(v, end, err)
 }
 
-// call is a query as the intake takes it.
-func (c *connection) call(r request) frontend.Call {
+// newCall returns the intake's call for a client's query, with the options of the connection among its settings.
+func (c *connection) newCall(r request) frontend.Call {
 	q := r.query
 	q.Settings = c.session.withOptions(q.Settings)
 	settings := map[string]string{}
@@ -46,7 +46,7 @@
 	}
 }
 
-// positiveNumber parses a setting's number; 0 where it is absent, not a number, not above 0, or 1e18 and more.
+// positiveNumber parses the number in a setting. It returns 0 if the value is empty, not a number, not above 0, or at least 1e18.
 func positiveNumber(value string) float64 {
 	if value == "" {
 		return 0
@@ -58,19 +58,20 @@
 	return v
 }
 
-// ending is how the execution of a query ended.
+// ending tells how the execution of a query ended.
 type ending int
 
 const (
-	completed          ending = iota // there is an outcome, or an error in its place
-	cancelled                        // the client cancelled it and stays connected
-	clientDisconnected               // the client has disconnected, or its connection is to be closed
+	completed          ending = iota // with an outcome, or an error instead
+	cancelled                        // the client cancelled the query and stays connected
+	clientDisconnected               // the client has disconnected, or its connection must be closed
 )
 
-// watchAfter is how long a query runs before its client's next packet is read: most are answered by then.
-const watchAfter = 2 * time.Millisecond
+// readAheadDelay is how long a query runs before the client's next packet is read in the background. Most queries are answered
+// earlier and need no background read.
+const readAheadDelay = 2 * time.Millisecond
 
-// execute submits a call and waits for its final answer; meanwhile it obeys what the client sends.
+// execute submits a call and waits for its final answer. Meanwhile it handles the client's packets.
 func (c *connection) execute(ctx context.Context, call frontend.Call) (v dispatch.Outcome, end ending, err error) {
 	if statement := c.session.statement(call); statement != nil {
 		return c.executeSticky(ctx, call, statement)
@@ -79,12 +80,12 @@
 	if err != nil {
 		return v, completed, err
 	}
-	if c.watchTimer == nil {
-		c.watchTimer = time.NewTimer(watchAfter)
+	if c.readAheadTimer == nil {
+		c.readAheadTimer = time.NewTimer(readAheadDelay)
 	} else {
-		c.watchTimer.Reset(watchAfter)
+		c.readAheadTimer.Reset(readAheadDelay)
 	}
-	defer c.watchTimer.Stop()
+	defer c.readAheadTimer.Stop()
 	for {
 		select {
 		case v := <-pending.Done:
@@ -92,8 +93,8 @@
 		case <-ctx.Done():
 			pending.Disconnect()
 			return <-pending.Done, clientDisconnected, nil
-		case <-c.watchTimer.C:
-			c.watch()
+		case <-c.readAheadTimer.C:
+			c.readAhead()
 		case r := <-c.requests:
 			if end, err := c.handleWhileExecuting(r); end != completed {
 				pending.Disconnect()
@@ -103,18 +104,19 @@
 	}
 }
 
-// handleWhileExecuting handles what a client sends while its query runs. An ending other than completed ends the query.
+// handleWhileExecuting handles a packet that the client sent while its query runs. It returns completed if the query goes on;
+// any other ending ends the query.
 func (c *connection) handleWhileExecuting(r request) (ending, error) {
-	c.reading = false
+	c.readingAhead = false
 	switch actions[executing][r.event()] {
 	case ignore:
-		c.watch()
+		c.readAhead()
 		return completed, nil
 	case cancelQuery:
 		return cancelled, nil
 	case dropConnection:
 		return clientDisconnected, r.err
 	default:
-		return clientDisconnected, fmt.Errorf("packet %d while a query runs", r.code)
+		return clientDisconnected, fmt.Errorf("unexpected packet %d while a query runs", r.code)
 	}
 }
--- a/frontend/clickhouse/request.go
+++ b/frontend/clickhouse/request.go
@@ -7,41 +7,41 @@
 	"embershunt/internal/native"
 )
 
-// request is a client's packet, or the error in its place.
+// request is a client's packet, or the error of reading it.
 type request struct {
-	code   uint64
+	code   uint64 // of the packet
 	query  native.Query
-	tables []byte       // of a query: its external tables and the empty block behind them
-	data   []byte       // of Data: the packet
-	block  native.Block // of Data
+	tables []byte       // for Query: its external tables and the empty block that ends them
+	data   []byte       // for Data: the whole packet
+	block  native.Block // for Data
 	err    error
 }
 
 func (r request) event() event { return eventOf(r.code, r.err) }
 
-// next returns the client's next packet.
+// next returns the client's next packet, from the background read if there is one.
 func (c *connection) next() request {
-	if c.reading {
-		c.reading = false
+	if c.readingAhead {
+		c.readingAhead = false
 		return <-c.requests
 	}
 	return c.read()
 }
 
-// watch reads the client's next packet in the background, so that a cancel and the client's end are seen while a query runs.
-// Whoever receives the request from c.requests clears c.reading.
-func (c *connection) watch() {
-	if c.reading {
+// readAhead starts reading the client's next packet in the background, unless such a read is under way. It lets the connection
+// notice a Cancel or a disconnect while a query runs. The code that receives from c.requests must clear c.readingAhead.
+func (c *connection) readAhead() {
+	if c.readingAhead {
 		return
 	}
-	c.reading = true
+	c.readingAhead = true
 	c.group.Go(func() error {
-		c.requests <- c.read() // never blocks: the channel holds one, and there is one read at a time
+		c.requests <- c.read() // never blocks: the channel has room for one request, and there is one read at a time
 		return nil
 	})
 }
 
-// read reads one packet and reserves the bytes that it buffers.
+// read reads one packet, a Query with its external tables, and reserves the payload bytes that it buffers.
 func (c *connection) read() (r request) {
 	if r.code, r.err = c.reader.ReadClient(); r.err != nil {
 		return r
@@ -60,15 +60,15 @@
 		}
 	case native.ClientPing, native.ClientCancel:
 	default:
-		r.err = fmt.Errorf("packet %d has no place here", r.code)
+		r.err = fmt.Errorf("unexpected packet %d, allowed: 1 (Query), 2 (Data), 3 (Cancel) and 4 (Ping)", r.code)
 	}
 	return r
 }
 
-// reservePayload reserves n bytes of what is read; all of them are released when the query has ended.
+// reservePayload reserves n bytes of buffered payload. They are released when the query has ended.
 func (c *connection) reservePayload(n int) error { return c.front.payloads.grow(&c.payload, n) }
 
-// readTables reads the external tables behind a query and the empty block that ends them.
+// readTables reads the external tables that follow a Query packet, up to the empty block that ends them.
 func (c *connection) readTables() ([]byte, error) {
 	var tables []byte
 	for {
@@ -77,13 +77,13 @@
 			return nil, err
 		}
 		if code != native.ClientData {
-			return nil, fmt.Errorf("packet %d behind a query: wanted is 2 (Data)", code)
+			return nil, fmt.Errorf("unexpected packet %d after a query, allowed: 2 (Data)", code)
 		}
 		_, block, err := c.reader.ReadClientData(c.revision)
 		if err != nil {
 			return nil, err
 		}
-		if !block.End() || len(tables) > 0 { // the empty block alone is not counted
+		if !block.End() || len(tables) > 0 { // an empty block without tables before it is not charged
 			if err := c.reservePayload(len(c.reader.Raw())); err != nil {
 				return nil, err
 			}
--- a/frontend/clickhouse/session.go
+++ b/frontend/clickhouse/session.go
@@ -9,39 +9,39 @@
 	"embershunt/session"
 )
 
-// sessionState is what a client's statements have left on its connection. Options can be set anew on any node, and are sent
-// with each query; temporary tables live on one connection to one node, and while there are any the session is sticky.
+// sessionState is the state that a client's statements have left on its connection. Options are sent with each query, so any node
+// can run it. Temporary tables live on one connection to one node; the session is sticky while it has any.
 type sessionState struct {
-	options []native.Setting // of SET, in order
-	tables  map[string]bool  // temporary ones that were created
-	id      string           // of the session while there are any, or one is being created
+	options []native.Setting // of SET statements, in the order in which they were first set
+	tables  map[string]bool  // names of the existing temporary tables
+	id      string           // of the session while it has a temporary table or creates one; else ""
 }
 
-// maxOptions bounds the options that are sent with each query.
+// maxOptions bounds the number of options, all of which are sent with each query.
 const maxOptions = 500
 
-// setFlagImportant marks a setting that a node must know or else reject the query (the protocol's flag "important").
-const setFlagImportant = 1
+// settingFlagImportant is the protocol's flag "important": a node that doesn't know the setting rejects the query.
+const settingFlagImportant = 1
 
-// withOptions puts the connection's options in front of a query's own settings, which win.
+// withOptions returns the connection's options followed by a query's own settings, which override options of the same name.
 func (s *sessionState) withOptions(settings []native.Setting) []native.Setting {
 	if len(s.options) == 0 {
 		return settings
 	}
 	merged := make([]native.Setting, 0, len(s.options)+len(settings))
 	for _, o := range s.options {
-		stated := false
+		overridden := false
 		for _, setting := range settings {
-			stated = stated || setting.Name == o.Name
+			overridden = overridden || setting.Name == o.Name
 		}
-		if !stated {
+		if !overridden {
 			merged = append(merged, o)
 		}
 	}
 	return append(merged, settings...)
 }
 
-// setOption keeps an option of SET.
+// setOption adds or replaces an option. It returns an error if the connection has maxOptions others already.
 func (s *sessionState) setOption(o classify.Option) error {
 	for i := range s.options {
 		if s.options[i].Name == o.Name {
@@ -52,11 +52,11 @@
 	if len(s.options) >= maxOptions {
 		return fmt.Errorf("more than %d options set on a connection", maxOptions)
 	}
-	s.options = append(s.options, native.Setting{Name: o.Name, Flags: setFlagImportant, Value: o.Value})
+	s.options = append(s.options, native.Setting{Name: o.Name, Flags: settingFlagImportant, Value: o.Value})
 	return nil
 }
 
-// stickyID is the session's id while a node holds tables of it; "": none does.
+// stickyID returns the session's id while a node holds temporary tables of the session, else "".
 func (s *sessionState) stickyID() string {
 	if len(s.tables) == 0 {
 		return ""
@@ -64,7 +64,7 @@
 	return s.id
 }
 
-// statement is what a call means to the session; nil where there is none and the call creates none.
+// statement returns a call as a statement of the session. It returns nil if there is no session and the call doesn't create one.
 func (s *sessionState) statement(call frontend.Call) *frontend.Statement {
 	effect, name, _ := classify.OnConnection(call.Facts.Statement)
 	statement := &frontend.Statement{Kind: session.Plain, ID: s.id, OutlivesState: true,
@@ -84,8 +84,8 @@
 	return statement
 }
 
-// served records what a statement that was served has left.
-func (s *sessionState) served(statement *frontend.Statement) {
+// recordServed records the table that a served statement created or dropped.
+func (s *sessionState) recordServed(statement *frontend.Statement) {
 	switch statement.Kind {
 	case session.CreateState:
 		if s.tables == nil {
@@ -99,18 +99,19 @@
 	}
 }
 
-// failed records that a statement was not served: the session may be lost with it, or not have come to be.
-func (s *sessionState) failed(statement *frontend.Statement, ended *frontend.SessionError) {
+// recordFailed records that a statement was not served. It resets the session if that has ended, or if the statement was to create
+// the session's first table.
+func (s *sessionState) recordFailed(statement *frontend.Statement, ended *frontend.SessionError) {
 	lost := ended != nil && (ended.State == session.Lost || ended.State == session.Expired || ended.State == session.Ending)
 	if lost || statement.Kind == session.CreateState && len(s.tables) == 0 {
 		s.reset()
 	}
 }
 
-// reset forgets a session that has ended; the next temporary table begins another one.
+// reset clears the session. The next temporary table begins a new session.
 func (s *sessionState) reset() { s.tables, s.id = nil, "" }
 
-// close ends the session with its client's connection.
+// close ends the session because the client's connection ends.
 func (s *sessionState) close(sessions *frontend.Sessions) {
 	if s.id != "" && sessions != nil {
 		sessions.Close(s.id)
--- a/frontend/clickhouse/session_statement.go
+++ b/frontend/clickhouse/session_statement.go
@@ -12,7 +12,8 @@
 	"embershunt/internal/native"
 )
 
-// answerLocally answers statements that concern the connection alone: SET, USE, and those that cannot be served over it.
+// answerLocally answers statements that no node has to run: SET, USE, and those whose effect on the connection is not supported.
+// done is false for all other statements.
 func (c *connection) answerLocally(text string) (done bool, err error) {
 	effect, name, options := classify.OnConnection(text)
 	switch effect {
@@ -38,7 +39,7 @@
 	return true, c.write([]byte{native.ServerEndOfStream})
 }
 
-// executeSticky is execute for a statement of a session.
+// executeSticky does the same as execute for a statement of a session.
 func (c *connection) executeSticky(ctx context.Context, call frontend.Call, statement *frontend.Statement) (v dispatch.Outcome, end ending, err error) {
 	if c.front.options.Sessions == nil {
 		return v, completed, errors.New("temporary tables are not served here")
@@ -52,14 +53,14 @@
 	}
 	done := make(chan answer, 1)
 	var group errgroup.Group
-	defer func() { _ = group.Wait() }() // its one function returns no error: done has it
+	defer func() { _ = group.Wait() }() // always nil: the goroutine reports its error in done
 	group.Go(func() error {
 		v, _, err := c.front.options.Sessions.Execute(ctx, call, *statement)
 		done <- answer{v, err}
 		return nil
 	})
 	for {
-		c.watch()
+		c.readAhead()
 		select {
 		case a := <-done:
 			c.recordStatement(statement, a.v, a.err)
@@ -73,13 +74,13 @@
 	}
 }
 
-// recordStatement records in the session how one of its statements ended.
+// recordStatement records the end of a statement in the session.
 func (c *connection) recordStatement(statement *frontend.Statement, v dispatch.Outcome, err error) {
 	if err == nil && v.Kind == dispatch.Served {
-		c.session.served(statement)
+		c.session.recordServed(statement)
 		return
 	}
 	var ended *frontend.SessionError
-	_ = errors.As(err, &ended) // nil where the session did not end with it
-	c.session.failed(statement, ended)
+	_ = errors.As(err, &ended) // ended stays nil if the session is not the cause
+	c.session.recordFailed(statement, ended)
 }
--- a/frontend/clickhouse/session_test.go
+++ b/frontend/clickhouse/session_test.go
@@ -15,10 +15,10 @@
 	return s.statement(frontend.Call{Facts: classify.Facts{Statement: text}})
 }
 
-func TestOptionsOfAQueryWin(t *testing.T) {
+func TestQuerySettingsOverrideOptions(t *testing.T) {
 	var s sessionState
-	own := []native.Setting{{Name: "b", Value: "query"}}
-	if got := s.withOptions(own); !reflect.DeepEqual(got, own) {
+	settings := []native.Setting{{Name: "b", Value: "query"}}
+	if got := s.withOptions(settings); !reflect.DeepEqual(got, settings) {
 		t.Fatalf("without options: %v", got)
 	}
 	for _, o := range []classify.Option{{Name: "a", Value: "1"}, {Name: "b", Value: "2"}, {Name: "a", Value: "3"}} {
@@ -26,8 +26,8 @@
 			t.Fatal(err)
 		}
 	}
-	want := []native.Setting{{Name: "a", Flags: setFlagImportant, Value: "3"}, {Name: "b", Value: "query"}}
-	if got := s.withOptions(own); !reflect.DeepEqual(got, want) {
+	want := []native.Setting{{Name: "a", Flags: settingFlagImportant, Value: "3"}, {Name: "b", Value: "query"}}
+	if got := s.withOptions(settings); !reflect.DeepEqual(got, want) {
 		t.Fatalf("with options: %v, wanted %v", got, want)
 	}
 }
@@ -40,10 +40,10 @@
 		}
 	}
 	if err := s.setOption(classify.Option{Name: "one more", Value: "1"}); err == nil {
-		t.Fatal("one option more than allowed was kept")
+		t.Fatal("one option more than allowed was accepted")
 	}
 	if err := s.setOption(classify.Option{Name: "0", Value: "2"}); err != nil {
-		t.Fatalf("an option that is kept already: %v", err)
+		t.Fatalf("replacing an option: %v", err)
 	}
 }
 
@@ -57,9 +57,9 @@
 		t.Fatalf("create: %+v", create)
 	}
 	if s.stickyID() != "" {
-		t.Fatal("sticky before the table is there")
+		t.Fatal("sticky before the table is created")
 	}
-	s.served(create)
+	s.recordServed(create)
 	if s.stickyID() != create.ID {
 		t.Fatalf("the session is %q, wanted %q", s.stickyID(), create.ID)
 	}
@@ -70,31 +70,31 @@
 	if drop == nil || drop.Kind != session.DropState {
 		t.Fatalf("drop: %+v", drop)
 	}
-	s.served(drop)
+	s.recordServed(drop)
 	if s.stickyID() != "" || statementOf(&s, "SELECT 1") != nil {
 		t.Fatal("the session outlives its last table")
 	}
 }
 
-func TestSessionAfterAFailure(t *testing.T) {
+func TestSessionAfterFailedStatement(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		tables int // that there were before the statement
+		tables int // number of tables before the statement
 		ended  *frontend.SessionError
 		sticky bool
 	}{
 		{"the first table was not created", 0, nil, false},
 		{"a second table was not created", 1, nil, true},
 		{"the statement was rejected", 1, &frontend.SessionError{State: session.Sticky}, true},
-		{"lost", 1, &frontend.SessionError{State: session.Lost}, false},
-		{"expired", 1, &frontend.SessionError{State: session.Expired}, false},
-		{"ending", 1, &frontend.SessionError{State: session.Ending}, false},
+		{"the session is lost", 1, &frontend.SessionError{State: session.Lost}, false},
+		{"the session has expired", 1, &frontend.SessionError{State: session.Expired}, false},
+		{"the session is ending", 1, &frontend.SessionError{State: session.Ending}, false},
 	} {
 		var s sessionState
 		for i := range c.tables {
-			s.served(statementOf(&s, "CREATE TEMPORARY TABLE t"+strconv.Itoa(i)+" (x Int8)"))
+			s.recordServed(statementOf(&s, "CREATE TEMPORARY TABLE t"+strconv.Itoa(i)+" (x Int8)"))
 		}
-		s.failed(statementOf(&s, "CREATE TEMPORARY TABLE another (x Int8)"), c.ended)
+		s.recordFailed(statementOf(&s, "CREATE TEMPORARY TABLE another (x Int8)"), c.ended)
 		if got := s.stickyID() != ""; got != c.sticky {
 			t.Errorf("%s: sticky %t, wanted %t", c.name, got, c.sticky)
 		}
--- a/frontend/clickhouse/state.go
+++ b/frontend/clickhouse/state.go
@@ -7,17 +7,17 @@
 	"embershunt/internal/native"
 )
 
-// state is what a connection waits for.
+// state is the protocol state of a connection.
 type state int
 
 const (
 	awaitingQuery state = iota // no query is in flight
-	executing                  // a query waits for its final answer
-	awaitingRows               // an INSERT waits for its client's rows
+	executing                  // a query is waiting for its final answer
+	awaitingRows               // an INSERT is waiting for the client's rows
 	stateCount
 )
 
-// event is what a client did.
+// event is a client's packet or the end of its packets, as an input of the state machine.
 type event int
 
 const (
@@ -25,35 +25,35 @@
 	eventData
 	eventPing
 	eventCancel
-	eventClosed     // the client closed its connection between two packets
-	eventUnreadable // a packet could not be read, has no place in the protocol, or is too large to be buffered
+	eventClosed     // the client closed the connection between two packets
+	eventUnreadable // a packet could not be read or buffered, or its code is unknown
 	eventCount
 )
 
-// action is what a connection does about an event.
+// action is the connection's response to an event.
 type action int
 
 const (
 	ignore action = iota
 	answerPing
-	startQuery       // leads to executing; an INSERT goes from there to awaitingRows and back
-	bufferRows       // leads back to executing when the rows are complete
-	cancelQuery      // leads to awaitingQuery
-	endConnection    // the client closed it in order
-	dropConnection   // closed without an answer: the client has disconnected
-	rejectUnreadable // an Exception says what could not be read or buffered; then the connection is closed
-	rejectUnexpected // an Exception says that the packet is not expected; then the connection is closed
-	dropUnexpected   // closed without an answer for a packet that is not expected: an Exception would be read as the answer's
+	startQuery       // next state is executing; an INSERT moves from there to awaitingRows and back
+	bufferRows       // next state is executing once the rows are complete
+	cancelQuery      // next state is awaitingQuery
+	endConnection    // end it without an error: the client closed it between queries
+	dropConnection   // close it without a response: the client has disconnected or its packet cannot be read
+	rejectUnreadable // send an Exception that names what could not be read or buffered, then close the connection
+	rejectUnexpected // send an Exception that names the unexpected packet, then close the connection
+	dropUnexpected   // close it without an Exception, which the client would take for a part of the running query's answer
 )
 
-// actions is the state machine of a connection. Events of the server (an answer, a deadline, a shutdown) end the state that
-// they occur in, see query.go and insert.go.
+// actions is the state machine of a connection. Events of the server (an answer, a deadline, a shutdown) end the state in
+// which they occur; query.go and insert.go handle them.
 var actions = [stateCount][eventCount]action{
 	awaitingQuery: {
 		eventQuery: startQuery, eventData: rejectUnexpected, eventPing: answerPing, eventCancel: ignore,
 		eventClosed: endConnection, eventUnreadable: rejectUnreadable,
 	},
-	executing: { // what is written now belongs to the query's answer, so a ping is answered by what follows it
+	executing: { // everything written now belongs to the query's answer, so a ping gets no Pong
 		eventQuery: dropUnexpected, eventData: dropUnexpected, eventPing: ignore, eventCancel: cancelQuery,
 		eventClosed: dropConnection, eventUnreadable: dropConnection,
 	},
@@ -63,7 +63,7 @@
 	},
 }
 
-// eventOf classifies what was read: a packet's code, or the error in its place.
+// eventOf returns the event of a read that returned a packet code or an error.
 func eventOf(code uint64, err error) event {
 	switch {
 	case errors.Is(err, io.EOF):
--- a/frontend/clickhouse/state_test.go
+++ b/frontend/clickhouse/state_test.go
@@ -9,21 +9,22 @@
 	"embershunt/internal/native"
 )
 
-// TestActionsKeepAnswersApart holds what must be true of every state, whatever the table says in detail.
-func TestActionsKeepAnswersApart(t *testing.T) {
+// The actions of each state must obey these rules, whatever else the table says: queries run one at a time, and nothing but a
+// query's own packets is written into its answer.
+func TestActionInvariants(t *testing.T) {
 	for s := range stateCount {
 		for e := range eventCount {
 			switch a := actions[s][e]; {
 			case (a == startQuery) != (s == awaitingQuery && e == eventQuery):
-				t.Errorf("state %d, event %d: one query runs at a time, and each is run", s, e)
+				t.Errorf("state %d, event %d: a query starts if and only if none is in flight", s, e)
 			case (a == bufferRows) != (s == awaitingRows && e == eventData):
-				t.Errorf("state %d, event %d: rows are buffered while an INSERT waits for them, and only then", s, e)
+				t.Errorf("state %d, event %d: rows are buffered if and only if an INSERT waits for them", s, e)
 			case (a == cancelQuery) != (s != awaitingQuery && e == eventCancel):
-				t.Errorf("state %d, event %d: a cancel ends what runs", s, e)
+				t.Errorf("state %d, event %d: a cancel ends the running query, and only a cancel does", s, e)
 			case s == executing && (a == answerPing || a == rejectUnreadable || a == rejectUnexpected):
 				t.Errorf("state %d, event %d: action %d writes into the query's answer", s, e, a)
 			case e == eventUnreadable && a != rejectUnreadable && a != dropConnection:
-				t.Errorf("state %d, event %d: action %d goes on reading behind a packet that was not read", s, e, a)
+				t.Errorf("state %d, event %d: action %d continues after an unreadable packet", s, e, a)
 			case a == ignore && e != eventPing && e != eventCancel:
 				t.Errorf("state %d, event %d is ignored", s, e)
 			}
