--- a/internal/native/block.go
+++ b/internal/native/block.go
@@ -5,23 +5,24 @@
 	"fmt"
 )
 
-// Block is what a block tells at its head.
+// Block holds the numbers of columns and rows of a block.
 type Block struct{ Columns, Rows int }
 
-// End tells that it is the empty block which ends data.
+// End reports whether the block is the empty one that ends a sequence of Data packets.
 func (b Block) End() bool { return b.Columns == 0 && b.Rows == 0 }
 
-// block reads a block: info, columns, rows, then each column.
+// block reads a block and returns its size.
 func (r *Reader) block(revision int) (b Block, err error) {
-	err = r.walk(revision, func(rows int) { b.Rows = rows }, func(string, column, []byte) error {
+	err = r.walkBlock(revision, func(rows int) { b.Rows = rows }, func(string, columnType, []byte) error {
 		b.Columns++
 		return nil
 	})
 	return b, err
 }
 
-// walk reads a block and shows its rows, then each column with its values' bytes, which are valid until the next read.
-func (r *Reader) walk(revision int, head func(rows int), show func(name string, c column, values []byte) error) error {
+// walkBlock reads a block: its info, the numbers of columns and rows, then each column. It calls onRows once and then onColumn for
+// each column. The bytes of the values, with the column's prefix in front, are valid until the next read.
+func (r *Reader) walkBlock(revision int, onRows func(rows int), onColumn func(name string, c columnType, values []byte) error) error {
 	if err := r.blockInfo(); err != nil {
 		return err
 	}
@@ -33,29 +34,29 @@
 	if err != nil {
 		return err
 	}
-	head(rows)
+	onRows(rows)
 	for range n {
-		name, c, err := r.columnHead(revision)
+		name, c, err := r.columnHeader(revision)
 		if err != nil {
 			return err
 		}
 		at := len(r.raw)
 		if rows > 0 {
-			if err := r.prefix(c); err != nil {
+			if err := r.columnPrefix(c); err != nil {
 				return err
 			}
 			if err := r.values(c, uint64(rows)); err != nil {
 				return err
 			}
 		}
-		if err := show(name, c, r.raw[at:]); err != nil {
+		if err := onColumn(name, c, r.raw[at:]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// blockInfo passes over the numbered fields before a block; 0 ends them.
+// blockInfo skips the numbered fields at the start of a block, up to field number 0, which ends them.
 func (r *Reader) blockInfo() error {
 	for {
 		field, err := r.uvarint("field of block info")
@@ -76,8 +77,8 @@
 	}
 }
 
-// columnHead reads a column's name and type.
-func (r *Reader) columnHead(revision int) (name string, c column, err error) {
+// columnHeader reads a column's name, type and, depending on the revision, the kind of its serialization.
+func (r *Reader) columnHeader(revision int) (name string, c columnType, err error) {
 	if name, err = r.text("name of a column", maxNameBytes); err != nil {
 		return name, c, err
 	}
@@ -85,41 +86,43 @@
 	if err != nil {
 		return name, c, err
 	}
-	if revision >= revSerialKind {
-		special, err := r.byte("serialization")
+	if revision >= revSerializationKind {
+		serialization, err := r.byte("serialization")
 		if err != nil {
 			return name, c, err
 		}
-		if special != 0 {
-			return name, c, r.formatError("serialization", fmt.Sprint(special), "0: others change with the data")
+		if serialization != 0 {
+			return name, c, r.formatError("serialization", fmt.Sprint(serialization), "0 (default): other layouts depend on the data")
 		}
 	}
-	if c, err = r.layout(kind); err != nil {
-		err = r.formatError("type of a column", err.Error(), "a type of docs/design-native.md")
+	if c, err = r.cachedType(kind); err != nil {
+		err = r.formatError("type of a column", err.Error(), "a type that docs/design-native.md lists")
 	}
 	return name, c, err
 }
 
-// maxCachedTypes bounds the types remembered.
-const maxCachedTypes = 200
+const (
+	maxCachedTypes         = 200 // a Reader that has more parsed types discards all of them
+	maxCachedTypeNameBytes = 100 // types with longer names are not cached
+)
 
-// layout is parseType, remembered.
-func (r *Reader) layout(name string) (column, error) {
+// cachedType does the same as parseType and caches the result.
+func (r *Reader) cachedType(name string) (columnType, error) {
 	if c, ok := r.types[name]; ok {
 		return c, nil
 	}
 	c, err := parseType(name, 0)
-	if err == nil && len(name) <= 100 {
+	if err == nil && len(name) <= maxCachedTypeNameBytes {
 		if r.types == nil || len(r.types) >= maxCachedTypes {
-			r.types = map[string]column{}
+			r.types = map[string]columnType{}
 		}
 		r.types[name] = c
 	}
 	return c, err
 }
 
-// prefix reads what stands before a column's values.
-func (r *Reader) prefix(c column) error {
+// columnPrefix reads the fields before a column's values: the dictionary version of each LowCardinality type in it.
+func (r *Reader) columnPrefix(c columnType) error {
 	if c.kind == lowCardinality {
 		v, err := r.int64("version of a dictionary")
 		if err == nil && v != 1 {
@@ -127,58 +130,59 @@
 		}
 		return err
 	}
-	for _, o := range c.of {
-		if err := r.prefix(o); err != nil {
+	for _, o := range c.elements {
+		if err := r.columnPrefix(o); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// values reads the values of so many rows.
-func (r *Reader) values(c column, rows uint64) error {
-	if rows > uint64(r.maxPacket) { // each takes a byte or more
+// values reads the values of the given number of rows.
+func (r *Reader) values(c columnType, rows uint64) error {
+	if rows > uint64(r.maxPacket) { // each row takes at least one byte
 		return r.formatError("rows", fmt.Sprint(rows), fmt.Sprintf("packets of %d bytes at most", r.maxPacket))
 	}
 	switch c.kind {
-	case fixed:
+	case fixedWidth:
 		_, err := r.take("values", rows*c.width)
 		return err
-	case text:
+	case lengthPrefixed:
 		for range rows {
-			n, err := r.uvarint("length of a text")
+			n, err := r.uvarint("length of a string")
 			if err != nil {
 				return err
 			}
-			if _, err = r.take("text", n); err != nil {
+			if _, err = r.take("string", n); err != nil {
 				return err
 			}
 		}
 	case nullable:
-		if _, err := r.take("marks of nothing", rows); err != nil {
+		if _, err := r.take("null map", rows); err != nil {
 			return err
 		}
-		return r.values(c.of[0], rows)
+		return r.values(c.elements[0], rows)
 	case array:
 		b, err := r.take("offsets", rows*8)
 		if err != nil || rows == 0 {
 			return err
 		}
-		return r.values(c.of[0], binary.LittleEndian.Uint64(b[len(b)-8:]))
+		return r.values(c.elements[0], binary.LittleEndian.Uint64(b[len(b)-8:]))
 	case tuple:
-		for _, o := range c.of {
+		for _, o := range c.elements {
 			if err := r.values(o, rows); err != nil {
 				return err
 			}
 		}
 	case lowCardinality:
-		return r.dictionary(c, rows)
+		return r.lowCardinalityValues(c, rows)
 	}
 	return nil
 }
 
-// dictionary reads a LowCardinality column: the width of its keys, its values, its keys.
-func (r *Reader) dictionary(c column, rows uint64) error {
+// lowCardinalityValues reads a LowCardinality column: its flags, whose low byte is the width of the keys (as a power of 2, in
+// bytes), the dictionary's size and values, then the number of keys and the keys.
+func (r *Reader) lowCardinalityValues(c columnType, rows uint64) error {
 	if rows == 0 {
 		return nil
 	}
@@ -193,7 +197,7 @@
 	if err != nil {
 		return err
 	}
-	if err := r.values(c.of[0], uint64(n)); err != nil {
+	if err := r.values(c.elements[0], uint64(n)); err != nil {
 		return err
 	}
 	keys, err := r.int64("count of keys")
@@ -201,7 +205,7 @@
 		return err
 	}
 	if uint64(keys) != rows {
-		return r.formatError("count of keys", fmt.Sprint(keys), fmt.Sprintf("%d, as the block has rows", rows))
+		return r.formatError("count of keys", fmt.Sprint(keys), fmt.Sprintf("%d, the number of rows", rows))
 	}
 	_, err = r.take("keys", rows<<(flags&0xff))
 	return err
--- a/internal/native/call.go
+++ b/internal/native/call.go
@@ -1,19 +1,20 @@
 package native
 
-// Sink takes the bytes of an answer on their way to the client, packet by packet; more tells that another one is at hand,
-// so that both may go out together. Pass blocks while the client is slow, which is what holds the node back.
+// Sink receives the packets of an answer and passes their bytes to the client. more means that more bytes from the node are
+// already buffered, so that the packets may be flushed together with the next one. Pass blocks while the client is slow to read;
+// so a slow client slows the node down.
 type Sink interface {
 	Pass(packets []byte, more bool) error
 }
 
-// Call is one query as both the front and the fleet know it.
+// Call is a query with everything that the frontend hands to the fleet to run it.
 type Call struct {
 	Query    Query
-	Revision int // of the client's side; the node is asked at the same
+	Revision int // negotiated with the client; the query is sent to the node at the same revision
 	Database string
-	Tables   []byte   // external tables and the empty block behind them, as the client sent them
-	Data     [][]byte // rows of an INSERT and the empty block behind them, likewise; nil: the statement takes none
-	Session  string   // name of the session whose state lives on one connection to its node; "": none
-	Sample   bool     // only the columns that an INSERT takes are wanted: nothing runs
+	Tables   []byte   // packets of the external tables and of the empty block that ends them, as the client sent them
+	Data     [][]byte // packets of an INSERT's rows and of the empty block that ends them, as sent; nil: the statement takes none
+	Session  string   // id of the session whose state lives on one connection to its node; "": none
+	Sample   bool     // request only the columns that an INSERT takes; nothing is inserted
 	Sink     Sink
 }
--- a/internal/native/client.go
+++ b/internal/native/client.go
@@ -8,7 +8,10 @@
 	"time"
 )
 
-// Client is a small client of the protocol, for command lines: one connection, one query at a time.
+// maxClientPacketBytes is the limit of a packet that a Client reads.
+const maxClientPacketBytes = 256 << 20
+
+// Client is a small client of the protocol for command line tools. It has one connection and runs one query at a time.
 type Client struct {
 	conn     net.Conn
 	r        *Reader
@@ -16,14 +19,14 @@
 	Server   Server
 }
 
-// Dial connects and shakes hands. An Exception of the server comes as *Exception.
+// Dial connects to a server and exchanges hellos. An Exception of the server is returned as *Exception.
 func Dial(ctx context.Context, address string, h Hello) (*Client, error) {
 	conn, err := new(net.Dialer).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	c := &Client{conn: conn, r: NewReader(conn, 256<<20)}
-	defer c.bound(ctx)()
+	c := &Client{conn: conn, r: NewReader(conn, maxClientPacketBytes)}
+	defer c.interruptOnDone(ctx)()
 	if h.Revision == 0 {
 		h.Revision = NewestRevision
 	}
@@ -35,25 +38,26 @@
 		}
 	}
 	if err != nil {
-		_ = conn.Close() // the error before it says more
+		_ = conn.Close() // err tells more than an error of Close
 		return nil, err
 	}
 	return c, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() error { return c.conn.Close() }
 
-// bound ends what the connection does with ctx; call what it returns afterwards.
-func (c *Client) bound(ctx context.Context) func() {
+// interruptOnDone makes reads and writes of the connection fail once ctx is done, until the returned function is called.
+func (c *Client) interruptOnDone(ctx context.Context) func() {
 	stop := context.AfterFunc(ctx, func() { _ = c.conn.SetDeadline(time.Unix(1, 0)) })
 	return func() { stop() }
 }
 
-// Query runs a statement and shows each block of its answer that has rows. An Exception comes as *Exception.
-func (c *Client) Query(ctx context.Context, text string, settings map[string]string, show func(*Values) error) error {
-	defer c.bound(ctx)()
-	q := Query{Info: []byte{0}, Stage: 2, Text: text}
+// Query runs a statement and calls onBlock with each Data block of its answer, also with those that have no rows. An Exception of
+// the server is returned as *Exception.
+func (c *Client) Query(ctx context.Context, text string, settings map[string]string, onBlock func(*Values) error) error {
+	defer c.interruptOnDone(ctx)()
+	q := Query{Info: []byte{0}, Stage: stageComplete, Text: text}
 	for name, value := range settings {
 		q.Settings = append(q.Settings, Setting{Name: name, Value: value})
 	}
@@ -78,7 +82,7 @@
 			if err != nil {
 				return fmt.Errorf("block of %d rows: %w", p.Block.Rows, err)
 			}
-			if err := show(v); err != nil {
+			if err := onBlock(v); err != nil {
 				return err
 			}
 		}
--- a/internal/native/column.go
+++ b/internal/native/column.go
@@ -6,27 +6,28 @@
 	"strings"
 )
 
-// column is how a column's bytes are laid out: enough to find its end, not to read it.
-type column struct {
-	name  string // of the type
-	kind  layout
-	width uint64 // of fixed ones
-	of    []column
+// columnType describes the layout of a column's bytes, as far as it is needed to find the end of the column.
+type columnType struct {
+	name     string // of the type, as the server sent it
+	kind     layout
+	width    uint64       // bytes of a value; for fixedWidth only
+	elements []columnType // the types that the type is made of
 }
 
+// layout is the way in which the values of a column are encoded.
 type layout int
 
 const (
-	fixed layout = iota
-	text
-	nullable
-	array // offsets, then the values of all rows
-	tuple
-	lowCardinality
+	fixedWidth     layout = iota
+	lengthPrefixed        // each value after its length
+	nullable              // a byte for each row that marks NULL, then the values
+	array                 // offsets, then the values of all rows
+	tuple                 // the columns of the elements, one after the other
+	lowCardinality        // a dictionary, then a key for each row
 )
 
-// widths are the types of a fixed width, in bytes a row.
-var widths = map[string]uint64{
+// fixedWidths holds the bytes of a value, for types whose name without arguments tells the width.
+var fixedWidths = map[string]uint64{
 	"Int8": 1, "Int16": 2, "Int32": 4, "Int64": 8, "Int128": 16, "Int256": 32,
 	"UInt8": 1, "UInt16": 2, "UInt32": 4, "UInt64": 8, "UInt128": 16, "UInt256": 32,
 	"Bool": 1, "BFloat16": 2, "Float32": 4, "Float64": 8,
@@ -38,18 +39,19 @@
 	"IntervalQuarter": 8, "IntervalYear": 8,
 }
 
-// parseType reads a type's name. Types whose layout cannot be told from their name are an error.
-func parseType(name string, depth int) (column, error) {
+// parseType parses the name of a type that is nested at the given depth. It returns an error for a type whose layout cannot be
+// derived from its name.
+func parseType(name string, depth int) (columnType, error) {
 	name = strings.TrimSpace(name)
-	c, err := layoutOf(name, depth)
+	c, err := parseTypeName(name, depth)
 	if c.name == "" {
 		c.name = name
 	}
 	return c, err
 }
 
-// aliases are types that stand for another one.
-var aliases = map[string]string{
+// typeAliases maps the geometric types to the types that they are aliases of.
+var typeAliases = map[string]string{
 	"Point":           "Tuple(Float64, Float64)",
 	"Ring":            "Array(Point)",
 	"LineString":      "Array(Point)",
@@ -58,24 +60,24 @@
 	"MultiPolygon":    "Array(Polygon)",
 }
 
-func layoutOf(name string, depth int) (column, error) {
+func parseTypeName(name string, depth int) (columnType, error) {
 	if depth > maxTypeDepth {
-		return column{}, fmt.Errorf("types nested deeper than %d", maxTypeDepth)
+		return columnType{}, fmt.Errorf("types nested deeper than %d", maxTypeDepth)
 	}
 	base, args, err := splitType(name)
 	if err != nil {
-		return column{}, err
+		return columnType{}, err
 	}
-	if width, ok := widths[base]; ok {
-		return column{kind: fixed, width: width}, nil
+	if width, ok := fixedWidths[base]; ok {
+		return columnType{kind: fixedWidth, width: width}, nil
 	}
-	if alias, ok := aliases[base]; ok {
+	if alias, ok := typeAliases[base]; ok {
 		return parseType(alias, depth+1)
 	}
 	t := typeName{name: name, base: base, args: args, depth: depth}
 	switch base {
 	case "String":
-		return column{kind: text}, nil
+		return columnType{kind: lengthPrefixed}, nil
 	case "FixedString":
 		return t.fixedString()
 	case "Decimal":
@@ -85,105 +87,105 @@
 	case "Array":
 		return t.wrap(array)
 	case "LowCardinality":
-		return t.dictionary()
+		return t.lowCardinality()
 	case "SimpleAggregateFunction":
 		return t.argument(1)
 	case "Map":
-		return t.mapping()
+		return t.mapType()
 	case "Tuple", "Nested":
 		return t.tuple()
 	}
-	return column{}, t.unknown()
+	return columnType{}, t.unknownTypeError()
 }
 
-// typeName is a type's name, taken apart.
+// typeName is a type's name, split into its base and arguments.
 type typeName struct {
 	name, base string
 	args       []string
-	depth      int // at which it is nested
+	depth      int // of nesting; 0 at the top
 }
 
-func (t *typeName) unknown() error {
+func (t *typeName) unknownTypeError() error {
 	return fmt.Errorf("type %.60q is not known, so the end of its column cannot be found", t.name)
 }
 
-// argument is the layout of the type's i-th argument.
-func (t *typeName) argument(i int) (column, error) {
+// argument parses the i-th argument, counted from 0, as a type.
+func (t *typeName) argument(i int) (columnType, error) {
 	if i >= len(t.args) {
-		return column{}, fmt.Errorf("type %.60q: argument %d is missing", t.name, i+1)
+		return columnType{}, fmt.Errorf("type %.60q: argument %d is missing", t.name, i+1)
 	}
 	return parseType(t.args[i], t.depth+1)
 }
 
-// wrap is a layout around that of the first argument.
-func (t *typeName) wrap(kind layout) (column, error) {
+// wrap returns a type of the given layout whose element is the first argument.
+func (t *typeName) wrap(kind layout) (columnType, error) {
 	c, err := t.argument(0)
-	return column{kind: kind, of: []column{c}}, err
+	return columnType{kind: kind, elements: []columnType{c}}, err
 }
 
-func (t *typeName) fixedString() (column, error) {
+func (t *typeName) fixedString() (columnType, error) {
 	if len(t.args) == 1 {
 		if n, err := strconv.ParseUint(t.args[0], 10, 24); err == nil && n > 0 {
-			return column{kind: fixed, width: n}, nil
+			return columnType{kind: fixedWidth, width: n}, nil
 		}
 	}
-	return column{}, t.unknown()
+	return columnType{}, t.unknownTypeError()
 }
 
-// decimalWidths are the bytes that decimals of up to so many digits take.
+// decimalWidths holds the width in bytes of decimals of up to the given number of digits.
 var decimalWidths = []struct {
 	digits int
 	width  uint64
 }{{9, 4}, {18, 8}, {38, 16}, {76, 32}}
 
-func (t *typeName) decimal() (column, error) {
+func (t *typeName) decimal() (columnType, error) {
 	if len(t.args) == 0 {
-		return column{}, t.unknown()
+		return columnType{}, t.unknownTypeError()
 	}
 	precision, err := strconv.Atoi(t.args[0])
 	if err != nil || precision <= 0 {
-		return column{}, t.unknown()
+		return columnType{}, t.unknownTypeError()
 	}
 	for _, d := range decimalWidths {
 		if precision <= d.digits {
-			return column{kind: fixed, width: d.width}, nil
+			return columnType{kind: fixedWidth, width: d.width}, nil
 		}
 	}
-	return column{}, t.unknown()
+	return columnType{}, t.unknownTypeError()
 }
 
-func (t *typeName) dictionary() (column, error) {
+func (t *typeName) lowCardinality() (columnType, error) {
 	c, err := t.argument(0)
-	if err == nil && c.kind == nullable { // the dictionary holds plain values, NULL among them
-		c = c.of[0]
+	if err == nil && c.kind == nullable { // the dictionary holds plain values, of which the first stands for NULL
+		c = c.elements[0]
 	}
-	return column{kind: lowCardinality, of: []column{c}}, err
+	return columnType{kind: lowCardinality, elements: []columnType{c}}, err
 }
 
-func (t *typeName) mapping() (column, error) {
+func (t *typeName) mapType() (columnType, error) {
 	key, err := t.argument(0)
 	if err != nil {
-		return column{}, err
+		return columnType{}, err
 	}
 	value, err := t.argument(1)
-	return column{kind: array, of: []column{{kind: tuple, of: []column{key, value}}}}, err
+	return columnType{kind: array, elements: []columnType{{kind: tuple, elements: []columnType{key, value}}}}, err
 }
 
-// tuple is the layout of Tuple and of Nested, which is an array of tuples.
-func (t *typeName) tuple() (column, error) {
-	out := column{kind: tuple}
+// tuple parses Tuple and Nested, which is an array of tuples.
+func (t *typeName) tuple() (columnType, error) {
+	out := columnType{kind: tuple}
 	for _, arg := range t.args {
 		c, err := parseType(withoutName(arg), t.depth+1)
 		if err != nil {
-			return column{}, err
+			return columnType{}, err
 		}
-		out.of = append(out.of, c)
+		out.elements = append(out.elements, c)
 	}
-	if len(out.of) == 0 {
-		return column{}, t.unknown()
+	if len(out.elements) == 0 {
+		return columnType{}, t.unknownTypeError()
 	}
 	if t.base == "Nested" {
-		return column{kind: array, of: []column{out}}, nil
+		return columnType{kind: array, elements: []columnType{out}}, nil
 	}
 	return out, nil
 }
@@ -195,7 +197,7 @@
 		return name, nil, nil
 	}
 	if !strings.HasSuffix(name, ")") {
-		return "", nil, fmt.Errorf("type %.60q: no closing bracket", name)
+		return "", nil, fmt.Errorf("type %.60q: no closing parenthesis", name)
 	}
 	depth, quoted, from := 0, false, open+1
 	for i := open; i < len(name); i++ {
@@ -210,7 +212,7 @@
 		case c == ')':
 			if depth--; depth == 0 {
 				if i != len(name)-1 {
-					return "", nil, fmt.Errorf("type %.60q: text behind its closing bracket", name)
+					return "", nil, fmt.Errorf("type %.60q: text after its closing parenthesis", name)
 				}
 				if i > from {
 					args = append(args, strings.TrimSpace(name[from:i]))
@@ -222,15 +224,15 @@
 		}
 	}
 	if depth != 0 || quoted {
-		return "", nil, fmt.Errorf("type %.60q: brackets or quotes that do not end", name)
+		return "", nil, fmt.Errorf("type %.60q: unclosed parenthesis or quote", name)
 	}
 	return name[:open], args, nil
 }
 
-// withoutName takes the name off a tuple's element, "a UInt8".
+// withoutName removes the name from an element of a tuple: "a UInt8" becomes "UInt8".
 func withoutName(arg string) string {
 	space := strings.IndexByte(arg, ' ')
-	if bracket := strings.IndexByte(arg, '('); space < 0 || bracket >= 0 && bracket < space {
+	if paren := strings.IndexByte(arg, '('); space < 0 || paren >= 0 && paren < space {
 		return arg
 	}
 	return arg[space+1:]
--- a/internal/native/compress_test.go
+++ b/internal/native/compress_test.go
@@ -18,7 +18,7 @@
 	"pgregory.net/rapid"
 )
 
-// compressed is a Data packet whose block is in so many frames, made by another implementation.
+// compressed returns a Data packet whose block ch-go has compressed into about the given number of frames.
 func compressed(t testing.TB, method compress.Method, packet []byte, frames int) []byte {
 	w := compress.NewWriter(0, method)
 	out := append([]byte(nil), packet[:2]...)
@@ -33,8 +33,8 @@
 	return out
 }
 
-// The end of a compressed block is found, in however many frames it comes, and its bytes pass unchanged; a cut, a changed
-// byte or bytes behind the block are told.
+// The reader must find the end of a compressed block, whatever the number of its frames, and keep its bytes unchanged. It must
+// report a cut packet, a changed bit and bytes after the block.
 func TestCompressedBlocks(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		method := rapid.SampledFrom([]compress.Method{compress.None, compress.LZ4, compress.LZ4HC, compress.ZSTD}).Draw(r, "method")
@@ -48,7 +48,7 @@
 		packet := dataPacket(t, NewestRevision, proto.Input{{Name: "t", Data: &text}, {Name: "n", Data: &number}}, rows)
 		packed := compressed(t, method, packet, rapid.IntRange(1, 5).Draw(r, "frames"))
 		stream := append(bytes.Clone(packed), packed...)
-		in := NewReader(iotest.HalfReader(bytes.NewReader(append(stream, ServerEndOfStream))), most)
+		in := NewReader(iotest.HalfReader(bytes.NewReader(append(stream, ServerEndOfStream))), maxPacketBytes)
 		in.Compressed = true
 		for range 2 {
 			p, err := in.ReadServer(NewestRevision)
@@ -60,10 +60,10 @@
 			}
 		}
 		if p, err := in.ReadServer(NewestRevision); err != nil || p.Code != ServerEndOfStream {
-			r.Fatalf("behind it: %+v, %v", p, err)
+			r.Fatalf("after the block: %+v, %v", p, err)
 		}
 		read := func(b []byte) error {
-			in := NewReader(bytes.NewReader(b), most)
+			in := NewReader(bytes.NewReader(b), maxPacketBytes)
 			in.Compressed = true
 			_, err := in.ReadServer(NewestRevision)
 			return err
@@ -71,39 +71,39 @@
 		if err := read(packed[:rapid.IntRange(1, len(packed)-1).Draw(r, "cut")]); !errors.Is(err, io.ErrUnexpectedEOF) {
 			r.Fatalf("cut: %v", err)
 		}
-		spoilt := bytes.Clone(packed)
-		spoilt[rapid.IntRange(2, len(packed)-1).Draw(r, "spoilt")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
+		corrupted := bytes.Clone(packed)
+		corrupted[rapid.IntRange(2, len(packed)-1).Draw(r, "corrupted")] ^= 1 << rapid.IntRange(0, 7).Draw(r, "bit")
 		var f *FormatError
-		if err := read(spoilt); !errors.As(err, &f) && !errors.Is(err, io.ErrUnexpectedEOF) {
-			r.Fatalf("spoilt: %v", err)
+		if err := read(corrupted); !errors.As(err, &f) && !errors.Is(err, io.ErrUnexpectedEOF) {
+			r.Fatalf("corrupted: %v", err)
 		}
 		extra := compressed(t, method, append(bytes.Clone(packet), 7, 7, 7), 1)
-		if err := read(extra); !errors.As(err, &f) || !strings.Contains(err.Error(), "behind the end") {
-			r.Fatalf("bytes behind the block: %v", err)
+		if err := read(extra); !errors.As(err, &f) || !strings.Contains(err.Error(), "after the end of the block") {
+			r.Fatalf("bytes after the block: %v", err)
 		}
 	})
 }
 
-// What a frame announces is not allocated before it is there, and not beyond the bound.
-func TestFramesThatPromiseTooMuch(t *testing.T) {
-	frame := func(method byte, size, holds uint32) []byte {
+// The reader must reject frames with an invalid header, and must not allocate the sizes that the header announces.
+func TestFramesWithInvalidHeaders(t *testing.T) {
+	frame := func(method byte, size, contentSize uint32) []byte {
 		b := make([]byte, 16, 30)
 		b = append(b, method)
 		b = binary.LittleEndian.AppendUint32(b, size)
-		b = binary.LittleEndian.AppendUint32(b, holds)
+		b = binary.LittleEndian.AppendUint32(b, contentSize)
 		return append([]byte{ServerData, 0}, append(b, make([]byte, 40)...)...)
 	}
 	for name, c := range map[string]struct {
 		bytes []byte
 		says  string
 	}{
-		"a large frame":   {frame(0x82, 1<<31, 10), "packets of 1048576 bytes at most"},
-		"a large content": {frame(0x82, 20, 1<<31), "1 to 1048576 bytes"},
-		"no content":      {frame(0x82, 20, 0), "1 to 1048576 bytes"},
-		"a small frame":   {frame(0x82, 3, 10), "9 and above"},
-		"a wrong sum":     {frame(0x82, 20, 10), "checksum"},
+		"a large frame":    {frame(0x82, 1<<31, 10), "packets of 1048576 bytes at most"},
+		"large content":    {frame(0x82, 20, 1<<31), "1 to 1048576 bytes"},
+		"no content":       {frame(0x82, 20, 0), "1 to 1048576 bytes"},
+		"a small frame":    {frame(0x82, 3, 10), "9 and above"},
+		"a wrong checksum": {frame(0x82, 20, 10), "checksum"},
 	} {
-		in := NewReader(bytes.NewReader(c.bytes), most)
+		in := NewReader(bytes.NewReader(c.bytes), maxPacketBytes)
 		in.Compressed = true
 		if _, err := in.ReadServer(NewestRevision); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", name, err, c.says)
@@ -114,7 +114,7 @@
 	}
 }
 
-// Values read as people expect, against columns of another implementation.
+// ReadValues must return the usual text of the values in columns that ch-go has encoded.
 func TestValuesAsText(t *testing.T) {
 	var u8 proto.ColUInt8
 	u8.Append(200)
@@ -162,26 +162,26 @@
 	}
 }
 
-// Packets of our own read back as they were written.
+// Packets that this package encodes must decode to the same values.
 func TestPacketsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		word := rapid.StringN(0, 60, 60)
 		number := rapid.IntRange(0, 1<<20)
-		revision := rapid.SampledFrom([]int{OldestRevision, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, revParameters, NewestRevision}).Draw(r, "revision")
+		revision := rapid.SampledFrom([]int{OldestRevision, revInterserver, revTelemetry, revDistributedDepth, revStartTime, revParallelReplicas, revAddendum, revParameters, NewestRevision}).Draw(r, "revision")
 		h := Hello{Name: word.Draw(r, "name"), Major: number.Draw(r, "major"), Minor: 3, Revision: OldestRevision + number.Draw(r, "rev"),
 			Database: word.Draw(r, "db"), User: word.Draw(r, "user"), Password: word.Draw(r, "password")}
-		if got, err := NewReader(bytes.NewReader(h.Encode()), most).ReadHello(); err != nil || got != h {
+		if got, err := NewReader(bytes.NewReader(h.Encode()), maxPacketBytes).ReadHello(); err != nil || got != h {
 			r.Fatalf("%+v, %v", got, err)
 		}
 		s := Server{Name: word.Draw(r, "server"), Major: 1, Revision: NewestRevision, Timezone: "UTC", DisplayName: word.Draw(r, "display"), Patch: 9}
-		if got, err := NewReader(bytes.NewReader(s.Encode()), most).ReadServerHello(); err != nil || got != s {
+		if got, err := NewReader(bytes.NewReader(s.Encode()), maxPacketBytes).ReadServerHello(); err != nil || got != s {
 			r.Fatalf("%+v, %v", got, err)
 		}
 		var e *Exception
 		for range rapid.IntRange(1, 5).Draw(r, "depth") {
 			e = &Exception{Code: int32(number.Draw(r, "code")), Name: word.Draw(r, "kind"), Message: word.Draw(r, "message"), Nested: e}
 		}
-		p, err := NewReader(bytes.NewReader(e.Encode()), most).ReadServer(revision)
+		p, err := NewReader(bytes.NewReader(e.Encode()), maxPacketBytes).ReadServer(revision)
 		for a, b := e, p.Exception; err == nil && a != nil; a, b = a.Nested, b.Nested {
 			if b == nil || a.Code != b.Code || a.Message != b.Message || (a.Nested == nil) != (b.Nested == nil) {
 				r.Fatalf("%v, want %v", b, a)
@@ -194,7 +194,7 @@
 		if revision >= revParameters {
 			q.Parameters = []Setting{{"p", 2, word.Draw(r, "parameter")}}
 		}
-		in := NewReader(bytes.NewReader(q.Encode(revision)), most)
+		in := NewReader(bytes.NewReader(q.Encode(revision)), maxPacketBytes)
 		if _, err := in.ReadClient(); err != nil {
 			r.Fatal(err)
 		}
@@ -205,7 +205,7 @@
 	})
 }
 
-// Nothing in a compressed stream, a profile or a block of values makes the readers panic or allocate beyond their bound.
+// No compressed stream may make the reader panic or allocate a larger buffer than allowed.
 func FuzzCompressed(f *testing.F) {
 	var text proto.ColStr
 	text.Append("abc")
@@ -227,6 +227,7 @@
 	})
 }
 
+// No block may make ReadValues or ReadProfile panic.
 func FuzzValues(f *testing.F) {
 	low := new(proto.ColStr).LowCardinality()
 	low.Append("a")
--- a/internal/native/exception.go
+++ b/internal/native/exception.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Exception is a server's error, with the ones it holds.
+// Exception is a server's error with the errors nested in it.
 type Exception struct {
 	Code           int32
 	Name           string
@@ -13,10 +13,10 @@
 	Nested         *Exception
 }
 
-// Error has the code, the name and the message of the outermost error.
+// Error returns the code, the name and the message of the outermost error.
 func (e *Exception) Error() string { return fmt.Sprintf("code %d, %s: %s", e.Code, e.Name, e.Message) }
 
-// Encode is the packet as bytes.
+// Encode returns the packet's bytes.
 func (e *Exception) Encode() []byte {
 	b := PutUvarint(nil, ServerException)
 	for ; e != nil; e = e.Nested {
@@ -31,12 +31,16 @@
 	return b
 }
 
-// exception reads it behind its code.
+// maxNestedExceptions is the limit of the errors nested in an Exception.
+const maxNestedExceptions = 64
+
+// exception reads the rest of an Exception packet after its code.
 func (r *Reader) exception() (*Exception, error) {
 	var first, last *Exception
 	for depth := 0; ; depth++ {
-		if depth > 64 {
-			return nil, r.formatError("nested exception", "more than 64", "64 at most")
+		if depth > maxNestedExceptions {
+			return nil, r.formatError("nested exception", fmt.Sprintf("more than %d", maxNestedExceptions),
+				fmt.Sprintf("%d at most", maxNestedExceptions))
 		}
 		e := &Exception{}
 		var err error
--- a/internal/native/hello.go
+++ b/internal/native/hello.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Hello is a client's first packet.
+// Hello is the first packet of a client.
 type Hello struct {
 	Name           string
 	Major, Minor   int
@@ -11,7 +11,7 @@
 	Password       string
 }
 
-// ReadHello reads it. What is not a native client, such as one that speaks HTTP, is told from its first byte.
+// ReadHello reads a client's Hello. The error for a client of HTTP, recognized by its first byte, says that it speaks HTTP.
 func (r *Reader) ReadHello() (h Hello, err error) {
 	r.begin("Hello")
 	code, err := r.uvarint("packet")
@@ -21,7 +21,7 @@
 	if code != ClientHello {
 		found := fmt.Sprint(code)
 		if code >= 'A' && code <= 'Z' {
-			found = fmt.Sprintf("the letter %q, as HTTP begins", rune(code))
+			found = fmt.Sprintf("the letter %q, as at the start of an HTTP request", rune(code))
 		}
 		return h, r.formatError("packet", found, "0 (Hello): this port speaks the native protocol")
 	}
@@ -44,7 +44,7 @@
 	return h, nil
 }
 
-// Encode is the packet as bytes.
+// Encode returns the packet's bytes.
 func (h Hello) Encode() []byte {
 	b := PutText(PutUvarint(nil, ClientHello), h.Name)
 	for _, v := range []int{h.Major, h.Minor, h.Revision} {
@@ -53,7 +53,7 @@
 	return PutText(PutText(PutText(b, h.Database), h.User), h.Password)
 }
 
-// ReadAddendum reads what a client sends behind the server's Hello.
+// ReadAddendum reads the quota key that a client sends after the server's Hello. Revisions before AddendumFrom have none.
 func (r *Reader) ReadAddendum(revision int) error {
 	if revision < revAddendum {
 		return nil
@@ -63,7 +63,7 @@
 	return err
 }
 
-// Server is a server's Hello.
+// Server is the Hello of a server.
 type Server struct {
 	Name         string
 	Major, Minor int
@@ -73,7 +73,7 @@
 	Patch        int
 }
 
-// Encode is the packet as bytes, for a client of a revision.
+// Encode returns the packet's bytes, which have the same fields at all supported revisions.
 func (s Server) Encode() []byte {
 	b := PutText(PutUvarint(nil, ServerHello), s.Name)
 	for _, v := range []int{s.Major, s.Minor, s.Revision} {
@@ -82,7 +82,7 @@
 	return PutUvarint(PutText(PutText(b, s.Timezone), s.DisplayName), uint64(s.Patch))
 }
 
-// ReadServerHello reads a server's answer to Hello: its Hello, or an Exception as error.
+// ReadServerHello reads a server's response to a Hello. If that is an Exception, it is returned as *Exception.
 func (r *Reader) ReadServerHello() (s Server, err error) {
 	r.begin("server's Hello")
 	code, err := r.uvarint("packet")
--- a/internal/native/native_test.go
+++ b/internal/native/native_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-const most = 1 << 20
+const maxPacketBytes = 1 << 20
 
-// dataPacket encodes a Data packet with an independent implementation of the protocol.
+// dataPacket encodes a Data packet with ch-go, an independent implementation of the protocol.
 func dataPacket(t testing.TB, revision int, input proto.Input, rows int) []byte {
 	var b proto.Buffer
 	b.PutUVarInt(ServerData)
@@ -26,9 +26,9 @@
 	return b.Buf
 }
 
-// The end of every block is found, whatever columns it has, however its bytes come in, at revisions with and without the
-// mark of the serialization.
-func TestBoundariesOfBlocks(t *testing.T) {
+// The reader must find the end of every block, whatever its columns and however its bytes arrive in parts, at revisions with and
+// without the serialization kind.
+func TestBlockBoundaries(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		rows := rapid.IntRange(1, 20).Draw(r, "rows")
 		var text proto.ColStr
@@ -67,34 +67,34 @@
 		if len(input) == 0 {
 			input = all[:1]
 		}
-		revision := rapid.SampledFrom([]int{OldestRevision, revSerialKind - 1, revSerialKind, NewestRevision}).Draw(r, "revision")
+		revision := rapid.SampledFrom([]int{OldestRevision, revSerializationKind - 1, revSerializationKind, NewestRevision}).Draw(r, "revision")
 		packet := dataPacket(t, revision, input, rows)
 		stream := append(append([]byte(nil), packet...), ServerEndOfStream)
-		in := NewReader(iotest.HalfReader(bytes.NewReader(stream)), most)
+		in := NewReader(iotest.HalfReader(bytes.NewReader(stream)), maxPacketBytes)
 		p, err := in.ReadServer(revision)
 		if err != nil || !bytes.Equal(p.Raw, packet) || p.Block.Rows != rows || p.Block.Columns != len(input) {
 			r.Fatalf("%d of %d bytes, %+v, %v", len(p.Raw), len(packet), p.Block, err)
 		}
 		if p, err = in.ReadServer(revision); err != nil || p.Code != ServerEndOfStream {
-			r.Fatalf("behind it: %+v, %v", p, err)
+			r.Fatalf("after the block: %+v, %v", p, err)
 		}
-		// Cut anywhere, it is a cut packet and nothing else.
+		// A packet cut at any byte is reported as cut.
 		at := rapid.IntRange(1, len(packet)-1).Draw(r, "cut")
-		if _, err := NewReader(bytes.NewReader(packet[:at]), most).ReadServer(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := NewReader(bytes.NewReader(packet[:at]), maxPacketBytes).ReadServer(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
 			r.Fatalf("cut at %d: %v", at, err)
 		}
 	})
 }
 
-// What an unmodified client sends is read, and written again it is the same bytes.
-func TestQueryOfAnotherImplementation(t *testing.T) {
-	for _, revision := range []int{OldestRevision, revInterserver, revTelemetry, revDepth, revStartTime, revReplicas, revAddendum, NewestRevision} {
+// A Query packet of ch-go, decoded and encoded again, must have the same bytes at every revision that changed it.
+func TestQueryOfChGoRoundTrip(t *testing.T) {
+	for _, revision := range []int{OldestRevision, revInterserver, revTelemetry, revDistributedDepth, revStartTime, revParallelReplicas, revAddendum, NewestRevision} {
 		var b proto.Buffer
 		q := proto.Query{ID: "id", Body: "SELECT 1", Compression: proto.CompressionEnabled, Settings: []proto.Setting{{Key: "max_execution_time", Value: "3", Important: true}},
 			Parameters: []proto.Parameter{{Key: "p", Value: "'1'"}}, Info: proto.ClientInfo{ProtocolVersion: revision, Major: 1, Minor: 2, Interface: proto.InterfaceTCP,
 				Query: proto.ClientQueryInitial, InitialUser: "u", ClientName: "c"}}
 		q.EncodeAware(&b, revision)
-		in := NewReader(bytes.NewReader(b.Buf), most)
+		in := NewReader(bytes.NewReader(b.Buf), maxPacketBytes)
 		if code, err := in.ReadClient(); err != nil || code != ClientQuery {
 			t.Fatal(code, err)
 		}
@@ -103,16 +103,16 @@
 			t.Fatalf("revision %d: %+v, %v", revision, got, err)
 		}
 		if again := got.Encode(revision); !bytes.Equal(again, b.Buf) {
-			t.Errorf("revision %d: written again it differs:\n%x\n%x", revision, again, b.Buf)
+			t.Errorf("revision %d: encoded again:\n%x, want:\n%x", revision, again, b.Buf)
 		}
 	}
 }
 
-func TestWhatCannotBeRead(t *testing.T) {
+func TestInvalidPackets(t *testing.T) {
 	huge := append(PutUvarint(PutText(PutUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 6)
 	huge = append(append(huge, "String"...), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f)
-	strange := append(PutUvarint(PutText(PutUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 4)
-	strange = append(append(strange, "JSON"...), 0)
+	unknownType := append(PutUvarint(PutText(PutUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 4)
+	unknownType = append(append(unknownType, "JSON"...), 0)
 	cases := []struct {
 		name  string
 		bytes []byte
@@ -120,12 +120,12 @@
 	}{
 		{"an unknown packet", []byte{99}, "found 99"},
 		{"an enormous length", huge, "packets of 1048576 bytes at most"},
-		{"a type whose end is not known", strange, `"JSON" is not known`},
-		{"an endless number", bytes.Repeat([]byte{0x80}, 12), "more than 64 bits"},
+		{"a type of unknown layout", unknownType, `"JSON" is not known`},
+		{"a varint of more than ten bytes", bytes.Repeat([]byte{0x80}, 12), "more than 64 bits"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			in := NewReader(bytes.NewReader(c.bytes), most)
+			in := NewReader(bytes.NewReader(c.bytes), maxPacketBytes)
 			_, err := in.ReadServer(NewestRevision)
 			var f *FormatError
 			if !errors.As(err, &f) || !strings.Contains(err.Error(), c.says) {
@@ -136,12 +136,12 @@
 			}
 		})
 	}
-	if _, err := NewReader(strings.NewReader("GET / HTTP/1.1\r\n"), most).ReadHello(); err == nil || !strings.Contains(err.Error(), "HTTP") {
+	if _, err := NewReader(strings.NewReader("GET / HTTP/1.1\r\n"), maxPacketBytes).ReadHello(); err == nil || !strings.Contains(err.Error(), "HTTP") {
 		t.Errorf("HTTP: %v", err)
 	}
 }
 
-func TestTypes(t *testing.T) {
+func TestParseType(t *testing.T) {
 	for name, ok := range map[string]bool{"Decimal(38, 2)": true, "Enum8('a,(b)' = 1, 'c\\'' = 2)": true, "Tuple(a UInt8, b Array(String))": true,
 		"Nested(a UInt8, b String)": true, "MultiPolygon": true, "SimpleAggregateFunction(sum, UInt64)": true, "DateTime64(3, 'UTC')": true,
 		"LowCardinality(Nullable(String))": true, "FixedString(0)": false, "FixedString(x)": false, "Array": false, "Array(UInt8": false, "Tuple()": false,
@@ -152,7 +152,7 @@
 	}
 }
 
-// Nothing that a server sends makes the parser panic, read past the end or allocate more than came.
+// No input from a server may make the reader panic or return more bytes than the input has.
 func FuzzServer(f *testing.F) {
 	var low = new(proto.ColStr).LowCardinality()
 	low.Append("a")
@@ -173,6 +173,7 @@
 	})
 }
 
+// No input from a client may make the reader panic, nor a query grow when it is encoded again.
 func FuzzClient(f *testing.F) {
 	f.Add(Hello{Name: "c", Revision: NewestRevision, User: "u"}.Encode(), NewestRevision)
 	f.Add(Query{ID: "q", Info: []byte{0}, Stage: 2, Text: "SELECT 1"}.Encode(NewestRevision), NewestRevision)
@@ -181,7 +182,7 @@
 		in := NewReader(bytes.NewReader(b), 1<<16)
 		if code, err := in.ReadClient(); err == nil && code == ClientQuery {
 			if q, err := in.ReadQuery(revision); err == nil && len(q.Encode(revision)) > len(b)+16 {
-				t.Fatal("written again it is longer than it came")
+				t.Fatal("the encoded query is longer than the input")
 			}
 		}
 		_, _ = NewReader(bytes.NewReader(b), 1<<16).ReadServerHello()
--- a/internal/native/profile.go
+++ b/internal/native/profile.go
@@ -6,35 +6,41 @@
 	"fmt"
 )
 
-// Profile is what a node tells of a query's cost in ProfileEvents, as increments and peaks.
+// Profile is the cost of a query as one ProfileEvents packet reports it.
 type Profile struct {
-	WorkMicros int64 // processor time of all threads
-	Peak       int64 // most memory in bytes; 0: not told
+	WorkMicros int64 // processor time of all threads since the previous packet
+	Peak       int64 // peak memory in bytes; 0: not reported
 }
 
-// The events that are read (ProfileEvents.cpp and MemoryTracker of ClickHouse).
+// Names of the events that ReadProfile evaluates, as in ProfileEvents.cpp and MemoryTracker of ClickHouse.
 const (
-	eventWork = "OSCPUVirtualTimeMicroseconds"
-	eventPeak = "MemoryTrackerPeakUsage"
+	eventCPUTime    = "OSCPUVirtualTimeMicroseconds"
+	eventPeakMemory = "MemoryTrackerPeakUsage"
 )
 
-// ReadProfile reads the block of a ProfileEvents packet.
+// eventIncrement is the type of an event whose value is the increase since the previous packet.
+const eventIncrement = 1
+
+// maxProfileBytes is the limit of the block of a ProfileEvents packet.
+const maxProfileBytes = 1 << 20
+
+// ReadProfile returns the sum of the processor times and the highest memory peak in the block of a ProfileEvents packet.
 func (r *Reader) ReadProfile(block []byte, revision int) (p Profile, err error) {
-	if r.sideReader == nil {
-		r.sideReader = NewReader(nil, 1<<20)
+	if r.profileReader == nil {
+		r.profileReader = NewReader(nil, maxProfileBytes)
 	}
-	in := r.sideReader
+	in := r.profileReader
 	in.r.Reset(bytes.NewReader(block))
 	in.begin("ProfileEvents")
 	var names, values, kinds []byte
 	rows := 0
-	err = in.walk(revision, func(n int) { rows = n }, func(name string, c column, raw []byte) error {
+	err = in.walkBlock(revision, func(n int) { rows = n }, func(name string, c columnType, raw []byte) error {
 		switch {
-		case name == "name" && c.kind == text:
+		case name == "name" && c.kind == lengthPrefixed:
 			names = bytes.Clone(raw)
-		case name == "value" && c.kind == fixed && c.width == 8:
+		case name == "value" && c.kind == fixedWidth && c.width == 8:
 			values = bytes.Clone(raw)
-		case name == "type" && c.kind == fixed && c.width == 1:
+		case name == "type" && c.kind == fixedWidth && c.width == 1:
 			kinds = bytes.Clone(raw)
 		}
 		return nil
@@ -52,9 +58,9 @@
 		names = names[k+int(n):]
 		v := int64(binary.LittleEndian.Uint64(values[8*i:]))
 		switch {
-		case string(name) == eventWork && kinds[i] == 1 && v > 0: // an increment
+		case string(name) == eventCPUTime && kinds[i] == eventIncrement && v > 0:
 			p.WorkMicros += v
-		case string(name) == eventPeak:
+		case string(name) == eventPeakMemory:
 			p.Peak = max(p.Peak, v)
 		}
 	}
--- a/internal/native/protocol.go
+++ b/internal/native/protocol.go
@@ -5,29 +5,30 @@
 	"fmt"
 )
 
-// Revisions: what is above Newest is negotiated down to it, what is below Oldest is turned away.
+// Supported revisions of the protocol. A peer with a newer revision is served at NewestRevision; a client with an older one than
+// OldestRevision is rejected.
 const (
-	OldestRevision = 54429 // settings as text
-	NewestRevision = 54460 // server time in Progress
+	OldestRevision = 54429 // settings are encoded as text
+	NewestRevision = 54460 // Progress has the server's elapsed time
 )
 
-// Revisions from which a part of a packet is there.
+// Revisions that introduced a part of a packet.
 const (
-	revInterserver  = 54441
-	revTelemetry    = 54442
-	revDepth        = 54448
-	revStartTime    = 54449
-	revReplicas     = 54453
-	revSerialKind   = 54454
-	revAddendum     = 54458
-	revParameters   = 54459
-	revProgressTime = 54460
+	revInterserver       = 54441
+	revTelemetry         = 54442
+	revDistributedDepth  = 54448
+	revStartTime         = 54449
+	revParallelReplicas  = 54453
+	revSerializationKind = 54454
+	revAddendum          = 54458
+	revParameters        = 54459
+	revProgressTime      = 54460
 )
 
-// AddendumFrom is the revision from which a client sends a quota key behind the server's Hello.
+// AddendumFrom is the first revision in which a client sends a quota key after the server's Hello.
 const AddendumFrom = revAddendum
 
-// Packets of the client.
+// Codes of the client's packets.
 const (
 	ClientHello  = 0
 	ClientQuery  = 1
@@ -36,7 +37,7 @@
 	ClientPing   = 4
 )
 
-// Packets of the server.
+// Codes of the server's packets.
 const (
 	ServerHello         = 0
 	ServerData          = 1
@@ -52,31 +53,31 @@
 	ServerProfileEvents = 14
 )
 
-// Bounds of texts, in bytes.
+// Limits of the parts of a packet.
 const (
-	maxNameBytes = 64 << 10
-	maxTextBytes = 64 << 20
-	maxTypeDepth = 32
-	maxColumns   = 100000
+	maxNameBytes = 64 << 10 // of names, ids and other short texts
+	maxTextBytes = 64 << 20 // of statements, values of settings and messages
+	maxTypeDepth = 32       // levels of nested types
+	maxColumns   = 100000   // of a block
 )
 
-// FormatError tells what in a stream cannot be read, and where: bytes since the packet began.
+// FormatError describes a part of a stream that is invalid or not supported.
 type FormatError struct {
 	Packet, Field string
-	At            int
-	Found         string
-	Allowed       string
+	At            int    // bytes from the start of the packet
+	Found         string // value of the field, or what is wrong with it
+	Allowed       string // values that are accepted
 }
 
-// Error names the packet, the field and the byte.
+// Error returns the packet, the field, its position, and the found and allowed values.
 func (e *FormatError) Error() string {
 	return fmt.Sprintf("%s, %s at byte %d: found %s, allowed: %s", e.Packet, e.Field, e.At, e.Found, e.Allowed)
 }
 
-// PutUvarint appends a number.
+// PutUvarint appends a number as a varint.
 func PutUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// PutText appends a text with its length.
+// PutText appends the length of a text as a varint, then the text.
 func PutText[T ~string | ~[]byte](b []byte, s T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
--- a/internal/native/query.go
+++ b/internal/native/query.go
@@ -2,26 +2,32 @@
 
 import "fmt"
 
-// Setting is one setting or parameter of a query.
+// Setting is a setting or a parameter of a query.
 type Setting struct {
 	Name  string
 	Flags uint64
 	Value string
 }
 
-// Query is a client's query.
+// Query is a client's Query packet.
 type Query struct {
 	ID          string
-	Info        []byte // client info, as it came
+	Info        []byte // client info, as the client sent it
 	Settings    []Setting
-	Secret      string
-	Stage       uint64
-	Compression bool
-	Text        string
+	Secret      string // of servers of one cluster; ReadQuery accepts only ""
+	Stage       uint64 // up to which the query is processed; ReadQuery accepts only stageComplete
+	Compression bool   // of the blocks, in both directions
+	Text        string // the statement
 	Parameters  []Setting
 }
 
-// ReadQuery reads the packet behind its code.
+// stageComplete is the stage of a query that is processed completely.
+const stageComplete = 2
+
+// maxSettings is the limit of a query's settings, and of its parameters.
+const maxSettings = 10000
+
+// ReadQuery reads the rest of a Query packet after its code.
 func (r *Reader) ReadQuery(revision int) (q Query, err error) {
 	if q.ID, err = r.text("query id", maxNameBytes); err != nil {
 		return q, err
@@ -39,13 +45,13 @@
 			return q, err
 		}
 		if q.Secret != "" {
-			return q, r.formatError("interserver secret", "one", "none: this is no cluster")
+			return q, r.formatError("interserver secret", "a secret", "none: queries from other servers of a cluster are not supported")
 		}
 	}
 	if q.Stage, err = r.uvarint("stage"); err != nil {
 		return q, err
 	}
-	if q.Stage != 2 {
+	if q.Stage != stageComplete {
 		return q, r.formatError("stage", fmt.Sprint(q.Stage), "2 (complete)")
 	}
 	c, err := r.uvarint("compression")
@@ -65,25 +71,25 @@
 	return q, err
 }
 
-func (r *Reader) settings(what string) (out []Setting, err error) {
+func (r *Reader) settings(field string) (out []Setting, err error) {
 	for {
 		var s Setting
-		if s.Name, err = r.text(what, maxNameBytes); err != nil || s.Name == "" {
+		if s.Name, err = r.text(field, maxNameBytes); err != nil || s.Name == "" {
 			return out, err
 		}
-		if s.Flags, err = r.uvarint(what); err != nil {
+		if s.Flags, err = r.uvarint(field); err != nil {
 			return out, err
 		}
-		if s.Value, err = r.text(what, maxTextBytes); err != nil {
+		if s.Value, err = r.text(field, maxTextBytes); err != nil {
 			return out, err
 		}
-		if out = append(out, s); len(out) > 10000 {
-			return out, r.formatError(what, "more than 10000", "10000 at most")
+		if out = append(out, s); len(out) > maxSettings {
+			return out, r.formatError(field, fmt.Sprintf("more than %d", maxSettings), fmt.Sprintf("%d at most", maxSettings))
 		}
 	}
 }
 
-// clientInfo passes over the client info, which is kept as bytes.
+// clientInfo skips the client info. ReadQuery keeps its bytes.
 func (r *Reader) clientInfo(revision int) error {
 	kind, err := r.byte("kind of query")
 	if err != nil || kind == 0 {
@@ -94,14 +100,14 @@
 	if revision >= revStartTime {
 		info.bytes("start time", 8)
 	}
-	if face := info.byte("interface"); info.err == nil && face != 1 {
-		return r.formatError("interface", fmt.Sprint(face), "1 (TCP)")
+	if interfaceKind := info.byte("interface"); info.err == nil && interfaceKind != 1 {
+		return r.formatError("interface", fmt.Sprint(interfaceKind), "1 (TCP)")
 	}
 	info.texts(3)   // OS user, host, client name
 	info.numbers(3) // version
 	info.texts(1)   // quota key
-	if revision >= revDepth {
-		info.numbers(1)
+	if revision >= revDistributedDepth {
+		info.numbers(1) // depth of distributed queries
 	}
 	info.numbers(1) // patch
 	if revision >= revTelemetry && info.byte("telemetry") == 1 {
@@ -109,13 +115,13 @@
 		info.texts(1)
 		info.byte("trace flags")
 	}
-	if revision >= revReplicas {
-		info.numbers(3)
+	if revision >= revParallelReplicas {
+		info.numbers(3) // settings of parallel replicas
 	}
 	return info.err
 }
 
-// clientInfoReader passes over fields of the client info; after the first error it reads nothing more.
+// clientInfoReader skips fields of the client info. After the first error it reads nothing more.
 type clientInfoReader struct {
 	reader *Reader
 	err    error
@@ -146,7 +152,7 @@
 	return b
 }
 
-// Encode is the packet as bytes. Info must be of the same revision.
+// Encode returns the packet's bytes. Info must have the encoding of the same revision.
 func (q Query) Encode(revision int) []byte {
 	b := PutText(PutUvarint(nil, ClientQuery), q.ID)
 	b = append(b, q.Info...)
--- a/internal/native/reader.go
+++ b/internal/native/reader.go
@@ -1,6 +1,6 @@
-// Package native is the ClickHouse native TCP protocol as a dispatcher sees it (the "Native Protocol" pages of ClickHouse's
-// documentation, and the published client ch-go for what those leave open). Blocks pass as bytes: only their boundaries
-// are found. docs/design-native.md has the packets and revisions that are served.
+// Package native reads and writes packets of the ClickHouse native TCP protocol. It follows the "Native Protocol" pages of
+// ClickHouse's documentation and, for what those leave open, the published client ch-go. Blocks are forwarded as bytes, so the
+// package mostly finds their boundaries only. docs/design-native.md lists the supported packets and revisions.
 package native
 
 import (
@@ -11,56 +11,63 @@
 	"io"
 )
 
-// Reader reads packets and keeps the bytes of the present one. What is announced is not allocated before it has come.
+// Reader reads packets and keeps the bytes of the current one. It allocates memory as bytes arrive, not by the lengths that a
+// packet announces.
 type Reader struct {
 	r         *bufio.Reader
-	raw       []byte
-	maxPacket int
-	packet    string
-
-	// Compressed tells that the blocks of the present query are compressed. Those of logs and profile events never are, at the
-	// revisions served here.
-	Compressed  bool
-	types       map[string]column // read before
-	frames      *frames
-	frameReader *Reader // reads what the frames hold
-	sideReader  *Reader // reads blocks that are for the dispatcher
+	raw       []byte // bytes of the current packet read so far
+	maxPacket int    // limit of a packet, in bytes
+	packet    string // name of the current packet, for errors
+
+	// Compressed means that the blocks of the current query are compressed. The blocks of logs and profile events never are at the
+	// supported revisions.
+	Compressed    bool
+	types         map[string]columnType // cache of parsed types, by name
+	frames        *frameStream
+	frameReader   *Reader // reads the decompressed content of frames
+	profileReader *Reader // reads the blocks of ProfileEvents
 }
 
-// NewReader returns a Reader; a packet of more than most bytes is an error.
-func NewReader(r io.Reader, most int) *Reader { return NewReaderSize(r, most, 64<<10) }
+// defaultBufferBytes is the buffer size of NewReader.
+const defaultBufferBytes = 64 << 10
 
-// NewReaderSize is NewReader with a buffer of another size than 64 KiB.
-func NewReaderSize(r io.Reader, most, size int) *Reader {
-	return &Reader{r: bufio.NewReaderSize(r, min(size, most+1)), maxPacket: most, packet: "connection"}
+// NewReader returns a Reader that returns an error for a packet of more than maxPacket bytes.
+func NewReader(r io.Reader, maxPacket int) *Reader {
+	return NewReaderSize(r, maxPacket, defaultBufferBytes)
 }
 
-// Buffered tells that more has come already than was read.
+// NewReaderSize returns a Reader like NewReader, with a buffer of size bytes.
+func NewReaderSize(r io.Reader, maxPacket, size int) *Reader {
+	return &Reader{r: bufio.NewReaderSize(r, min(size, maxPacket+1)), maxPacket: maxPacket, packet: "connection"}
+}
+
+// Buffered reports whether bytes after those read so far have arrived already.
 func (r *Reader) Buffered() bool { return r.r.Buffered() > 0 }
 
-// begin starts a packet.
+// begin starts a packet; errors name it by the given name.
 func (r *Reader) begin(name string) { r.raw, r.packet = r.raw[:0], name }
 
-// Raw is the present packet's bytes so far; they are valid until the next packet.
+// Raw returns the bytes of the current packet read so far. They are valid until the next packet is read.
 func (r *Reader) Raw() []byte { return r.raw }
 
+// formatError returns a FormatError at the current position in the current packet.
 func (r *Reader) formatError(field, found, allowed string) error {
 	return &FormatError{r.packet, field, len(r.raw), found, allowed}
 }
 
-// maxChunk bounds what is asked for at once.
+// maxChunk is the limit of the bytes that take allocates before they have arrived.
 const maxChunk = 64 << 10
 
-// take reads n bytes onto the packet and returns them.
+// take reads n bytes, appends them to the current packet and returns them.
 func (r *Reader) take(field string, n uint64) ([]byte, error) {
 	if n > uint64(r.maxPacket-len(r.raw)) {
 		return nil, r.formatError(field, fmt.Sprintf("%d bytes", n), fmt.Sprintf("packets of %d bytes at most", r.maxPacket))
 	}
 	at := len(r.raw)
-	if int(n) <= r.r.Buffered() { // it is there: no need to grow by steps
+	if int(n) <= r.r.Buffered() { // all bytes have arrived: allocate them at once
 		b, _ := r.r.Peek(int(n))
 		r.raw = append(r.raw, b...)
-		_, _ = r.r.Discard(int(n)) // all of it is buffered
+		_, _ = r.r.Discard(int(n)) // cannot fail: the bytes are buffered
 		return r.raw[at:], nil
 	}
 	for left := int(n); left > 0; {
@@ -75,7 +82,7 @@
 	return r.raw[at:], nil
 }
 
-// unexpectedEOF is the end of a stream inside a packet.
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF, for a stream that ended inside a packet.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -83,7 +90,7 @@
 	return err
 }
 
-// uvarint reads a length or number of up to ten bytes.
+// uvarint reads a varint of up to ten bytes.
 func (r *Reader) uvarint(field string) (uint64, error) {
 	var v uint64
 	for shift := 0; shift < 70; shift += 7 {
@@ -102,17 +109,18 @@
 	return 0, r.formatError(field, "a number of more than 64 bits", "ten bytes at most")
 }
 
-// count reads a number that is bounded.
-func (r *Reader) count(field string, most uint64) (int, error) {
+// count reads a number of at most maxValue.
+func (r *Reader) count(field string, maxValue uint64) (int, error) {
 	v, err := r.uvarint(field)
-	if err == nil && v > most {
-		err = r.formatError(field, fmt.Sprint(v), fmt.Sprintf("%d at most", most))
+	if err == nil && v > maxValue {
+		err = r.formatError(field, fmt.Sprint(v), fmt.Sprintf("%d at most", maxValue))
 	}
 	return int(v), err
 }
 
-func (r *Reader) text(field string, most uint64) (string, error) {
-	n, err := r.count(field, most)
+// text reads a text of at most maxBytes after its length.
+func (r *Reader) text(field string, maxBytes uint64) (string, error) {
+	n, err := r.count(field, maxBytes)
 	if err != nil {
 		return "", err
 	}
--- a/internal/native/scalar.go
+++ b/internal/native/scalar.go
@@ -14,9 +14,9 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// scalar is one value of a fixed width as text.
+// scalar returns a value of a type with a fixed width as text.
 func scalar(name string, b []byte) string {
-	base, args, _ := splitType(name) // the name was parsed before
+	base, args, _ := splitType(name) // cannot fail: parseType has accepted the name
 	switch base {
 	case "Bool":
 		return strconv.FormatBool(b[0] != 0)
@@ -35,7 +35,7 @@
 	case "IPv6":
 		return netip.AddrFrom16([16]byte(b)).String()
 	case "Enum8", "Enum16":
-		return label(integer(base, b).String(), args)
+		return enumName(integer(base, b).String(), args)
 	case "Decimal", "Decimal32", "Decimal64", "Decimal128", "Decimal256":
 		return decimal(integer(base, b), lastNumber(args))
 	case "Nothing":
@@ -44,7 +44,7 @@
 	return integer(base, b).String()
 }
 
-// integer reads a whole number: little endian, two's complement where the type has a sign.
+// integer decodes an integer: little endian, and in two's complement unless the type is unsigned.
 func integer(base string, b []byte) *big.Int {
 	bigEndian := slices.Clone(b)
 	slices.Reverse(bigEndian)
@@ -55,7 +55,7 @@
 	return v
 }
 
-// timestamp is a date or a point in time, in UTC.
+// timestamp returns a date or a time as text, in UTC.
 func timestamp(base string, args []string, b []byte) string {
 	switch base {
 	case "Date":
@@ -67,13 +67,13 @@
 	}
 	digits := 3
 	if len(args) > 0 {
-		digits, _ = strconv.Atoi(args[0]) // 0 for what is no number
+		digits, _ = strconv.Atoi(args[0]) // 0 for an argument that is not a number
 	}
 	ticks, second := integer(base, b).Int64(), int64(math.Pow10(digits))
 	return time.Unix(ticks/second, ticks%second*(1e9/max(second, 1))).UTC().Format("2006-01-02 15:04:05.999999999")
 }
 
-// uuidText reads a UUID, which comes as two halves, each little endian.
+// uuidText returns a UUID as text. Its bytes are two halves, each little endian.
 func uuidText(b []byte) string {
 	u := slices.Clone(b)
 	slices.Reverse(u[:8])
@@ -81,8 +81,8 @@
 	return fmt.Sprintf("%x-%x-%x-%x-%x", u[:4], u[4:6], u[6:8], u[8:10], u[10:])
 }
 
-// label is the name of an enumeration's value; the value itself where it has none.
-func label(value string, args []string) string {
+// enumName returns the name of a value of an Enum, or the value itself if it has no name.
+func enumName(value string, args []string) string {
 	for _, arg := range args {
 		if name, number, ok := strings.Cut(arg, "="); ok && strings.TrimSpace(number) == value {
 			return strings.Trim(strings.TrimSpace(name), "'")
@@ -91,7 +91,7 @@
 	return value
 }
 
-// lastNumber is a type's last argument; 0 where it is no number.
+// lastNumber returns the last argument of a type, or 0 if that is missing or not a number.
 func lastNumber(args []string) int {
 	if len(args) == 0 {
 		return 0
@@ -100,7 +100,7 @@
 	return n
 }
 
-// decimal writes a number with so many digits behind its point.
+// decimal returns v / 10^scale as text.
 func decimal(v *big.Int, scale int) string {
 	if scale <= 0 {
 		return v.String()
--- a/internal/native/server_packet.go
+++ b/internal/native/server_packet.go
@@ -6,20 +6,20 @@
 	"io"
 )
 
-// Progress is how far a query is, as increments.
+// Progress is the progress of a query since the previous Progress packet: rows and bytes read, and rows to read in total.
 type Progress struct{ Rows, Bytes, Total uint64 }
 
-// Packet is one packet of a server, found by its boundaries.
+// Packet is a packet of a server. Fields that a packet of its code doesn't have are zero.
 type Packet struct {
 	Code      uint64
 	Raw       []byte // the whole packet; valid until the next one is read
-	Body      int    // where the block begins in Raw, behind code and table name
-	Block     Block  // of Data, Totals and Extremes
+	Body      int    // offset of the block in Raw, after the code and the table name
+	Block     Block  // of Data, Totals, Extremes, Log and ProfileEvents
 	Progress  Progress
 	Exception *Exception
 }
 
-// ReadServer reads the next packet of a server.
+// ReadServer reads the next packet of a server. It returns io.EOF if the connection was closed between two packets.
 func (r *Reader) ReadServer(revision int) (p Packet, err error) {
 	r.begin("server's packet")
 	if p.Code, err = r.uvarint("packet"); err != nil {
@@ -42,13 +42,13 @@
 			_, err = r.text("text", maxTextBytes)
 		}
 	default:
-		err = r.formatError("packet", fmt.Sprint(p.Code), "a packet of docs/design-native.md")
+		err = r.formatError("packet", fmt.Sprint(p.Code), "a packet that docs/design-native.md lists")
 	}
 	p.Raw = r.raw
 	return p, err
 }
 
-// endBetweenPackets is io.EOF where a stream has ended before a packet began.
+// endBetweenPackets replaces the error by io.EOF if the stream ended before the packet began.
 func (r *Reader) endBetweenPackets(err error) error {
 	if errors.Is(err, io.ErrUnexpectedEOF) && len(r.raw) == 0 {
 		return io.EOF
@@ -56,7 +56,7 @@
 	return err
 }
 
-// serverBlock reads a packet that holds a block; logs and profile events are never compressed.
+// serverBlock reads the table name and the block of a packet. The blocks of logs and profile events are never compressed.
 func (r *Reader) serverBlock(p *Packet, revision int) error {
 	r.packet = "Data"
 	_, err := r.text("table", maxNameBytes)
@@ -67,7 +67,7 @@
 	if p.Code == ServerLog || p.Code == ServerProfileEvents {
 		p.Block, err = r.block(revision)
 	} else {
-		p.Block, err = r.content(revision)
+		p.Block, err = r.dataBlock(revision)
 	}
 	return err
 }
@@ -79,11 +79,11 @@
 			return p, err
 		}
 	}
-	rest := 2 // rows and bytes written
+	skipped := 2 // rows and bytes written
 	if revision >= revProgressTime {
-		rest++
+		skipped++ // the server's elapsed time
 	}
-	for range rest {
+	for range skipped {
 		if _, err = r.uvarint("number"); err != nil {
 			return p, err
 		}
@@ -91,7 +91,7 @@
 	return p, nil
 }
 
-// profileInfo passes over rows, blocks, bytes, a flag, rows before a limit and a flag.
+// profileInfo skips the fields of ProfileInfo: rows, blocks, bytes, a flag, rows before a limit and another flag.
 func (r *Reader) profileInfo() (err error) {
 	r.packet = "ProfileInfo"
 	for _, flag := range []bool{false, false, false, true, false, true} {
--- a/internal/native/values.go
+++ b/internal/native/values.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Values are the columns of a block as text, for people to read.
+// Values holds the values of a block as readable text.
 type Values struct {
-	Names   []string
-	Columns [][]string // by column
+	Names   []string   // of the columns
+	Columns [][]string // by column, then by row
 }
 
-// Rows is the number of rows.
+// Rows returns the number of rows.
 func (v *Values) Rows() int {
 	if len(v.Columns) == 0 {
 		return 0
@@ -20,12 +20,12 @@
 	return len(v.Columns[0])
 }
 
-// ReadValues reads a block without compression.
+// ReadValues decodes an uncompressed block.
 func ReadValues(block []byte, revision int) (*Values, error) {
 	r := NewReader(bytes.NewReader(block), len(block)+1)
 	r.packet = "Data"
 	v, rows := &Values{}, 0
-	err := r.walk(revision, func(n int) { rows = n }, func(name string, c column, raw []byte) error {
+	err := r.walkBlock(revision, func(n int) { rows = n }, func(name string, c columnType, raw []byte) error {
 		d := decoder{raw}
 		if rows > 0 {
 			d.prefix(c)
@@ -40,7 +40,7 @@
 	return v, err
 }
 
-// decoder reads values whose bounds the walk has checked.
+// decoder decodes the values of a column. walkBlock has read the bytes before, so there are enough of them.
 type decoder struct{ raw []byte }
 
 func (d *decoder) take(n int) []byte {
@@ -49,22 +49,22 @@
 	return b
 }
 
-func (d *decoder) prefix(c column) {
+func (d *decoder) prefix(c columnType) {
 	if c.kind == lowCardinality {
 		d.take(8)
 		return
 	}
-	for _, o := range c.of {
+	for _, o := range c.elements {
 		d.prefix(o)
 	}
 }
 
-// values are the column's values as text.
-func (d *decoder) values(c column, rows int) []string {
+// values returns the values of a column as text.
+func (d *decoder) values(c columnType, rows int) []string {
 	switch c.kind {
-	case fixed:
+	case fixedWidth:
 		return d.scalars(c, rows)
-	case text:
+	case lengthPrefixed:
 		return d.texts(rows)
 	case nullable:
 		return d.nullables(c, rows)
@@ -73,12 +73,12 @@
 	case tuple:
 		return d.tuples(c, rows)
 	case lowCardinality:
-		return d.dictionary(c, rows)
+		return d.lowCardinality(c, rows)
 	}
 	return make([]string, rows)
 }
 
-func (d *decoder) scalars(c column, rows int) []string {
+func (d *decoder) scalars(c columnType, rows int) []string {
 	out := make([]string, rows)
 	for i := range out {
 		out[i] = scalar(c.name, d.take(int(c.width)))
@@ -96,24 +96,24 @@
 	return out
 }
 
-func (d *decoder) nullables(c column, rows int) []string {
-	marks := d.take(rows)
-	out := d.values(c.of[0], rows)
+func (d *decoder) nullables(c columnType, rows int) []string {
+	nullMap := d.take(rows)
+	out := d.values(c.elements[0], rows)
 	for i := range out {
-		if marks[i] != 0 {
+		if nullMap[i] != 0 {
 			out[i] = "NULL"
 		}
 	}
 	return out
 }
 
-func (d *decoder) arrays(c column, rows int) []string {
+func (d *decoder) arrays(c columnType, rows int) []string {
 	out := make([]string, rows)
 	ends := d.take(8 * rows)
 	if rows == 0 {
 		return out
 	}
-	values := d.values(c.of[0], int(binary.LittleEndian.Uint64(ends[len(ends)-8:])))
+	values := d.values(c.elements[0], int(binary.LittleEndian.Uint64(ends[len(ends)-8:])))
 	from := 0
 	for i := range out {
 		to := int(binary.LittleEndian.Uint64(ends[8*i:]))
@@ -127,9 +127,9 @@
 	return out
 }
 
-func (d *decoder) tuples(c column, rows int) []string {
+func (d *decoder) tuples(c columnType, rows int) []string {
 	var elements [][]string
-	for _, o := range c.of {
+	for _, o := range c.elements {
 		elements = append(elements, d.values(o, rows))
 	}
 	out := make([]string, rows)
@@ -143,15 +143,15 @@
 	return out
 }
 
-// dictionary decodes a LowCardinality column: the width of its keys, its values, its keys.
-func (d *decoder) dictionary(c column, rows int) []string {
+// lowCardinality decodes a LowCardinality column; Reader.lowCardinalityValues describes its layout.
+func (d *decoder) lowCardinality(c columnType, rows int) []string {
 	out := make([]string, rows)
 	if rows == 0 {
 		return out
 	}
 	width := 1 << (binary.LittleEndian.Uint64(d.take(8)) & 0xff)
-	values := d.values(c.of[0], int(binary.LittleEndian.Uint64(d.take(8))))
-	d.take(8) // count of keys: one a row
+	values := d.values(c.elements[0], int(binary.LittleEndian.Uint64(d.take(8))))
+	d.take(8) // number of keys, which is the number of rows
 	isNullable := strings.HasPrefix(c.name, "LowCardinality(Nullable")
 	for i := range out {
 		key := make([]byte, 8)
