--- a/internal/native/native_test.go
+++ b/internal/native/native_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-// A Query packet of ch-go, decoded and encoded again, must have the same bytes at every revision that changed it.
+// A Query packet of ch-go, decoded and encoded again, must have the same bytes at the revisions that changed it.
 func TestQueryOfChGoRoundTrip(t *testing.T) {
 	for _, revision := range []int{OldestRevision, revInterserver, revTelemetry, revDistributedDepth, revStartTime, revParallelReplicas, revAddendum, NewestRevision} {
 		var b proto.Buffer
@@ -173,7 +173,7 @@
 	})
 }
 
-// No input from a client may make the reader panic, nor a query grow when it is encoded again.
+// No input from a client may make the reader panic, or be a query that grows by more than 16 bytes when it is encoded again.
 func FuzzClient(f *testing.F) {
 	f.Add(Hello{Name: "c", Revision: NewestRevision, User: "u"}.Encode(), NewestRevision)
 	f.Add(Query{ID: "q", Info: []byte{0}, Stage: 2, Text: "SELECT 1"}.Encode(NewestRevision), NewestRevision)
--- a/internal/native/protocol.go
+++ b/internal/native/protocol.go
@@ -14,15 +14,15 @@
 
 // Revisions that introduced a part of a packet.
 const (
-	revInterserver       = 54441
-	revTelemetry         = 54442
-	revDistributedDepth  = 54448
-	revStartTime         = 54449
-	revParallelReplicas  = 54453
-	revSerializationKind = 54454
-	revAddendum          = 54458
-	revParameters        = 54459
-	revProgressTime      = 54460
+	revInterserver       = 54441 // interserver secret of a Query
+	revTelemetry         = 54442 // trace context in the client info
+	revDistributedDepth  = 54448 // depth of distributed queries in the client info
+	revStartTime         = 54449 // start time of the query in the client info
+	revParallelReplicas  = 54453 // settings of parallel replicas in the client info
+	revSerializationKind = 54454 // serialization kind in the header of a column
+	revAddendum          = 54458 // quota key after the server's Hello
+	revParameters        = 54459 // parameters of a Query
+	revProgressTime      = 54460 // server's elapsed time in Progress
 )
 
 // AddendumFrom is the first revision in which a client sends a quota key after the server's Hello.
