--- a/server/admin_json_test.go
+++ b/server/admin_json_test.go
@@ -8,7 +8,7 @@
 	"embershunt/control"
 )
 
-// TestAdminJSON holds the keys of the admin socket's answers: operators' scripts and command lines of other builds read them.
+// TestAdminJSON fixes the JSON keys of the admin socket's answers: operators' scripts and dispatcherctl of other builds read them.
 func TestAdminJSON(t *testing.T) {
 	state := ConfigState{Dispatcher: "dispatcher-1", History: []uint64{1, 2}, Effective: json.RawMessage(`{"name":"x"}`),
 		Status: control.Status{Number: 2, Updating: 3, Phase: control.Storing, Incomplete: []string{"limits"}, Pinned: true,
--- a/server/control_store_test.go
+++ b/server/control_store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -13,7 +14,7 @@
 	"embershunt/simulated"
 )
 
-// newStoringRig is a dispatcher of one node that keeps the sets it takes in a file.
+// newStoringRig starts a control service and a dispatcher with one node that stores the sets it accepts in a file.
 func newStoringRig(t *testing.T) (c *simulated.Control, r *rig, file string) {
 	c = simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
@@ -26,9 +27,9 @@
 	return c, r, file
 }
 
-// The store fails under a running dispatcher: the version is refused with the reason, the one before stays in force, and
-// queries go on.
-func TestAStoreThatFailsWhileRunning(t *testing.T) {
+// If writes to the store fail while the dispatcher runs, a new version is rejected with that reason, the previous one stays in force,
+// and queries are still served.
+func TestStoreWriteFailure(t *testing.T) {
 	c, r, _ := newStoringRig(t)
 	c.Put(stream.SettingsName, settings(t, 1, nil)...)
 	r.until("set 1 in force", func(s control.Status) bool { return s.Number == 1 })
@@ -36,12 +37,12 @@
 		t.Fatal(err)
 	}
 	c.Put(stream.SettingsName, settings(t, 2, nil)...)
-	until(t, c, "set 2 refused", func() bool { return len(c.Nacks()) > 0 })
+	awaitService(t, c, "rejection of set 2", func() bool { return len(c.Nacks()) > 0 })
 	if n := c.Nacks()[0]; !strings.Contains(n, "store: ") {
-		t.Errorf("refused with %q", n)
+		t.Errorf("set 2 rejected with %q, want a store error", n)
 	}
 	if s, _ := r.d.ControlStatus(); s.Number != 1 {
-		t.Errorf("in force is %d", s.Number)
+		t.Errorf("set %d is in force, want 1", s.Number)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 	defer cancel()
@@ -50,12 +51,13 @@
 	}
 }
 
-// A store that was damaged on the disk is reported at the start, and nothing of it is used.
-func TestADamagedStoreFile(t *testing.T) {
+// A dispatcher starts from a store file in which a byte has changed. It uses an intact version: the newest one or, if the damage is in
+// its record, the one before it. The control service then brings the newest version into force again.
+func TestDamagedStoreFile(t *testing.T) {
 	c, r, file := newStoringRig(t)
 	for n := uint64(1); n <= 2; n++ {
 		c.Put(stream.SettingsName, settings(t, n, nil)...)
-		r.until("a set in force", func(s control.Status) bool { return s.Number == n })
+		r.until(fmt.Sprintf("set %d in force", n), func(s control.Status) bool { return s.Number == n })
 	}
 	address := r.d.Address()
 	r.cancel()
@@ -64,7 +66,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The newest record holds the last "lookup" in the file's live pages; every copy of it is hit.
+	// The last "lookup" in the file may be in the record of either set, or in a page that is no longer used.
 	at := strings.LastIndex(string(text), "lookup")
 	text[at] = 'L'
 	if err := os.WriteFile(file, text, 0o600); err != nil {
@@ -72,7 +74,7 @@
 	}
 	r.start(address)
 	if s, _ := r.d.ControlStatus(); s.Number != 1 && s.Number != 2 {
-		t.Errorf("started in set %d", s.Number)
+		t.Errorf("started in set %d, want 1 or 2", s.Number)
 	}
 	r.until("set 2 in force again", func(s control.Status) bool { return s.Number == 2 })
 }
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -17,7 +17,7 @@
 	"embershunt/simulated"
 )
 
-// settings is a whole set; change may spoil it.
+// settings returns the resources of a complete set with number n; change, unless it is nil, may alter the set, also into an invalid one.
 func settings(t testing.TB, n uint64, change func(*control.Set)) []*anypb.Any {
 	t.Helper()
 	s := control.Set{Number: n, Classes: &configv1.Classes{Set: n, Classes: []*configv1.Class{
@@ -38,27 +38,29 @@
 	return out
 }
 
-// until waits for something that dispatchers do at a control service.
-func until(t testing.TB, c *simulated.Control, what string, good func() bool) {
+// awaitService waits until a condition on what a control service has recorded holds. After 10 s it fails the test; what describes the
+// condition.
+func awaitService(t testing.TB, c *simulated.Control, what string, condition func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if err := c.Await(ctx, good); err != nil {
-		t.Fatal("not seen in 10 s: ", what)
+	if err := c.Await(ctx, condition); err != nil {
+		t.Fatal("did not happen within 10 s: ", what)
 	}
 }
 
-// until waits for a state of the streamed versions.
-func (r *rig) until(what string, good func(control.Status) bool) {
+// until waits until a condition on the dispatcher's state of streamed versions holds. After 10 s it fails the test; what describes the
+// condition.
+func (r *rig) until(what string, condition func(control.Status) bool) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
-	if err := r.d.AwaitControl(ctx, good); err != nil {
-		r.t.Fatal("not seen in 10 s: ", what)
+	if err := r.d.AwaitControl(ctx, condition); err != nil {
+		r.t.Fatal("did not happen within 10 s: ", what)
 	}
 }
 
-// seenBy waits until a node has seen so many attempts, and returns it.
+// seenBy waits until a node has received a statement, and returns that node. After 10 s it fails the test.
 func (r *rig) seenBy(statement string) *simulated.Node {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
@@ -66,8 +68,8 @@
 	first := make(chan *simulated.Node, len(r.nodes))
 	for _, n := range r.nodes {
 		go func() {
-			if n.Await(ctx, func(s []simulated.AttemptRecord) bool {
-				return slices.ContainsFunc(s, func(s simulated.AttemptRecord) bool { return s.Statement == statement })
+			if n.Await(ctx, func(attempts []simulated.AttemptRecord) bool {
+				return slices.ContainsFunc(attempts, func(a simulated.AttemptRecord) bool { return a.Statement == statement })
 			}) == nil {
 				first <- n
 			}
@@ -77,16 +79,19 @@
 	case n := <-first:
 		return n
 	case <-ctx.Done():
-		r.t.Fatal("no node saw ", statement)
+		r.t.Fatal("no node received within 10 s: ", statement)
 		return nil
 	}
 }
 
+// newControlledRig is newRig with a dispatcher that streams node list and settings from c. more is appended to the control block of its
+// configuration.
 func newControlledRig(t testing.TB, c *simulated.Control, nodes int, more string) *rig {
 	return newRigWith(t, nodes, func(string) string { return "{}" }, fmt.Sprintf(`, "control": {"address": %q, "cluster": "nodes",
 		"reconnect_most": "300ms" %s}`, c.Address(), more))
 }
 
+// listed returns the rows of a node list with all nodes of a rig.
 func listed(r *rig) (rows []simulated.ListedNode) {
 	for _, n := range r.nodes {
 		rows = append(rows, simulated.ListedNode{Name: n.Name, Address: n.Address})
@@ -94,8 +99,9 @@
 	return rows
 }
 
-// The whole way of a version, in both variants of the protocol: taken, refused for its form, for its references, for harm,
-// in half; the service gone, the dispatcher restarted without it.
+// The life of streamed versions, in both variants of the protocol. A valid set is acknowledged; a malformed resource, a reference to an
+// unknown class and the removal of a class with a query in flight are rejected; an incomplete set waits for its remaining resources. The
+// dispatcher goes on without the service, and restarts from its store.
 func TestStreamedSettings(t *testing.T) {
 	for _, variant := range []string{"false", "true"} {
 		t.Run("delta="+variant, func(t *testing.T) {
@@ -126,58 +132,59 @@
 				}
 				return acks, nacks
 			}
-			until(t, c, "the node list acknowledged", func() bool { a, _ := replies(); return a == 1 })
+			awaitService(t, c, "the node list acknowledged", func() bool { a, _ := replies(); return a == 1 })
 			served("SELECT 1")
 
 			c.Put(stream.SettingsName, settings(t, 1, func(s *control.Set) {
 				s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
 			})...)
-			until(t, c, "set 1 acknowledged", func() bool { a, _ := replies(); return a == 6 })
+			awaitService(t, c, "set 1 acknowledged", func() bool { a, _ := replies(); return a == 6 })
 			served("SELECT 1 /* class=audit */")
 
-			refused := func(what, reason string, resources ...*anypb.Any) {
+			checkRejected := func(what, reason string, resources ...*anypb.Any) {
 				t.Helper()
 				_, before := replies()
 				c.Put(stream.SettingsName, resources...)
-				until(t, c, what+" refused", func() bool { _, n := replies(); return len(n) >= len(before)+len(resources) }) // one for each
+				// Each resource gets a NACK.
+				awaitService(t, c, "rejection of "+what, func() bool { _, n := replies(); return len(n) >= len(before)+len(resources) })
 				_, n := replies()
 				if !strings.Contains(n[len(before)], reason) || number() != 1 {
-					t.Errorf("%s: %q, want %q; in force is %d", what, n[len(before)], reason, number())
+					t.Errorf("%s: rejected with %q, want %q; set %d is in force, want 1", what, n[len(before)], reason, number())
 				}
 			}
-			refused("a broken form", "classes", &anypb.Any{TypeUrl: stream.TypeURL(control.Classes), Value: []byte{0xff}})
-			refused("a rule that names nobody", "rules[0].class", settings(t, 2, func(s *control.Set) {
+			checkRejected("a malformed resource", "classes", &anypb.Any{TypeUrl: stream.TypeURL(control.Classes), Value: []byte{0xff}})
+			checkRejected("a rule that names an unknown class", "rules[0].class", settings(t, 2, func(s *control.Set) {
 				s.Classification.Rules = []*configv1.Rule{{Name: "r", Class: "nobody"}}
 			})...)
 
-			// A class ends while a query of it is in flight; then it is not any more.
+			// A set without class audit is rejected while a query of that class is in flight, and accepted once the query has ended.
 			done := make(chan error, 1)
 			go func() {
 				_, err := r.query(t.Context(), "SELECT 1 /* class=audit work_ms=700 cost_ms=700 */")
 				done <- err
 			}()
 			r.seenBy("SELECT 1 /* class=audit work_ms=700 cost_ms=700 */")
-			refused("a class that ends with a query in flight", `class_ends: class "audit"`, settings(t, 3, nil)...)
+			checkRejected("the removal of a class with a query in flight", `class_ends: class "audit"`, settings(t, 3, nil)...)
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
-			// Half a set is held back without a reply until the other half is there.
+			// An incomplete set gets no reply until its other resources have been received.
 			whole := settings(t, 4, nil)
 			a, n := replies()
 			c.Put(stream.SettingsName, whole[:2]...)
 			served("SELECT 1 /* class=audit */")
 			if a2, n2 := replies(); a2 != a || len(n2) != len(n) || number() != 1 {
-				t.Errorf("half a set: %d ACKs, %d NACKs more", a2-a, len(n2)-len(n))
+				t.Errorf("an incomplete set got %d ACKs and %d NACKs; set %d is in force, want 1", a2-a, len(n2)-len(n), number())
 			}
 			c.Put(stream.SettingsName, whole[2:]...)
 			r.until("set 4 in force", func(s control.Status) bool { return s.Number == 4 })
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			if _, err := r.query(ctx, "SELECT 1 /* class=audit */"); err == nil || !strings.Contains(err.Error(), "lookup, report") {
-				t.Errorf("a class that ended: %v", err)
+				t.Errorf("a query of a removed class: %v, want an error that lists lookup and report", err)
 			}
 
-			// The service disappears: all goes on. Started again without it, the dispatcher has the last good version.
+			// Queries are served while the service is down. A dispatcher restarted meanwhile starts from the last version in its store.
 			c.Stop()
 			served("SELECT 1 /* class=report */")
 			address := r.d.Address()
@@ -185,7 +192,7 @@
 			r.ended <- <-r.ended
 			r.start(address)
 			if got := number(); got != 4 {
-				t.Errorf("started again in set %d", got)
+				t.Errorf("restarted in set %d, want 4", got)
 			}
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
--- a/server/dispatcher_test.go
+++ b/server/dispatcher_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-func TestSelectGoesThroughToANodeAndBack(t *testing.T) {
+// A query and an update each reach a node in one attempt, and the client receives their results.
+func TestQueryAndUpdateRoundTrip(t *testing.T) {
 	r := newRig(t, 2, "")
 	rows, err := r.query(t.Context(), "SELECT * FROM policy /* rows=3000 work_ms=2 */")
 	if err != nil || rows != 3000 {
@@ -12,7 +13,7 @@
 	if err != nil || n != 5 {
 		t.Fatalf("update: %d, %v", n, err)
 	}
-	if seen := len(r.nodes[0].Attempts()) + len(r.nodes[1].Attempts()); seen != 2 {
-		t.Fatalf("nodes saw %d attempts, want 2", seen)
+	if attempts := len(r.nodes[0].Attempts()) + len(r.nodes[1].Attempts()); attempts != 2 {
+		t.Fatalf("nodes received %d attempts, want 2", attempts)
 	}
 }
--- a/server/learned_state_test.go
+++ b/server/learned_state_test.go
@@ -15,7 +15,7 @@
 	"embershunt/trace"
 )
 
-// restart ends the dispatcher in order and starts it at the same address.
+// restart stops the dispatcher, waits for its end and starts another one at the same address.
 func (r *rig) restart() {
 	r.t.Helper()
 	address := r.d.Address()
@@ -24,26 +24,26 @@
 	r.start(address)
 }
 
-// A dispatcher that keeps what it has learned starts with it, and its recording can be replayed all the same; a file that is
-// damaged is passed over.
-func TestAWarmStart(t *testing.T) {
-	folder := t.TempDir()
-	kept, decisions := filepath.Join(folder, "learned"), filepath.Join(folder, "decisions")
-	r := newRig(t, 2, fmt.Sprintf(`, "log": {"learned": %q, "learned_every": "20ms", "decisions": %q}`, kept, decisions))
+// A restarted dispatcher restores the learned state that the previous one wrote, and its recording can still be replayed. A damaged
+// learned state file is ignored: the dispatcher starts without it.
+func TestWarmStart(t *testing.T) {
+	dir := t.TempDir()
+	learnedFile, decisions := filepath.Join(dir, "learned"), filepath.Join(dir, "decisions")
+	r := newRig(t, 2, fmt.Sprintf(`, "log": {"learned": %q, "learned_every": "20ms", "decisions": %q}`, learnedFile, decisions))
 	for i := range 60 {
 		if _, err := r.query(t.Context(), fmt.Sprintf("SELECT %d /* work_ms=5 cost_ms=10 */", i)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	holds := func() bool {
-		text, _ := os.ReadFile(kept)
+	written := func() bool {
+		text, _ := os.ReadFile(learnedFile)
 		return strings.Contains(string(text), `"Name":"lookup"`) && !strings.Contains(string(text), `"Name":"lookup","Mean":{"V":0,"N":0}`)
 	}
-	for begin := time.Now(); !holds() && time.Since(begin) < 5*time.Second; {
-		<-time.After(5 * time.Millisecond) // the file is written by a clock of its own
+	for begin := time.Now(); !written() && time.Since(begin) < 5*time.Second; {
+		<-time.After(5 * time.Millisecond) // the dispatcher writes the file on its own timer
 	}
-	if !holds() {
-		t.Fatal("nothing was kept")
+	if !written() {
+		t.Fatal("no learned state of class lookup was written within 5 s")
 	}
 	r.restart()
 	for range 20 {
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.restart() // so that the recording of the second life is whole
+	r.restart() // completes the recording of the second run and renames it to .old
 	f, err := os.Open(decisions + ".old")
 	if err != nil {
 		t.Fatal(err)
@@ -61,15 +61,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	warm := false
+	restored := false
 	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) {
 		g, err := policy.New(seed, s)
-		return &restoreRecorder{g, &warm}, err
+		return &restoreRecorder{g, &restored}, err
 	})
-	if err != nil || rep.Different != 0 || rep.Damage != nil || !warm {
-		t.Errorf("%+v, %v, started warm: %v", rep, err, warm)
+	if err != nil || rep.Different != 0 || rep.Damage != nil || !restored {
+		t.Errorf("replay: %+v, %v; state restored: %v", rep, err, restored)
 	}
-	if err := os.WriteFile(kept, []byte("{"), 0o600); err != nil {
+	if err := os.WriteFile(learnedFile, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r.restart()
@@ -78,22 +78,23 @@
 	}
 }
 
-// restoreRecorder records that something was restored.
+// restoreRecorder sets *done if a replay restores learned state, fresh and with an estimate of the first class.
 type restoreRecorder struct {
 	*policy.Gateway
 	done *bool
 }
 
-// Recall implements what a replay asks for.
+// Restore implements the optional interface of modules that a replay restores learned state with.
 func (g *restoreRecorder) Restore(l policy.Learned, fresh bool) error {
 	*g.done = len(l.Classes) > 0 && l.Classes[0].Fit[0] > 0 && fresh
 	return g.Gateway.Restore(l, fresh)
 }
 
-// BenchmarkWarmStart compares the first two seconds after a restart, warm and cold in turn: the shares of queries answered
-// within 300 ms at a load of 90% of the nodes, one of which runs at a quarter of its speed, with estimates five times too low.
+// BenchmarkWarmStart compares the first two seconds after a restart with learned state (warm) and without it (cold), in turn. It
+// reports the share of queries answered within 300 ms at a load of 90% of the nodes' capacity, where one node of three runs at a
+// quarter of its speed and the cost hints of queries are five times too low.
 func BenchmarkWarmStart(b *testing.B) {
-	share := map[string][2]int{}
+	counts := map[string][2]int{}
 	for b.Loop() {
 		for _, kind := range []string{"cold", "warm"} {
 			more := ""
@@ -102,7 +103,7 @@
 			}
 			r := newRig(b, 3, more)
 			r.nodes[0].SetFaults(simulated.Faults{Slow: 4})
-			load := func(length time.Duration) (good, all int) {
+			load := func(length time.Duration) (inTime, all int) {
 				var mu sync.Mutex
 				var group sync.WaitGroup
 				t := time.NewTicker(2 * time.Millisecond)
@@ -118,21 +119,21 @@
 						mu.Lock()
 						defer mu.Unlock()
 						if all++; err == nil && time.Since(at) < 300*time.Millisecond {
-							good++
+							inTime++
 						}
 					}()
 				}
 				group.Wait()
-				return good, all
+				return inTime, all
 			}
 			load(4 * time.Second)
 			r.restart()
 			g, a := load(2 * time.Second)
-			s := share[kind]
-			share[kind] = [2]int{s[0] + g, s[1] + a}
+			s := counts[kind]
+			counts[kind] = [2]int{s[0] + g, s[1] + a}
 		}
 	}
-	for kind, s := range share {
+	for kind, s := range counts {
 		b.ReportMetric(float64(s[0])/float64(s[1]), "in-time-"+kind)
 	}
 }
--- a/server/many_dispatchers_test.go
+++ b/server/many_dispatchers_test.go
@@ -20,9 +20,11 @@
 	"embershunt/simulated"
 )
 
-var many = flag.Int("many", 8, "dispatchers in TestManyDispatchers; 140 is the size that is written down")
+var many = flag.Int("many", 8, "dispatchers in TestManyDispatchers; 140 is the documented size; above 100, "+
+	"TestIdleNativeConnections opens 10000 connections instead of 2000")
 
-// Many dispatchers on one control service: every state and reply is right, at each version and with the service gone.
+// Many dispatchers share one control service, half of them with delta streams. After each version, with the service stopped and after
+// its return, every dispatcher has the same set in force and has sent the expected number of ACKs and NACKs.
 func TestManyDispatchers(t *testing.T) {
 	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
@@ -37,74 +39,77 @@
 	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	all, ended := startMany(ctx, t, c)
+	all, ended := startDispatchers(ctx, t, c)
 	defer func() {
 		cancel()
 		for range all.dispatchers {
-			_ = awaitEnd(ended) // its context has ended
+			_ = awaitEnd(ended) // its context was cancelled
 		}
 	}()
-	until(t, c, "all streams up", func() bool { return len(c.Streams()) == *many })
-	put := func(a []*anypb.Any) func() { return func() { c.Put(stream.SettingsName, a...) } }
-	all.everywhere(t, "a good version", 1, 5, 0, put(settings(t, 1, nil)))
-	all.everywhere(t, "a malformed one", 1, 5, 1, put([]*anypb.Any{{TypeUrl: stream.TypeURL(control.Limits), Value: []byte{0xff}}}))
-	all.everywhere(t, "a number used twice", 1, 9, 2, put(settings(t, 1, func(s *control.Set) { s.Limits.Attempts = 2 })))
-	all.everywhere(t, "a good version after them", 2, 14, 2, put(settings(t, 2, nil)))
-	// A list that empties the fleet is refused by every one, and all keep theirs.
+	awaitService(t, c, "a stream of each dispatcher", func() bool { return len(c.Streams()) == *many })
+	put := func(resources []*anypb.Any) func() { return func() { c.Put(stream.SettingsName, resources...) } }
+	all.pushAndAwait(t, "a valid version", 1, 5, 0, put(settings(t, 1, nil)))
+	all.pushAndAwait(t, "a malformed version", 1, 5, 1, put([]*anypb.Any{{TypeUrl: stream.TypeURL(control.Limits), Value: []byte{0xff}}}))
+	all.pushAndAwait(t, "a set number used twice", 1, 9, 2, put(settings(t, 1, func(s *control.Set) { s.Limits.Attempts = 2 })))
+	all.pushAndAwait(t, "a valid version after those", 2, 14, 2, put(settings(t, 2, nil)))
+	// Every dispatcher rejects a node list that would leave it without nodes, and keeps the one before.
 	c.Set(nil, "")
-	until(t, c, "the empty list refused by all", func() bool {
-		refused := map[string]bool{}
+	awaitService(t, c, "a rejection of the empty node list by each dispatcher", func() bool {
+		rejected := map[string]bool{}
 		for _, r := range c.Replies() {
 			if strings.Contains(r.Refused, "floor") {
-				refused[r.Dispatcher] = true
+				rejected[r.Dispatcher] = true
 			}
 		}
-		return len(refused) == *many
+		return len(rejected) == *many
 	})
 	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
-	t.Logf("%d bytes of resources sent in all, %d a dispatcher", c.Bytes(), c.Bytes() / *many)
+	t.Logf("resources sent: %d bytes in total, %d bytes per dispatcher", c.Bytes(), c.Bytes() / *many)
 	c.Stop()
 	for _, d := range all.dispatchers {
 		if s, _ := d.ControlStatus(); s.Number != 2 {
-			t.Errorf("with the service gone: set %d", s.Number)
+			t.Errorf("with the service stopped, set %d is in force, want 2", s.Number)
 		}
 	}
-	<-time.After(1200 * time.Millisecond) // so long out of reach that every wait is at its bound
+	<-time.After(1200 * time.Millisecond) // with reconnect_most 500ms, every backoff has reached its limit by then
 	begin, before := time.Now(), len(c.Streams())
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
-	all.everywhere(t, "the service back", 2, 19, 2, func() {})
-	var back []time.Duration
+	all.pushAndAwait(t, "the service is back", 2, 19, 2, func() {})
+	var reconnects []time.Duration // after the service's return
 	for _, at := range c.Streams()[before:] {
-		back = append(back, at.Sub(begin))
+		reconnects = append(reconnects, at.Sub(begin))
 	}
-	slices.Sort(back)
-	peak := 0
-	for i := range back {
-		n, _ := slices.BinarySearch(back, back[i]+50*time.Millisecond)
+	slices.Sort(reconnects)
+	peak := 0 // most reconnects within 50 ms
+	for i := range reconnects {
+		n, _ := slices.BinarySearch(reconnects, reconnects[i]+50*time.Millisecond)
 		peak = max(peak, n-i)
 	}
-	t.Logf("reconnects: %d over %v, at most %d within 50 ms", len(back), (back[len(back)-1] - back[0]).Round(time.Millisecond), peak)
+	t.Logf("reconnects: %d over %v, at most %d within 50 ms", len(reconnects),
+		(reconnects[len(reconnects)-1] - reconnects[0]).Round(time.Millisecond), peak)
 }
 
-// manyDispatchers are the dispatchers of one control service.
+// manyDispatchers are the dispatchers of one control service, named d0, d1 and so on.
 type manyDispatchers struct {
 	control     *simulated.Control
 	dispatchers []*server.Dispatcher
 }
 
-// startMany runs the dispatchers until ctx ends, which each reports on the channel; half of them ask for changes alone.
-func startMany(ctx context.Context, t *testing.T, c *simulated.Control) (*manyDispatchers, <-chan error) {
+// startDispatchers runs the dispatchers until ctx ends. Each sends the result of its Run on the channel. Every second one uses the delta
+// variant of the protocol.
+func startDispatchers(ctx context.Context, t *testing.T, c *simulated.Control) (*manyDispatchers, <-chan error) {
 	t.Helper()
 	all := &manyDispatchers{control: c}
 	ended := make(chan error, *many)
-	folder := t.TempDir()
+	dir := t.TempDir()
 	for i := range *many {
 		cfg, err := config.Parse("many", fmt.Appendf(nil, `{"name": "d%d", "any_user": true, "listen": {"flightsql": "127.0.0.1:0"},
-			"dispatchers": %d, "number": %d, "kinds": [{"name": "k", "cores": 8}], "classes": [{"name": "lookup", "aim": "1s", "deadline": "2s"}],
+			"dispatchers": %d, "number": %d, "kinds": [{"name": "k", "cores": 8}],
+			"classes": [{"name": "lookup", "aim": "1s", "deadline": "2s"}],
 			"control": {"address": %q, "cluster": "nodes", "store": %q, "delta": %v, "reconnect_most": "500ms"}}`, i, *many, i, c.Address(),
-			filepath.Join(folder, fmt.Sprint(i)), i%2 == 1))
+			filepath.Join(dir, fmt.Sprint(i)), i%2 == 1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -118,43 +123,43 @@
 	return all, ended
 }
 
-// awaitReplies counts the ACKs, or the NACKs, of settings by dispatcher.
-func (m *manyDispatchers) replies(refused bool) map[string]int {
+// countReplies returns the number of ACKs, or of NACKs, to settings by dispatcher. Replies to node lists are not counted.
+func (m *manyDispatchers) countReplies(nacks bool) map[string]int {
 	out := map[string]int{}
 	for _, r := range m.control.Replies() {
-		if (r.Refused != "") == refused && r.Type != stream.TypeURL(control.Nodes) {
+		if (r.Refused != "") == nacks && r.Type != stream.TypeURL(control.Nodes) {
 			out[r.Dispatcher]++
 		}
 	}
 	return out
 }
 
-// agree says whether every dispatcher has a set in force and has replied so often in all.
+// agree reports whether every dispatcher has the set with this number in force and has sent acks ACKs and nacks NACKs to settings so far.
 func (m *manyDispatchers) agree(number uint64, acks, nacks int) bool {
-	a, n := m.replies(false), m.replies(true)
+	ackCounts, nackCounts := m.countReplies(false), m.countReplies(true)
 	for i, d := range m.dispatchers {
 		if s, _ := d.ControlStatus(); s.Number != number {
 			return false
 		}
-		if name := fmt.Sprintf("d%d", i); a[name] != acks || n[name] != nacks {
+		if name := fmt.Sprintf("d%d", i); ackCounts[name] != acks || nackCounts[name] != nacks {
 			return false
 		}
 	}
 	return true
 }
 
-// everywhere pushes something and waits until all dispatchers agree.
-func (m *manyDispatchers) everywhere(t *testing.T, what string, number uint64, acks, nacks int, push func()) {
+// pushAndAwait calls push, waits until all dispatchers agree, and logs how long it took.
+func (m *manyDispatchers) pushAndAwait(t *testing.T, what string, number uint64, acks, nacks int, push func()) {
 	t.Helper()
 	begin, before := time.Now(), len(m.control.Replies())
 	push()
-	until(t, m.control, what, func() bool { return m.agree(number, acks, nacks) })
+	awaitService(t, m.control, what, func() bool { return m.agree(number, acks, nacks) })
 	last := begin
 	for _, r := range m.control.Replies()[before:] {
 		if r.At.After(last) {
 			last = r.At
 		}
 	}
-	t.Logf("%-28s set %d in force at all %d, %d ACKs and %d NACKs each so far; push to last reply %v", what, number, len(m.dispatchers),
-		acks, nacks, last.Sub(begin).Round(time.Millisecond))
+	t.Logf("%-28s set %d in force at all %d dispatchers, %d ACKs and %d NACKs each so far; %v from push to last reply",
+		what, number, len(m.dispatchers), acks, nacks, last.Sub(begin).Round(time.Millisecond))
 }
--- a/server/recording_test.go
+++ b/server/recording_test.go
@@ -12,7 +12,7 @@
 	"embershunt/trace"
 )
 
-// What a dispatcher decided under load, with nodes failing, is decided again by the same build.
+// The decisions recorded under load, with a node that fails half of its queries, are reproduced by a replay with the same build.
 func TestDecisionsAreRecordedAndReplayed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "decisions")
 	r := newRig(t, 3, fmt.Sprintf(`, "log": {"decisions": %q}`, file))
@@ -23,7 +23,7 @@
 		go func() {
 			defer group.Done()
 			for range 20 {
-				_, _ = r.query(t.Context(), "SELECT 1 /* rows=2 work_ms=3 cost_ms=3 */") // some may be refused: the decisions count
+				_, _ = r.query(t.Context(), "SELECT 1 /* rows=2 work_ms=3 cost_ms=3 */") // may be rejected: only the recording is checked
 			}
 		}()
 	}
@@ -41,9 +41,9 @@
 	}
 	rep, err := trace.Replay(src, func(seed uint64, s policy.Settings) (trace.Module, error) { return policy.New(seed, s) })
 	if err != nil || rep.Different != 0 || rep.Damage != nil || rep.Dropped != 0 || rep.Events < 800 || rep.Actions < 400 {
-		t.Errorf("%+v, %v", rep, err)
+		t.Errorf("replay: %+v, %v", rep, err)
 	}
 	if rep.First != nil {
-		t.Errorf("%+v", *rep.First)
+		t.Errorf("first difference: %+v", *rep.First)
 	}
 }
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -23,17 +23,18 @@
 	"embershunt/simulated"
 )
 
-// rig is a dispatcher with stand-in nodes on loopback.
+// rig runs a dispatcher in front of simulated nodes on loopback.
 type rig struct {
 	t      testing.TB
 	cfg    *config.Config
 	d      *server.Dispatcher
 	nodes  []*simulated.Node
 	client *flightsql.Client
-	ended  chan error
-	cancel context.CancelFunc
+	ended  chan error         // receives the result of each Run
+	cancel context.CancelFunc // ends the current Run
 }
 
+// rigConfig is a format string: classes put first, the node list, further settings.
 const rigConfig = `{
   "listen": {"flightsql": "127.0.0.1:0", "native": "127.0.0.1:0"},
   "classes": [%s
@@ -44,13 +45,14 @@
   "nodes": %s %s
 }`
 
-// newRig starts everything; more is put into the configuration.
+// newRig starts nodes, a dispatcher that lists them, and a client. more is appended to the configuration.
 func newRig(t testing.TB, nodes int, more string) *rig {
 	t.Helper()
 	return newRigWith(t, nodes, func(rows string) string { return `{"list": [` + rows + `]}` }, more)
 }
 
-// newRigWith has its node list from where source says, given the rows of a list.
+// newRigWith is newRig with a node list setting of the caller: source returns it, given the rows of all nodes as JSON. classes are put
+// in front of the classes of rigConfig. Nodes have 64 cores if more contains "large" as a JSON string, else 8.
 func newRigWith(t testing.TB, nodes int, source func(rows string) string, more string, classes ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, ended: make(chan error, 1)}
@@ -82,17 +84,17 @@
 	t.Cleanup(func() {
 		closeQuietly(r.client)
 		r.cancel()
-		_ = awaitEnd(r.ended) // its context has ended
+		_ = awaitEnd(r.ended) // its context was cancelled
 	})
 	return r
 }
 
-// start runs a dispatcher, at an address if one is given.
+// start starts a dispatcher. With an address it waits for the end of the previous one and serves Flight SQL at that address.
 func (r *rig) start(address string) {
 	r.t.Helper()
 	if address != "" {
 		r.cfg.File.Listen.FlightSQL = address
-		_ = awaitEnd(r.ended) // of the one before
+		_ = awaitEnd(r.ended) // of the previous dispatcher
 	}
 	var err error
 	if r.d, err = server.New(r.cfg, server.Options{Seed: 7}); err != nil {
@@ -103,12 +105,13 @@
 	go func() { r.ended <- r.d.Run(ctx) }()
 }
 
-// closeQuietly closes what a test is done with, or breaks on purpose: the error says nothing about what it checks.
+// closeQuietly closes c and ignores the error: the test has finished with c, or closes it in order to break it.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// awaitEnd waits for the end of what a test has stopped and returns its error, which most tests ignore.
+// awaitEnd waits until a stopped server or dispatcher has ended and returns its error, which most tests ignore.
 func awaitEnd(ended <-chan error) error { return <-ended }
 
+// hashOf returns the bcrypt hash of a password, at the lowest cost.
 func hashOf(t testing.TB, password string) string {
 	h, err := bcrypt.GenerateFromPassword([]byte(password), bcrypt.MinCost)
 	if err != nil {
@@ -117,8 +120,9 @@
 	return string(h)
 }
 
+// connect returns a new Flight SQL client of the dispatcher. Its calls wait while the dispatcher restarts; without WaitForReady they would
+// fail at once.
 func (r *rig) connect() *flightsql.Client {
-	// A dispatcher that was started again is waited for: a call that finds it down would fail at once.
 	c, err := flightsql.NewClient(r.d.Address(), nil, nil, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: time.Second, Backoff: backoff.Config{BaseDelay: 10 * time.Millisecond,
 			Multiplier: 1.5, MaxDelay: 100 * time.Millisecond}}),
@@ -129,7 +133,7 @@
 	return c
 }
 
-// listAllNodes sets the node list as the nodes are now; change may alter a row.
+// listAllNodes sets a node list of all nodes at their current addresses; change, unless it is nil, may alter each row.
 func (r *rig) listAllNodes(change func(i int, n *nodelist.Node)) {
 	rows := make([]nodelist.Node, len(r.nodes))
 	for i, n := range r.nodes {
@@ -143,7 +147,7 @@
 	}
 }
 
-// query runs one statement and counts its rows.
+// query runs one statement and returns the number of rows received.
 func (r *rig) query(ctx context.Context, statement string) (rows int64, err error) {
 	info, err := r.client.Execute(ctx, statement)
 	if err != nil {
@@ -160,7 +164,8 @@
 	return rows, reader.Err()
 }
 
-// outcomeOf is the mark of an answer: final and reason of its ErrorInfo.
+// outcomeOf describes the outcome of a query: "served", or else "FINAL REASON" from the error's ErrorInfo, its gRPC code if it has no
+// ErrorInfo, or its text if it is no gRPC error.
 func outcomeOf(err error) string {
 	if err == nil {
 		return "served"
@@ -170,13 +175,14 @@
 		return err.Error()
 	}
 	for _, d := range s.GRPCStatus().Details() {
-		if i, ok := d.(*errdetails.ErrorInfo); ok {
-			return i.GetMetadata()["final"] + " " + i.GetReason()
+		if info, ok := d.(*errdetails.ErrorInfo); ok {
+			return info.GetMetadata()["final"] + " " + info.GetReason()
 		}
 	}
 	return s.GRPCStatus().Code().String()
 }
 
+// hasRetryDelay reports whether an error carries a RetryInfo with a positive delay.
 func hasRetryDelay(err error) bool {
 	for _, d := range status.Convert(err).Details() {
 		if r, ok := d.(*errdetails.RetryInfo); ok {
--- a/server/stall_test.go
+++ b/server/stall_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// deadlineGuard is how long before a deadline the policy ends an attempt, so that the final answer is given in time. A
-// process that does not run for longer than this around that moment answers DEADLINE in place of the attempt's end.
+// deadlineGuard is the time before a deadline at which the policy ends an attempt, so that the final answer arrives in time. If the
+// process is not scheduled for longer than this around that moment, the answer is DEADLINE instead of the attempt's result.
 const deadlineGuard = 40 * time.Millisecond
 
-// watchStalls measures how long this process did not run, as on a machine that is too busy, until the test ends. The
-// function that it returns has the longest time since its last call, an interval of the measurement too long at most.
+// watchStalls measures until the test ends for how long this process is not scheduled, as on an overloaded machine. The returned
+// function returns the longest such time since its previous call; it may be too long by one measurement interval (5 ms).
 func watchStalls(t *testing.T) (longest func() time.Duration) {
 	const interval = 5 * time.Millisecond
-	var gap atomic.Int64
+	var longestGap atomic.Int64 // nanoseconds
 	stop, done := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(done)
@@ -28,12 +28,12 @@
 			case <-ticker.C:
 			}
 			now := time.Now()
-			if d := int64(now.Sub(last)); d > gap.Load() {
-				gap.Store(d)
+			if d := int64(now.Sub(last)); d > longestGap.Load() {
+				longestGap.Store(d)
 			}
 			last = now
 		}
 	}()
 	t.Cleanup(func() { close(stop); <-done })
-	return func() time.Duration { return time.Duration(gap.Swap(0)) }
+	return func() time.Duration { return time.Duration(longestGap.Swap(0)) }
 }
