--- a/server/control_service_test.go
+++ b/server/control_service_test.go
@@ -21,16 +21,17 @@
 	"embershunt/simulated"
 )
 
-// scriptedControl is a control service that a test plays response by response.
+// scriptedControl is a control service whose responses a test sends one by one.
 type scriptedControl struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	t        testing.TB
 	address  string
 	requests chan *discoveryv3.DiscoveryRequest
 	send     chan *discoveryv3.DiscoveryResponse
-	serial   int
+	nonces   int // number of nonces used
 }
 
+// newScriptedControl starts a service on loopback; it is stopped when the test ends.
 func newScriptedControl(t testing.TB) *scriptedControl {
 	h := &scriptedControl{t: t, requests: make(chan *discoveryv3.DiscoveryRequest, 100), send: make(chan *discoveryv3.DiscoveryResponse)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +47,7 @@
 	return h
 }
 
-// StreamAggregatedResources implements the service.
+// StreamAggregatedResources implements the discovery service: it passes requests to h.requests and responses from h.send.
 func (h *scriptedControl) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	go func() {
 		for {
@@ -69,197 +70,201 @@
 	}
 }
 
-// awaitRequests waits until the node list and all settings were asked for.
+// awaitRequests receives the first requests of a stream: one for the node list and one for each of the five resources of the settings.
 func (h *scriptedControl) awaitRequests() {
 	h.t.Helper()
 	for range 6 {
 		if r := h.nextRequest(); r.GetResponseNonce() != "" {
-			h.t.Fatalf("a reply to %s before a response", r.GetResponseNonce())
+			h.t.Fatalf("reply to nonce %q, want a first request", r.GetResponseNonce())
 		}
 	}
 }
 
+// nextRequest receives the next request, which may be a reply. It fails the test after 5 s.
 func (h *scriptedControl) nextRequest() *discoveryv3.DiscoveryRequest {
 	h.t.Helper()
 	select {
 	case r := <-h.requests:
 		return r
 	case <-time.After(5 * time.Second):
-		h.t.Fatal("no request in 5 s")
+		h.t.Fatal("no request from the dispatcher within 5 s")
 		return nil
 	}
 }
 
-// offer sends a response with a fresh nonce.
+// offer sends a response with a new nonce, which it returns.
 func (h *scriptedControl) offer(url, version string, resources ...*anypb.Any) (nonce string) {
-	h.serial++
-	nonce = fmt.Sprintf("n%d", h.serial)
-	h.repeat(url, version, nonce, resources...)
+	h.nonces++
+	nonce = fmt.Sprintf("n%d", h.nonces)
+	h.offerWithNonce(url, version, nonce, resources...)
 	return nonce
 }
 
-func (h *scriptedControl) repeat(url, version, nonce string, resources ...*anypb.Any) {
+// offerWithNonce sends a response with a nonce of the caller, which may have been used before.
+func (h *scriptedControl) offerWithNonce(url, version, nonce string, resources ...*anypb.Any) {
 	h.send <- &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: url, Resources: resources}
 }
 
-// offerAll offers a whole set.
+// offerAll sends a response for each resource of a set.
 func (h *scriptedControl) offerAll(resources []*anypb.Any) {
 	for _, a := range resources {
 		h.offer(a.GetTypeUrl(), "v", a)
 	}
 }
 
-// awaitReplies waits for so many replies that all take, or all refuse for the reason.
+// awaitReplies receives n replies and checks that each is an ACK, or with a reason that each is a NACK whose message contains it.
 func (h *scriptedControl) awaitReplies(n int, reason string) {
 	h.t.Helper()
 	for range n {
 		r := h.nextRequest()
-		if got := r.GetErrorDetail().GetMessage(); r.GetResponseNonce() == "" || (reason == "") != (got == "") || !strings.Contains(got, reason) {
-			h.t.Fatalf("reply to %q of %s: %q, want %q", r.GetResponseNonce(), r.GetTypeUrl(), got, reason)
+		if got := r.GetErrorDetail().GetMessage(); r.GetResponseNonce() == "" || (reason == "") != (got == "") ||
+			!strings.Contains(got, reason) {
+			h.t.Fatalf("reply to nonce %q of %s: rejected with %q, want %q", r.GetResponseNonce(), r.GetTypeUrl(), got, reason)
 		}
 	}
 }
 
-// checkNoReply checks that no reply is on its way: the next one is to a response that is sent now.
+// checkNoReply checks that no reply to earlier responses is pending: the next reply is to a node list that is sent now.
 func (h *scriptedControl) checkNoReply(nodes *anypb.Any) {
 	h.t.Helper()
 	nonce := h.offer(stream.TypeURL(control.Nodes), "quiet", nodes)
 	if r := h.nextRequest(); r.GetResponseNonce() != nonce {
-		h.t.Fatalf("a reply to %q, want none before that to %q", r.GetResponseNonce(), nonce)
+		h.t.Fatalf("reply to nonce %q, want none before the reply to %q", r.GetResponseNonce(), nonce)
 	}
 }
 
-// A control service on its bad days, over real sockets, response by response.
-func TestServicesOnBadDays(t *testing.T) {
+// Faults of a control service and of the connection to it, over real sockets: repeated, malformed and contradictory responses, outdated
+// lists, lost and slow streams. Each is answered as specified, and queries are served after it.
+func TestControlServiceFaults(t *testing.T) {
 	url := stream.TypeURL(control.Nodes)
-	type place struct {
+	type env struct {
 		*testing.T
 		*scriptedControl
 		r     *rig
-		relay *simulated.Relay
-		nodes func(draining string) *anypb.Any // the list, with one node draining
+		relay *simulated.Relay                 // between the dispatcher and the service
+		nodes func(draining string) *anypb.Any // list of all nodes, where the named one drains; "": none does
 	}
 	cases := []struct {
 		name string
-		play func(p place)
+		run  func(e env)
 	}{
-		{"a nonce is repeated", func(p place) {
-			whole := settings(p.T, 1, nil)
-			p.offerAll(whole)
-			p.awaitReplies(5, "")
-			p.repeat(whole[0].GetTypeUrl(), "v", "n2", whole[0])
-			p.awaitReplies(1, "") // taken as what it is: in force
-			p.repeat(url, "v", "n1", p.nodes(""))
-			p.awaitReplies(1, "")
+		{"a nonce is repeated", func(e env) {
+			whole := settings(e.T, 1, nil)
+			e.offerAll(whole)
+			e.awaitReplies(5, "")
+			e.offerWithNonce(whole[0].GetTypeUrl(), "v", "n2", whole[0])
+			e.awaitReplies(1, "") // acknowledged: it repeats the set in force
+			e.offerWithNonce(url, "v", "n1", e.nodes(""))
+			e.awaitReplies(1, "")
 		}},
-		{"a type that nobody asked for", func(p place) {
-			p.offer("type.googleapis.com/envoy.config.cluster.v3.Cluster", "1", &anypb.Any{TypeUrl: "x", Value: []byte{1}})
-			p.checkNoReply(p.nodes(""))
+		{"a resource type that was not requested", func(e env) {
+			e.offer("type.googleapis.com/envoy.config.cluster.v3.Cluster", "1", &anypb.Any{TypeUrl: "x", Value: []byte{1}})
+			e.checkNoReply(e.nodes(""))
 		}},
-		{"a resource is missing", func(p place) {
-			p.offer(stream.TypeURL(control.Limits), "1")
-			p.awaitReplies(1, "0 resources")
-			p.offer(url, "2")
-			p.awaitReplies(1, `cluster "nodes" is not in the response`)
+		{"a resource is missing", func(e env) {
+			e.offer(stream.TypeURL(control.Limits), "1")
+			e.awaitReplies(1, "0 resources")
+			e.offer(url, "2")
+			e.awaitReplies(1, `cluster "nodes" is not in the response`)
 		}},
-		{"a good and a bad resource in one response", func(p place) {
-			p.offer(url, "2", p.nodes("node-0"), &anypb.Any{TypeUrl: url, Value: []byte{0xff}})
-			p.awaitReplies(1, "resource 1")
-			good := settings(p.T, 1, nil)
-			p.offer(good[0].GetTypeUrl(), "2", good[0], good[1])
-			p.awaitReplies(1, "2 resources")
+		{"a valid and a malformed resource in one response", func(e env) {
+			e.offer(url, "2", e.nodes("node-0"), &anypb.Any{TypeUrl: url, Value: []byte{0xff}})
+			e.awaitReplies(1, "resource 1")
+			good := settings(e.T, 1, nil)
+			e.offer(good[0].GetTypeUrl(), "2", good[0], good[1])
+			e.awaitReplies(1, "2 resources")
 		}},
-		{"a resource of another type than the response", func(p place) {
-			p.offer(url, "2", settings(p.T, 1, nil)[0])
-			p.awaitReplies(1, "resource 0")
+		{"a resource of another type than the response", func(e env) {
+			e.offer(url, "2", settings(e.T, 1, nil)[0])
+			e.awaitReplies(1, "resource 0")
 		}},
-		{"a wrong number", func(p place) {
-			p.offerAll(settings(p.T, 5, nil))
-			p.awaitReplies(5, "")
-			p.offerAll(settings(p.T, 4, nil))
-			p.awaitReplies(5, "older than 5")
-			p.offer(stream.TypeURL(control.Tenants), "v", settings(p.T, 0, nil)[1])
-			p.awaitReplies(1, "set is 0")
+		{"a set number that is older or zero", func(e env) {
+			e.offerAll(settings(e.T, 5, nil))
+			e.awaitReplies(5, "")
+			e.offerAll(settings(e.T, 4, nil))
+			e.awaitReplies(5, "older than 5")
+			e.offer(stream.TypeURL(control.Tenants), "v", settings(e.T, 0, nil)[1])
+			e.awaitReplies(1, "set is 0")
 		}},
-		{"two services disagree on a set", func(p place) {
-			p.offerAll(settings(p.T, 1, nil))
-			p.awaitReplies(5, "")
-			other := newScriptedControl(p.T)
-			p.relay.Redirect(other.address)
+		{"two services disagree on a set", func(e env) {
+			e.offerAll(settings(e.T, 1, nil))
+			e.awaitReplies(5, "")
+			other := newScriptedControl(e.T)
+			e.relay.Redirect(other.address)
 			other.awaitRequests()
-			other.offerAll(settings(p.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
-			other.awaitReplies(2, "") // the same in both
+			other.offerAll(settings(e.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
+			other.awaitReplies(2, "") // these two resources are the same in both sets
 			other.awaitReplies(1, "two services disagree")
 			other.awaitReplies(2, "")
 		}},
-		{"two services disagree on a node", func(p place) {
-			p.offer(url, "2", p.nodes("node-0"))
-			p.awaitReplies(1, "")
-			other := newScriptedControl(p.T)
-			p.relay.Redirect(other.address)
+		{"two services disagree on a node", func(e env) {
+			e.offer(url, "2", e.nodes("node-0"))
+			e.awaitReplies(1, "")
+			other := newScriptedControl(e.T)
+			e.relay.Redirect(other.address)
 			other.awaitRequests()
-			other.offer(url, "9", p.nodes(""))
+			other.offer(url, "9", e.nodes(""))
 			other.awaitReplies(1, "relisted")
-			other.offer(url, "10", p.nodes("node-1"))
-			other.awaitReplies(1, "relisted") // and its word on a drain is believed all the same
+			other.offer(url, "10", e.nodes("node-1"))
+			other.awaitReplies(1, "relisted") // the drain of node-1 is accepted nevertheless
 		}},
-		{"a drain races with an older list", func(p place) {
-			p.offer(url, "2", p.nodes("node-0"))
-			p.offer(url, "1", p.nodes(""))
-			p.awaitReplies(1, "")
-			p.awaitReplies(1, "relisted")
-			before := len(p.r.nodes[0].Attempts())
+		{"an older list follows a drain", func(e env) {
+			e.offer(url, "2", e.nodes("node-0"))
+			e.offer(url, "1", e.nodes(""))
+			e.awaitReplies(1, "")
+			e.awaitReplies(1, "relisted")
+			before := len(e.r.nodes[0].Attempts())
 			for range 20 {
-				if _, err := p.r.query(p.Context(), "SELECT 1 /* rows=1 */"); err != nil {
-					p.Fatal(err)
+				if _, err := e.r.query(e.Context(), "SELECT 1 /* rows=1 */"); err != nil {
+					e.Fatal(err)
 				}
 			}
-			if n := len(p.r.nodes[0].Attempts()) - before; n > 0 {
-				p.Errorf("the node that drains was sent %d", n)
+			if n := len(e.r.nodes[0].Attempts()) - before; n > 0 {
+				e.Errorf("the draining node received %d attempts, want none", n)
 			}
 		}},
-		{"let go by an operator", func(p place) {
-			p.offerAll(settings(p.T, 1, nil))
-			p.awaitReplies(5, "")
-			p.r.operate("/config/pin?on=true")
-			p.offerAll(settings(p.T, 2, nil))
-			p.awaitReplies(5, "pinned")
-			p.r.operate("/config/pin?on=false")
-			p.awaitRequests() // on a new stream, at once, so that set 2 is offered again
-			p.offerAll(settings(p.T, 2, nil))
-			p.awaitReplies(5, "")
+		{"unpinned by an operator", func(e env) {
+			e.offerAll(settings(e.T, 1, nil))
+			e.awaitReplies(5, "")
+			e.r.postAdmin("/config/pin?on=true")
+			e.offerAll(settings(e.T, 2, nil))
+			e.awaitReplies(5, "pinned")
+			e.r.postAdmin("/config/pin?on=false")
+			e.awaitRequests() // a new stream is opened at once, so that the service sends set 2 again
+			e.offerAll(settings(e.T, 2, nil))
+			e.awaitReplies(5, "")
 		}},
-		{"lost in the middle of a response", func(p place) {
-			spent := p.relay.CutAfter(40 << 10)
-			set := settings(p.T, 1, func(s *control.Set) { manyRules(s, 200) })
-			for _, a := range set[:4] {
-				p.offer(a.GetTypeUrl(), "v", a)
+		{"the connection breaks in the middle of a response", func(e env) {
+			limitReached := e.relay.CutAfter(40 << 10)
+			set := settings(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
+			for _, a := range set[:4] { // the fourth, with the rules, is larger than 40 KiB
+				e.offer(a.GetTypeUrl(), "v", a)
 			}
-			<-spent
-			if s, _ := p.r.d.ControlStatus(); s.Number != 0 {
-				p.Errorf("set %d is in force", s.Number)
+			<-limitReached
+			if s, _ := e.r.d.ControlStatus(); s.Number != 0 {
+				e.Errorf("set %d is in force after a part of set 1, want none", s.Number)
 			}
-			p.awaitRequests()
-			p.offerAll(set)
-			p.awaitReplies(5, "")
+			e.awaitRequests()
+			e.offerAll(set)
+			e.awaitReplies(5, "")
 		}},
-		{"a response that trickles in", func(p place) {
-			spent := p.relay.HoldAfter(40 << 10)
-			set := settings(p.T, 1, func(s *control.Set) { manyRules(s, 200) })
+		{"a response stalls in the middle", func(e env) {
+			limitReached := e.relay.HoldAfter(40 << 10)
+			set := settings(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
 			sent := make(chan struct{})
-			go func() { p.offerAll(set); close(sent) }()
-			<-spent
+			go func() { e.offerAll(set); close(sent) }()
+			<-limitReached
 			for range 5 {
-				if _, err := p.r.query(p.Context(), "SELECT 1 /* rows=1 */"); err != nil {
-					p.Error(err)
+				if _, err := e.r.query(e.Context(), "SELECT 1 /* rows=1 */"); err != nil {
+					e.Error(err)
 				}
 			}
-			if s, _ := p.r.d.ControlStatus(); s.Number != 0 {
-				p.Errorf("set %d is in force before it is there", s.Number)
+			if s, _ := e.r.d.ControlStatus(); s.Number != 0 {
+				e.Errorf("set %d is in force before all of set 1 was received, want none", s.Number)
 			}
-			p.relay.Release()
+			e.relay.Release()
 			<-sent
-			p.awaitReplies(5, "")
+			e.awaitReplies(5, "")
 		}},
 	}
 	for _, c := range cases {
@@ -286,28 +291,28 @@
 			h.awaitRequests()
 			h.offer(url, "1", nodes(""))
 			h.awaitReplies(1, "")
-			c.play(place{t, h, r, relay, nodes})
+			c.run(env{t, h, r, relay, nodes})
 			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 			defer cancel()
 			if _, err := r.query(ctx, "SELECT 1 /* rows=1 */"); err != nil {
-				t.Error("after it: ", err)
+				t.Error("query after the fault: ", err)
 			}
 		})
 	}
 }
 
-// operate does as an operator asks.
-func (r *rig) operate(path string) {
+// postAdmin sends a POST request of an operator to the admin interface and checks that it succeeds.
+func (r *rig) postAdmin(path string) {
 	r.t.Helper()
 	w := httptest.NewRecorder()
 	r.d.AdminHandler().ServeHTTP(w, httptest.NewRequest("POST", path, nil))
 	if w.Code != 200 {
-		r.t.Fatal(path, ": ", w.Body)
+		r.t.Fatal("POST ", path, ": ", w.Body)
 	}
 }
 
-// manyRules makes a set's rules large.
-func manyRules(s *control.Set, rules int) {
+// addLargeRules appends rules of more than 400 bytes each to a set.
+func addLargeRules(s *control.Set, rules int) {
 	for i := range rules {
 		s.Classification.Rules = append(s.Classification.Rules, &configv1.Rule{Name: fmt.Sprintf("rule-%d", i), Class: "lookup",
 			Statement: "^SELECT " + strings.Repeat("x", 400) + fmt.Sprint(i)})
--- a/server/control_store_test.go
+++ b/server/control_store_test.go
@@ -61,7 +61,7 @@
 	}
 	address := r.d.Address()
 	r.cancel()
-	r.ended <- <-r.ended
+	r.ended <- <-r.ended // waits; start receives the result again
 	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -189,7 +189,7 @@
 			served("SELECT 1 /* class=report */")
 			address := r.d.Address()
 			r.cancel()
-			r.ended <- <-r.ended
+			r.ended <- <-r.ended // waits; start receives the result again
 			r.start(address)
 			if got := number(); got != 4 {
 				t.Errorf("restarted in set %d, want 4", got)
--- a/server/flight_bench_test.go
+++ b/server/flight_bench_test.go
@@ -22,7 +22,8 @@
 	"embershunt/simulated"
 )
 
-// byteProxy passes every call on to one node, unopened: the least that anything between a client and a node can do.
+// byteProxy starts a proxy that forwards every call to one node without decoding its messages, and returns its address. It is the lower
+// bound of what a process between client and node costs.
 func byteProxy(b *testing.B, node string) string {
 	conn, err := grpc.NewClient("passthrough:///"+node, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodecV2(flightwire.Codec{}), grpc.MaxCallRecvMsgSize(64<<20)))
@@ -44,10 +45,10 @@
 			} else if err != nil {
 				return err
 			}
-			_ = c.SendMsg(&f) // RecvMsg has the error
+			_ = c.SendMsg(&f) // RecvMsg returns the error
 			f.Free()
 		}
-		_ = c.CloseSend() // RecvMsg has the error
+		_ = c.CloseSend() // RecvMsg returns the error
 		for {
 			if err := c.RecvMsg(&f); errors.Is(err, io.EOF) {
 				return nil
@@ -65,13 +66,13 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	go func() { _ = server.Serve(l) }() // it ends with Stop
+	go func() { _ = server.Serve(l) }() // ends with server.Stop
 	b.Cleanup(func() { server.Stop(); closeQuietly(conn) })
 	return l.Addr().String()
 }
 
-// paths are three ways from one client to one node.
-func paths(b *testing.B) map[string]*flightsql.Client {
+// newPathClients returns a client for each of three paths to one node: "direct", through "proxy" (byteProxy) and through "dispatcher".
+func newPathClients(b *testing.B) map[string]*flightsql.Client {
 	r := newRig(b, 1, `, "name": "large"`)
 	out := map[string]*flightsql.Client{}
 	for name, address := range map[string]string{"direct": r.nodes[0].Address, "proxy": byteProxy(b, r.nodes[0].Address),
@@ -87,6 +88,7 @@
 	return out
 }
 
+// runQuery runs a statement and reads its whole answer.
 func runQuery(b *testing.B, c *flightsql.Client, statement string) {
 	info, err := c.Execute(context.Background(), statement)
 	if err != nil {
@@ -106,18 +108,18 @@
 	reader.Release()
 }
 
-const small = "SELECT 1 /* work_ms=0 rows=10 cost_ms=1 */"
+const smallQuery = "SELECT 1 /* work_ms=0 rows=10 cost_ms=1 */"
 
-// BenchmarkSmall compares small queries, 8 at a time: an iteration is 64 queries on each path in turn. Reported are
-// throughput as a share of the proxy's and of the direct way's, and the median time of one query alone.
+// BenchmarkSmall compares the throughput of small queries, 8 at a time: an iteration is 64 queries on each path in turn. It reports the
+// dispatcher's throughput as a share of the proxy's and of the direct path's.
 func BenchmarkSmall(b *testing.B) {
-	p := paths(b)
-	throughput(b, 8, func(name string, _ int) { runQuery(b, p[name], small) })
+	clients := newPathClients(b)
+	reportThroughput(b, 8, func(name string, _ int) { runQuery(b, clients[name], smallQuery) })
 }
 
-// throughput runs batches of 8 queries of each worker on each path in turn, and reports the dispatcher's as a share of the
-// proxy's and of the direct way's.
-func throughput(b *testing.B, workers int, query func(path string, worker int)) {
+// reportThroughput runs 8 queries of each worker on each path in turn, and reports the dispatcher's throughput as a share of the proxy's
+// and of the direct path's.
+func reportThroughput(b *testing.B, workers int, query func(path string, worker int)) {
 	took := map[string]time.Duration{}
 	round := func() {
 		for _, name := range []string{"direct", "proxy", "dispatcher"} {
@@ -136,7 +138,7 @@
 			took[name] += time.Since(begin)
 		}
 	}
-	round() // connections come up
+	round() // opens the connections; not counted
 	clear(took)
 	for b.Loop() {
 		round()
@@ -145,8 +147,9 @@
 	b.ReportMetric(float64(took["direct"])/float64(took["dispatcher"]), "of-direct")
 }
 
-// alone reports the median time of one query at a time, path by path in turn.
-func alone(b *testing.B, query func(path string)) {
+// reportSequentialLatency runs one query at a time, on each path in turn, and reports the median latency of the direct path and the
+// dispatcher's excess over proxy and direct path, in microseconds.
+func reportSequentialLatency(b *testing.B, query func(path string)) {
 	times := map[string][]time.Duration{}
 	for b.Loop() {
 		for _, name := range []string{"direct", "proxy", "dispatcher"} {
@@ -164,22 +167,22 @@
 	b.ReportMetric(median("dispatcher")-median("direct"), "us-over-direct")
 }
 
-// BenchmarkSmallAlone compares the time of one small query at a time, path by path in turn.
+// BenchmarkSmallAlone compares the latency of small queries, one at a time on each path in turn.
 func BenchmarkSmallAlone(b *testing.B) {
-	p := paths(b)
+	clients := newPathClients(b)
 	b.ReportAllocs()
-	alone(b, func(name string) { runQuery(b, p[name], small) })
+	reportSequentialLatency(b, func(name string) { runQuery(b, clients[name], smallQuery) })
 }
 
-// BenchmarkLarge compares answers of 64 MB.
+// BenchmarkLarge compares the throughput of answers of 64 MB.
 func BenchmarkLarge(b *testing.B) {
-	p := paths(b)
+	clients := newPathClients(b)
 	took := map[string]time.Duration{}
 	const large = "SELECT 1 /* work_ms=0 rows=65536 row_bytes=1024 class=report cost_ms=1 */"
 	for b.Loop() {
 		for _, name := range []string{"direct", "proxy", "dispatcher"} {
 			begin := time.Now()
-			runQuery(b, p[name], large)
+			runQuery(b, clients[name], large)
 			took[name] += time.Since(begin)
 		}
 	}
@@ -187,22 +190,21 @@
 	b.ReportMetric(float64(took["direct"])/float64(took["dispatcher"]), "of-direct")
 }
 
-// BenchmarkAllocations is what one small query costs on the whole path, client, dispatcher and node in one process,
-// against the same through the byte proxy.
+// BenchmarkAllocations measures the allocations of one small query on each path; client, dispatcher or proxy, and node run in this process.
 func BenchmarkAllocations(b *testing.B) {
-	p := paths(b)
+	clients := newPathClients(b)
 	for _, name := range []string{"direct", "proxy", "dispatcher"} {
 		b.Run(strings.ToLower(name), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				runQuery(b, p[name], small)
+				runQuery(b, clients[name], smallQuery)
 			}
 		})
 	}
 }
 
-// BenchmarkTenVersions compares a load under which ten versions of the settings come into force with the same load under
-// which none does, in turn: shares of queries served, and how much the 99th percentile differs.
+// BenchmarkTenVersions compares the same load with and without ten versions of the settings that come into force during it, in turn. It
+// reports the shares of queries served and the ratio of the 99th percentiles of latency.
 func BenchmarkTenVersions(b *testing.B) {
 	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
@@ -219,9 +221,9 @@
 		r.until("a version in force", func(s control.Status) bool { return s.Number == number })
 	}
 	push()
-	load := func(versions int) (served, asked int, p99 time.Duration) {
+	load := func(versions int) (served, sent int, p99 time.Duration) {
 		done := make(chan time.Duration, 1000)
-		const n, gap = 600, 4 * time.Millisecond
+		const n, interval = 600, 4 * time.Millisecond
 		for i := range n {
 			if versions > 0 && i%(n/versions) == n/versions/2 {
 				push()
@@ -231,12 +233,12 @@
 				defer cancel()
 				begin := time.Now()
 				if _, err := r.query(ctx, "SELECT 1 /* work_ms=10 cost_ms=10 */"); err != nil {
-					done <- -1
+					done <- -1 // not served
 					return
 				}
 				done <- time.Since(begin)
 			}()
-			<-time.After(gap)
+			<-time.After(interval)
 		}
 		var took []time.Duration
 		for range n {
@@ -247,15 +249,15 @@
 		slices.Sort(took)
 		return len(took), n, took[len(took)*99/100]
 	}
-	var served, asked [2]int
+	var served, sent [2]int // without and with versions
 	var p99 [2]time.Duration
 	for b.Loop() {
 		for i, versions := range []int{0, 10} {
-			s, a, p := load(versions)
-			served[i], asked[i], p99[i] = served[i]+s, asked[i]+a, p99[i]+p
+			s, n, p := load(versions)
+			served[i], sent[i], p99[i] = served[i]+s, sent[i]+n, p99[i]+p
 		}
 	}
-	b.ReportMetric(float64(served[0])/float64(asked[0]), "served-without")
-	b.ReportMetric(float64(served[1])/float64(asked[1]), "served-with")
+	b.ReportMetric(float64(served[0])/float64(sent[0]), "served-without")
+	b.ReportMetric(float64(served[1])/float64(sent[1]), "served-with")
 	b.ReportMetric(float64(p99[1])/float64(p99[0]), "p99-with/without")
 }
--- a/server/learned_state_test.go
+++ b/server/learned_state_test.go
@@ -20,7 +20,7 @@
 	r.t.Helper()
 	address := r.d.Address()
 	r.cancel()
-	r.ended <- <-r.ended
+	r.ended <- <-r.ended // waits; start receives the result again
 	r.start(address)
 }
 
--- a/server/native_bench_test.go
+++ b/server/native_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/ClickHouse/ch-go/proto"
 )
 
-// byteRelay passes TCP connections on to a node, unopened.
+// byteRelay starts a proxy that forwards TCP connections to a node without decoding them, and returns its address.
 func byteRelay(b *testing.B, node string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,18 +32,20 @@
 				}
 				defer closeQuietly(server)
 				go func() { _, _ = io.Copy(onlyWriter{server}, client); closeQuietly(server) }()
-				_, _ = io.Copy(onlyWriter{client}, server) // a relay ends with either side
+				_, _ = io.Copy(onlyWriter{client}, server) // when either side ends, both are closed
 			}()
 		}
 	}()
 	return l.Addr().String()
 }
 
-// onlyWriter hides what would let the kernel move the bytes by itself (splice): a proxy in user space is the measure.
+// onlyWriter hides the methods of a connection that let io.Copy use the kernel's splice: the dispatcher is compared with a proxy that
+// copies in user space.
 type onlyWriter struct{ io.Writer }
 
-// nativePaths are three ways from clients to one node, eight connections on each.
-func nativePaths(b *testing.B, compression ch.Compression) map[string][]*ch.Client {
+// newNativePathClients returns eight connections for each of three paths to one node: "direct", through "proxy" (byteRelay) and through
+// "dispatcher".
+func newNativePathClients(b *testing.B, compression ch.Compression) map[string][]*ch.Client {
 	r := newRig(b, 1, `, "name": "large"`)
 	out := map[string][]*ch.Client{}
 	for name, address := range map[string]string{"direct": r.nodes[0].Native, "proxy": byteRelay(b, r.nodes[0].Native),
@@ -60,6 +62,7 @@
 	return out
 }
 
+// runNative runs a statement and reads its whole answer; large tells whether its rows have a payload column.
 func runNative(b *testing.B, c *ch.Client, statement string, large bool) {
 	var node, payload proto.ColStr
 	var row proto.ColInt64
@@ -73,29 +76,29 @@
 	}
 }
 
-// BenchmarkNativeSmall compares small queries over the native protocol, 8 at a time, as BenchmarkSmall does.
+// BenchmarkNativeSmall is BenchmarkSmall for the native protocol.
 func BenchmarkNativeSmall(b *testing.B) {
-	p := nativePaths(b, ch.CompressionDisabled)
-	throughput(b, 8, func(name string, w int) { runNative(b, p[name][w], small, false) })
+	clients := newNativePathClients(b, ch.CompressionDisabled)
+	reportThroughput(b, 8, func(name string, w int) { runNative(b, clients[name][w], smallQuery, false) })
 }
 
-// BenchmarkNativeAlone compares the time of one small query at a time.
+// BenchmarkNativeAlone compares the latency of small queries over the native protocol, one at a time on each path in turn.
 func BenchmarkNativeAlone(b *testing.B) {
-	p := nativePaths(b, ch.CompressionDisabled)
-	alone(b, func(name string) { runNative(b, p[name][0], small, false) })
+	clients := newNativePathClients(b, ch.CompressionDisabled)
+	reportSequentialLatency(b, func(name string) { runNative(b, clients[name][0], smallQuery, false) })
 }
 
-// BenchmarkNativeLarge compares answers of 64 MB, plain and compressed.
+// BenchmarkNativeLarge compares the throughput of answers of 64 MB over the native protocol, uncompressed and compressed with LZ4.
 func BenchmarkNativeLarge(b *testing.B) {
 	for name, compression := range map[string]ch.Compression{"plain": ch.CompressionDisabled, "lz4": ch.CompressionLZ4} {
 		b.Run(name, func(b *testing.B) {
-			p := nativePaths(b, compression)
+			clients := newNativePathClients(b, compression)
 			took := map[string]time.Duration{}
 			const large = "SELECT 1 /* work_ms=0 rows=65536 row_bytes=1024 class=report cost_ms=1 */"
 			for b.Loop() {
 				for _, name := range []string{"direct", "proxy", "dispatcher"} {
 					begin := time.Now()
-					runNative(b, p[name][0], large, true)
+					runNative(b, clients[name][0], large, true)
 					took[name] += time.Since(begin)
 				}
 			}
--- a/server/node_faults_test.go
+++ b/server/node_faults_test.go
@@ -15,20 +15,21 @@
 	"embershunt/simulated"
 )
 
-// seen is all that the nodes saw of a statement.
+// seen returns the records of all attempts that the nodes received for a statement.
 func (r *rig) seen(statement string) (out []simulated.AttemptRecord) {
 	for _, n := range r.nodes {
-		for _, s := range n.Attempts() {
-			if s.Statement == statement {
-				out = append(out, s)
+		for _, a := range n.Attempts() {
+			if a.Statement == statement {
+				out = append(out, a)
 			}
 		}
 	}
 	return out
 }
 
-// What a client hears when nodes fail in each of their ways, and that an effect does not happen twice.
-func TestWaysInWhichNodesFail(t *testing.T) {
+// The outcome that a client receives, and how soon, for each kind of node failure. A query runs at most once, so that an update has no
+// effect twice.
+func TestNodeFailures(t *testing.T) {
 	const read, write = "SELECT 1 /* rows=4000 */", "INSERT INTO t VALUES (1) /* rows=1 work_ms=5 */"
 	all := func(f simulated.Faults) func(*rig) {
 		return func(r *rig) {
@@ -43,41 +44,41 @@
 		fault     func(*rig)
 		statement string
 		deadline  time.Duration
-		want      []string // any of them
-		within    time.Duration
-		ran       int // most runs
+		want      []string      // outcomes, any of which is right
+		within    time.Duration // longest time to the answer
+		maxRuns   int           // of one query on all nodes
 	}{
-		{"all silent", all(simulated.Faults{Hang: true}), read, 900 * time.Millisecond,
+		{"all nodes hang", all(simulated.Faults{Hang: true}), read, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED", "refused OVERLOADED"}, 900 * time.Millisecond, 0},
-		{"one silent before its first frame", first(simulated.Faults{Hang: true}), read, 4 * time.Second,
+		{"one node hangs before its first frame", first(simulated.Faults{Hang: true}), read, 4 * time.Second,
 			[]string{"served"}, 4 * time.Second, 1},
-		{"all stall after the first frame", all(simulated.Faults{StallRow: 100}), read, time.Second,
+		{"all nodes stall after the first frame", all(simulated.Faults{StallRow: 100}), read, time.Second,
 			[]string{"failed DEADLINE"}, time.Second, 1},
-		{"all cut the stream", all(simulated.Faults{CutRow: 100}), read, 4 * time.Second,
+		{"all nodes break off the stream", all(simulated.Faults{CutRow: 100}), read, 4 * time.Second,
 			[]string{"failed ANSWER_BROKEN"}, 2 * time.Second, 1},
-		{"one fails fast", first(simulated.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"one turns all away", first(simulated.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
+		{"one node fails at once", first(simulated.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
+		{"one node rejects all queries", first(simulated.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
 			4 * time.Second, 1},
-		{"one is dead", func(r *rig) { r.nodes[0].Crash() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"an update whose answer is lost", all(simulated.Faults{LoseAnswers: true}), write, 900 * time.Millisecond,
+		{"one node has crashed", func(r *rig) { r.nodes[0].Crash() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
+		{"the answer to an update is lost", all(simulated.Faults{LoseAnswers: true}), write, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED"}, 900 * time.Millisecond, 1},
-		{"an update that fails", all(simulated.Faults{Fail: 1}), write, 4 * time.Second,
+		{"an update fails", all(simulated.Faults{Fail: 1}), write, 4 * time.Second,
 			[]string{"failed ATTEMPT_FAILED"}, time.Second, 0},
-		{"all turn all away", all(simulated.Faults{Full: true}), write, 900 * time.Millisecond,
+		{"all nodes reject all queries", all(simulated.Faults{Full: true}), write, 900 * time.Millisecond,
 			[]string{"refused OVERLOADED"}, 900 * time.Millisecond, 0},
-		{"a statement that nodes turn down", nil, "SELECT /* fail=no_such_table */ 1", 4 * time.Second,
+		{"a statement that is in error", nil, "SELECT /* fail=no_such_table */ 1", 4 * time.Second,
 			[]string{"failed STATEMENT"}, time.Second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			stalled := watchStalls(t)
+			longestStall := watchStalls(t)
 			r := newRig(t, 2, "")
 			if c.fault != nil {
 				c.fault(r)
 			}
-			for range 4 { // whichever node is drawn first
+			for range 4 { // so that either node is likely to be chosen first
 				ctx, cancel := context.WithTimeout(t.Context(), c.deadline)
-				stalled()
+				longestStall()
 				begin := time.Now()
 				var err error
 				if c.statement == write {
@@ -89,36 +90,38 @@
 				cancel()
 				got := outcomeOf(err)
 				if got == "failed DEADLINE" && slices.Contains(c.want, "failed ATTEMPT_FAILED") {
-					if d := stalled(); d >= deadlineGuard {
-						t.Logf("the deadline came first: this process did not run for %v", d)
+					if d := longestStall(); d >= deadlineGuard {
+						t.Logf("the deadline expired before the attempt ended: this process was not scheduled for %v", d)
 						continue
 					}
 				}
 				if !slices.Contains(c.want, got) {
-					t.Fatalf("final answer %q (%v), want one of %q", got, err, c.want)
+					t.Fatalf("outcome %q (%v), want one of %q", got, err, c.want)
 				}
 				if took > c.within {
 					t.Errorf("answered after %v, want within %v", took, c.within)
 				}
 			}
-			ran := 0
-			for _, s := range r.seen(c.statement) {
-				if s.Ran {
-					ran++
+			runs := 0
+			for _, a := range r.seen(c.statement) {
+				if a.Ran {
+					runs++
 				}
 			}
-			if ran > 4*c.ran {
-				t.Errorf("ran %d times in 4 queries, at most %d each", ran, c.ran)
+			if runs > 4*c.maxRuns {
+				t.Errorf("4 queries ran %d times in total, want at most %d times each", runs, c.maxRuns)
 			}
 		})
 	}
 }
 
-func TestDrainWhileALookupIsInFlightAndOthersWait(t *testing.T) {
+// A node drains while it runs queries and others are queued in the dispatcher. Queries are served or rejected, none is lost, and no attempt
+// reaches the node after its drain grace.
+func TestDrainWithQueriesInFlightAndQueued(t *testing.T) {
 	for _, grace := range []string{"2s", "500ms"} {
 		t.Run(grace, func(t *testing.T) {
 			r := newRig(t, 1, `, "limits": {"drain_grace": "`+grace+`"}`)
-			const n = 60 // more than the node has room for: some wait
+			const n = 60 // more than the node has capacity for: some are queued
 			done := make(chan string, n)
 			for range n {
 				go func() {
@@ -128,97 +131,102 @@
 					done <- outcomeOf(err)
 				}()
 			}
-			if err := r.nodes[0].Await(t.Context(), func(s []simulated.AttemptRecord) bool { return len(s) >= 4 }); err != nil {
+			if err := r.nodes[0].Await(t.Context(), func(a []simulated.AttemptRecord) bool { return len(a) >= 4 }); err != nil {
 				t.Fatal(err)
 			}
-			told := time.Now()
+			drained := time.Now()
 			r.listAllNodes(func(_ int, n *nodelist.Node) { n.State = policy.Draining })
-			finals := map[string]int{}
+			outcomes := map[string]int{}
 			for range n {
-				finals[<-done]++
+				outcomes[<-done]++
 			}
-			if finals["served"] == 0 || finals["served"] == n || finals["served"]+finals["refused OVERLOADED"] != n {
-				t.Errorf("final answers: %v, want some served and all others refused", finals)
+			if outcomes["served"] == 0 || outcomes["served"] == n || outcomes["served"]+outcomes["refused OVERLOADED"] != n {
+				t.Errorf("outcomes: %v, want some queries served and all others rejected as OVERLOADED", outcomes)
 			}
-			span, _ := time.ParseDuration(grace)
-			for _, s := range r.nodes[0].Attempts() {
-				if late := s.At.Sub(told); late > span {
-					t.Errorf("an attempt reached the node %v after its drain was told", late)
+			limit, _ := time.ParseDuration(grace)
+			for _, a := range r.nodes[0].Attempts() {
+				if delay := a.At.Sub(drained); delay > limit {
+					t.Errorf("an attempt reached the node %v after its drain began, want within %v", delay, limit)
 				}
 			}
 		})
 	}
 }
 
-func TestTheNodeListIsOutOfReach(t *testing.T) {
+// Without any node list, queries are rejected. Once there is one, it stays in use while the list service sends malformed lists or is down,
+// and a later list replaces it.
+func TestNodeListUnavailable(t *testing.T) {
 	t.Run("from the start", func(t *testing.T) {
-		stalled := watchStalls(t)
+		longestStall := watchStalls(t)
 		r := newRigWith(t, 1, func(string) string { return `{"eds": {"address": "127.0.0.1:1", "cluster": "nodes"}}` }, "")
 		for {
-			stalled()
+			longestStall()
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			_, err := r.query(ctx, "SELECT 1")
 			cancel()
 			if outcomeOf(err) == "refused OVERLOADED" {
 				return
 			}
-			d := stalled()
+			d := longestStall()
 			if !errors.Is(ctx.Err(), context.DeadlineExceeded) || d < deadlineGuard {
-				t.Fatalf("final answer %q (%v)", outcomeOf(err), err)
+				t.Fatalf("outcome %q (%v), want OVERLOADED", outcomeOf(err), err)
 			}
-			t.Logf("the client's deadline came first: this process did not run for %v", d)
+			t.Logf("the client's deadline expired first: this process was not scheduled for %v", d)
 		}
 	})
-	t.Run("later, then malformed, then back", func(t *testing.T) {
+	t.Run("malformed, then unreachable, then back", func(t *testing.T) {
 		c := simulated.NewControl("nodes")
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		defer c.Stop()
-		stalled := watchStalls(t)
+		longestStall := watchStalls(t)
 		r := newRigWith(t, 2, func(string) string { return `{"eds": {"address": "` + c.Address() + `", "cluster": "nodes"}}` }, "")
 		rows := []simulated.ListedNode{{Name: "node-0", Address: r.nodes[0].Address}}
 		c.Set(rows, "")
 		served := func(what string) {
 			t.Helper()
 			for {
-				stalled()
+				longestStall()
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				_, err := r.query(ctx, "SELECT 1")
 				cancel()
 				if err == nil {
 					return
 				}
-				if d := stalled(); d < deadlineGuard { // else a connection may have taken over its 250 ms, and the query is rightly refused
+				// After a stall a connection may have exceeded its timeout of 250 ms, and the rejection is correct.
+				if d := longestStall(); d < deadlineGuard {
 					t.Errorf("%s: %v", what, err)
 					return
 				}
-				t.Logf("%s, while this process did not run: %v", what, err)
+				t.Logf("%s, while this process was not scheduled: %v", what, err)
 			}
 		}
-		served("at first")
+		served("with the first list")
 		c.Set(rows, "malformed")
-		for len(c.Nacks()) == 0 { // the stream answers each list
-			served("while a malformed list is told")
+		for len(c.Nacks()) == 0 { // until the dispatcher has rejected the list
+			served("after a malformed list was sent")
 		}
 		c.Stop()
-		served("while the list is out of reach")
+		served("while the list service is down")
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
 		c.Set([]simulated.ListedNode{{Name: "node-1", Address: r.nodes[1].Address}}, "")
 		for begin := time.Now(); len(r.nodes[1].Attempts()) == 0; {
-			served("while the new list comes")
+			served("until the new list is in force")
 			if time.Since(begin) > 10*time.Second {
-				t.Fatal("the new list was not taken up")
+				t.Fatal("no query reached node-1 within 10 s of the new list")
 			}
 		}
 	})
 }
 
-func TestAnAnswerIsHeldBackByASlowReader(t *testing.T) {
+// A client that does not read holds back its answer at the node (backpressure): the dispatcher does not buffer it. The whole answer
+// arrives once the client reads.
+func TestBackpressureFromSlowReader(t *testing.T) {
 	r := newRig(t, 1, "")
-	const rows, each = 64 << 10, 1 << 10 // 64 MB
+	const rows, rowBytes = 64 << 10, 1 << 10 // 64 MB
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	info, err := r.client.Execute(ctx, "SELECT 1 /* class=report rows=65536 row_bytes=1024 */")
@@ -230,37 +238,38 @@
 		t.Fatal(err)
 	}
 	defer reader.Release()
-	// While nobody reads, the node gets rid of what fits in the windows on the way, and of no more.
-	out := func() int { return r.nodes[0].Attempts()[0].Rows }
-	last, still := -1, 0
-	for still < 20 {
-		if now := out(); now != last {
-			last, still = now, 0
+	// While the client does not read, the node can send no more than the flow control windows on the way hold.
+	sent := func() int { return r.nodes[0].Attempts()[0].Rows }
+	last, unchanged := -1, 0
+	for unchanged < 20 { // 200 ms
+		if now := sent(); now != last {
+			last, unchanged = now, 0
 		} else {
-			still++
+			unchanged++
 		}
 		<-time.After(10 * time.Millisecond)
 	}
-	if last*each > 8<<20 {
-		t.Errorf("the node handed out %d MB to a client that does not read", last*each>>20)
+	if last*rowBytes > 8<<20 {
+		t.Errorf("the node sent %d MB to a client that does not read, want at most 8", last*rowBytes>>20)
 	}
 	got := int64(0)
 	for reader.Next() {
 		got += reader.RecordBatch().NumRows()
 	}
 	if got != rows || reader.Err() != nil {
-		t.Errorf("%d rows of %d, %v", got, rows, reader.Err())
+		t.Errorf("received %d rows of %d, %v", got, rows, reader.Err())
 	}
 }
 
-func TestTenThousandAtOnce(t *testing.T) {
+// Of 10,000 queries at the same time, some are served and all others are rejected as OVERLOADED with a retry delay.
+func TestTenThousandConcurrentQueries(t *testing.T) {
 	r := newRig(t, 2, "")
 	const n = 10000
-	type end struct {
-		final string
-		took  time.Duration
+	type result struct {
+		outcome string
+		took    time.Duration
 	}
-	done := make(chan end, n)
+	done := make(chan result, n)
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 	defer cancel()
 	for range n {
@@ -268,32 +277,32 @@
 			begin := time.Now()
 			_, err := r.query(ctx, "SELECT 1 /* work_ms=40 cost_ms=40 */")
 			if status.Code(err) == codes.ResourceExhausted && !hasRetryDelay(err) {
-				done <- end{"refused without a come-back time", 0}
+				done <- result{"rejected without a retry delay", 0}
 				return
 			}
-			done <- end{outcomeOf(err), time.Since(begin)}
+			done <- result{outcomeOf(err), time.Since(begin)}
 		}()
 	}
-	finals := map[string]int{}
-	var refused []time.Duration
+	outcomes := map[string]int{}
+	var rejected []time.Duration // times to the rejection
 	for range n {
-		e := <-done
-		if finals[e.final]++; e.final == "refused OVERLOADED" {
-			refused = append(refused, e.took)
+		res := <-done
+		if outcomes[res.outcome]++; res.outcome == "refused OVERLOADED" {
+			rejected = append(rejected, res.took)
 		}
 	}
-	slices.Sort(refused)
-	if len(refused) > 0 {
-		t.Logf("refused: %d, half of them within %v, all within %v; served: %d", len(refused), refused[len(refused)/2],
-			refused[len(refused)-1], finals["served"])
+	slices.Sort(rejected)
+	if len(rejected) > 0 {
+		t.Logf("rejected: %d, half of them within %v, all within %v; served: %d", len(rejected), rejected[len(rejected)/2],
+			rejected[len(rejected)-1], outcomes["served"])
 	}
-	if finals["served"] == 0 || finals["refused OVERLOADED"] == 0 || finals["served"]+finals["refused OVERLOADED"] != n {
-		t.Errorf("final answers: %v, want some served, all others refused with a come-back time", finals)
+	if outcomes["served"] == 0 || outcomes["refused OVERLOADED"] == 0 || outcomes["served"]+outcomes["refused OVERLOADED"] != n {
+		t.Errorf("outcomes: %v, want some queries served and all others rejected as OVERLOADED with a retry delay", outcomes)
 	}
 }
 
-// The connection breaks after the request was written: it may have run. A read is made again elsewhere, an update not.
-func TestANodeDiesWhileAQueryRuns(t *testing.T) {
+// A node crashes while a query runs on it: the query may have had its effect. A read is retried on another node, an update is not.
+func TestNodeCrashDuringQuery(t *testing.T) {
 	for _, c := range []struct{ statement, want string }{
 		{"SELECT 1 /* work_ms=300 */", "served"},
 		{"INSERT INTO t VALUES (1) /* work_ms=300 */", "failed ATTEMPT_FAILED"},
@@ -314,33 +323,35 @@
 			}()
 			r.seenBy(c.statement).Crash()
 			if got := <-done; got != c.want {
-				t.Errorf("final answer %q, want %q", got, c.want)
+				t.Errorf("outcome %q, want %q", got, c.want)
 			}
 			if n := len(r.seen(c.statement)); (n > 1) != (c.want == "served") {
-				t.Errorf("%d attempts", n)
+				t.Errorf("nodes received %d attempts; only the read should be retried", n)
 			}
 		})
 	}
 }
 
-// A change of priority reaches what runs.
-func TestTermsOfWhatRuns(t *testing.T) {
+// A changed priority reaches the node while the query runs.
+func TestPriorityChangeOfRunningQuery(t *testing.T) {
 	r := newRig(t, 1, "")
 	done := make(chan error, 1)
 	go func() {
 		_, err := r.query(t.Context(), "SELECT 1 /* work_ms=400 */")
 		done <- err
 	}()
-	if err := r.nodes[0].Await(t.Context(), func(s []simulated.AttemptRecord) bool { return len(s) == 1 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func(a []simulated.AttemptRecord) bool { return len(a) == 1 }); err != nil {
 		t.Fatal(err)
 	}
 	id := r.nodes[0].Attempts()[0].Query
 	r.d.Fleet().SetResources(id, 64, 3)
-	if err := r.nodes[0].Await(t.Context(), func([]simulated.AttemptRecord) bool { return r.nodes[0].Priority(id) == 3 || len(done) > 0 }); err != nil {
+	if err := r.nodes[0].Await(t.Context(), func([]simulated.AttemptRecord) bool {
+		return r.nodes[0].Priority(id) == 3 || len(done) > 0
+	}); err != nil {
 		t.Fatal(err)
 	}
 	if len(done) > 0 {
-		t.Fatal("it ended before its priority was changed")
+		t.Fatal("the query ended before the node received its new priority")
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
--- a/server/recording_test.go
+++ b/server/recording_test.go
@@ -29,7 +29,7 @@
 	}
 	group.Wait()
 	r.cancel()
-	r.ended <- <-r.ended
+	r.ended <- <-r.ended // waits; the cleanup receives the result again
 	f, err := os.Open(file)
 	if err != nil {
 		t.Fatal(err)
