--- a/cmd/dispatcher/demo.go
+++ b/cmd/dispatcher/demo.go
@@ -8,7 +8,7 @@
 	"embershunt/simulated"
 )
 
-// demoConfig is the demonstration's configuration; the nodes' rows are filled in.
+// demoConfig is the configuration for --demo; %s takes the rows of the node list.
 const demoConfig = `{
   "name": "demo",
   "any_user": true,
@@ -25,8 +25,8 @@
   "nodes": {"list": [%s]}
 }`
 
-// demo starts three stand-in nodes in this process.
-func demo() (*config.Config, func(), error) {
+// startDemo starts three simulated nodes in this process. It returns the configuration and a function that stops the nodes.
+func startDemo() (*config.Config, func(), error) {
 	var rows []string
 	var nodes []*simulated.Node
 	stop := func() {
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,4 +1,5 @@
-// Command dispatcher is the dispatcher: it takes Arrow Flight SQL sessions and routes their queries to query nodes.
+// Command dispatcher admits the queries of its clients and routes them to query nodes. Clients use Arrow Flight SQL or the ClickHouse
+// native protocol, or the platform's protocol with --platform.
 package main
 
 import (
@@ -24,27 +25,27 @@
 
 var cli struct {
 	Config   string `arg:"" optional:"" type:"existingfile" help:"Configuration file (JSON with comments)."`
-	Demo     bool   `help:"Serve 127.0.0.1:32010 (Flight SQL) and :32011 (ClickHouse native) with three stand-in query nodes in this process; any user and password."`
-	Platform bool   `help:"Serve the platform's protocol, as NODE_CONFIG says; everything else is off."`
-	Log      string `default:"info" enum:"debug,info,warn,error" help:"Level of the log with --platform: debug, info, warn or error."`
-	Seed     uint64 `help:"Seed of the decision module's random numbers; 0 draws one."`
+	Demo     bool   `help:"Serve 127.0.0.1:32010 (Flight SQL) and :32011 (ClickHouse native) with three simulated query nodes in this process; accepts any user and password."`
+	Platform bool   `help:"Serve only the platform's protocol, with the configuration file that NODE_CONFIG names."`
+	Log      string `default:"info" enum:"debug,info,warn,error" help:"Log level with --platform: debug, info, warn or error."`
+	Seed     uint64 `help:"Seed of the policy's random numbers; 0 draws one."`
 }
 
-// Exit codes: 0 drained, 1 failed, 2 wrong usage or configuration, 3 ended by a second signal.
+// Exit codes: 0 drained, 1 failed, 2 invalid usage or configuration, 3 stopped by a second signal before the drain ended.
 func main() {
 	kong.Parse(&cli, kong.Name("dispatcher"), kong.Description("Admits queries and routes them to query nodes."))
 	if cli.Platform && !cli.Demo && cli.Config == "" {
 		os.Exit(runPlatform())
 	}
 	if cli.Platform || cli.Demo == (cli.Config != "") {
-		fmt.Fprintln(os.Stderr, "dispatcher: give a configuration file, --demo or --platform")
+		fmt.Fprintln(os.Stderr, "dispatcher: give exactly one of a configuration file, --demo and --platform")
 		os.Exit(2)
 	}
 	os.Exit(run())
 }
 
 func run() int {
-	cfg, stop, err := configuration()
+	cfg, stop, err := loadConfig()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 2
@@ -56,15 +57,15 @@
 		return 2
 	}
 	defer flush()
-	tracer, closeTraces, err := traces(cfg.File.Log.Traces)
+	tracer, closeTraces, err := openTraces(cfg.File.Log.Traces)
 	if err != nil {
-		log.Error("traces cannot be written", "error", err)
+		log.Error("cannot open trace file", "error", err)
 		return 2
 	}
 	defer closeTraces()
 	d, err := server.New(cfg, server.Options{Log: log, Seed: cli.Seed, Tracer: tracer})
 	if err != nil {
-		log.Error("cannot start", "error", err)
+		log.Error("cannot start dispatcher", "error", err)
 		return 1
 	}
 	log.Info("serving Flight SQL", "address", d.Address())
@@ -75,7 +76,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	second := false
+	forced := false
 	group.Go(func() error {
 		select {
 		case <-signals:
@@ -85,7 +86,7 @@
 		}
 		select {
 		case <-signals:
-			second = true
+			forced = true
 			cancel()
 		case <-ctx.Done():
 		}
@@ -94,14 +95,14 @@
 	err = d.Run(ctx)
 	cancel()
 	_ = group.Wait() // its goroutine returns no error
-	if second {
-		log.Warn("ended by a second signal; queries in flight were failed")
+	if forced {
+		log.Warn("stopped by a second signal; queries in flight failed")
 		return 3
 	}
 	return exitCode(log, err)
 }
 
-// exitCode tells how a dispatcher has ended, and logs it.
+// exitCode logs how a dispatcher ended, given the error of its Run, and returns the exit code of the process.
 func exitCode(log *slog.Logger, err error) int {
 	var panicked *dispatch.PanicError
 	switch {
@@ -109,15 +110,16 @@
 		log.Error(err.Error(), "stack", string(panicked.Stack))
 		return 1
 	case err != nil:
-		log.Error("ended", "error", err)
+		log.Error("dispatcher failed", "error", err)
 		return 1
 	}
 	log.Info("drained")
 	return 0
 }
 
-// traces opens the file that spans are appended to; without one there are no spans.
-func traces(path string) (trace.Tracer, func(), error) {
+// openTraces opens the file that spans are appended to. It returns a nil tracer if path is empty, and a function that flushes the spans
+// and closes the file.
+func openTraces(path string) (trace.Tracer, func(), error) {
 	if path == "" {
 		return nil, func() {}, nil
 	}
@@ -137,9 +139,10 @@
 	}, nil
 }
 
-func configuration() (*config.Config, func(), error) {
+// loadConfig loads the configuration file, or starts the demo. The function that it returns stops the demo's nodes.
+func loadConfig() (*config.Config, func(), error) {
 	if cli.Demo {
-		return demo()
+		return startDemo()
 	}
 	cfg, err := config.Load(cli.Config)
 	return cfg, func() {}, err
--- a/cmd/dispatcher/platform.go
+++ b/cmd/dispatcher/platform.go
@@ -15,7 +15,8 @@
 	"embershunt/server"
 )
 
-// runPlatform serves the platform's protocol; signals that come while it starts are kept until it can handle them.
+// runPlatform serves the platform's protocol until the dispatcher ends, and returns the exit code. Signals that arrive during the start
+// are queued until handleSignals runs.
 func runPlatform() int {
 	signals := make(chan os.Signal, 16)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -38,7 +39,7 @@
 	defer flush()
 	d, err := server.NewPlatform(cfg, log)
 	if err != nil {
-		log.Error("cannot start", "error", err)
+		log.Error("cannot start dispatcher", "error", err)
 		return 1
 	}
 	log.Info("serving", "address", d.Address(), "cores", cfg.Cores, "memory_mb", cfg.MemoryMB, "sockets", cfg.Sockets)
@@ -51,7 +52,8 @@
 	return exitCode(log, err)
 }
 
-// handleSignals carries out signals until ctx ends: SIGHUP takes the file anew, the others stop the dispatcher.
+// handleSignals handles signals until ctx ends: SIGHUP reloads the configuration file, SIGTERM and SIGINT drain the dispatcher. A
+// further SIGTERM or SIGINT has no effect: the drain continues.
 func handleSignals(ctx context.Context, signals <-chan os.Signal, d *server.Platform, path string, log *slog.Logger) {
 	draining := false
 	for {
@@ -66,7 +68,7 @@
 				draining = true
 				d.Drain()
 			default:
-				log.Info("already stopping", "signal", s.String())
+				log.Info("already stopping; signal ignored", "signal", s.String())
 			}
 		}
 	}
--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -1,4 +1,5 @@
-// Command scenario plays a scripted day on loopback and judges the seven rules from what passed the sockets.
+// Command scenario plays a day script on loopback against simulated nodes, and checks the rules of the report against what clients
+// and nodes observed: seven rules, and an eighth for days with transactions.
 package main
 
 import (
@@ -16,15 +17,15 @@
 
 var cli struct {
 	Script string          `arg:"" type:"existingfile" help:"Day script (JSON with comments)."`
-	Seed   int             `help:"Seed, in place of the script's."`
-	Length config.Duration `help:"Length, in place of the script's; faults past it are not played to their end."`
-	Pair   bool            `help:"Play the day twice, first with its versions but the first left out, and compare the service."`
+	Seed   int             `help:"Random seed; overrides the script's."`
+	Length config.Duration `help:"How long clients send queries; overrides the script's. Faults are played to their end all the same."`
+	Pair   bool            `help:"Play the day twice, first with only the first settings version and then with all of them, and compare the service."`
 	Level  string          `default:"error" enum:"debug,info,warn,error" help:"Log level (${enum})."`
 }
 
-// Exit codes: 0 no rule broken, 1 one was, 2 wrong usage or script, 3 the day could not be played.
+// Exit codes: 0 no rule violated, 1 a rule violated, 2 invalid usage or script, 3 the day could not be played or the report not written.
 func main() {
-	kong.Parse(&cli, kong.Name("scenario"), kong.Description("Plays a scripted day and judges the rules."))
+	kong.Parse(&cli, kong.Name("scenario"), kong.Description("Plays a scripted day and checks the rules."))
 	os.Exit(run())
 }
 
@@ -53,11 +54,11 @@
 	defer flush()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var without *scenario.Report
+	var baseline *scenario.Report // of the day with its first settings version alone
 	if cli.Pair && len(s.Versions) > 1 {
-		plain := *s
-		plain.Versions = s.Versions[:1]
-		if without, err = scenario.Run(ctx, &plain, log); err != nil {
+		firstVersion := *s
+		firstVersion.Versions = s.Versions[:1]
+		if baseline, err = scenario.Run(ctx, &firstVersion, log); err != nil {
 			fmt.Fprintln(os.Stderr, "scenario:", err)
 			return 3
 		}
@@ -70,12 +71,12 @@
 	if err := r.Print(os.Stdout); err != nil {
 		return 3
 	}
-	if without != nil {
-		if err := scenario.PrintPair(os.Stdout, without, r); err != nil {
+	if baseline != nil {
+		if err := scenario.PrintPair(os.Stdout, baseline, r); err != nil {
 			return 3
 		}
 	}
-	if r.Broken() || without != nil && without.Broken() {
+	if r.Broken() || baseline != nil && baseline.Broken() {
 		return 1
 	}
 	return 0
