--- a/scenario/dispatchers.go
+++ b/scenario/dispatchers.go
@@ -11,49 +11,49 @@
 	"embershunt/server"
 )
 
-// dispatcherProcess is one dispatcher and its clients' connections.
+// dispatcherProcess is one dispatcher, over all its restarts, and the connections of its clients.
 type dispatcherProcess struct {
 	dispatcher *server.Dispatcher
 	config     *config.Config
 	address    string
 	client     *flightsql.Client
 	native     *nativePool
-	pauses     [][2]float64 // of the loop at changes, of the lives that ended: upper bound in seconds and how many
+	pauses     [][2]float64 // event loop pauses at settings changes before the last restart: upper bound in seconds, count up to it
 	cancel     context.CancelFunc
-	ended      chan error
+	ended      chan error // receives the error of Run
 }
 
-// startDispatcher starts a dispatcher, at the address it had before if it had one.
+// startDispatcher starts dispatcher i; a restart uses the same addresses as before.
 func (e *environment) startDispatcher(ctx context.Context, i int) error {
-	h := e.dispatchers[i]
-	cfg := *h.config
-	if h.address != "" {
-		cfg.File.Listen.FlightSQL, cfg.File.Listen.Native = h.address, h.native.address
-		h.pauses = addPauses(h.pauses, h.dispatcher)
+	p := e.dispatchers[i]
+	cfg := *p.config
+	if p.address != "" {
+		cfg.File.Listen.FlightSQL, cfg.File.Listen.Native = p.address, p.native.address
+		p.pauses = addPauses(p.pauses, p.dispatcher)
 	}
 	d, err := server.New(&cfg, server.Options{Log: e.log, Seed: uint64(e.script.Seed)<<8 + uint64(i) + 1})
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // it outlives the fault that starts it again
-	h.dispatcher, h.cancel, h.address, h.ended = d, cancel, d.Address(), make(chan error, 1)
-	if h.native == nil {
-		h.native = &nativePool{address: d.NativeAddress()}
+	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the dispatcher outlives the fault that restarts it
+	p.dispatcher, p.cancel, p.address, p.ended = d, cancel, d.Address(), make(chan error, 1)
+	if p.native == nil {
+		p.native = &nativePool{address: d.NativeAddress()}
 	}
-	ended := h.ended
+	ended := p.ended
 	go func() { ended <- d.Run(ctx) }()
 	return nil
 }
 
-// killDispatcher ends a dispatcher without a word and starts it again.
+// killDispatcher breaks the connections of dispatcher i as a crash does, and restarts it when the fault ends.
 func (e *environment) killDispatcher(ctx context.Context, f *Fault, i int) error {
 	e.mu.Lock()
-	h := e.dispatchers[i]
-	h.dispatcher.Kill()
+	p := e.dispatchers[i]
+	p.dispatcher.Kill()
 	from := time.Now()
 	e.mu.Unlock()
-	h.cancel()
-	if err := <-h.ended; err != nil {
+	p.cancel()
+	if err := <-p.ended; err != nil {
 		e.log.Debug("dispatcher ended", "error", err)
 	}
 	clock.Sleep(ctx, f.For.D())
@@ -63,7 +63,7 @@
 	return e.startDispatcher(ctx, i)
 }
 
-// addPauses adds a dispatcher's histogram of the loop's pauses at changes of the settings.
+// addPauses adds a dispatcher's histogram of event loop pauses at settings changes to sum. Counts are cumulative by bucket.
 func addPauses(sum [][2]float64, d *server.Dispatcher) [][2]float64 {
 	families, err := d.Registry().Gather()
 	if err != nil {
--- a/scenario/environment.go
+++ b/scenario/environment.go
@@ -17,13 +17,13 @@
 	"embershunt/simulated"
 )
 
-// environment is a day while it is played.
+// environment holds the processes of a day while it is played, and what their clients recorded.
 type environment struct {
 	script  *Script
 	log     *slog.Logger
-	rng     *rand.Rand // of the arrivals; one goroutine
+	rng     *rand.Rand // seeds nodes and client groups; used by one goroutine
 	nodes   []*simulated.Node
-	rows    []simulated.ListedNode // as the control service will know them
+	rows    []simulated.ListedNode // current list; guarded by mu once the day has begun
 	control *simulated.Control
 	begin   time.Time
 
@@ -31,23 +31,24 @@
 	queries      []*ClientQuery
 	transactions []*Transaction
 	dispatchers  []*dispatcherProcess
-	restarts     []restart // births of nodes
-	outages      []outage  // when a dispatcher was down
-	listFault    string
+	restarts     []restart // of nodes
+	outages      []outage  // of dispatchers
+	listFault    string    // "", or the fault of the list that the control service sends
 }
 
+// outage is a time in which a dispatcher was down.
 type outage struct {
 	dispatcher int
 	from, to   time.Time
 }
 
-// restart is the start of a node.
+// restart is the start of a node's new process during the day.
 type restart struct {
 	node string
 	at   time.Time
 }
 
-// start brings up the control service, the nodes and the dispatchers.
+// start starts the control service, the nodes and the dispatchers.
 func (e *environment) start(ctx context.Context) error {
 	if err := e.control.Start(); err != nil {
 		return err
@@ -59,13 +60,13 @@
 	return e.startDispatchers(ctx)
 }
 
-// startNodes starts the nodes of all groups; those of one zone drop each other's repeats.
+// startNodes starts the nodes of all groups. The nodes of one zone share their deduplication tokens.
 func (e *environment) startNodes() error {
 	s := e.script
 	tokens := map[string]*simulated.Tokens{}
 	for _, g := range s.Nodes {
 		if tokens[g.Zone] == nil {
-			tokens[g.Zone] = simulated.NewTokens(s.window())
+			tokens[g.Zone] = simulated.NewTokens(s.longestDedupWindow())
 		}
 		model := simulated.Model{ColdFor: s.Config.Limits.SlowStartDuration.D(), ColdFrom: s.Config.Limits.SlowStartFloor}
 		for _, k := range s.Config.Kinds {
@@ -87,21 +88,21 @@
 	return nil
 }
 
-// startDispatchers starts the dispatchers, each with the client connection of its own.
+// startDispatchers starts the dispatchers and opens a Flight SQL client for each.
 func (e *environment) startDispatchers(ctx context.Context) error {
 	s := e.script
 	for i := range s.Dispatchers {
-		h := &dispatcherProcess{}
+		p := &dispatcherProcess{}
 		cfg, err := s.config(i, e.control.Address())
 		if err != nil {
 			return err
 		}
-		h.config = cfg
-		e.dispatchers = append(e.dispatchers, h)
+		p.config = cfg
+		e.dispatchers = append(e.dispatchers, p)
 		if err := e.startDispatcher(ctx, i); err != nil {
 			return err
 		}
-		h.client, err = flightsql.NewClient(h.address, nil, nil,
+		p.client, err = flightsql.NewClient(p.address, nil, nil,
 			grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(64<<20)))
 		if err != nil {
@@ -111,20 +112,20 @@
 	return nil
 }
 
-// stop ends everything; it may be called twice.
+// stop closes the clients and stops all processes; it may be called twice.
 func (e *environment) stop() {
-	for _, h := range e.dispatchers {
-		if h.client != nil {
-			_ = h.client.Close() // the day is over
-			h.client = nil
-			h.native.close()
+	for _, p := range e.dispatchers {
+		if p.client != nil {
+			_ = p.client.Close() // no query needs it any more
+			p.client = nil
+			p.native.close()
 		}
-		if h.cancel != nil {
-			h.cancel()
-			if err := <-h.ended; err != nil {
+		if p.cancel != nil {
+			p.cancel()
+			if err := <-p.ended; err != nil {
 				e.log.Debug("dispatcher ended", "error", err)
 			}
-			h.cancel = nil
+			p.cancel = nil
 		}
 	}
 	for _, n := range e.nodes {
@@ -133,11 +134,12 @@
 	e.control.Stop()
 }
 
+// listedNodes returns a copy of the node list.
 func (e *environment) listedNodes() []simulated.ListedNode {
 	return append([]simulated.ListedNode(nil), e.rows...)
 }
 
-// updateList changes one row of the control service's list, after its delay.
+// updateList changes the node list of the control service, after the script's list delay.
 func (e *environment) updateList(ctx context.Context, change func(rows []simulated.ListedNode) []simulated.ListedNode) {
 	if !clock.Sleep(ctx, e.script.ListDelay.D()) {
 		return
@@ -148,8 +150,8 @@
 	e.control.Set(e.listedNodes(), e.listFault)
 }
 
-// placementOf is a node's hall and kind.
-func (e *environment) placementOf(i int) (hall, kind string) {
+// placementOf returns the zone and the kind of node i.
+func (e *environment) placementOf(i int) (zone, kind string) {
 	for _, g := range e.script.Nodes {
 		if i < g.Count {
 			return g.Zone, g.Kind
@@ -159,7 +161,7 @@
 	return "", ""
 }
 
-// classOf is the class of a group as the module knows it.
+// classOf returns the policy class of a client group's queries: updates and keyed INSERTs may have classes of their own.
 func (e *environment) classOf(g int) policy.Class {
 	cfg := e.dispatchers[0].config
 	for i, c := range cfg.Settings.Classes {
@@ -176,7 +178,7 @@
 	return policy.Class{}
 }
 
-// streamVersions streams the settings at their times.
+// streamVersions has the control service send each version of the settings at its time.
 func (e *environment) streamVersions(ctx context.Context) error {
 	for i := range e.script.Versions {
 		v := &e.script.Versions[i]
@@ -187,7 +189,7 @@
 		if err != nil {
 			return err
 		}
-		e.log.Info("version", "number", v.Number)
+		e.log.Info("streaming settings version", "number", v.Number)
 		e.control.Put("default", resources...)
 	}
 	return nil
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -10,7 +10,7 @@
 	"embershunt/simulated"
 )
 
-// injectFault plays one fault from its begin to its end.
+// injectFault waits for the time of a fault, injects it and ends it.
 func (e *environment) injectFault(ctx context.Context, f *Fault) error {
 	if !clock.Sleep(ctx, time.Until(e.begin.Add(f.At.D()))) {
 		return nil
@@ -22,9 +22,9 @@
 		clock.Sleep(ctx, f.For.D())
 		return e.control.Start()
 	case "list_empty", "list_malformed":
-		e.spoilList(f.Kind[len("list_"):])
+		e.setListFault(f.Kind[len("list_"):])
 		clock.Sleep(ctx, f.For.D())
-		e.spoilList("")
+		e.setListFault("")
 		return nil
 	}
 	var group errgroup.Group
@@ -34,14 +34,15 @@
 	return group.Wait()
 }
 
-func (e *environment) spoilList(what string) {
+// setListFault has the control service send an "empty" or "malformed" node list; "" restores the list.
+func (e *environment) setListFault(fault string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.listFault = what
-	e.control.Set(e.listedNodes(), what)
+	e.listFault = fault
+	e.control.Set(e.listedNodes(), fault)
 }
 
-// injectNodeFault plays a fault of one node or dispatcher.
+// injectNodeFault injects a fault into node or dispatcher i and ends it.
 func (e *environment) injectNodeFault(ctx context.Context, f *Fault, i int) error {
 	if f.Kind == "kill" {
 		return e.killDispatcher(ctx, f, i)
@@ -56,13 +57,13 @@
 		}
 		var group errgroup.Group
 		group.Go(func() error {
-			e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode { return without(rows, n.Name) })
+			e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode { return removeNode(rows, n.Name) })
 			return nil
 		})
 		clock.Sleep(ctx, f.For.D())
 		_ = group.Wait() // its goroutine returns no error
 		return e.restartNode(ctx, i)
-	case "drain": // it finishes its work, leaves, and comes back as a new process
+	case "drain": // the node is listed as draining, then stops, and restarts as a new process
 		e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode {
 			for j := range rows {
 				rows[j].Draining = rows[j].Draining || rows[j].Name == n.Name
@@ -75,22 +76,25 @@
 		n.Crash()
 		return e.restartNode(ctx, i)
 	}
-	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", Full: f.Kind == "full", StallRow: whenKind(f, "stall", f.Rows),
-		CutRow: whenKind(f, "cut", f.Rows), Fail: whenKind(f, "fail", f.Share), Slow: whenKind(f, "slow", f.Times),
-		PauseFor: whenKind(f, "pause", f.Pause.D()), PauseInterval: whenKind(f, "pause", f.Each.D())})
+	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", Full: f.Kind == "full",
+		StallRow: valueForKind(f, "stall", f.Rows), CutRow: valueForKind(f, "cut", f.Rows),
+		Fail: valueForKind(f, "fail", f.Share), Slow: valueForKind(f, "slow", f.Times),
+		PauseFor: valueForKind(f, "pause", f.Pause.D()), PauseInterval: valueForKind(f, "pause", f.Each.D())})
 	clock.Sleep(ctx, f.For.D())
 	n.SetFaults(simulated.Faults{})
 	return nil
 }
 
-func whenKind[T any](f *Fault, do string, v T) (none T) {
-	if f.Kind == do {
+// valueForKind returns v for a fault of the kind, and the zero value for other faults.
+func valueForKind[T any](f *Fault, kind string, v T) (zero T) {
+	if f.Kind == kind {
 		return v
 	}
-	return none
+	return zero
 }
 
-func without(rows []simulated.ListedNode, name string) []simulated.ListedNode {
+// removeNode returns the rows of all nodes but the named one.
+func removeNode(rows []simulated.ListedNode, name string) []simulated.ListedNode {
 	var out []simulated.ListedNode
 	for _, r := range rows {
 		if r.Name != name {
@@ -100,7 +104,7 @@
 	return out
 }
 
-// restartNode starts a node anew, cold, and lists it.
+// restartNode starts a new, cold process of node i and adds it to the node list. Once ctx has ended, it only stops the node.
 func (e *environment) restartNode(ctx context.Context, i int) error {
 	n := e.nodes[i]
 	n.Crash()
@@ -113,10 +117,10 @@
 	e.mu.Lock()
 	e.restarts = append(e.restarts, restart{n.Name, n.Started()})
 	e.mu.Unlock()
-	hall, kind := e.placementOf(i)
+	zone, kind := e.placementOf(i)
 	e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode {
-		return append(without(rows, n.Name), simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native, Zone: hall, Kind: kind,
-			Started: n.Started()})
+		return append(removeNode(rows, n.Name), simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native,
+			Zone: zone, Kind: kind, Started: n.Started()})
 	})
 	return nil
 }
--- a/scenario/flightsql.go
+++ b/scenario/flightsql.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/status"
 )
 
-// execute runs a statement with a real Flight SQL client.
+// execute runs a statement with a real Flight SQL client and returns the number of rows that it read or updated.
 func execute(ctx context.Context, client *flightsql.Client, statement string, update bool) (rows int64, err error) {
 	if update {
 		return client.ExecuteUpdate(ctx, statement)
@@ -33,7 +33,7 @@
 	return rows, nil
 }
 
-// grpcOutcome reads the final answer from an error's details.
+// grpcOutcome reads the final answer from the details of a gRPC error.
 func grpcOutcome(err error) (out outcome) {
 	if err == nil {
 		return outcome{kind: "served"}
--- a/scenario/native.go
+++ b/scenario/native.go
@@ -14,14 +14,15 @@
 	"github.com/ClickHouse/ch-go/proto"
 )
 
-// nativePool are one group of clients of one dispatcher's native port: connections are used again, as a pool of a real client
-// does.
+// nativePool is a pool of client connections to the native port of one dispatcher. It reuses idle connections as the pool of a real
+// client does.
 type nativePool struct {
 	address string
 	mu      sync.Mutex
 	idle    []*ch.Client
 }
 
+// take returns an idle connection, or a new one if none is idle.
 func (n *nativePool) take(ctx context.Context) (*ch.Client, error) {
 	n.mu.Lock()
 	if last := len(n.idle) - 1; last >= 0 {
@@ -34,30 +35,33 @@
 	return ch.Dial(ctx, ch.Options{Address: n.address, User: "day", Compression: ch.CompressionLZ4})
 }
 
+// put returns a connection to the pool.
 func (n *nativePool) put(c *ch.Client) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.idle = append(n.idle, c)
 }
 
+// close closes the idle connections.
 func (n *nativePool) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.idle {
-		_ = c.Close() // the day is over
+		_ = c.Close() // no query needs it any more
 	}
 	n.idle = nil
 }
 
-// execute runs a statement with an unmodified native client. With a token it is an INSERT whose rows the client brings.
+// execute runs a statement with an unmodified native client and returns the number of rows read or inserted. With a token, the
+// statement is an INSERT and the client sends one row.
 func (n *nativePool) execute(ctx context.Context, statement, token string) (rows int64, err error) {
 	c, err := n.take(ctx)
 	if err != nil {
 		return 0, err
 	}
 	q := ch.Query{Body: statement}
-	if due, ok := ctx.Deadline(); ok {
-		q.Settings = append(q.Settings, ch.Setting{Key: "max_execution_time", Value: fmt.Sprint(time.Until(due).Seconds())})
+	if deadline, ok := ctx.Deadline(); ok {
+		q.Settings = append(q.Settings, ch.Setting{Key: "max_execution_time", Value: fmt.Sprint(time.Until(deadline).Seconds())})
 	}
 	if token != "" {
 		q.Settings = append(q.Settings, ch.Setting{Key: "insert_deduplication_token", Value: token})
@@ -79,20 +83,22 @@
 		q.OnResult = func(context.Context, proto.Block) error { rows += int64(row.Rows()); return nil }
 	}
 	if err = c.Do(ctx, q); err != nil {
-		_ = c.Close() // the error before it says more
+		_ = c.Close() // the query's error says more
 		return rows, err
 	}
 	n.put(c)
 	return rows, nil
 }
 
+// Patterns of the statements that the clients send and of the exception texts that the dispatcher answers with.
 var (
 	payloadPattern    = regexp.MustCompile(`row_bytes=`)
 	outcomePattern    = regexp.MustCompile(`(refused|failed) \(([A-Z_]+)`)
 	retryAfterPattern = regexp.MustCompile(`come back in ([0-9]+) ms`)
 )
 
-// nativeOutcome reads the final answer from an Exception; what a node itself says of a statement is a failure.
+// nativeOutcome reads the final answer from an Exception. An Exception without an outcome comes from the node, and counts as failed with
+// the reason STATEMENT.
 func nativeOutcome(err error) outcome {
 	if err == nil {
 		return outcome{kind: "served"}
@@ -107,7 +113,7 @@
 	}
 	out := outcome{kind: match[1], reason: match[2]}
 	if after := retryAfterPattern.FindStringSubmatch(exception.Message); after != nil {
-		ms, _ := strconv.Atoi(after[1]) // the pattern takes digits alone
+		ms, _ := strconv.Atoi(after[1]) // the pattern matches digits alone
 		out.retryAfter = time.Duration(ms) * time.Millisecond
 	}
 	return out
--- a/scenario/queries.go
+++ b/scenario/queries.go
@@ -15,29 +15,29 @@
 	"google.golang.org/grpc/status"
 )
 
-// ClientQuery is one query as its client saw it.
+// ClientQuery is one query as its client recorded it.
 type ClientQuery struct {
 	Serial            int
 	Group             int
 	Dispatcher        int
-	Key               int // -1: none
+	Key               int // order key; -1: none
 	Work              time.Duration
 	Sent              time.Time
 	Deadline          time.Time
 	Ended             time.Time
-	Outcome           string // served, refused, failed; "" where no word of the dispatcher came
+	Outcome           string // served, refused or failed; "" without an answer of the dispatcher
 	Reason            string
-	Cancelled         bool // the client called it off
-	Lost              bool // the dispatcher was killed meanwhile, or was not up
+	Cancelled         bool // the client cancelled the query
+	Lost              bool // no answer; over Flight SQL, only if the status is UNAVAILABLE
 	Rows              int64
 	WantRows          int64
 	Error             string
-	Native            bool // over the native protocol
-	Token             string
-	HonoredRetryAfter bool // it is a refused one that came back when it was told to
+	Native            bool   // sent over the native protocol
+	Token             string // deduplication token of a keyed INSERT
+	HonoredRetryAfter bool   // the query retries a rejected query after its retry-after
 }
 
-// runClients sends one group's queries for the length of the day and waits for all of their answers.
+// runClients sends the queries of group g for the length of the day, or its burst, and waits until all have ended.
 func (e *environment) runClients(ctx context.Context, g int, rng *rand.Rand) error {
 	c := &e.script.Clients[g]
 	var group errgroup.Group
@@ -51,10 +51,10 @@
 			})
 			return
 		}
-		a, statement := e.drawQuery(g, rng)
-		leave := rng.Float64() < c.CancelRate
+		q, statement := e.drawQuery(g, rng)
+		cancelEarly := rng.Float64() < c.CancelRate
 		group.Go(func() error {
-			e.send(ctx, a, statement, leave, c.Retries)
+			e.send(ctx, q, statement, cancelEarly, c.Retries)
 			return nil
 		})
 	}
@@ -78,50 +78,50 @@
 	return nil
 }
 
-// drawQuery draws a query.
+// drawQuery draws a query of group g at random, registers it and returns it with its statement.
 func (e *environment) drawQuery(g int, rng *rand.Rand) (*ClientQuery, string) {
 	c := &e.script.Clients[g]
 	native := c.Keyed || c.Native > 0 && rng.Float64() < c.Native
 	work := c.WorkMS * math.Exp(c.Sigma*rng.NormFloat64())
-	a := &ClientQuery{Group: g, Key: -1, Dispatcher: rng.IntN(len(e.dispatchers)), WantRows: int64(c.Rows),
+	q := &ClientQuery{Group: g, Key: -1, Dispatcher: rng.IntN(len(e.dispatchers)), WantRows: int64(c.Rows),
 		Work: time.Duration(work * float64(time.Millisecond)), Native: native}
 	if c.Keys > 0 {
-		a.Key = rng.IntN(c.Keys)
-		a.Dispatcher = a.Key % len(e.dispatchers) // order is kept by each dispatcher alone
+		q.Key = rng.IntN(c.Keys)
+		q.Dispatcher = q.Key % len(e.dispatchers) // a dispatcher orders only its own queries
 	}
-	return a, e.register(a, false)
+	return q, e.register(q, false)
 }
 
-// register numbers a query and writes its statement.
-func (e *environment) register(a *ClientQuery, retry bool) string {
-	c := &e.script.Clients[a.Group]
+// register gives a query its serial number, records it and returns its statement.
+func (e *environment) register(q *ClientQuery, retry bool) string {
+	c := &e.script.Clients[q.Group]
 	e.mu.Lock()
-	a.Serial = len(e.queries)
-	e.queries = append(e.queries, a)
+	q.Serial = len(e.queries)
+	e.queries = append(e.queries, q)
 	e.mu.Unlock()
 	verb := "SELECT * FROM policy"
 	switch {
 	case c.Keyed:
 		verb = "INSERT INTO events (id, name)"
-		if a.Token == "" {
-			a.Token = fmt.Sprintf("token-%d", a.Serial)
+		if q.Token == "" {
+			q.Token = fmt.Sprintf("token-%d", q.Serial)
 		}
 	case c.Update, c.Statements > 0:
 		verb = "INSERT INTO payment VALUES (1)"
 	}
-	s := fmt.Sprintf("%s /* serial=%d class=%s work_ms=%.3f threads=%d rows=%d", verb, a.Serial, c.Class,
-		float64(a.Work.Microseconds())/1e3, max(c.Threads, 1), c.Rows)
+	s := fmt.Sprintf("%s /* serial=%d class=%s work_ms=%.3f threads=%d rows=%d", verb, q.Serial, c.Class,
+		float64(q.Work.Microseconds())/1e3, max(c.Threads, 1), c.Rows)
 	if c.RowBytes > 0 {
 		s += fmt.Sprintf(" row_bytes=%d", c.RowBytes)
 	}
 	if c.Hints {
-		s += fmt.Sprintf(" cost_ms=%.3f", float64(a.Work.Microseconds())/1e3)
+		s += fmt.Sprintf(" cost_ms=%.3f", float64(q.Work.Microseconds())/1e3)
 	}
 	if c.MemoryMB > 0 {
 		s += fmt.Sprintf(" memory_mb=%.0f", c.MemoryMB)
 	}
-	if a.Key >= 0 {
-		s += fmt.Sprintf(" key=k%d", a.Key)
+	if q.Key >= 0 {
+		s += fmt.Sprintf(" key=k%d", q.Key)
 	}
 	if retry {
 		s += " retry=1"
@@ -132,55 +132,56 @@
 	return s
 }
 
-// send sends one query and books its end; a refused one comes back when it may.
-func (e *environment) send(outer context.Context, a *ClientQuery, statement string, leave bool, retries int) {
-	c := &e.script.Clients[a.Group]
+// send sends one query and records how it ended. If cancelEarly is set, the client cancels halfway to the deadline. A rejected query is
+// sent again, up to retries times, each time after its retry-after.
+func (e *environment) send(runCtx context.Context, q *ClientQuery, statement string, cancelEarly bool, retries int) {
+	c := &e.script.Clients[q.Group]
 	now := time.Now()
 	deadline := now.Add(c.Deadline.D())
-	ctx, cancel := context.WithDeadline(outer, deadline)
+	ctx, cancel := context.WithDeadline(runCtx, deadline)
 	defer cancel()
-	if leave {
+	if cancelEarly {
 		t := time.AfterFunc(c.Deadline.D()/2, cancel)
 		defer t.Stop()
 	}
 	e.mu.Lock()
-	a.Sent, a.Deadline = now, deadline
+	q.Sent, q.Deadline = now, deadline
 	e.mu.Unlock()
-	rows, outcome, err := e.execute(ctx, a, statement)
+	rows, outcome, err := e.execute(ctx, q, statement)
 	ended := time.Now()
 	e.mu.Lock()
-	a.Ended, a.Outcome, a.Reason, a.Rows = ended, outcome.kind, outcome.reason, rows
-	a.Cancelled = leave && errors.Is(ctx.Err(), context.Canceled)
+	q.Ended, q.Outcome, q.Reason, q.Rows = ended, outcome.kind, outcome.reason, rows
+	q.Cancelled = cancelEarly && errors.Is(ctx.Err(), context.Canceled)
 	if err != nil {
-		a.Error = err.Error()
-		a.Lost = outcome.kind == "" && (a.Native || status.Code(err) == codes.Unavailable)
+		q.Error = err.Error()
+		q.Lost = outcome.kind == "" && (q.Native || status.Code(err) == codes.Unavailable)
 	}
 	e.mu.Unlock()
-	if outcome.kind == "refused" && retries > 0 && clock.Sleep(outer, outcome.retryAfter) {
-		again := &ClientQuery{Group: a.Group, Dispatcher: a.Dispatcher, Key: a.Key, Work: a.Work, WantRows: a.WantRows, Native: a.Native,
-			Token: a.Token, HonoredRetryAfter: outcome.retryAfter > 0}
-		text := e.register(again, true)
-		e.send(outer, again, text, false, retries-1)
+	if outcome.kind == "refused" && retries > 0 && clock.Sleep(runCtx, outcome.retryAfter) {
+		retry := &ClientQuery{Group: q.Group, Dispatcher: q.Dispatcher, Key: q.Key, Work: q.Work, WantRows: q.WantRows, Native: q.Native,
+			Token: q.Token, HonoredRetryAfter: outcome.retryAfter > 0}
+		text := e.register(retry, true)
+		e.send(runCtx, retry, text, false, retries-1)
 	}
 }
 
-// execute runs a query over the protocol it was drawn for.
-func (e *environment) execute(ctx context.Context, a *ClientQuery, statement string) (rows int64, outcome outcome, err error) {
-	c := &e.script.Clients[a.Group]
+// execute runs a query over the protocol that was drawn for it.
+func (e *environment) execute(ctx context.Context, q *ClientQuery, statement string) (rows int64, outcome outcome, err error) {
+	c := &e.script.Clients[q.Group]
 	e.mu.Lock()
-	client, native := e.dispatchers[a.Dispatcher].client, e.dispatchers[a.Dispatcher].native
+	client, native := e.dispatchers[q.Dispatcher].client, e.dispatchers[q.Dispatcher].native
 	e.mu.Unlock()
-	if !a.Native {
+	if !q.Native {
 		rows, err = execute(ctx, client, statement, c.Update)
 		return rows, grpcOutcome(err), err
 	}
-	if rows, err = native.execute(ctx, statement, a.Token); c.Update || c.Keyed {
-		rows = a.WantRows // counted by nodes
+	if rows, err = native.execute(ctx, statement, q.Token); c.Update || c.Keyed {
+		rows = q.WantRows // the native client does not count the rows of writes
 	}
 	return rows, nativeOutcome(err), err
 }
 
-// outcome is a final answer as a client reads it; the kind is empty where no word of the dispatcher came.
+// outcome is the final answer of a query as its client reads it. The kind is empty without an answer of the dispatcher.
 type outcome struct {
 	kind       string // served, refused or failed
 	reason     string
--- a/scenario/report.go
+++ b/scenario/report.go
@@ -10,7 +10,7 @@
 	"embershunt/simulated"
 )
 
-// RuleResult is the verdict on one of the seven rules.
+// RuleResult is the result of one rule: the number of checks, of violations, and a description of the first violation.
 type RuleResult struct {
 	Name    string `json:"rule"`
 	Checked int    `json:"checked"`
@@ -18,6 +18,7 @@
 	First   string `json:"first_case,omitempty"`
 }
 
+// check counts a check, and a violation if broken is true; the text describes the violation.
 func (r *RuleResult) check(broken bool, format string, args ...any) {
 	r.Checked++
 	if broken {
@@ -27,42 +28,42 @@
 	}
 }
 
-// ClientReport is what one client group got.
+// ClientReport counts the outcomes of one client group's queries.
 type ClientReport struct {
 	Name                                  string
 	Sent, Served, Refused, Failed, InTime int
 	Unanswered, Cancelled                 int
-	P50, P99, Max                         time.Duration // of served ones
+	P50, P99, Max                         time.Duration // from sending to the answer, of served queries
 }
 
-// Report is what came out of a day.
+// Report holds the results of a day.
 type Report struct {
 	Name                  string
 	Rules                 []RuleResult
 	Clients               []ClientReport
 	Reasons               map[string]int
-	Samples               map[string]string // an error for each reason
+	Samples               map[string]string // an error text for each reason
 	Sessions              Sessions
 	Attempts              int
 	Retries               int
 	Nacks                 int
-	Sets                  []string      // of the settings in force at the end, by dispatcher; empty: nothing was streamed
-	NativeQueries         int           // queries asked over the native protocol
-	RetriedWhenTold       int           // refused queries that came back when they were told to ...
-	RetriedWhenToldServed int           // ... and were served
-	Pauses                [][2]float64  // of the loop at changes of the settings: upper bound in seconds and how many up to it
-	LatestAfterDrain      time.Duration // longest time from a drain notice sent to an attempt seen at that node
+	Sets                  []string      // settings in effect at the end, by dispatcher; empty if the script has no versions
+	NativeQueries         int           // queries sent over the native protocol
+	RetriedWhenTold       int           // retries after the retry-after of a rejected query ...
+	RetriedWhenToldServed int           // ... that were served
+	Pauses                [][2]float64  // event loop pauses at settings changes: upper bound in seconds, count up to it
+	LatestAfterDrain      time.Duration // longest time from sending a drain notice for a node to an attempt there
 }
 
-// Broken tells whether any rule was.
+// Broken reports whether any rule was violated.
 func (r *Report) Broken() bool {
 	return slices.ContainsFunc(r.Rules, func(r RuleResult) bool { return r.Broken > 0 })
 }
 
-// check compares the clients' tallies with the nodes'.
+// check checks the rules by the records of the clients and the nodes, and fills in the report.
 func (e *environment) check() *Report {
 	r := &Report{Name: e.script.Name, Reasons: map[string]int{}, Samples: map[string]string{}, Nacks: len(e.control.Nacks())}
-	seen := make([][]simulated.AttemptRecord, len(e.queries)) // by serial, in the order of arrival
+	seen := make([][]simulated.AttemptRecord, len(e.queries)) // by serial number, in the order of arrival
 	var all []simulated.AttemptRecord
 	for _, n := range e.nodes {
 		all = append(all, n.Attempts()...)
@@ -81,25 +82,25 @@
 	if len(e.transactions) > 0 {
 		r.Rules = append(r.Rules, e.checkTransactions(r))
 	}
-	for _, a := range e.queries {
-		if a.Native {
+	for _, q := range e.queries {
+		if q.Native {
 			r.NativeQueries++
 		}
-		if a.HonoredRetryAfter && !e.duringOutage(a) {
-			if r.RetriedWhenTold++; a.Outcome == "served" {
+		if q.HonoredRetryAfter && !e.duringOutage(q) {
+			if r.RetriedWhenTold++; q.Outcome == "served" {
 				r.RetriedWhenToldServed++
 			}
 		}
 	}
-	for _, h := range e.dispatchers {
-		for i, b := range addPauses(h.pauses, h.dispatcher) {
+	for _, p := range e.dispatchers {
+		for i, b := range addPauses(p.pauses, p.dispatcher) {
 			if i >= len(r.Pauses) {
 				r.Pauses = append(r.Pauses, [2]float64{b[0]})
 			}
 			r.Pauses[i][1] += b[1]
 		}
-		if s, ok := h.dispatcher.ControlStatus(); ok && len(e.script.Versions) > 0 {
-			r.Sets = append(r.Sets, fmt.Sprintf("%s: set %d", h.config.File.Name, s.Number))
+		if s, ok := p.dispatcher.ControlStatus(); ok && len(e.script.Versions) > 0 {
+			r.Sets = append(r.Sets, fmt.Sprintf("%s: set %d", p.config.File.Name, s.Number))
 		}
 	}
 	for g := range e.script.Clients {
@@ -108,36 +109,36 @@
 	return r
 }
 
-// clientReport sums up one client group.
+// clientReport counts the outcomes of client group g, and their reasons in rep.
 func (e *environment) clientReport(g int, rep *Report) ClientReport {
 	c := ClientReport{Name: e.script.Clients[g].Name}
 	class := e.classOf(g)
 	h := hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 3)
-	for _, a := range e.queries {
-		if a.Group != g {
+	for _, q := range e.queries {
+		if q.Group != g {
 			continue
 		}
 		c.Sent++
-		if a.Reason != "" {
-			rep.Reasons[a.Reason]++
-			rep.Samples[a.Reason] = a.Error
+		if q.Reason != "" {
+			rep.Reasons[q.Reason]++
+			rep.Samples[q.Reason] = q.Error
 		}
-		took := a.Ended.Sub(a.Sent)
+		took := q.Ended.Sub(q.Sent)
 		switch {
-		case a.Cancelled:
+		case q.Cancelled:
 			c.Cancelled++
-		case a.Outcome == "":
+		case q.Outcome == "":
 			c.Unanswered++
-		case a.Outcome == "refused":
+		case q.Outcome == "refused":
 			c.Refused++
-		case a.Outcome == "failed":
+		case q.Outcome == "failed":
 			c.Failed++
 		default:
 			c.Served++
-			_ = h.RecordValue(took.Microseconds()) // one that is out of range is left out
-			aim := time.Duration(class.LatencyObjective)*time.Microsecond +
-				time.Duration(class.ObjectiveStretch*float64(a.Work)/float64(max(class.Threads, 1)))
-			if took <= aim {
+			_ = h.RecordValue(took.Microseconds()) // a latency out of range is not counted
+			objective := time.Duration(class.LatencyObjective)*time.Microsecond +
+				time.Duration(class.ObjectiveStretch*float64(q.Work)/float64(max(class.Threads, 1)))
+			if took <= objective {
 				c.InTime++
 			}
 		}
--- a/scenario/run.go
+++ b/scenario/run.go
@@ -11,7 +11,7 @@
 	"embershunt/simulated"
 )
 
-// Run plays a script and checks the rules.
+// Run plays a script until the clients have all answers and all faults have ended, and then checks the rules.
 func Run(ctx context.Context, s *Script, log *slog.Logger) (*Report, error) {
 	e := &environment{script: s, log: log, rng: rand.New(rand.NewPCG(uint64(s.Seed), 77)),
 		control: simulated.NewControl(cluster)}
@@ -21,7 +21,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	outer := ctx
+	runCtx := ctx
 	group, ctx := errgroup.WithContext(ctx)
 	e.begin = time.Now()
 	for i := range s.Faults {
@@ -35,7 +35,7 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	e.awaitSessionsEnd(outer)
+	e.awaitSessionsEnd(runCtx)
 	r := e.check()
 	e.stop()
 	return r, nil
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -15,8 +15,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// A short form of the bad day: its first 9 s hold a slow, a failing, a dying and a hanging node.
-func TestBadDayInShort(t *testing.T) {
+// Plays a shortened bad day: clients send for 9 s, faults come at half their time and last at most 1.5 s, and no dispatcher is killed. The
+// faults before 8 s include a slow, a failing, a crashing and a hanging node.
+func TestShortBadDay(t *testing.T) {
 	text, err := os.ReadFile("../examples/badday.jsonc")
 	if err != nil {
 		t.Fatal(err)
@@ -50,19 +51,21 @@
 	}
 	for _, x := range r.Rules {
 		if x.Checked == 0 {
-			t.Errorf("nothing to check for rule %s", x.Name)
+			t.Errorf("rule %s has checked nothing", x.Name)
 		}
 	}
 }
 
-// The judge finds each rule's break in tallies that hold one.
-func TestJudgeFindsBreaks(t *testing.T) {
+// Each rule finds a violation in records that contain one, and no other rule does. Rules 3 and 8 are not tested here.
+func TestRulesFindViolations(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	script := &Script{Dispatchers: 1, Config: config.File{
 		Zones: []string{"a", "b"}, Kinds: []config.Kind{{Name: "k", Cores: 4}},
 		Classes: []config.Class{{Name: "plain", LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second)},
-			{Name: "keyed", LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second), Ordered: true, Zones: []string{"b"}}},
-		Limits:  config.Limits{DrainGrace: config.Duration(time.Second), RetryBudgetFloor: 1, RetryBudgetWindow: config.Duration(time.Second), SlowStartDuration: config.Duration(time.Second)},
+			{Name: "keyed", LatencyObjective: config.Duration(time.Second), Deadline: config.Duration(time.Second),
+				Ordered: true, Zones: []string{"b"}}},
+		Limits: config.Limits{DrainGrace: config.Duration(time.Second), RetryBudgetFloor: 1,
+			RetryBudgetWindow: config.Duration(time.Second), SlowStartDuration: config.Duration(time.Second)},
 		AnyUser: true},
 		Nodes:   []NodeGroup{{Count: 1, Zone: "a", Kind: "k"}, {Count: 1, Zone: "b", Kind: "k"}},
 		Clients: []ClientGroup{{Class: "plain"}, {Class: "plain", Update: true}, {Class: "keyed", Keys: 1}}}
@@ -70,27 +73,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := func(serial, group int) *ClientQuery {
+	served := func(serial, group int) *ClientQuery {
 		return &ClientQuery{Serial: serial, Group: group, Key: -1, Sent: at(0), Deadline: at(1000), Ended: at(500), Outcome: "served"}
 	}
 	seen := func(node string, attempt, ms int) simulated.AttemptRecord {
 		return simulated.AttemptRecord{Node: node, Attempt: attempt, At: at(ms), End: at(ms + 100), Ran: true}
 	}
 	cases := []struct {
-		rule   int
-		change func(e *environment, a *ClientQuery)
+		rule   int // index of the rule that is violated
+		change func(e *environment, q *ClientQuery)
 		group  int
 		seen   []simulated.AttemptRecord
 	}{
-		{0, func(_ *environment, a *ClientQuery) { a.Outcome = "" }, 0, nil},
-		{0, func(_ *environment, a *ClientQuery) { a.Ended = at(1001) }, 0, nil},
-		{0, func(_ *environment, a *ClientQuery) { a.Rows = 1 }, 0, nil},
+		{0, func(_ *environment, q *ClientQuery) { q.Outcome = "" }, 0, nil},
+		{0, func(_ *environment, q *ClientQuery) { q.Ended = at(1001) }, 0, nil},
+		{0, func(_ *environment, q *ClientQuery) { q.Rows = 1 }, 0, nil},
 		{0, nil, 0, []simulated.AttemptRecord{seen("node-0", 0, 700)}},
 		{1, nil, 1, []simulated.AttemptRecord{seen("node-0", 0, 1), seen("node-1", 1, 200)}},
-		{1, func(_ *environment, a *ClientQuery) { a.Outcome = "refused" }, 1, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
-		{3, func(e *environment, a *ClientQuery) {
+		{1, func(_ *environment, q *ClientQuery) { q.Outcome = "refused" }, 1, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
+		{3, func(e *environment, q *ClientQuery) {
 			e.restarts = []restart{{"node-0", at(0)}}
-			a.Work = time.Hour
+			q.Work = time.Hour
 		}, 0, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
 		{5, nil, 2, []simulated.AttemptRecord{seen("node-0", 0, 1)}},
 		{6, nil, 0, []simulated.AttemptRecord{seen("node-0", 0, 1), seen("node-0", 1, 2), seen("node-0", 2, 3)}},
@@ -98,22 +101,22 @@
 	for i, c := range cases {
 		e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, control: simulated.NewControl("c"),
 			nodes: []*simulated.Node{simulated.NewNode("node-0", simulated.Model{}, 1), simulated.NewNode("node-1", simulated.Model{}, 1)}}
-		a := good(0, c.group)
+		q := served(0, c.group)
 		if c.change != nil {
-			c.change(e, a)
+			c.change(e, q)
 		}
-		e.queries = []*ClientQuery{a}
+		e.queries = []*ClientQuery{q}
 		all := [][]simulated.AttemptRecord{c.seen}
-		rules := []RuleResult{e.checkAnswers(all), e.checkEffects(all), e.checkDrains(nil, &Report{}), e.checkSlowStart(all), e.checkOrder(all),
-			e.checkPlacement(all), e.checkRetryBudget(all)}
+		rules := []RuleResult{e.checkAnswers(all), e.checkEffects(all), e.checkDrains(nil, &Report{}), e.checkSlowStart(all),
+			e.checkOrder(all), e.checkPlacement(all), e.checkRetryBudget(all)}
 		for j, r := range rules {
 			if (r.Broken > 0) != (j == c.rule) {
 				t.Errorf("case %d: rule %s broken %d times", i, r.Name, r.Broken)
 			}
 		}
 	}
-	// Order takes two queries.
-	e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, queries: []*ClientQuery{good(0, 2), good(1, 2)}}
+	// A violation of the order takes two queries.
+	e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, queries: []*ClientQuery{served(0, 2), served(1, 2)}}
 	e.queries[0].Key, e.queries[1].Key = 0, 0
 	if r := e.checkOrder([][]simulated.AttemptRecord{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
 		t.Errorf("order broken %d times, want once", r.Broken)
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -1,6 +1,6 @@
-// Package scenario plays a scripted day on loopback: stand-in nodes and control service, real dispatchers, real Flight SQL
-// clients, faults at their times. The seven rules are judged afterwards from what passed the sockets: the clients'
-// tallies against the nodes', never from the dispatchers' own counters.
+// Package scenario plays a day script on loopback: simulated nodes and control service, real dispatchers, real Flight SQL and
+// ClickHouse clients, and faults injected at set times. Afterwards the rules of the report are checked by comparing what the
+// clients recorded with what the nodes and the control service recorded, never with the dispatchers' own counters.
 package scenario
 
 import (
@@ -13,41 +13,42 @@
 	"embershunt/control"
 )
 
-// Script is a day as it is written.
+// Script describes a day: the fleet, the clients, the faults and the settings.
 type Script struct {
 	Name        string          `json:"name"`
 	Seed        int             `json:"seed"`
-	Length      config.Duration `json:"length"` // clients send for this long
+	Length      config.Duration `json:"length"` // how long clients send queries
 	Dispatchers int             `json:"dispatchers"`
-	Config      config.File     `json:"config"` // of every dispatcher; name, number, listen and nodes are filled in
-	Nodes       []NodeGroup     `json:"nodes"`
-	ListDelay   config.Duration `json:"list_delay"` // by which the control service learns of starts and ends
-	Clients     []ClientGroup   `json:"clients"`
-	Faults      []Fault         `json:"faults"`
-	Versions    []Version       `json:"versions"` // of the settings, streamed while the day goes on
+	// Config is the configuration of every dispatcher; name, peers, number, listen, nodes, control, zone and users are filled in.
+	Config    config.File     `json:"config"`
+	Nodes     []NodeGroup     `json:"nodes"`
+	ListDelay config.Duration `json:"list_delay"` // from a node's start, end or drain until the control service lists it
+	Clients   []ClientGroup   `json:"clients"`
+	Faults    []Fault         `json:"faults"`
+	Versions  []Version       `json:"versions"` // of the settings, streamed during the day
 }
 
-// Version is a set of the settings that the control service streams from a time on. What it leaves out is the script's
-// own. The judge goes by the script's limits: a version that changes those that rules are judged by would be misjudged.
+// Version is a set of the settings that the control service streams from the time At. Parts that it leaves out come from the
+// script's config. The rules are always checked with the script's limits, so a version must not change the limits that rules use.
 type Version struct {
 	At       config.Duration   `json:"at"`
 	Number   int               `json:"number"`
 	Settings control.FileParts `json:"settings"`
 }
 
-// NodeGroup is some nodes of one kind in one hall.
+// NodeGroup describes nodes of one kind in one zone.
 type NodeGroup struct {
 	Count int    `json:"count"`
 	Zone  string `json:"hall"`
 	Kind  string `json:"kind"`
 }
 
-// ClientGroup is a stream of like queries.
+// ClientGroup describes a stream of similar queries.
 type ClientGroup struct {
 	Name       string          `json:"name"`
 	Class      string          `json:"class"`
-	Rate       float64         `json:"rate"`    // queries a second, over all dispatchers, drawn by chance (Poisson)
-	WorkMS     float64         `json:"work_ms"` // median; the rest is spread by sigma (log-normal)
+	Rate       float64         `json:"rate"`    // queries per second over all dispatchers (Poisson arrivals)
+	WorkMS     float64         `json:"work_ms"` // median of the work; log-normal with Sigma
 	Sigma      float64         `json:"sigma"`
 	Threads    int             `json:"threads"`
 	Rows       int             `json:"rows"`
@@ -56,37 +57,37 @@
 	Deadline   config.Duration `json:"deadline"`
 	Update     bool            `json:"update"`
 	Keys       int             `json:"keys"`    // order keys in use; 0: none
-	Retries    int             `json:"retries"` // of a refused query, after its come-back time
-	CancelRate float64         `json:"leave"`   // share of queries whose client leaves halfway to the deadline
-	Hints      bool            `json:"hints"`   // state cost and memory
-	Native     float64         `json:"native"`  // share of queries asked over the ClickHouse native protocol
-	Keyed      bool            `json:"keyed"`   // an INSERT with rows and a deduplication token, natively
-	// Statements above 0 make each of the group's queries a transaction of so many updates with pauses drawn around Think.
+	Retries    int             `json:"retries"` // of a rejected query, each after its retry-after
+	CancelRate float64         `json:"leave"`   // share of queries whose client cancels halfway to the deadline
+	Hints      bool            `json:"hints"`   // statements carry a cost hint
+	Native     float64         `json:"native"`  // share of queries sent over the ClickHouse native protocol
+	Keyed      bool            `json:"keyed"`   // INSERTs with rows and a deduplication token, over the native protocol
+	// Statements above 0 makes each query of the group a transaction of this many updates, with pauses of mean Pause.
 	Statements int             `json:"statements"`
 	Pause      config.Duration `json:"think"`
-	Burst      int             `json:"burst"` // this many at once ...
+	Burst      int             `json:"burst"` // this many queries at once, at BurstAt, in place of Rate
 	BurstAt    config.Duration `json:"burst_at"`
 }
 
-// Fault strikes at a time and lasts for a while.
+// Fault is a fault that begins at the time At and lasts for the time For.
 type Fault struct {
 	At    config.Duration `json:"at"`
 	For   config.Duration `json:"for"`
 	Kind  string          `json:"do"`
-	Nodes []int           `json:"nodes"` // numbers from 0; for kill: dispatchers
-	Share float64         `json:"share"` // fail: of queries
-	Times float64         `json:"times"` // slow: factor
-	Rows  int             `json:"rows"`  // stall, cut: after this many
-	Pause config.Duration `json:"pause"` // pause: length
-	Each  config.Duration `json:"each"`  // pause: distance
+	Nodes []int           `json:"nodes"` // from 0; for kill these are dispatchers
+	Share float64         `json:"share"` // fail: share of queries that fail
+	Times float64         `json:"times"` // slow: factor by which the node slows down
+	Rows  int             `json:"rows"`  // stall, cut: rows sent before the fault
+	Pause config.Duration `json:"pause"` // pause: length of one pause
+	Each  config.Duration `json:"each"`  // pause: interval between pauses
 }
 
-// faultKinds are the faults and whether they name nodes.
+// faultKinds maps each kind of fault to whether it names nodes or dispatchers.
 var faultKinds = map[string]bool{"die": true, "vanish": true, "hang": true, "lose": true, "stall": true, "cut": true,
 	"fail": true, "slow": true, "pause": true, "full": true, "drain": true, "list_down": false, "list_empty": false,
 	"list_malformed": false, "kill": true}
 
-// Parse reads a script. Its error is *config.Violations.
+// Parse reads and validates a script; name is the file name that its error reports. The error is a *config.Violations.
 func Parse(name string, text []byte) (*Script, error) {
 	s := &Script{}
 	err := config.Decode(name, text, s, s.validate)
@@ -101,14 +102,15 @@
 	return s, nil
 }
 
-// config is the configuration of one dispatcher.
-func (s *Script) config(i int, service string) (*config.Config, error) {
+// config returns the configuration of dispatcher i, which gets its node list, or its settings too if the script has versions, from
+// the control service at the address.
+func (s *Script) config(i int, controlAddress string) (*config.Config, error) {
 	f := s.Config
 	f.Name, f.Peers, f.Number = fmt.Sprintf("dispatcher-%d", i), s.Dispatchers, i
 	f.Listen = config.Listen{FlightSQL: "127.0.0.1:0", Native: "127.0.0.1:0"}
-	f.Nodes = config.Nodes{EDS: &config.EDS{Address: service, Cluster: cluster}}
+	f.Nodes = config.Nodes{EDS: &config.EDS{Address: controlAddress, Cluster: cluster}}
 	if len(s.Versions) > 0 {
-		f.Nodes, f.Control = config.Nodes{}, &config.Control{Address: service, Cluster: cluster, Delta: i%2 == 1,
+		f.Nodes, f.Control = config.Nodes{}, &config.Control{Address: controlAddress, Cluster: cluster, Delta: i%2 == 1,
 			Reconnect: config.Duration(time.Second)}
 	}
 	f.Zone = ""
@@ -118,7 +120,7 @@
 	return config.FromFile(f)
 }
 
-// resources are a version as the control service sends it.
+// resources returns a version of the settings as the resources that the control service sends.
 func (s *Script) resources(v *Version) ([]*anypb.Any, error) {
 	p := v.Settings
 	if p.Classes == nil {
@@ -145,8 +147,8 @@
 	return out, nil
 }
 
-// window is the longest for which a class has tokens remembered.
-func (s *Script) window() (longest time.Duration) {
+// longestDedupWindow returns the longest dedup window of the script's classes.
+func (s *Script) longestDedupWindow() (longest time.Duration) {
 	for _, c := range s.Config.Classes {
 		longest = max(longest, c.DedupWindow.D())
 	}
--- a/scenario/transaction_rule.go
+++ b/scenario/transaction_rule.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// Sessions is what came of a day's transactions.
+// Sessions counts the transactions of a day by how they ended.
 type Sessions struct {
 	Started, NotStarted int
-	Ends                map[string]int
-	Reasons             map[string]int
-	Open                int // left on nodes in the end
-	ByNode              []int
+	Ends                map[string]int // by End of Transaction
+	Reasons             map[string]int // by Reason of Transaction
+	Open                int            // left on nodes at the end
+	ByNode              []int          // started, by the node's number
 }
 
-// checkTransactions compares what clients were told with what became visible on nodes, once.
+// checkTransactions checks that the statements that became visible on nodes are those that the clients' answers imply, each once: all or
+// none of a transaction's.
 func (e *environment) checkTransactions(rep *Report) RuleResult {
 	r := RuleResult{Name: "8 transactions end once, as told"}
 	seen := map[int][]string{} // statements that became visible, by transaction
@@ -27,7 +28,7 @@
 		for _, statement := range t.Committed {
 			var number int
 			if _, rest, ok := strings.Cut(statement, "tx="); ok {
-				_, _ = fmt.Sscanf(rest, "%d", &number) // our own clients wrote it
+				_, _ = fmt.Sscanf(rest, "%d", &number) // statements come from this package's clients
 				seen[number] = append(seen[number], statement)
 			}
 		}
@@ -48,23 +49,25 @@
 		list := seen[t.Number]
 		slices.Sort(list)
 		r.check(len(slices.Compact(slices.Clone(list))) != len(list), "transaction %d: a statement became visible twice", t.Number)
-		down := e.lostDispatcher(t)
+		down := e.dispatcherWasDown(t)
 		switch t.End {
 		case transactionCommitted:
-			r.check(len(list) != t.Statements, "transaction %d: committed with %d statements, visible are %d", t.Number, t.Statements, len(list))
+			r.check(len(list) != t.Statements, "transaction %d: committed with %d statements, %d are visible",
+				t.Number, t.Statements, len(list))
 		case transactionRolledBack, transactionLost, transactionLeftOpen:
-			r.check(len(list) > 0, "transaction %d: %s, and %d statements are visible (%s)", t.Number, t.End, len(list), t.Reason)
+			r.check(len(list) > 0, "transaction %d: %s, but %d statements are visible (%s)", t.Number, t.End, len(list), t.Reason)
 		case transactionUnknown:
-			r.check(len(list) != 0 && len(list) != t.Statements, "transaction %d: %d of %d statements are visible", t.Number, len(list), t.Statements)
+			r.check(len(list) != 0 && len(list) != t.Statements, "transaction %d: %d of %d statements are visible",
+				t.Number, len(list), t.Statements)
 		}
-		r.check(t.Failures > 1 && !down, "transaction %d: told %d times that it is lost", t.Number, t.Failures)
+		r.check(t.Failures > 1 && !down, "transaction %d: %d answers said that it is lost", t.Number, t.Failures)
 	}
-	r.check(rep.Sessions.Open > 0, "%d transactions are left on nodes", rep.Sessions.Open)
+	r.check(rep.Sessions.Open > 0, "%d transactions are still open on nodes", rep.Sessions.Open)
 	return r
 }
 
-// lostDispatcher tells that a transaction's dispatcher was down while it ran.
-func (e *environment) lostDispatcher(t *Transaction) bool {
+// dispatcherWasDown reports whether a transaction's dispatcher was down while the transaction ran.
+func (e *environment) dispatcherWasDown(t *Transaction) bool {
 	for _, d := range e.outages {
 		if d.dispatcher == t.Dispatcher && t.From.Before(d.to) && t.To.After(d.from) {
 			return true
--- a/scenario/transactions.go
+++ b/scenario/transactions.go
@@ -17,20 +17,20 @@
 	"embershunt/simulated"
 )
 
-// Transaction is one transaction as its client saw it.
+// Transaction is one transaction as its client recorded it.
 type Transaction struct {
 	Number     int
 	Dispatcher int
 	Started    bool
-	Statements int // that were served
-	Failures   int // answers that said that it is lost
-	Sent       int // statements after the first such answer
-	End        string
-	Reason     string
+	Statements int    // statements that were served
+	Failures   int    // answers that said that the transaction is lost
+	Sent       int    // statements after the first such answer
+	End        string // one of the constants below
+	Reason     string // why the transaction was lost or left open
 	From, To   time.Time
 }
 
-// How a transaction ended, as far as its client knows.
+// How a transaction ended, as its client knows it.
 const (
 	transactionCommitted  = "committed"
 	transactionRolledBack = "rolled back"
@@ -39,7 +39,7 @@
 	transactionLeftOpen   = "left open"
 )
 
-// transactionClient runs one transaction of a client group.
+// transactionClient is the client that runs one transaction of a client group.
 type transactionClient struct {
 	environment *environment
 	group       *ClientGroup
@@ -49,7 +49,7 @@
 	handle      *flightsql.Txn
 }
 
-// runTransaction runs one transaction: its statements, with pauses, then a commit, a rollback, or nothing at all.
+// runTransaction runs one transaction of group g: its statements, with pauses, and then a commit, a rollback or neither.
 func (e *environment) runTransaction(ctx context.Context, g int, rng *rand.Rand) {
 	t := &Transaction{From: time.Now(), Dispatcher: rng.IntN(len(e.dispatchers))}
 	e.mu.Lock()
@@ -60,7 +60,7 @@
 	defer func() { t.To = time.Now() }()
 	handle, err := client.BeginTransaction(ctx)
 	if err != nil {
-		t.noteLoss(err)
+		t.recordLoss(err)
 		t.End = transactionLost
 		return
 	}
@@ -76,9 +76,9 @@
 	c.end(ctx)
 }
 
-// noteLoss books an answer that says that the transaction is lost; false where the error says nothing of that.
-func (t *Transaction) noteLoss(err error) bool {
-	reason, commit := lostSession(err)
+// recordLoss records an answer that says that the transaction is lost. It returns false if the error does not say so.
+func (t *Transaction) recordLoss(err error) bool {
+	reason, commit := sessionLoss(err)
 	if commit == "" {
 		return false
 	}
@@ -93,18 +93,19 @@
 	return true
 }
 
+// pause waits for a random time (exponential) with the group's mean.
 func (c *transactionClient) pause(ctx context.Context) {
 	clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.group.Pause)))
 }
 
-// withDeadline makes a call within the group's deadline.
+// withDeadline makes a call with the group's deadline.
 func (c *transactionClient) withDeadline(ctx context.Context, call func(ctx context.Context) error) error {
 	inner, cancel := context.WithTimeout(ctx, c.group.Deadline.D())
 	defer cancel()
 	return call(inner)
 }
 
-// execute runs one statement of the transaction and tells whether the transaction is lost.
+// execute runs one statement of the transaction and reports whether the transaction is lost.
 func (c *transactionClient) execute(ctx context.Context) (lost bool) {
 	t := c.transaction
 	work := c.group.WorkMS * math.Exp(c.group.Sigma*c.rng.NormFloat64())
@@ -118,10 +119,10 @@
 		t.Statements++
 		return false
 	}
-	return t.noteLoss(err)
+	return t.recordLoss(err)
 }
 
-// update sends a statement and books how it ended.
+// update sends a statement and records how it ended.
 func (c *transactionClient) update(ctx context.Context, query *ClientQuery, statement string) error {
 	e := c.environment
 	e.mu.Lock()
@@ -138,7 +139,7 @@
 	return err
 }
 
-// Shares of the transactions that their clients leave open, and of those that they leave open or roll back.
+// Shares of the transactions that their clients leave open, and that they leave open or roll back.
 const (
 	leftOpenShare = 0.05
 	rollbackShare = 0.2
@@ -156,16 +157,18 @@
 	}
 }
 
+// rollback rolls the transaction back; if the call fails for another reason than a lost transaction, the transaction counts as left open.
 func (c *transactionClient) rollback(ctx context.Context) {
 	t := c.transaction
 	err := c.withDeadline(ctx, func(ctx context.Context) error { return c.handle.Rollback(ctx) })
 	if err == nil {
 		t.End = transactionRolledBack
-	} else if !t.noteLoss(err) {
+	} else if !t.recordLoss(err) {
 		t.End = transactionLeftOpen
 	}
 }
 
+// commit commits the transaction. Whether it is committed is unknown if the call fails for a reason that does not say.
 func (c *transactionClient) commit(ctx context.Context) {
 	t := c.transaction
 	err := c.withDeadline(ctx, func(ctx context.Context) error { return c.handle.Commit(ctx) })
@@ -173,20 +176,20 @@
 		t.End = transactionCommitted
 		return
 	}
-	if t.noteLoss(err) {
+	if t.recordLoss(err) {
 		return
 	}
 	t.End = transactionUnknown
-	if outcome := grpcOutcome(err); outcome.kind == "refused" { // nothing ran; this client gives up
+	if outcome := grpcOutcome(err); outcome.kind == "refused" { // a rejected commit did not run, and this client does not retry it
 		t.End, t.Reason = transactionLeftOpen, outcome.reason
 	} else if t.Reason == "" {
 		t.Reason = fmt.Sprint(err)
 	}
 }
 
-// lostSession reads what an error says of a session: its reason and whether a commit is known not to have run; "" where it
-// says nothing of one that is lost.
-func lostSession(err error) (reason, commit string) {
+// sessionLoss returns the reason why an error says that a session is lost, and its "commit" field: "unknown" if a commit may have run.
+// The field is empty if the error does not tell of a lost session.
+func sessionLoss(err error) (reason, commit string) {
 	var s interface{ GRPCStatus() *status.Status }
 	if !errors.As(err, &s) {
 		return "", ""
@@ -199,7 +202,7 @@
 	return "", ""
 }
 
-// awaitSessionsEnd waits until nodes hold nothing of a session, as long as the idle time-out and a little more allow.
+// awaitSessionsEnd waits until no node has an open transaction, for at most twice the idle timeout of sessions plus 5 s.
 func (e *environment) awaitSessionsEnd(ctx context.Context) {
 	if len(e.transactions) == 0 {
 		return
