--- a/scenario/rules.go
+++ b/scenario/rules.go
@@ -21,13 +21,13 @@
 	if !ok {
 		return 0, false
 	}
-	word, _, _ := strings.Cut(rest, " ")
-	n, err := strconv.Atoi(word)
+	number, _, _ := strings.Cut(rest, " ")
+	n, err := strconv.Atoi(number)
 	return n, err == nil
 }
 
-// duringOutage reports whether the dispatcher of a query was down while the query was in flight, or less than 1 s before it was sent.
-// Such a query may be lost without an answer.
+// duringOutage reports whether the dispatcher of a query was down while the query was in flight, or had restarted less than 1 s before
+// the query was sent. Such a query may be lost without an answer.
 func (e *environment) duringOutage(q *ClientQuery) bool {
 	for _, d := range e.outages {
 		if d.dispatcher == q.Dispatcher && q.Sent.Before(d.to.Add(time.Second)) && q.Ended.After(d.from.Add(-observationDelay)) {
