--- a/server/controller.go
+++ b/server/controller.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	// controllerQueue is the number of steps of the control module that may wait for its goroutine.
-	controllerQueue = 256
-	// maxReconnectBackoff bounds the backoff of the stream where the file has no control block to say.
+	// maxQueuedSteps is the number of steps that may wait for the control module's goroutine.
+	maxQueuedSteps = 256
+	// maxReconnectBackoff bounds the backoff of the stream where the file has no control block, which would set it.
 	maxReconnectBackoff = 5 * time.Second
 )
 
-// controller carries out what the control module decides: one goroutine owns the module, and the stream, the store and the loop do
-// the work. It decides nothing.
+// controller runs the control module and executes its actions with the stream, the store and the loop. One goroutine owns the module.
+// All decisions are the module's.
 type controller struct {
 	dispatcher *Dispatcher
 	log        *slog.Logger
-	local      config.File // without what is streamed
+	local      config.File // configuration file; streamed settings replace parts of it
 	module     *control.Module
 	stream     *stream.Stream
-	store      *store.Store // nil: versions do not outlive the process
+	store      *store.Store // nil: versions are lost when the process ends
 	steps      chan func(*control.Module) []control.Action
 	group      *errgroup.Group
-	changes    uint64 // of settings; the version of the latest one for the loop
+	serial     uint64 // of the latest change of settings that was passed to the loop
 
 	status  atomic.Pointer[control.Status]
 	mu      sync.Mutex
-	updated chan struct{} // closed, and replaced, at each change of the status
+	updated chan struct{} // closed and replaced whenever the status is published
 }
 
-// newController opens the store, if there is one, and returns the configuration to start with: that of the file, or the last
-// version in the store.
+// newController opens the store, if one is configured. It returns the controller and the configuration to start with: that of the
+// file, or that of the last version in the store.
 func newController(cfg *config.Config, log *slog.Logger) (*controller, *config.Config, error) {
-	c := &controller{log: log, local: cfg.File, steps: make(chan func(*control.Module) []control.Action, controllerQueue),
+	c := &controller{log: log, local: cfg.File, steps: make(chan func(*control.Module) []control.Action, maxQueuedSteps),
 		updated: make(chan struct{})}
 	bounds := control.DefaultBounds()
 	settings := cfg.File.Control
-	if settings == nil { // the node list alone is streamed
+	if settings == nil { // only the node list is streamed
 		c.module = control.New(bounds, c.local, control.Set{})
 		return c, cfg, nil
 	}
@@ -71,12 +71,13 @@
 	return c, inForce, nil
 }
 
-// lastVersion is the configuration of the last version in the store, and its set. A damaged version is passed over in favour of the
-// one before it. Where no version fits, it is the configuration of the file.
+// lastVersion returns the newest intact set in the store and the configuration with it merged in. Damaged versions that are newer are
+// logged and skipped. Without an intact version, or where it cannot be merged into the file, lastVersion returns the configuration of
+// the file.
 func (c *controller) lastVersion(cfg *config.Config) (*config.Config, control.Set, error) {
 	set, damaged, err := c.store.Last()
-	for _, one := range damaged {
-		c.log.Error("a stored version is damaged and skipped", "error", one)
+	for _, d := range damaged {
+		c.log.Error("stored version is damaged and was skipped", "error", d)
 	}
 	if errors.Is(err, store.ErrNotFound) {
 		return cfg, control.Set{}, nil
@@ -86,14 +87,15 @@
 	}
 	merged, err := control.Merge(cfg.File, set)
 	if err != nil {
-		c.log.Error("the last stored version does not fit the file; starting from the file", "set", set.Number, "error", err)
+		c.log.Error("last stored version cannot be merged into the configuration file; starting from the file",
+			"set", set.Number, "error", err)
 		return cfg, control.Set{}, nil
 	}
 	c.log.Info("starting from the last stored version", "set", set.Number)
 	return merged, set, nil
 }
 
-// startController runs the controller and its stream to the control service until ctx ends.
+// startController starts the controller and its stream to the control service in the group; both run until ctx ends.
 func (d *Dispatcher) startController(ctx context.Context, group *errgroup.Group) {
 	d.controller.stream = stream.New(streamOptions(d.cfg), streamHandler{d.controller, ctx})
 	d.fleet.OnFetch(d.controller.stream.Again)
@@ -112,15 +114,15 @@
 	return o
 }
 
-// AwaitControl returns when the state of streamed versions satisfies a condition, or with the context's error.
+// AwaitControl waits until the status of streamed versions satisfies a condition; the error is the context's.
 func (d *Dispatcher) AwaitControl(ctx context.Context, satisfied func(control.Status) bool) error {
 	if d.controller == nil {
-		return errNothingStreamed
+		return errSettingsNotStreamed
 	}
 	return d.controller.await(ctx, satisfied)
 }
 
-// ControlStatus is the state of streamed versions; ok is false where nothing is streamed.
+// ControlStatus returns the status of streamed versions; ok is false where nothing is streamed.
 func (d *Dispatcher) ControlStatus() (status control.Status, ok bool) {
 	if d.controller == nil {
 		return control.Status{}, false
@@ -131,7 +133,7 @@
 	return control.Status{}, true
 }
 
-// publish publishes the module's state and wakes those that await it.
+// publish stores the module's status for other goroutines and wakes the callers of await.
 func (c *controller) publish() {
 	s := c.module.Status()
 	c.status.Store(&s)
@@ -141,7 +143,7 @@
 	c.updated = make(chan struct{})
 }
 
-// await returns when the status satisfies a condition, or with the context's error.
+// await waits until the published status satisfies a condition; the error is the context's.
 func (c *controller) await(ctx context.Context, satisfied func(control.Status) bool) error {
 	for {
 		c.mu.Lock()
@@ -158,7 +160,7 @@
 	}
 }
 
-// run owns the module until ctx ends, and closes the store then.
+// run steps the module and executes its actions until ctx ends; then it closes the store.
 func (c *controller) run(ctx context.Context) error {
 	c.group, ctx = errgroup.WithContext(ctx)
 	c.group.Go(func() error { return c.stream.Run(ctx) })
@@ -169,7 +171,7 @@
 				return nil
 			case step := <-c.steps:
 				actions := step(c.module)
-				c.publish() // before the actions have an effect
+				c.publish() // first, so that the status is up to date when an action takes effect
 				for _, a := range actions {
 					c.execute(ctx, a)
 				}
@@ -183,7 +185,7 @@
 	return err
 }
 
-// post hands an event to the module's goroutine.
+// post queues an event for the module's goroutine. It waits while the queue is full, and gives up when ctx ends.
 func (c *controller) post(ctx context.Context, ev control.Event) {
 	step := func(m *control.Module) []control.Action { return m.Step(c.dispatcher.clock.Now(), ev) }
 	select {
@@ -192,7 +194,8 @@
 	}
 }
 
-// execute carries out one action. What takes time has a goroutine of its own, whose result comes back as an event.
+// execute carries out one action. Store and Apply complete in goroutines of their own, which post the result as an event, since a
+// write to disk and a change of the loop's settings take time. The other actions are carried out inline, also the deletion of a set.
 func (c *controller) execute(ctx context.Context, a control.Action) {
 	switch a := a.(type) {
 	case control.Ack:
@@ -211,7 +214,7 @@
 	case control.DeleteSet:
 		if c.store != nil {
 			if err := c.store.Forget(a.Number); err != nil {
-				c.log.Error("a version that could not be applied remains in the store", "set", a.Number, "error", err)
+				c.log.Error("cannot delete from the store a version that could not be applied", "set", a.Number, "error", err)
 			}
 		}
 	case control.Apply:
@@ -229,17 +232,17 @@
 	}
 }
 
-// applySettings puts a set in force between two steps of the loop; later calls are classified by it.
+// applySettings puts a set in force between two steps of the loop; then the frontends classify later calls by it.
 func (c *controller) applySettings(ctx context.Context, a control.Apply) {
-	c.changes++
-	version := c.changes
+	c.serial++
+	serial := c.serial
 	done := make(chan error, 1)
-	c.dispatcher.loop.Post(dispatch.Change{Serial: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
+	c.dispatcher.loop.Post(dispatch.Change{Serial: serial, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
 	c.group.Go(func() error {
 		select {
 		case err := <-done:
 			if err == nil {
-				c.dispatcher.intake.SetTables(frontendTables(a.Config, version))
+				c.dispatcher.intake.SetTables(frontendTables(a.Config, serial))
 			}
 			c.post(ctx, control.Applied{Number: a.Set.Number, Err: err})
 		case <-ctx.Done(): // the loop may have ended before the change
@@ -256,18 +259,18 @@
 
 var _ stream.Handler = streamHandler{}
 
-// Offered implements stream.Handler. The live state is read from the loop first: the checks for harm need it.
+// Offered implements stream.Handler. For settings it first reads the live state from the loop, which the safety checks need.
 func (h streamHandler) Offered(ev control.Offered) {
 	if ev.Kind != control.Nodes {
 		var err error
 		if ev.Live, err = h.controller.dispatcher.liveState(h.ctx); err != nil {
-			return // the dispatcher ends
+			return // ctx has ended: the dispatcher is shutting down
 		}
 	}
 	h.controller.post(h.ctx, ev)
 }
 
-// liveState reads from the loop what the checks for harm compare settings with. The error is the context's.
+// liveState reads the state from the loop that the safety checks compare settings with. The error is the context's.
 func (d *Dispatcher) liveState(ctx context.Context) (control.LiveState, error) {
 	result := make(chan control.LiveState, 1)
 	d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
@@ -283,7 +286,7 @@
 	}
 }
 
-// Lost implements stream.Handler.
+// Lost implements stream.Handler. A stream that Renew ended is not a failure of the node list.
 func (h streamHandler) Lost(err error) {
 	if !errors.Is(err, stream.ErrRenewed) {
 		h.controller.dispatcher.fleet.ListFailed(err)
@@ -291,5 +294,5 @@
 	h.controller.post(h.ctx, control.StreamLost{})
 }
 
-// BreakStore closes the store of a running dispatcher, so that every write to it fails, for tests of full and read-only disks.
+// BreakStore closes the store of a running dispatcher: later writes fail, as they do on a full or read-only disk. It is for tests.
 func (d *Dispatcher) BreakStore() error { return d.controller.store.Close() }
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -1,5 +1,5 @@
-// Package server puts one dispatcher together, runs it and stops its parts in order: loop, fleet, frontends, control service, health,
-// metrics, admin socket. It decides nothing.
+// Package server assembles one dispatcher, runs it and stops its parts in order. The parts are the loop, the fleet, the frontends, the
+// client of the control service, health, metrics and the admin socket. The decisions are made in other packages.
 package server
 
 import (
@@ -21,7 +21,7 @@
 	"embershunt/internal/seal"
 )
 
-// Dispatcher is one dispatcher. Run it once.
+// Dispatcher is a dispatcher for Flight SQL and native clients. Run may be called once.
 type Dispatcher struct {
 	cfg      *config.Config
 	log      *slog.Logger
@@ -40,19 +40,19 @@
 	listeners      listeners
 
 	controller    *controller         // nil: nothing is streamed
-	learnedKeeper *learnedStateKeeper // nil: learned state ends with the process
+	learnedKeeper *learnedStateKeeper // nil: learned state is lost when the process ends
 	recording     *recording          // nil: decisions are not recorded
 }
 
-// Options are what a configuration file does not hold.
+// Options are a dispatcher's settings that are not in its configuration file.
 type Options struct {
 	Log    *slog.Logger // nil: nothing is logged
-	Seed   uint64       // of the decisions; 0: drawn
+	Seed   uint64       // of the policy's random choices; 0: drawn at random
 	Tracer trace.Tracer // nil: no spans
 }
 
-// New builds a dispatcher and listens; nothing is served before Run. After an error nothing listens and the store of versions is
-// closed.
+// New builds a dispatcher and opens its listeners; nothing is served before Run. After an error the listeners and the store of
+// versions are closed.
 func New(cfg *config.Config, o Options) (*Dispatcher, error) {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -72,7 +72,8 @@
 	return d, nil
 }
 
-// openController makes the controller, where anything is streamed. It may start from a stored version of the configuration.
+// openController creates the controller if the node list or the settings are streamed. It replaces the dispatcher's configuration by
+// the last stored version, if there is one.
 func (d *Dispatcher) openController() error {
 	if d.cfg.File.Control == nil && d.cfg.File.Nodes.EDS == nil {
 		return nil
@@ -85,17 +86,17 @@
 	return nil
 }
 
-// closeStore closes the store of a dispatcher that does not run.
+// closeStore closes the store of versions of a dispatcher that is not run; controller.run closes it otherwise.
 func (d *Dispatcher) closeStore() {
 	if d.controller == nil || d.controller.store == nil {
 		return
 	}
 	if err := d.controller.store.Close(); err != nil {
-		d.log.Warn("the store of versions cannot be closed", "error", err)
+		d.log.Warn("cannot close the store of versions", "error", err)
 	}
 }
 
-// build makes the parts in the order in which they need each other, and listens.
+// build creates the parts in the order of their dependencies and opens the listeners.
 func (d *Dispatcher) build(o Options) error {
 	sealer, err := seal.New(d.cfg.Keys...)
 	if err != nil {
@@ -115,10 +116,10 @@
 	return err
 }
 
-// Address is where Flight SQL is served.
+// Address returns the address at which Flight SQL is served, as HOST:PORT.
 func (d *Dispatcher) Address() string { return d.listeners.flight.Addr().String() }
 
-// NativeAddress is where the ClickHouse native protocol is served; "" where it is not.
+// NativeAddress returns the address at which the ClickHouse native protocol is served, or "" where it is not served.
 func (d *Dispatcher) NativeAddress() string {
 	if d.listeners.native == nil {
 		return ""
@@ -126,28 +127,28 @@
 	return d.listeners.native.Addr().String()
 }
 
-// Native is the frontend of the ClickHouse native protocol.
+// Native returns the frontend of the ClickHouse native protocol.
 func (d *Dispatcher) Native() *clickhouse.Front { return d.nativeFrontend }
 
-// Sessions are those whose state one node holds.
+// Sessions returns the sticky sessions: those whose state one node holds.
 func (d *Dispatcher) Sessions() *frontend.Sessions { return d.sessions }
 
-// Fleet is the dispatcher's view of the query nodes.
+// Fleet returns the dispatcher's view of the query nodes.
 func (d *Dispatcher) Fleet() *backend.Fleet { return d.fleet }
 
-// Registry has the dispatcher's metrics.
+// Registry returns the registry of the dispatcher's metrics.
 func (d *Dispatcher) Registry() *prometheus.Registry { return d.registry }
 
-// Drain begins a graceful shutdown: health reports it, new queries are rejected, pending ones get their answers, then Run
-// returns nil.
+// Drain begins a graceful shutdown: health checks report NOT_SERVING, new queries are rejected, and Run returns nil when all pending
+// queries have their answers.
 func (d *Dispatcher) Drain() {
 	d.log.Info("draining: new queries are rejected, queries in flight are answered")
 	d.health.Shutdown()
 	d.loop.Drain()
 }
 
-// Kill breaks every connection and stops listening without notice, as a crash does, for tests. Run must be ended by its context
-// afterwards.
+// Kill closes the Flight SQL listener and all its connections without notice, as a crash does. The other listeners stay open. It is for
+// tests, which must then end Run by its context.
 func (d *Dispatcher) Kill() {
 	d.grpcServer.Stop()
 }
