--- a/server/learned_state.go
+++ b/server/learned_state.go
@@ -13,18 +13,19 @@
 	"embershunt/dispatch"
 )
 
-// learnedStateKeeper keeps what the policy has learned in a file, for the next start.
+// learnedStateKeeper saves what the policy has learned to a file, so that the next start need not learn it again.
 type learnedStateKeeper struct {
 	file     string
-	interval time.Duration // between two writes
-	build    string        // of this program
-	epoch    time.Time     // wall time at the clock's zero
+	interval time.Duration // between two writes of the file
+	build    string        // version of this program; learned state of another build is not used
+	epoch    time.Time     // wall time at which the dispatcher's clock was 0
 	log      *slog.Logger
 }
 
-// newLearnedStateKeeper restores what is usable of the file into the core; nil where there is no file to keep. A file that cannot be
-// used is logged: the dispatcher starts cold.
-func newLearnedStateKeeper(file string, interval time.Duration, core *dispatch.Core, clock dispatch.Clock, log *slog.Logger) *learnedStateKeeper {
+// newLearnedStateKeeper restores the usable parts of the file into the core. It returns nil where no file is configured. If the file
+// cannot be used, the reason is logged and the dispatcher starts cold; a missing file is not logged.
+func newLearnedStateKeeper(file string, interval time.Duration, core *dispatch.Core, clock dispatch.Clock,
+	log *slog.Logger) *learnedStateKeeper {
 	if file == "" {
 		return nil
 	}
@@ -35,7 +36,7 @@
 		return k
 	}
 	if err != nil {
-		log.Warn("learned state cannot be read; starting without it", "file", file, "error", err)
+		log.Warn("cannot read learned state; starting without it", "file", file, "error", err)
 		return k
 	}
 	classes, fleet, reason := state.Usable(time.Now(), k.build)
@@ -46,7 +47,7 @@
 	return k
 }
 
-// buildVersion is the version of this program; "" where the build does not know it.
+// buildVersion returns the version of this program's main module, or "" where the binary has no build information.
 func buildVersion() string {
 	if b, ok := debug.ReadBuildInfo(); ok {
 		return b.Main.Version
@@ -62,21 +63,21 @@
 	return state, json.Unmarshal(text, &state)
 }
 
-// run writes the file at each interval until ctx ends.
+// run saves the learned state once per interval until ctx ends.
 func (k *learnedStateKeeper) run(ctx context.Context, loop *dispatch.Loop) error {
-	t := time.NewTicker(k.interval)
-	defer t.Stop()
+	ticker := time.NewTicker(k.interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.C:
+		case <-ticker.C:
 		}
 		k.save(ctx, loop)
 	}
 }
 
-// save reads what was learned from the loop and writes it, unless ctx ends before.
+// save reads the learned state from the loop and writes it to the file, unless ctx ends first.
 func (k *learnedStateKeeper) save(ctx context.Context, loop *dispatch.Loop) {
 	state := dispatch.LearnedState{Format: dispatch.LearnedFormat, Build: k.build, At: time.Now()}
 	done := make(chan error, 1)
@@ -91,13 +92,13 @@
 			err = k.write(state)
 		}
 		if err != nil {
-			k.log.Warn("learned state cannot be written", "file", k.file, "error", err)
+			k.log.Warn("cannot write learned state", "file", k.file, "error", err)
 		}
 	case <-ctx.Done():
 	}
 }
 
-// write replaces the file as a whole: after a crash it is the old one or the new one.
+// write replaces the file atomically, by renaming a synced temporary file: after a crash the old or the new file is there, whole.
 func (k *learnedStateKeeper) write(state dispatch.LearnedState) error {
 	text, err := json.Marshal(state)
 	if err != nil {
--- a/server/listeners.go
+++ b/server/listeners.go
@@ -10,7 +10,7 @@
 	"embershunt/config"
 )
 
-// listeners are what a dispatcher listens on; nil: it does not.
+// listeners are the open listeners of a dispatcher; nil for an interface that is not served.
 type listeners struct {
 	flight  net.Listener // never nil
 	metrics net.Listener
@@ -18,7 +18,7 @@
 	admin   net.Listener // a Unix socket
 }
 
-// listen opens the listeners of a configuration, all or none.
+// listen opens the listeners of a configuration. After an error none is open.
 func listen(addresses config.Listen) (l listeners, err error) {
 	defer func() {
 		if err != nil {
@@ -39,16 +39,16 @@
 	return l, err
 }
 
-// close closes those that are open.
+// close closes the open listeners.
 func (l *listeners) close() {
-	for _, one := range []net.Listener{l.flight, l.metrics, l.native, l.admin} {
-		if one != nil {
-			_ = one.Close() // nothing was served on it
+	for _, listener := range []net.Listener{l.flight, l.metrics, l.native, l.admin} {
+		if listener != nil {
+			_ = listener.Close() // nothing was served on it
 		}
 	}
 }
 
-// listenOptional listens on a TCP address; nil where there is none.
+// listenOptional listens on a TCP address. It returns nil where the address is empty.
 func listenOptional(address string) (net.Listener, error) {
 	if address == "" {
 		return nil, nil
@@ -56,13 +56,14 @@
 	return net.Listen("tcp", address)
 }
 
-// listenAdmin listens on a Unix socket, in place of one that a killed dispatcher left behind; nil where there is no path.
+// listenAdmin listens on a Unix socket and replaces a socket file that a killed dispatcher left behind. It returns nil where the path
+// is empty.
 func listenAdmin(path string) (net.Listener, error) {
 	if path == "" {
 		return nil, nil
 	}
 	if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
-		_ = c.Close() // it was opened to see whether anybody listens
+		_ = c.Close() // opened only to find out whether a process listens
 		return nil, fmt.Errorf("admin socket %s: another dispatcher serves it", path)
 	}
 	if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/server/node_file.go
+++ b/server/node_file.go
@@ -9,10 +9,10 @@
 	"embershunt/nodelist"
 )
 
-// nodeFilePollInterval is how often a node list file is read.
+// nodeFilePollInterval is the time between two reads of a node list file.
 const nodeFilePollInterval = 250 * time.Millisecond
 
-// watchNodes puts the node list of the file in force, and starts to follow a node list file where there is one.
+// watchNodes starts to follow the node list file, if one is configured; otherwise it puts the configuration's own node list in force.
 func (d *Dispatcher) watchNodes() error {
 	file := d.cfg.File.Nodes.File
 	if file == "" {
@@ -29,21 +29,22 @@
 	return nil
 }
 
-// watchNodeFile puts the list of a file in force whenever its content changes, or at each fetch. A file that cannot be read or used
-// is reported once for each error; the last good list stays in force.
+// watchNodeFile puts the node list of a file in force whenever its content changes, and at each fetch. If the file cannot be read or
+// parsed, the last good list stays in force and the failure is reported; an error with the same text is not reported again until
+// another error occurs or a list has been parsed.
 func (d *Dispatcher) watchNodeFile(ctx context.Context, path string, fetch <-chan struct{}) {
-	var last []byte // content that was parsed last; nil: to be parsed in any case
-	reported := ""  // error that was reported last
-	tick := time.NewTicker(nodeFilePollInterval)
-	defer tick.Stop()
+	var parsed []byte // content that was parsed last; nil: the file is parsed even if it has not changed
+	reported := ""    // text of the error that was reported last
+	ticker := time.NewTicker(nodeFilePollInterval)
+	defer ticker.Stop()
 	for {
 		text, err := os.ReadFile(path)
-		if err == nil && (last == nil || !bytes.Equal(text, last)) {
-			last = text
+		if err == nil && (parsed == nil || !bytes.Equal(text, parsed)) {
+			parsed = text
 			var nodes []nodelist.Node
 			if nodes, err = d.cfg.ParseNodes(path, text); err == nil {
 				reported = ""
-				_ = d.fleet.SetNodes(nodes) // it reports its error itself, as a failed list
+				_ = d.fleet.SetNodes(nodes) // SetNodes calls ListFailed itself for a list that cannot be used
 			}
 		}
 		if err != nil && err.Error() != reported {
@@ -53,9 +54,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		case <-fetch:
-			last = nil
+			parsed = nil
 		}
 	}
 }
--- a/server/observer.go
+++ b/server/observer.go
@@ -19,42 +19,42 @@
 	"embershunt/policy"
 )
 
-// metricsNamespace is the prefix of all metrics.
+// metricsNamespace is the prefix of all metric names.
 const metricsNamespace = "embershunt"
 
 var _ dispatch.Observer = (*observer)(nil)
 
-// observer turns the notifications of a core into metrics, log lines and spans. Except for the collectors, which have locks of their
-// own, it is used by the loop alone.
+// observer turns the notifications of a core into metrics, log lines and spans. The collectors are safe for concurrent use; once the
+// loop runs, only its goroutine uses the other fields.
 type observer struct {
 	log      *slog.Logger
 	registry *prometheus.Registry
-	tracer   trace.Tracer // nil: no spans
-	classes  []string     // names, by index in the settings in force
-	spans    map[string]*querySpans
+	tracer   trace.Tracer           // nil: no spans
+	classes  []string               // class names, by their index in the settings in force
+	spans    map[string]*querySpans // by query id; empty without a tracer
 
-	queries  *prometheus.CounterVec
+	queries  *prometheus.CounterVec // final answers
 	latency  *prometheus.HistogramVec
-	attempts *prometheus.CounterVec
+	attempts *prometheus.CounterVec // attempts ended
 	sent     *prometheus.CounterVec
 	faults   *prometheus.CounterVec
 	steps    prometheus.Counter
 	events   prometheus.Counter
 	actions  prometheus.Counter
 	pending  prometheus.Gauge
-	limit    prometheus.Gauge // of pending
-	version  prometheus.Gauge
-	pause    prometheus.Histogram
+	limit    prometheus.Gauge     // upper bound of pending
+	version  prometheus.Gauge     // number of settings changes since the start
+	pause    prometheus.Histogram // duration of steps with a change of settings
 }
 
 // querySpans are the open spans of one pending query.
 type querySpans struct {
 	ctx      context.Context
 	query    trace.Span
-	decision trace.Span
+	decision trace.Span // from receipt to the first attempt or the final answer; nil once an attempt was sent
 }
 
-// codeNames are the codes of attempts in metrics and logs.
+// codeNames has the names of attempts' result codes in metrics and logs.
 var codeNames = map[policy.Code]string{policy.OK: "ok", policy.Failed: "failed", policy.Rejected: "full",
 	policy.TimedOut: "timed_out", policy.ConnectionRefused: "refused", policy.ConnectionReset: "reset", policy.Cancelled: "cancelled",
 	policy.NeverSent: "moot"}
@@ -75,7 +75,7 @@
 	}
 }
 
-// registerQueryMetrics makes the metrics of queries and attempts.
+// registerQueryMetrics creates and registers the metrics of queries, attempts and faults.
 func (o *observer) registerQueryMetrics() {
 	o.queries = o.counterVec("queries_total", "Final answers.", "class", "final", "reason")
 	o.attempts = o.counterVec("attempts_ended_total", "Ends of attempts.", "node", "code")
@@ -90,7 +90,7 @@
 	o.registry.MustRegister(o.latency)
 }
 
-// registerStepMetrics makes the metrics of the loop's steps and of changes of settings.
+// registerStepMetrics creates and registers the metrics of the loop's steps and of changes of settings.
 func (o *observer) registerStepMetrics() {
 	o.steps = o.counter("steps_total", "Steps of the decision module.")
 	o.events = o.counter("events_total", "Events told to the decision module.")
@@ -121,18 +121,18 @@
 	return g
 }
 
-// counterFunc registers a counter that another part keeps.
+// counterFunc registers a counter whose value another part of the dispatcher maintains.
 func (o *observer) counterFunc(name, help string, labels prometheus.Labels, value func() float64) {
 	o.registry.MustRegister(prometheus.NewCounterFunc(
 		prometheus.CounterOpts{Namespace: metricsNamespace, Name: name, Help: help, ConstLabels: labels}, value))
 }
 
-// gaugeFunc registers a gauge that another part keeps.
+// gaugeFunc registers a gauge whose value another part of the dispatcher maintains.
 func (o *observer) gaugeFunc(name, help string, value func() float64) {
 	o.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: metricsNamespace, Name: name, Help: help}, value))
 }
 
-// registerParts registers the metrics that intake, fleet and native frontend keep.
+// registerParts registers the metrics whose values the intake, the fleet and the native frontend maintain.
 func (o *observer) registerParts(intake *frontend.Intake, f *backend.Fleet, native *clickhouse.Front, maxInsertBytes int) {
 	o.counterFunc("queries_unruled_total", "Queries that no rule and no hint gave a class.", nil,
 		func() float64 { return float64(intake.Unclassified()) })
@@ -151,7 +151,7 @@
 	o.registerAudit(f.Audit())
 }
 
-// registerAudit registers the counts of attempts that were not permitted, by reason.
+// registerAudit registers, by reason, the counts of attempts that were withheld and of those that began against a rule.
 func (o *observer) registerAudit(a *permit.Audit) {
 	for _, reason := range permit.All() {
 		labels := prometheus.Labels{"reason": reason.String()}
@@ -179,7 +179,7 @@
 	})
 }
 
-// class is the name of a class, or its index where it has none.
+// class returns the name of the class with index i, or the index itself where the settings in force have no such class.
 func (o *observer) class(i int) string {
 	if i >= 0 && i < len(o.classes) {
 		return o.classes[i]
--- a/server/parts.go
+++ b/server/parts.go
@@ -19,16 +19,16 @@
 	"embershunt/session"
 )
 
-// sessionDrainMargin is how long before the end of a drain's grace the sessions on that node end: their last statement must have
-// been sent by then.
+// sessionDrainMargin is how long before the end of a node's drain grace its sessions end, since their last statement must have been
+// sent when the grace ends.
 const sessionDrainMargin = 100 * time.Millisecond
 
-// Keepalive of client connections: a client that vanished is noticed after keepaliveTime and keepaliveTimeout, so that nothing runs
-// on for it.
+// Keepalive of gRPC client connections. The connection of a client that has vanished is closed keepaliveTime + keepaliveTimeout after
+// its last activity, so that its queries do not keep running.
 const (
 	keepaliveTime    = 20 * time.Second
 	keepaliveTimeout = 5 * time.Second
-	keepaliveMinTime = 5 * time.Second // clients may not ping more often
+	keepaliveMinTime = 5 * time.Second // least time between two pings of a client
 )
 
 func newFleet(cfg *config.Config, log *slog.Logger, clock dispatch.Clock) *backend.Fleet {
@@ -44,7 +44,7 @@
 	})
 }
 
-// buildLoop makes the core with what was learned before, its recording and the loop.
+// buildLoop creates the core and the loop. Learned state is restored before the recording starts, since the recording begins with it.
 func (d *Dispatcher) buildLoop(seed uint64, observer dispatch.Observer) error {
 	core, err := dispatch.NewCore(seed, d.cfg.Settings, d.fleet, observer)
 	if err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// buildSessions makes the intake and the sessions, which follow the node list.
+// buildSessions creates the intake and the sessions, and lets the sessions follow the node list.
 func (d *Dispatcher) buildSessions() {
 	d.intake = frontend.NewIntake(d.loop, d.clock, frontendTables(d.cfg, 0))
 	d.sessions = frontend.NewSessions(d.intake, d.clock, sessionLimits(&d.cfg.File), d.fleet)
@@ -81,7 +81,7 @@
 	}
 }
 
-// buildFrontends makes the frontends of both protocols.
+// buildFrontends creates the frontends of Flight SQL and of the ClickHouse native protocol.
 func (d *Dispatcher) buildFrontends(sealer *seal.Sealer) {
 	f := &d.cfg.File
 	auth := newAuthenticator(f)
@@ -120,7 +120,7 @@
 	return flightsql.NewUsers(hashes)
 }
 
-// newGRPCServer returns the server of Flight SQL and of health.
+// newGRPCServer returns the gRPC server of Flight SQL and of health checks.
 func newGRPCServer(front *flightsql.Front, h *health.Server) *grpc.Server {
 	server := grpc.NewServer(append(front.ServerOptions(),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
@@ -130,11 +130,11 @@
 	return server
 }
 
-// frontendTables are what a configuration says for the frontends; version numbers its settings.
-func frontendTables(cfg *config.Config, version uint64) frontend.Tables {
+// frontendTables returns the part of a configuration that the frontends use; serial is that of its settings in the loop.
+func frontendTables(cfg *config.Config, serial uint64) frontend.Tables {
 	f := &cfg.File.Front
 	t := frontend.Tables{
-		SettingsSerial: version,
+		SettingsSerial: serial,
 		Classes:        &cfg.Classes,
 		Deadlines:      make([]time.Duration, len(cfg.Settings.Classes)),
 		ResponseMargin: f.ResponseMargin.D(),
--- a/server/platform.go
+++ b/server/platform.go
@@ -23,8 +23,8 @@
 	"embershunt/policy"
 )
 
-// Platform is a dispatcher on the platform's protocol alone: it has no other frontend, no admin socket, recording or store. Run it
-// once.
+// Platform is a dispatcher for the platform's protocols alone: clients speak the PostgreSQL protocol, nodes the line protocol. It has
+// no other frontend, no admin socket, recording or store. Run and Drain may be called once.
 type Platform struct {
 	log      *slog.Logger
 	clock    dispatch.Clock
@@ -32,45 +32,45 @@
 	fleet    *backend.Fleet
 	frontend *postgres.Front
 	listener *net.TCPListener
-	peers    *peers.Peers // nil: the settings allow none
+	peers    *peers.Peers // nil: the settings do not allow gossip
 	resolver *resolver.Resolver
 	metrics  *platformMetrics
-	nodes    []nodelist.Node // in force; used by the resolver's goroutine alone
+	nodes    []nodelist.Node // in force; once Run is called, only the resolver's goroutine uses it
 	draining chan struct{}   // closed by Drain
 }
 
-// How the process's file descriptors are divided.
+// Division of the process's file descriptors (limits.sockets).
 const (
-	reservedDescriptors = 24  // listeners, peers, name service, files and the like
-	nodeDescriptorShare = 0.4 // of the others: connections to nodes; the rest are clients'
-	// descriptorsPerQuery bounds the queries in flight: no more than one for so many descriptors.
+	reservedDescriptors = 24  // for listeners, peers, name service, files and the like
+	nodeDescriptorShare = 0.4 // share of the others for connections to nodes; the rest is for connections of clients
+	// descriptorsPerQuery limits the queries in flight to one for each descriptorsPerQuery descriptors.
 	descriptorsPerQuery = 3
 )
 
-// How the process uses its memory.
+// Settings of the garbage collector.
 const (
-	memoryLimitShare  = 0.6 // of the memory allowed: above it the garbage collector works harder
-	heapGrowthPercent = 50  // between two collections
+	memoryLimitShare  = 0.6 // soft limit, as a share of the memory allowed: above it garbage is collected more often
+	heapGrowthPercent = 50  // growth of the live heap that starts a collection
 )
 
-// The name service is polled several times within the grace of a drain, so that a drain is noticed early in it.
+// Polling of the name service: several polls within the drain grace, so that a drain is noticed early in it.
 const (
 	pollsPerDrainGrace = 5
 	minPollInterval    = 50 * time.Millisecond
 	maxPollInterval    = 250 * time.Millisecond
 )
 
-// drainDelay is how long after the order to stop clients may still send queries, as the platform says: they are served.
+// drainDelay is the time after the order to stop in which, by the platform's rules, clients may still send queries: they are served.
 const drainDelay = 700 * time.Millisecond
 
-// Limit fits the Go runtime to the processors and the memory that the configuration allows.
+// Limit sets the Go runtime's limits by the processors and the memory that the configuration allows.
 func Limit(cfg *config.Platform) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetGCPercent(heapGrowthPercent)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryLimitShare * (1 << 20)))
 }
 
-// NewPlatform builds a dispatcher and listens; nothing is served before Run.
+// NewPlatform builds a dispatcher and opens its listener; nothing is served before Run.
 func NewPlatform(cfg *config.Platform, log *slog.Logger) (*Platform, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p.listener = l.(*net.TCPListener) // the type that Listen documents for "tcp"
+	p.listener = l.(*net.TCPListener) // the type that net.Listen returns for "tcp"
 	return p, nil
 }
 
@@ -121,7 +121,7 @@
 	})
 }
 
-// platformSettings are the settings with a bound on the queries in flight that the descriptors allow.
+// platformSettings returns the settings, with the limit of queries in flight lowered to what the file descriptors allow.
 func platformSettings(cfg *config.Platform) policy.Settings {
 	settings := cfg.Settings
 	if limit := cfg.Sockets / descriptorsPerQuery; settings.MaxInFlight == 0 || settings.MaxInFlight > limit {
@@ -136,7 +136,7 @@
 
 func duration(micros policy.Micros) time.Duration { return time.Duration(micros) * time.Microsecond }
 
-// Address is where clients are served.
+// Address returns the address at which clients are served, as HOST:PORT.
 func (p *Platform) Address() string { return p.listener.Addr().String() }
 
 // setNodes puts a node list of the resolver in force.
@@ -149,8 +149,8 @@
 	p.nodes = nodes
 }
 
-// Reload reads the configuration again and follows the address of the name service, unless the file has an error. Other changes
-// need a restart.
+// Reload reads the configuration file again and applies the address of the name service; other changes need a restart. A file with an
+// error changes nothing.
 func (p *Platform) Reload(path string) {
 	cfg, err := config.LoadPlatform(path)
 	if err != nil {
@@ -161,51 +161,51 @@
 	p.resolver.SetAddress(cfg.Resolver)
 }
 
-// Drain begins a graceful shutdown: queries are accepted for drainDelay more, later ones are rejected, and Run returns when all have
-// their answers. It must be called once at most.
+// Drain begins a graceful shutdown: queries are accepted for another drainDelay, later ones are rejected, and Run returns when all
+// pending queries have their answers. It must be called once at most.
 func (p *Platform) Drain() { close(p.draining) }
 
-// Run serves until the dispatcher has drained (nil), ctx ends, or something fails.
+// Run serves until the dispatcher has drained, ctx ends or a part fails. The error is nil after a drain.
 func (p *Platform) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	whileLoop, loopEnded := context.WithCancel(context.WithoutCancel(ctx)) // ends with the loop, whatever ends that
+	loopCtx, cancelLoopCtx := context.WithCancel(context.WithoutCancel(ctx)) // ends when the loop has ended, and not before
 	group.Go(func() error {
-		defer loopEnded()
+		defer cancelLoopCtx()
 		return p.loop.Run(ctx)
 	})
-	group.Go(func() error { return p.frontend.Serve(whileLoop, p.listener) })
+	group.Go(func() error { return p.frontend.Serve(loopCtx, p.listener) })
 	p.fleet.Go(p.resolver.Run)
 	if p.peers != nil {
-		group.Go(func() error { return p.peers.Run(whileLoop, policyEventPoster{p.loop}) })
+		group.Go(func() error { return p.peers.Run(loopCtx, policyEventPoster{p.loop}) })
 	}
-	group.Go(func() error { p.metrics.run(whileLoop, p); return nil })
-	group.Go(func() error { p.awaitDrain(whileLoop); return nil })
+	group.Go(func() error { p.metrics.run(loopCtx, p); return nil })
+	group.Go(func() error { p.drainAfterDelay(loopCtx); return nil })
 	group.Go(func() error {
-		<-whileLoop.Done()
+		<-loopCtx.Done()
 		return p.fleet.Close()
 	})
 	return group.Wait()
 }
 
-// awaitDrain drains the loop drainDelay after Drain, unless ctx ends before.
-func (p *Platform) awaitDrain(ctx context.Context) {
+// drainAfterDelay waits for Drain and then for drainDelay, and drains the loop, unless ctx ends first.
+func (p *Platform) drainAfterDelay(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-p.draining:
 	}
 	p.log.Info("draining: queries are accepted for a moment more, then rejected", "moment", drainDelay)
-	t := time.NewTimer(drainDelay)
-	defer t.Stop()
+	timer := time.NewTimer(drainDelay)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 		p.loop.Drain()
 	}
 }
 
-// policyEventPoster passes gossip to the loop.
+// policyEventPoster implements peers.Receiver: it posts gossip to the loop.
 type policyEventPoster struct{ *dispatch.Loop }
 
-// Notify posts an event that does not concern the ledger.
+// Notify posts an event that goes to the policy and does not concern the ledger.
 func (l policyEventPoster) Notify(ev policy.Event) { l.Post(dispatch.PolicyEvent{Event: ev}) }
--- a/server/platform_metrics.go
+++ b/server/platform_metrics.go
@@ -15,15 +15,15 @@
 
 var _ dispatch.Observer = (*platformMetrics)(nil)
 
-// platformMetrics counts what the loop does and logs the counts, where no metrics are served: nothing in it grows with ids,
-// connections or nodes.
+// platformMetrics counts what the loop does and logs the counts at intervals, since a Platform serves no metrics. Its size does not
+// grow with the number of ids, connections or nodes.
 type platformMetrics struct {
 	log      *slog.Logger
 	received atomic.Int64
 	outcomes [dispatch.Failed + 1]atomic.Int64
 	codes    [policy.NeverSent + 1]atomic.Int64
-	sent     atomic.Int64
-	retries  atomic.Int64
+	sent     atomic.Int64 // attempts
+	retries  atomic.Int64 // attempts after a query's first
 	faults   atomic.Int64
 	pending  atomic.Int64
 	reasons  [len(loggedReasons)]atomic.Int64
@@ -41,7 +41,7 @@
 	m.log.Debug("query received", "query", q.ID, "trace", traceID(q))
 }
 
-// traceID is the id that the client gave its query; "" where its protocol has none.
+// traceID returns the id that the client gave its query, or "" where its protocol has none.
 func traceID(q *dispatch.Query) string {
 	if r, ok := q.Work.(*lineproto.Request); ok {
 		return r.ID
@@ -55,8 +55,8 @@
 	if i := slices.Index(loggedReasons[:], outcome.Reason); i >= 0 {
 		m.reasons[i].Add(1)
 	}
-	m.log.Debug("query answered", "query", q.ID, "trace", traceID(q), "final", outcome.Kind.String(), "reason", outcome.Reason, "attempts", outcome.Attempts,
-		"took_ms", duration/1000)
+	m.log.Debug("query answered", "query", q.ID, "trace", traceID(q), "final", outcome.Kind.String(), "reason", outcome.Reason,
+		"attempts", outcome.Attempts, "took_ms", duration/1000)
 }
 
 // Sent implements dispatch.Observer.
@@ -93,19 +93,19 @@
 // StepCompleted implements dispatch.Observer.
 func (m *platformMetrics) StepCompleted(_, _, pending int) { m.pending.Store(int64(pending)) }
 
-// metricsLogInterval is the time between two logs of the counts.
+// metricsLogInterval is how often the counts are logged.
 const metricsLogInterval = 10 * time.Second
 
-// run logs the counts at each interval and when ctx ends.
+// run logs the counts every metricsLogInterval and a last time when ctx ends.
 func (m *platformMetrics) run(ctx context.Context, p *Platform) {
-	tick := time.NewTicker(metricsLogInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(metricsLogInterval)
+	defer ticker.Stop()
 	for {
 		ended := false
 		select {
 		case <-ctx.Done():
 			ended = true
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		m.logCounts(p)
 		m.logNodeList(p)
@@ -120,11 +120,12 @@
 
 // logCounts logs the counts of queries, attempts, connections and gossip.
 func (m *platformMetrics) logCounts(p *Platform) {
-	open, turnedAway, unreadable := p.frontend.Counts()
+	open, rejected, unreadable := p.frontend.Counts()
 	args := []any{"taken", m.received.Load(), "served", m.outcomes[dispatch.Served].Load(), "refused", m.outcomes[dispatch.Shed].Load(),
 		"failed", m.outcomes[dispatch.Failed].Load(), "held", m.pending.Load(), "sent", m.sent.Load(), "further", m.retries.Load(),
-		"faults", m.faults.Load(), "sessions", open, "turned_away", turnedAway, "unreadable", unreadable,
-		"node_connections", p.fleet.PlatformConns(), "answers_discarded", p.fleet.DiscardedAnswers(), "list_failures", p.resolver.Failures()}
+		"faults", m.faults.Load(), "sessions", open, "turned_away", rejected, "unreadable", unreadable,
+		"node_connections", p.fleet.PlatformConns(), "answers_discarded", p.fleet.DiscardedAnswers(),
+		"list_failures", p.resolver.Failures()}
 	for code := range m.codes {
 		args = append(args, "ended_"+codeNames[policy.Code(code)], m.codes[code].Load())
 	}
@@ -143,7 +144,7 @@
 		"reverted", list.Reverted, "sockets", list.Sockets)
 }
 
-// logReasons logs the reasons of shed and failed queries that have occurred.
+// logReasons logs how many queries were shed or failed, by reason; reasons that have not occurred are left out.
 func (m *platformMetrics) logReasons() {
 	var args []any
 	for i, reason := range loggedReasons {
@@ -156,7 +157,7 @@
 	}
 }
 
-// logAudit logs how often attempts were withheld and rules violated, by reason.
+// logAudit logs how many attempts were withheld and how many violated a rule, by reason; reasons that have not occurred are left out.
 func (m *platformMetrics) logAudit(p *Platform) {
 	var args []any
 	for _, c := range p.fleet.Audit().Counts() {
@@ -167,7 +168,7 @@
 	}
 }
 
-// logClosures logs the reasons of ended client sessions that have occurred.
+// logClosures logs how many client sessions have ended, by reason; reasons that have not occurred are left out.
 func (m *platformMetrics) logClosures(p *Platform) {
 	var args []any
 	names, counts := p.frontend.CloseCounts()
--- a/server/recording.go
+++ b/server/recording.go
@@ -13,7 +13,7 @@
 	"embershunt/trace"
 )
 
-// recording writes the inputs and the decisions of the policy into a file.
+// recording writes the inputs and the decisions of the policy to a file (log.decisions).
 type recording struct {
 	recorder *trace.Recorder
 	writer   *trace.Writer
@@ -21,7 +21,8 @@
 	maxBytes int64
 }
 
-// newRecording opens the file, after renaming an older one to NAME.old, and starts to record; nil where there is no file to write.
+// newRecording renames an existing file to NAME.old, creates a new one and starts to record. It returns nil where no file is
+// configured.
 func newRecording(f *config.File, core *dispatch.Core, clock dispatch.Clock, r *prometheus.Registry) (*recording, error) {
 	name := f.Log.Decisions
 	if name == "" {
@@ -41,13 +42,13 @@
 	}
 	rec := &recording{recorder: trace.NewRecorder(f.Name, buildVersion()), writer: w, file: file, maxBytes: int64(f.Log.MaxDecisionBytes)}
 	core.Record(clock.Now(), rec.recorder)
-	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: "embershunt", Name: "decisions_not_recorded_total",
+	r.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: metricsNamespace, Name: "decisions_not_recorded_total",
 		Help: "Steps of the module that the recording lost because it could not keep up, or had reached its bound."},
 		func() float64 { return float64(rec.recorder.Drops()) }))
 	return rec, nil
 }
 
-// run writes until the loop has ended. A recording that fails is logged and does not stop the dispatcher.
+// run writes the recording until stop is closed. An error ends the recording and is logged, but does not stop the dispatcher.
 func (r *recording) run(stop <-chan struct{}, log *slog.Logger) error {
 	err := errors.Join(r.recorder.Run(stop, r.writer, r.maxBytes), r.writer.Flush(), r.file.Close())
 	if err != nil {
--- a/server/run.go
+++ b/server/run.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// httpHeaderTimeout bounds the reading of a request's header on the metrics and admin listeners.
+	// httpHeaderTimeout limits the reading of a request's header on the metrics and admin listeners.
 	httpHeaderTimeout = 5 * time.Second
-	// lastAnswersTimeout bounds the time for which the last answers are sent after the loop has ended; once the context has ended
-	// too, it is lastAnswersTimeoutStopped.
+	// lastAnswersTimeout limits how long the last Flight SQL answers are sent after the loop has ended. Once Run is cancelled or one of
+	// its parts has failed, lastAnswersTimeoutStopped applies instead.
 	lastAnswersTimeout        = 2 * time.Second
 	lastAnswersTimeoutStopped = 100 * time.Millisecond
 )
 
-// Run serves until the dispatcher has drained (nil), the context ends, or something fails.
+// Run serves until the dispatcher has drained, ctx ends or a part fails. The error is nil after a drain.
 func (d *Dispatcher) Run(ctx context.Context) error {
 	if d.controller == nil {
 		if err := d.watchNodes(); err != nil {
@@ -31,9 +31,9 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	loopEnded := make(chan struct{})
-	whileLoop := contextUntil(ctx, group, loopEnded)
+	loopCtx := contextUntil(ctx, group, loopEnded)
 	if d.controller != nil {
-		d.startController(whileLoop, group)
+		d.startController(loopCtx, group)
 	}
 	group.Go(func() error {
 		defer close(loopEnded)
@@ -42,12 +42,12 @@
 	if d.recording != nil {
 		group.Go(func() error { return d.recording.run(loopEnded, d.log) })
 	}
-	group.Go(func() error { return d.sessions.Run(whileLoop) })
+	group.Go(func() error { return d.sessions.Run(loopCtx) })
 	if d.learnedKeeper != nil {
-		group.Go(func() error { return d.learnedKeeper.run(whileLoop, d.loop) })
+		group.Go(func() error { return d.learnedKeeper.run(loopCtx, d.loop) })
 	}
 	if d.listeners.native != nil {
-		group.Go(func() error { return d.nativeFrontend.Serve(whileLoop, d.listeners.native) })
+		group.Go(func() error { return d.nativeFrontend.Serve(loopCtx, d.listeners.native) })
 	}
 	group.Go(d.serveFlight)
 	group.Go(func() error {
@@ -61,11 +61,11 @@
 	return group.Wait()
 }
 
-// contextUntil returns a context that ends with ctx or when done is closed.
+// contextUntil returns a context that ends when ctx ends or done is closed.
 func contextUntil(ctx context.Context, group *errgroup.Group, done <-chan struct{}) context.Context {
-	until, end := context.WithCancel(ctx)
+	until, cancel := context.WithCancel(ctx)
 	group.Go(func() error {
-		defer end()
+		defer cancel()
 		select {
 		case <-done:
 		case <-ctx.Done():
@@ -83,7 +83,7 @@
 	return nil
 }
 
-// serveHTTP serves a handler until done is closed; l may be nil.
+// serveHTTP serves a handler on l until done is closed. It does nothing where l is nil.
 func serveHTTP(group *errgroup.Group, done <-chan struct{}, l net.Listener, h http.Handler) {
 	if l == nil {
 		return
@@ -101,7 +101,8 @@
 	})
 }
 
-// finishAnswers lets the last answers reach their clients, for a bounded time: every query has its outcome by now.
+// finishAnswers stops the gRPC server when the last answers have been sent, or after a timeout. It is called after the loop has ended,
+// when every query has its final answer.
 func (d *Dispatcher) finishAnswers(ctx context.Context) {
 	stopped := make(chan struct{})
 	var group errgroup.Group
@@ -117,7 +118,7 @@
 	case <-timeout.C:
 		d.grpcServer.Stop()
 	case <-ctx.Done():
-		select { // queries that were failed when the context ended still get their answers
+		select { // queries that failed because the context ended still get their answers
 		case <-stopped:
 		case <-time.After(lastAnswersTimeoutStopped):
 			d.grpcServer.Stop()
