--- a/server/flight_clients_test.go
+++ b/server/flight_clients_test.go
@@ -28,7 +28,8 @@
 	"embershunt/simulated"
 )
 
-const long = "SELECT 1 /* work_ms=3000 */"
+// longQuery runs for 3 s.
+const longQuery = "SELECT 1 /* work_ms=3000 */"
 
 func anyCancelled(s []simulated.AttemptRecord) bool {
 	for _, x := range s {
@@ -39,43 +40,44 @@
 	return false
 }
 
-// A client that goes away leaves no work behind.
-func TestClientsThatGoAway(t *testing.T) {
+// A query whose client cancels or disconnects is cancelled on its node, a query whose ticket is never fetched reaches no node, and a
+// query with too short a deadline fails without harm to later queries.
+func TestAbandonedQueries(t *testing.T) {
 	started := func(s []simulated.AttemptRecord) bool { return len(s) > 0 }
 	cases := []struct {
-		name string
-		away func(r *rig, cancel func())
+		name  string
+		leave func(r *rig, cancel func())
 	}{
 		{"cancels", func(_ *rig, cancel func()) { cancel() }},
-		{"vanishes", func(r *rig, _ func()) { closeQuietly(r.client) }},
+		{"disconnects", func(r *rig, _ func()) { closeQuietly(r.client) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, 1, "")
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			mine, stop := context.WithCancel(ctx)
-			defer stop()
+			clientCtx, cancelClient := context.WithCancel(ctx)
+			defer cancelClient()
 			done := make(chan error, 1)
 			go func() {
-				_, err := r.query(mine, long)
+				_, err := r.query(clientCtx, longQuery)
 				done <- err
 			}()
 			if err := r.nodes[0].Await(ctx, started); err != nil {
 				t.Fatal(err)
 			}
-			c.away(r, stop)
+			c.leave(r, cancelClient)
 			if err := r.nodes[0].Await(ctx, anyCancelled); err != nil {
-				t.Error("the node was not told: ", err)
+				t.Error("the attempt was not cancelled on the node: ", err)
 			}
-			_ = awaitEnd(done) // the client has gone: only its end counts
+			_ = awaitEnd(done) // its error does not matter: the client is gone
 		})
 	}
-	t.Run("calls it off with CancelFlightInfo", func(t *testing.T) {
+	t.Run("cancels with CancelFlightInfo", func(t *testing.T) {
 		r := newRig(t, 1, "")
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		info, err := r.client.Execute(ctx, long)
+		info, err := r.client.Execute(ctx, longQuery)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -101,7 +103,7 @@
 	t.Run("never fetches its ticket", func(t *testing.T) {
 		r := newRig(t, 1, "")
 		for range 100 {
-			if _, err := r.client.Execute(t.Context(), long); err != nil {
+			if _, err := r.client.Execute(t.Context(), longQuery); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -109,7 +111,7 @@
 			t.Errorf("the node saw %d attempts", n)
 		}
 	})
-	t.Run("a deadline shorter than the way there", func(t *testing.T) {
+	t.Run("a deadline shorter than the network latency", func(t *testing.T) {
 		r := newRig(t, 1, "")
 		info, err := r.client.Execute(t.Context(), "SELECT 1")
 		if err != nil {
@@ -123,7 +125,7 @@
 			}
 			cancel()
 			if err == nil {
-				continue // it may be that quick
+				continue // the query was served within its deadline
 			}
 			if code := status.Code(err); code != codes.DeadlineExceeded && code != codes.ResourceExhausted {
 				t.Errorf("%v: %v", d, err)
@@ -135,7 +137,7 @@
 	})
 }
 
-// callRaw makes a call with bytes of one's own.
+// callRaw calls a method with raw messages and reads the answer to its end.
 func callRaw(ctx context.Context, conn *grpc.ClientConn, method string, messages ...[]byte) error {
 	s, err := conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true, ClientStreams: true}, method)
 	if err != nil {
@@ -146,7 +148,7 @@
 			break
 		}
 	}
-	_ = s.CloseSend() // RecvMsg has the error
+	_ = s.CloseSend() // RecvMsg returns the error
 	for {
 		var f flightwire.Frame
 		if err := s.RecvMsg(&f); err != nil {
@@ -159,7 +161,7 @@
 	}
 }
 
-// What is wrong with a call gets a clear status, and nobody else notices.
+// A malformed call gets a status that names the fault, and other clients are served.
 func TestMalformedCalls(t *testing.T) {
 	r := newRig(t, 1, "")
 	conn, err := grpc.NewClient("passthrough:///"+r.d.Address(), grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -180,14 +182,14 @@
 	garbage := []byte{0xff, 0xff, 0xff, 0xff}
 	cases := []struct {
 		name, method string
-		message      []byte
+		request      []byte
 		code         codes.Code
-		says         string
+		message      string // part of the status message
 	}{
 		{"garbage as descriptor", flightwire.MethodGetInfo, garbage, codes.InvalidArgument, "FlightDescriptor"},
 		{"a path descriptor", flightwire.MethodGetInfo, []byte{8, 1}, codes.InvalidArgument, "type 1, allowed is 2"},
 		{"garbage as command", flightwire.MethodGetInfo, flightwire.Descriptor(garbage), codes.InvalidArgument, "command"},
-		{"an unknown command", flightwire.MethodGetInfo, query("CommandNobodyKnows", "x"), codes.Unimplemented, "CommandNobodyKnows"},
+		{"an unknown command", flightwire.MethodGetInfo, query("CommandUnknown", "x"), codes.Unimplemented, "CommandUnknown"},
 		{"an empty statement", flightwire.MethodGetInfo, query("CommandStatementQuery", ""), codes.InvalidArgument, "empty"},
 		{"a statement that is not UTF-8", flightwire.MethodGetInfo, query("CommandStatementQuery", "SELECT '\xff'"), codes.InvalidArgument, "UTF-8"},
 		{"a statement in a transaction", flightwire.MethodGetInfo, flightwire.Descriptor(flightwire.NewCommand("CommandStatementQuery",
@@ -196,13 +198,13 @@
 		{"a ticket of garbage", flightwire.MethodDoGet, ticket(garbage), codes.InvalidArgument, "command"},
 		{"a handle as ticket", flightwire.MethodDoGet, ticket(flightwire.StatementCommand("CommandPreparedStatementQuery", "x")), codes.InvalidArgument, "not known"},
 		{"garbage to DoPut", flightwire.MethodDoPut, garbage, codes.InvalidArgument, "FlightData"},
-		{"an ingest", flightwire.MethodDoPut, flightwire.AppendBytes(nil, 1, query("CommandStatementIngest", "x")), codes.Unimplemented, "not served"},
-		{"an unknown action", flightwire.MethodDoAction, action("Dance", nil), codes.Unimplemented, "served are"},
-		{"a transaction", flightwire.MethodDoAction, action("BeginTransaction", nil), codes.InvalidArgument, "command"},
+		{"a bulk ingest", flightwire.MethodDoPut, flightwire.AppendBytes(nil, 1, query("CommandStatementIngest", "x")), codes.Unimplemented, "not served"},
+		{"an unknown action", flightwire.MethodDoAction, action("UnknownAction", nil), codes.Unimplemented, "served are"},
+		{"BeginTransaction without a body", flightwire.MethodDoAction, action("BeginTransaction", nil), codes.InvalidArgument, "command"},
 		{"a forged handle", flightwire.MethodDoAction, action("ClosePreparedStatement",
 			flightwire.StatementCommand("ActionClosePreparedStatementRequest", "x")), codes.InvalidArgument, "not made by this service"},
 		{"DoExchange", "/" + flightwire.Service + "/DoExchange", nil, codes.Unimplemented, "DoExchange"},
-		{"a hint that names no class", flightwire.MethodDoPut, flightwire.AppendBytes(nil, 1,
+		{"a hint that names an unknown class", flightwire.MethodDoPut, flightwire.AppendBytes(nil, 1,
 			query("CommandStatementUpdate", "INSERT /* class=nobody */ 1")), codes.InvalidArgument, "lookup, report"},
 		{"a message that is too large", flightwire.MethodGetInfo, make([]byte, 4<<20), codes.ResourceExhausted, "larger than max"},
 	}
@@ -210,9 +212,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 			defer cancel()
-			err := callRaw(ctx, conn, c.method, c.message)
-			if status.Code(err) != c.code || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("got %v, want %v with %q", err, c.code, c.says)
+			err := callRaw(ctx, conn, c.method, c.request)
+			if status.Code(err) != c.code || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("got %v, want %v with %q", err, c.code, c.message)
 			}
 			if _, err := r.query(ctx, "SELECT 1"); err != nil {
 				t.Errorf("another client was disturbed: %v", err)
@@ -223,7 +225,7 @@
 		ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(t.Context(), "x", strings.Repeat("h", 100<<10)), 5*time.Second)
 		defer cancel()
 		if err := callRaw(ctx, conn, flightwire.MethodGetInfo, query("CommandStatementQuery", "SELECT 1")); err == nil {
-			t.Error("headers of 100 KiB were taken")
+			t.Error("headers of 100 KiB were accepted")
 		}
 		if _, err := r.query(t.Context(), "SELECT 1"); err != nil {
 			t.Errorf("another client was disturbed: %v", err)
@@ -236,6 +238,8 @@
 	})
 }
 
+// Prepared statements return schemas and run with parameters, their tickets work at any dispatcher with the same key, and the schemas
+// of a statement are cached.
 func TestPreparedStatements(t *testing.T) {
 	key := strings.Repeat("ab", 32)
 	r := newRig(t, 1, `, "keys": ["`+key+`"]`)
@@ -257,7 +261,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The ticket is taken to another dispatcher with the same key, and twice.
+	// The ticket works at another dispatcher with the same key, and more than once.
 	for range 2 {
 		reader, err := other.client.DoGet(ctx, info.Endpoint[0].Ticket)
 		if err != nil {
@@ -268,7 +272,7 @@
 			rows += reader.RecordBatch().NumRows()
 		}
 		reader.Release()
-		if rows != 3 { // the stand-in answers with a row for each row of parameters
+		if rows != 3 { // the simulated node answers with one row for each row of parameters
 			t.Errorf("%d rows, want 3", rows)
 		}
 	}
@@ -277,7 +281,7 @@
 		t.Fatal(err)
 	}
 	if s := u.DatasetSchema(); s != nil && s.NumFields() > 0 {
-		t.Errorf("an update has the schema %v", s)
+		t.Errorf("an update has the result schema %v", s)
 	}
 	u.SetParameters(params)
 	if n, err := u.ExecuteUpdate(ctx); err != nil || n != 3 {
@@ -286,16 +290,15 @@
 	if err := u.Close(ctx); err != nil {
 		t.Error(err)
 	}
-	// What a node said of a statement is kept: a second one asks nobody, even with all nodes gone.
+	// The schemas of a statement are cached: preparing it again succeeds although the only node is gone.
 	r.nodes[0].Crash()
 	if _, err := r.client.Prepare(ctx, "INSERT INTO policy VALUES (?)"); err != nil {
 		t.Error(err)
 	}
 }
 
-// arrow-go's database/sql driver sends Basic with every call and prepares what it runs.
+// arrow-go's database/sql driver sends basic credentials with every call and runs queries as prepared statements.
 func TestDatabaseSQLDriverWithAPassword(t *testing.T) {
-	// bcrypt of "geheim" at its least cost
 	r := newRig(t, 1, `, "users": [{"name": "pobocka", "bcrypt": "`+hashOf(t, "geheim")+`"}]`)
 	open := func(password string) *sql.DB {
 		db, err := sql.Open("flightsql", fmt.Sprintf("flightsql://pobocka:%s@%s?timeout=5s", password, r.d.Address()))
@@ -327,7 +330,7 @@
 	if _, err := wrong.QueryContext(t.Context(), "SELECT 1"); err == nil || !strings.Contains(err.Error(), "password is wrong") {
 		t.Errorf("a wrong password: %v", err)
 	}
-	// Handshake gives a token that does without the password.
+	// Handshake returns a token that later calls send in place of the password.
 	ctx, err := r.client.Client.AuthenticateBasicToken(t.Context(), "pobocka", "geheim")
 	if err != nil {
 		t.Fatal(err)
@@ -336,11 +339,12 @@
 		t.Error(err)
 	}
 	if _, err := r.query(t.Context(), "SELECT 1"); status.Code(err) != codes.Unauthenticated {
-		t.Errorf("without a word of who it is: %v", err)
+		t.Errorf("a call without credentials: %v", err)
 	}
 }
 
-func TestWhatADriverAsksOnConnecting(t *testing.T) {
+// The calls that drivers make when they connect: metadata, the schema of a statement, and session options.
+func TestDriverMetadataCalls(t *testing.T) {
 	r := newRig(t, 1, `, "rules": [{"name": "by option", "option": "kind", "value": "^heavy$", "class": "report"}]`)
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -386,18 +390,18 @@
 	checkSessionOptions(ctx, t, r)
 }
 
-// checkSessionOptions sets, reads and drops the options of a session.
+// checkSessionOptions sets and reads the options of a session and closes the session.
 func checkSessionOptions(ctx context.Context, t *testing.T, r *rig) {
 	t.Helper()
-	// Session options live in the cookie; any dispatcher with the key reads them. The cookie is carried by hand: the client library's own
-	// keeper takes cookies up beside the call's return, and now and then not at all.
-	set, err := flight.NewSessionOptionValue("heavy")
+	// Session options are stored in the cookie, which any dispatcher with the key can read. The test passes the cookie on itself: the
+	// client library's cookie jar stores cookies concurrently with the return of the call, and now and then not at all.
+	option, err := flight.NewSessionOptionValue("heavy")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var header metadata.MD
 	if _, err := r.client.SetSessionOptions(ctx, &flight.SetSessionOptionsRequest{
-		SessionOptions: map[string]*flight.SessionOptionValue{"kind": &set}}, grpc.Header(&header)); err != nil {
+		SessionOptions: map[string]*flight.SessionOptionValue{"kind": &option}}, grpc.Header(&header)); err != nil {
 		t.Fatal(err)
 	}
 	cookie := cookieOf(t, header)
@@ -409,15 +413,15 @@
 	if _, err := r.client.CloseSession(inSession, &flight.CloseSessionRequest{}, grpc.Header(&header)); err != nil {
 		t.Error(err)
 	}
-	if ended := cookieOf(t, header); ended.Name != cookie.Name || ended.MaxAge >= 0 {
-		t.Errorf("after the end of the session the cookie is %v", ended)
+	if expired := cookieOf(t, header); expired.Name != cookie.Name || expired.MaxAge >= 0 {
+		t.Errorf("the cookie of the closed session is not expired: %v", expired)
 	}
 	if got, err = r.client.GetSessionOptions(ctx, &flight.GetSessionOptionsRequest{}); err != nil || len(got.GetSessionOptions()) != 0 {
 		t.Errorf("without a session: %v, %v", got, err)
 	}
 }
 
-// cookieOf is the one cookie that came with an answer.
+// cookieOf returns the only cookie in the headers of an answer.
 func cookieOf(t *testing.T, header metadata.MD) *http.Cookie {
 	t.Helper()
 	lines := header.Get("set-cookie")
@@ -431,7 +435,8 @@
 	return cookie
 }
 
-func TestDrainOfTheDispatcher(t *testing.T) {
+// A dispatcher that drains reports NOT_SERVING, rejects new queries, and ends without an error once the query in flight is answered.
+func TestDispatcherDrain(t *testing.T) {
 	r := newRig(t, 1, "")
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -463,39 +468,41 @@
 		t.Errorf("a new query: %v", err)
 	}
 	if got := <-done; got != "served" {
-		t.Errorf("the query held: %q", got)
+		t.Errorf("the query in flight: %q", got)
 	}
 	if err := <-r.ended; err != nil {
 		t.Errorf("Run: %v", err)
 	}
-	r.ended <- nil // for the clean-up
+	r.ended <- nil // for the cleanup of the rig
 }
 
-func TestKilledMidLoadAndStartedAgain(t *testing.T) {
+// A dispatcher is killed under load: its attempts are cancelled on the node, its clients get errors, and a dispatcher started at the same
+// address serves queries.
+func TestRestartAfterKill(t *testing.T) {
 	r := newRig(t, 1, "")
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	done := make(chan error, 10)
 	for range 10 {
 		go func() {
-			_, err := r.query(ctx, long)
+			_, err := r.query(ctx, longQuery)
 			done <- err
 		}()
 	}
 	if err := r.nodes[0].Await(ctx, func(s []simulated.AttemptRecord) bool { return len(s) >= 5 }); err != nil {
 		t.Fatal(err)
 	}
-	for r.pendingQueries() < 10 { // one that has not come yet would wait for the next dispatcher: these clients wait for a connection
+	for r.pendingQueries() < 10 { // a query that arrives later would be served by the next dispatcher: clients wait for a connection
 		if ctx.Err() != nil {
-			t.Fatalf("%v queries held", r.pendingQueries())
+			t.Fatalf("%v queries are pending, want 10", r.pendingQueries())
 		}
 		time.Sleep(time.Millisecond)
 	}
 	address := r.d.Address()
 	r.d.Kill()
 	r.cancel()
-	_ = awaitEnd(r.ended) // killed: its error does not count
-	r.ended <- nil        // for the clean-up
+	_ = awaitEnd(r.ended) // its error does not matter: it was killed
+	r.ended <- nil        // for the cleanup of the rig
 	if err := r.nodes[0].Await(ctx, func(s []simulated.AttemptRecord) bool {
 		for _, x := range s {
 			if !x.Cancelled && !x.Ran {
@@ -504,20 +511,20 @@
 		}
 		return true
 	}); err != nil {
-		t.Error("nodes were not told: ", err)
+		t.Error("attempts were not cancelled on the node: ", err)
 	}
 	for range 10 {
 		if err := <-done; err == nil {
-			t.Error("served by a dead dispatcher")
+			t.Error("a query was served by the killed dispatcher")
 		}
 	}
 	r.start(address)
 	if _, err := r.query(ctx, "SELECT 1"); err != nil {
-		t.Errorf("the one started again: %v", err)
+		t.Errorf("the restarted dispatcher: %v", err)
 	}
 }
 
-// pendingQueries is the metric of queries without an answer.
+// pendingQueries returns the metric of queries that have no answer yet.
 func (r *rig) pendingQueries() float64 {
 	r.t.Helper()
 	families, err := r.d.Registry().Gather()
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -22,7 +22,7 @@
 	"embershunt/simulated"
 )
 
-// insertNative sends so many blocks of rows.
+// insertNative executes an INSERT of the columns id and name with the given number of blocks, each of the given number of rows.
 func insertNative(ctx context.Context, c *ch.Client, statement string, blocks, rows int, settings ...ch.Setting) error {
 	var id proto.ColUInt64
 	var name proto.ColStr
@@ -47,7 +47,8 @@
 		}})
 }
 
-// Unmodified clients insert rows and read them back, under each kind of compression.
+// Unmodified clients insert and select rows with each compression method. The dispatcher asks a node for the table's columns once and
+// then answers from its cache, and no rows stay buffered.
 func TestNativeCompressionBothWays(t *testing.T) {
 	for name, compression := range map[string]ch.Compression{"disabled": ch.CompressionDisabled, "lz4": ch.CompressionLZ4,
 		"lz4hc": ch.CompressionLZ4HC, "zstd": ch.CompressionZSTD, "none": ch.CompressionNone} {
@@ -67,29 +68,29 @@
 					t.Fatalf("%d rows, %v", n, err)
 				}
 			}
-			brought, samples := 0, 0
+			insertedRows, columnRequests := 0, 0
 			for _, s := range r.seen("INSERT INTO events (id, name) VALUES") {
-				if brought += s.Rows; !s.Ran {
-					samples++
+				if insertedRows += s.Rows; !s.Ran {
+					columnRequests++
 				}
 			}
-			if brought != 7000 || samples != 1 {
-				t.Errorf("nodes took %d rows, want 7000; asked for columns %d times, want 1", brought, samples)
+			if insertedRows != 7000 || columnRequests != 1 {
+				t.Errorf("nodes inserted %d rows, want 7000, and were asked for the columns %d times, want 1", insertedRows, columnRequests)
 			}
 			closeQuietly(c)
 			if b := r.bufferedInsertBytes(); b != 0 {
-				t.Errorf("%d bytes are still held", b)
+				t.Errorf("%d bytes are still buffered", b)
 			}
 		})
 	}
 }
 
-// maxRetries is how often a rejected query is retried as its answer says: on a machine that is busy with other things the nodes, whose work
-// takes real time, may be full once more.
+// maxRetries bounds how often a rejected query is retried after the delay that its rejection names. The work of the nodes takes real
+// time, so that on a busy machine they may still be full at the first retry.
 const maxRetries = 5
 
-// clickhouse-go's batches, its database/sql form and a pool of 50 connections; parameters; an external table.
-func TestNativeClientsOfAllKinds(t *testing.T) {
+// clickhouse-go works with batches, parameters, a pool of 50 connections and database/sql; ch-go with an external table.
+func TestNativeClientFeatures(t *testing.T) {
 	r := newRig(t, 2, "")
 	options := func(m clickhouse.CompressionMethod) *clickhouse.Options {
 		return &clickhouse.Options{Addr: []string{r.d.NativeAddress()}, MaxOpenConns: 50, MaxIdleConns: 50,
@@ -115,21 +116,21 @@
 		group.Wait()
 		closeQuietly(conn)
 	}
-	t.Logf("%d refusals of 600 queries, all served when they came back as told", retries.Load())
+	t.Logf("%d rejections of 600 queries, each served when retried after the delay that it was told", retries.Load())
 	db := clickhouse.OpenDB(options(clickhouse.CompressionLZ4))
 	defer closeQuietly(db)
 	insertInTransaction(t, db)
-	brought := 0
+	insertedRows := 0
 	for _, s := range r.seen("INSERT INTO events (id, name) FORMAT Native") {
-		brought += s.Rows
+		insertedRows += s.Rows
 	}
-	if brought != 3*2500+100 {
-		t.Errorf("nodes took %d rows, want %d", brought, 3*2500+100)
+	if insertedRows != 3*2500+100 {
+		t.Errorf("nodes inserted %d rows, want %d", insertedRows, 3*2500+100)
 	}
 	joinExternalTable(t, r)
 }
 
-// insertBatch inserts 2500 rows.
+// insertBatch inserts one batch of 2500 rows.
 func insertBatch(t *testing.T, conn driver.Conn) {
 	t.Helper()
 	batch, err := conn.PrepareBatch(t.Context(), "INSERT INTO events (id, name)")
@@ -146,17 +147,18 @@
 	}
 }
 
-// queryUntilServed queries with a parameter; a rejection must say when to retry, and is followed.
+// queryUntilServed executes a query with a parameter. A rejection must name the delay before a retry and say that no attempt was made;
+// the query is then retried after the delay.
 func queryUntilServed(t *testing.T, conn driver.Conn, retries *atomic.Int32) {
 	rows, err := conn.Query(clickhouse.Context(t.Context(), clickhouse.WithParameters(clickhouse.Parameters{"n": "7"})),
 		"SELECT node, row FROM policy WHERE id = {n:UInt64} /* rows=20 work_ms=2 cost_ms=2 */")
-	var refused *clickhouse.Exception
-	for times := 0; errors.As(err, &refused) && refused.Code == 202 && times < maxRetries; times++ {
+	var rejection *clickhouse.Exception
+	for tries := 0; errors.As(err, &rejection) && rejection.Code == 202 && tries < maxRetries; tries++ {
 		retries.Add(1)
-		_, ms, _ := strings.Cut(refused.Message, "come back in ")
-		wait, bad := time.ParseDuration(strings.Replace(ms, " ms", "ms", 1))
-		if bad != nil || wait <= 0 || !strings.Contains(refused.Message, "0 attempts") {
-			t.Errorf("refused with %q", refused.Message)
+		_, ms, _ := strings.Cut(rejection.Message, "come back in ")
+		wait, parseErr := time.ParseDuration(strings.Replace(ms, " ms", "ms", 1))
+		if parseErr != nil || wait <= 0 || !strings.Contains(rejection.Message, "0 attempts") {
+			t.Errorf("rejected with %q", rejection.Message)
 			return
 		}
 		<-time.After(wait)
@@ -175,7 +177,7 @@
 	}
 }
 
-// insertInTransaction inserts 100 rows through database/sql.
+// insertInTransaction inserts 100 rows through a transaction of database/sql, which clickhouse-go sends as one batch.
 func insertInTransaction(t *testing.T, db *sql.DB) {
 	t.Helper()
 	tx, err := db.Begin()
@@ -196,7 +198,7 @@
 	}
 }
 
-// joinExternalTable queries with a table of 30 rows that the client sends along.
+// joinExternalTable executes a query with an external table of 30 rows, which must reach the node.
 func joinExternalTable(t *testing.T, r *rig) {
 	t.Helper()
 	c := r.native(t, "u")
@@ -213,25 +215,26 @@
 		t.Fatal(err)
 	}
 	if got := r.seen(joined)[0].Tables; len(got) != 1 || got[0] != "wanted:30" {
-		t.Errorf("the node has the tables %q", got)
+		t.Errorf("the node received the external tables %q, want wanted:30", got)
 	}
 }
 
-// What happens to an INSERT whose node does not answer: with a token another node of its group gets the rows again and
-// the effect is there once; without one nothing is sent twice, unless the first node never got a row.
-func TestEffectsOfInserts(t *testing.T) {
+// An INSERT takes effect once, even when its first node does not answer. With a deduplication token the rows are sent to another node
+// of the dedup scope as well. Without a token they are sent again only if the INSERT is known not to have run: the first node received
+// none of its rows, or rejected it.
+func TestInsertRetries(t *testing.T) {
 	const statement = "INSERT INTO events (id, name) VALUES"
 	cases := []struct {
-		name  string
-		fault simulated.Faults
-		token string
-		want  string
-		nodes int // that got the rows
+		name        string
+		fault       simulated.Faults // of node-0
+		token       string
+		want        string // part of the error; "": the INSERT succeeds
+		minAttempts int    // that the nodes see; exactly 1 where the INSERT fails
 	}{
 		{"answer lost, with a token", simulated.Faults{LoseAnswers: true}, "t1", "", 2},
-		{"answer lost, without one", simulated.Faults{LoseAnswers: true}, "", "ATTEMPT_FAILED", 1},
-		{"silent before it took a row", simulated.Faults{Hang: true}, "", "", 1},
-		{"turned away", simulated.Faults{Full: true}, "", "", 2},
+		{"answer lost, without a token", simulated.Faults{LoseAnswers: true}, "", "ATTEMPT_FAILED", 1},
+		{"hangs before it receives a row", simulated.Faults{Hang: true}, "", "", 1},
+		{"rejected", simulated.Faults{Full: true}, "", "", 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -246,8 +249,8 @@
 			if err := insertNative(t.Context(), client, statement, 1, 1); err != nil { // the columns are cached from now on
 				t.Fatal(err)
 			}
-			hit := 0
-			for range 20 { // until the faulty node was the first one
+			hits := 0
+			for range 20 { // until the dispatcher has sent an INSERT to the faulty node
 				before := [2]int{}
 				for i, n := range r.nodes {
 					n.SetFaults(simulated.Faults{})
@@ -256,7 +259,7 @@
 				r.nodes[0].SetFaults(c.fault)
 				settings := []ch.Setting{{Key: "max_execution_time", Value: "3"}}
 				if c.token != "" {
-					settings = append(settings, ch.Setting{Key: "insert_deduplication_token", Value: fmt.Sprint(c.token, hit, before)})
+					settings = append(settings, ch.Setting{Key: "insert_deduplication_token", Value: fmt.Sprint(c.token, hits, before)})
 				}
 				conn := r.native(t, "u")
 				err := insertNative(t.Context(), conn, statement, 3, 10, settings...)
@@ -265,24 +268,25 @@
 				if len(after) == 0 {
 					continue
 				}
-				hit++
+				hits++
 				if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
 					t.Fatalf("%v, want %q", err, c.want)
 				}
-				got, ran := r.attemptsSince(before[:])
-				if ran != 1 || c.nodes == 2 && got < 2 || c.want != "" && got != 1 {
-					t.Errorf("it ran %d times, %d attempts", ran, got)
+				seen, ran := r.attemptsSince(before[:])
+				if ran != 1 || c.minAttempts == 2 && seen < 2 || c.want != "" && seen != 1 {
+					t.Errorf("the INSERT ran %d times, want once, in %d attempts", ran, seen)
 				}
 				break
 			}
-			if hit == 0 {
-				t.Error("the faulty node was never asked")
+			if hits == 0 {
+				t.Error("the faulty node received no INSERT in 20 tries")
 			}
 		})
 	}
 }
 
-// attemptsSince counts the attempts that the nodes have seen since they had seen so many each, and those that ran.
+// attemptsSince returns how many attempts the nodes have seen beyond the counts in before, one for each node, and how many of
+// these ran.
 func (r *rig) attemptsSince(before []int) (seen, ran int) {
 	for i, n := range r.nodes {
 		for _, s := range n.Attempts()[before[i]:] {
@@ -294,8 +298,8 @@
 	return seen, ran
 }
 
-// An update of a class that is keyed goes to another node of its group when its answer was lost, over Flight SQL too, and
-// runs once; beyond the group it is not sent again.
+// A keyed update over Flight SQL whose answer was lost is retried on another node of its dedup scope, where it is dropped as a
+// duplicate; it is not sent outside of the scope.
 func TestKeyedUpdatesOverFlightSQL(t *testing.T) {
 	for _, group := range []string{"all", "hall"} {
 		t.Run(group, func(t *testing.T) {
@@ -306,9 +310,9 @@
 				return `{"list": [` + strings.Join(parts, "},") + `]}`
 			}, `, "halls": ["a", "b"], "limits": {"attempts": 3}`, fmt.Sprintf(`{"name": "load", "aim": "3s", "late_worth": 0.5,
 				"deadline": "4s", "updates": "keyed", "window": "1m", "group": %q},`, group))
-			all := simulated.NewTokens(time.Minute)
+			sharedTokens := simulated.NewTokens(time.Minute)
 			for _, n := range r.nodes {
-				if n.Share(all); group == "hall" {
+				if n.Share(sharedTokens); group == "hall" {
 					n.Share(simulated.NewTokens(time.Minute))
 				}
 				n.SetFaults(simulated.Faults{LoseAnswers: true})
@@ -328,44 +332,45 @@
 				}
 			}
 			err := <-done
-			ran, dropped := 0, 0
+			ran, deduplicated := 0, 0
 			for _, s := range r.seen(statement) {
 				if s.Ran {
 					ran++
 				}
 				if s.Deduplicated {
-					dropped++
+					deduplicated++
 				}
 			}
-			if group == "all" && (err != nil || ran != 1 || dropped < 1) {
-				t.Errorf("%v, ran %d times, dropped %d, want it served by the other node, which drops it", err, ran, dropped)
+			if group == "all" && (err != nil || ran != 1 || deduplicated < 1) {
+				t.Errorf("%v, ran %d times, deduplicated %d times, want success and a duplicate dropped", err, ran, deduplicated)
 			}
 			if group == "hall" && (err == nil || ran != 1) {
-				t.Errorf("%v, ran %d times, want it failed, and run once", err, ran)
+				t.Errorf("%v, ran %d times, want a failure after one run", err, ran)
 			}
 		})
 	}
 }
 
-// bufferedInsertBytes is the number of bytes of clients' rows that are buffered once all clients have disconnected.
+// bufferedInsertBytes waits until all clients have disconnected and returns how many bytes of clients' rows are still buffered.
 func (r *rig) bufferedInsertBytes() int64 {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	if err := r.d.Native().AwaitConns(ctx, 0); err != nil {
-		r.t.Errorf("%d connections are left", r.d.Native().Conns())
+		r.t.Errorf("%d client connections are still open", r.d.Native().Conns())
 	}
 	b, _, _ := r.d.Native().BufferedInserts()
 	return b
 }
 
-// rawNative is a native client that a test plays packet by packet.
+// rawNative is a native client whose packets a test sends and reads one by one.
 type rawNative struct {
 	t testing.TB
 	net.Conn
 	r *native.Reader
 }
 
+// rawNative connects a client and completes the handshake. Reads and writes fail 10 s after that.
 func (r *rig) rawNative(t testing.TB) *rawNative {
 	t.Helper()
 	conn, err := net.Dial("tcp", r.d.NativeAddress())
@@ -388,15 +393,16 @@
 	return c
 }
 
-// send writes to the dispatcher, which may have closed the connection: what it answered is what a test checks.
+// send writes to the dispatcher and ignores errors: the dispatcher may have closed the connection, and tests check what it answered.
 func (c *rawNative) send(data []byte) { _, _ = c.Write(data) }
 
+// ask sends a query without external tables.
 func (c *rawNative) ask(statement string, settings ...native.Setting) {
 	q := native.Query{ID: "q", Info: []byte{0}, Stage: 2, Text: statement, Settings: settings}
 	c.send(append(q.Encode(native.NewestRevision), native.EndOfData()...))
 }
 
-// until reads packets up to one of a kind, or to an Exception or the end.
+// until reads packets up to the first with the code, Exception or EndOfStream, and returns it.
 func (c *rawNative) until(code uint64) native.Packet {
 	c.t.Helper()
 	for {
@@ -410,7 +416,7 @@
 	}
 }
 
-// block is a Data packet with the columns of the stand-in's table.
+// block returns a Data packet of a client with the columns id and name of the simulated table; size is the length of each name in bytes.
 func block(t testing.TB, rows int, size int) []byte {
 	var id proto.ColUInt64
 	var name proto.ColStr
@@ -428,18 +434,18 @@
 	return b.Buf
 }
 
-// Clients whose INSERT goes wrong on their side: nothing is sent for it, and nothing stays buffered.
-func TestInsertsThatClientsSpoil(t *testing.T) {
+// An INSERT whose client stalls, disconnects, cancels or sends malformed packets reaches no node, and none of its rows stay buffered.
+func TestInsertsBrokenByClients(t *testing.T) {
 	const statement = "INSERT INTO events (id, name) VALUES"
 	cases := []struct {
-		name string
-		play func(c *rawNative)
-		code int32 // of the Exception; 0: none is due
-		says string
+		name    string
+		act     func(c *rawNative)
+		code    int32 // of the Exception; 0: none is expected
+		message string
 	}{
-		{"stalled half-way", func(c *rawNative) { c.send(block(c.t, 5, 10)) }, 159, "CLIENT_STALLED"},
-		{"gone half-way", func(c *rawNative) { c.send(block(c.t, 5, 10)[:40]); closeQuietly(c) }, 0, ""},
-		{"called off half-way", func(c *rawNative) {
+		{"the client stalls", func(c *rawNative) { c.send(block(c.t, 5, 10)) }, 159, "CLIENT_STALLED"},
+		{"the client disconnects", func(c *rawNative) { c.send(block(c.t, 5, 10)[:40]); closeQuietly(c) }, 0, ""},
+		{"the client cancels", func(c *rawNative) {
 			c.send(block(c.t, 5, 10))
 			c.send([]byte{native.ClientCancel})
 			if p := c.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
@@ -450,7 +456,7 @@
 				c.t.Errorf("the next query: packet %d, %v", p.Code, p.Exception)
 			}
 		}, 0, ""},
-		{"more than allowed", func(c *rawNative) {
+		{"more than max_insert_bytes", func(c *rawNative) {
 			for range 30 {
 				c.send(block(c.t, 10, 1000))
 			}
@@ -466,10 +472,10 @@
 			if p := raw.until(native.ServerData); p.Block.Columns != 2 || p.Block.Rows != 0 {
 				t.Fatalf("the columns: %+v, %v", p.Block, p.Exception)
 			}
-			c.play(raw)
+			c.act(raw)
 			if c.code != 0 {
-				if p := raw.until(native.ServerException); p.Exception == nil || p.Exception.Code != c.code || !strings.Contains(p.Exception.Message, c.says) {
-					t.Errorf("%v, want %d with %q", p.Exception, c.code, c.says)
+				if p := raw.until(native.ServerException); p.Exception == nil || p.Exception.Code != c.code || !strings.Contains(p.Exception.Message, c.message) {
+					t.Errorf("%v, want %d with %q", p.Exception, c.code, c.message)
 				}
 			}
 			closeQuietly(raw)
@@ -486,14 +492,15 @@
 			}
 			closeQuietly(next)
 			if b := r.bufferedInsertBytes(); ran != 1 || b != 0 {
-				t.Errorf("%d inserts ran, want that of the next client; %d bytes are held", ran, b)
+				t.Errorf("%d inserts ran, want 1, that of the next client; %d bytes are still buffered", ran, b)
 			}
 		})
 	}
 }
 
-// Without capacity for more rows new queries are rejected with a time to retry, and those that have begun complete.
-func TestNoRoomForRows(t *testing.T) {
+// When held_insert_bytes is exhausted, an INSERT that needs more is rejected with a retry delay, and the INSERT whose rows are buffered
+// completes.
+func TestInsertBufferLimit(t *testing.T) {
 	r := newRig(t, 1, `, "front": {"max_insert_bytes": 60000, "held_insert_bytes": 80000}`)
 	const statement = "INSERT INTO events (id, name) VALUES"
 	first, second := r.rawNative(t), r.rawNative(t)
@@ -508,10 +515,10 @@
 	}
 	second.send(block(t, 30, 1000))
 	if p := second.until(native.ServerException); p.Exception == nil || p.Exception.Code != 202 || !strings.Contains(p.Exception.Message, "come back in") {
-		t.Errorf("the newcomer: %v", p.Exception)
+		t.Errorf("the INSERT beyond the limit: %v", p.Exception)
 	}
 	first.send(native.EndOfData())
 	if p := first.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
-		t.Errorf("the one under way: %v", p.Exception)
+		t.Errorf("the INSERT whose rows were buffered: %v", p.Exception)
 	}
 }
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -24,31 +24,32 @@
 	"embershunt/simulated"
 )
 
-// rawNode is a node of the native protocol that a test plays byte by byte.
+// rawNode is a node of the native protocol whose answers are bytes chosen by a test.
 type rawNode struct {
 	address         string
 	mu              sync.Mutex
-	queryCount      int // queries
-	connectionCount int // connections
+	queryCount      int
+	connectionCount int
 }
 
-// queries counts the queries it got.
+// queries returns the number of queries that the node has received.
 func (n *rawNode) queries() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.queryCount
 }
 
-// startRawNode answers each query with what answer writes; the connection is kept up after it where hold says so.
-func startRawNode(t testing.TB, revision int, answer func(w io.Writer), hold bool) *rawNode {
+// startRawNode starts a node that answers the query of each connection with the bytes that answer writes. Afterwards it closes the
+// connection, or with keepOpen waits until the dispatcher closes it.
+func startRawNode(t testing.TB, revision int, answer func(w io.Writer), keepOpen bool) *rawNode {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	n := &rawNode{address: l.Addr().String()}
 	var group sync.WaitGroup
-	over := make(chan struct{})
-	t.Cleanup(func() { closeQuietly(l); close(over); group.Wait() })
+	done := make(chan struct{})
+	t.Cleanup(func() { closeQuietly(l); close(done); group.Wait() })
 	group.Add(1)
 	go func() {
 		defer group.Done()
@@ -86,12 +87,12 @@
 					if _, err := r.ReadQuery(revision); err != nil {
 						return
 					}
-					_, _ = r.ReadClient() // the end of the query's data, whatever it is
+					_, _ = r.ReadClient() // the empty block that ends the query's data; not checked
 					_, _, _ = r.ReadClientData(revision)
 					n.mu.Lock()
 					n.queryCount++
 					n.mu.Unlock()
-					if answer(conn); hold {
+					if answer(conn); keepOpen {
 						_, _ = io.Copy(io.Discard, conn) // until the dispatcher closes
 					}
 					return
@@ -102,9 +103,10 @@
 	return n
 }
 
-// Nodes that go wrong at every place of an answer: while the client has seen no row another node answers, afterwards the
-// answer fails, and what a node announces is not allocated before it is there.
-func TestNativeNodesThatGoWrongWithinAnAnswer(t *testing.T) {
+// A node stalls, disconnects or sends a malformed packet at different points of an answer. Before any row has gone to the client
+// another node answers; afterwards the query fails with ANSWER_BROKEN. An enormous string length must not be allocated before the
+// bytes have arrived.
+func TestNativeNodeFaultsDuringAnswer(t *testing.T) {
 	progress := []byte{native.ServerProgress, 5, 5, 5, 0, 0, 0}
 	rowsOf := func(n, size int) []byte {
 		b := block(t, n, size)
@@ -112,32 +114,32 @@
 		return b
 	}
 	rows := func(n int) []byte { return rowsOf(n, 3) }
-	large := rowsOf(300, 1000) // more than is kept back
-	memory := (&native.Exception{Code: 241, Name: "DB::Exception", Message: "memory"}).Encode()
-	huge := append([]byte{native.ServerData, 0, 0, 1, 1, 1, 'c', 6}, "String\x00\xff\xff\xff\xff\xff\xff\xff\xff\x7f"...)
+	large := rowsOf(300, 1000) // more than maxHeldBytes of package backend (256 KiB), so that its rows go to the client at once
+	memoryLimit := (&native.Exception{Code: 241, Name: "DB::Exception", Message: "memory"}).Encode()
+	hugeLength := append([]byte{native.ServerData, 0, 0, 1, 1, 1, 'c', 6}, "String\x00\xff\xff\xff\xff\xff\xff\xff\xff\x7f"...)
 	cases := []struct {
-		name   string
-		answer []byte
-		hold   bool
-		want   string // of the Exception; "": the other node answers
+		name     string
+		answer   []byte
+		keepOpen bool
+		want     string // part of the Exception's message; "": the other node answers
 	}{
-		{"stalls behind Progress", progress, true, ""},
+		{"stalls after Progress", progress, true, ""},
 		{"stalls within a varint", []byte{native.ServerData, 0x80}, true, ""},
-		{"stalls within a block before any row went out", rows(9)[:40], true, ""},
-		{"cuts behind Progress", progress, false, ""},
-		{"cuts within a varint", []byte{native.ServerData, 0x80}, false, ""},
-		{"an enormous length", huge, true, ""},
-		{"a packet that is not known", []byte{77}, true, ""},
-		{"cuts within the second block, before any went out", append(rows(9), rows(9)[:40]...), false, ""},
-		{"an Exception behind rows that have not gone out", append(rows(9), memory...), true, ""},
-		{"cuts within a block, behind rows that went out", append(bytes.Clone(large), rows(9)[:40]...), false, "ANSWER_BROKEN"},
-		{"an Exception behind rows that went out", append(bytes.Clone(large), memory...), true, "ANSWER_BROKEN"},
+		{"stalls within the first block", rows(9)[:40], true, ""},
+		{"disconnects after Progress", progress, false, ""},
+		{"disconnects within a varint", []byte{native.ServerData, 0x80}, false, ""},
+		{"an enormous length", hugeLength, true, ""},
+		{"an unknown packet", []byte{77}, true, ""},
+		{"disconnects within the second block, before any row was forwarded", append(rows(9), rows(9)[:40]...), false, ""},
+		{"an Exception after rows that were not forwarded", append(rows(9), memoryLimit...), true, ""},
+		{"disconnects within a block, after rows that were forwarded", append(bytes.Clone(large), rows(9)[:40]...), false, "ANSWER_BROKEN"},
+		{"an Exception after rows that were forwarded", append(bytes.Clone(large), memoryLimit...), true, "ANSWER_BROKEN"},
 		{"an Exception about the statement", (&native.Exception{Code: 62, Name: "DB::Exception", Message: "Syntax error",
 			Nested: &native.Exception{Code: 27, Name: "DB::Exception", Message: "the cause"}}).Encode(), true, "Syntax error"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			raw := startRawNode(t, native.NewestRevision, func(w io.Writer) { _, _ = w.Write(c.answer) }, c.hold)
+			raw := startRawNode(t, native.NewestRevision, func(w io.Writer) { _, _ = w.Write(c.answer) }, c.keepOpen)
 			good := simulated.NewNode("good", simulated.Model{}, 1)
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
@@ -146,44 +148,45 @@
 			r := newRigWith(t, 0, func(string) string {
 				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`, raw.address, good.Native)
 			}, "")
-			for range 30 { // until the raw node was asked
+			for range 30 { // until the dispatcher has sent a query to the raw node
 				client := r.rawNative(t)
 				client.ask("SELECT node, row /* rows=3 class=report */", native.Setting{Name: "max_execution_time", Value: "8"})
-				got := 0
+				rowCount := 0
 				p := client.until(native.ServerData)
 				for ; p.Code == native.ServerData; p = client.until(native.ServerData) {
-					got += p.Block.Rows
+					rowCount += p.Block.Rows
 				}
 				if raw.queries() == 0 {
-					if p.Code != native.ServerEndOfStream || got != 3 {
-						t.Fatalf("the good node: %d rows, %v", got, p.Exception)
+					if p.Code != native.ServerEndOfStream || rowCount != 3 {
+						t.Fatalf("the good node: %d rows, %v", rowCount, p.Exception)
 					}
 					continue
 				}
-				if c.want == "" && (p.Code != native.ServerEndOfStream || got != 3) {
-					t.Errorf("%d rows, %v, want three of the good node", got, p.Exception)
+				if c.want == "" && (p.Code != native.ServerEndOfStream || rowCount != 3) {
+					t.Errorf("%d rows, %v, want 3 rows from the good node", rowCount, p.Exception)
 				}
 				if c.want != "" && (p.Exception == nil || !strings.Contains(p.Exception.Message, c.want)) {
 					t.Errorf("%v, want %q", p.Exception, c.want)
 				}
 				if c.want == "Syntax error" && (p.Exception == nil || p.Exception.Nested == nil || p.Exception.Nested.Message != "the cause") {
-					t.Errorf("nested: %+v", p.Exception)
+					t.Errorf("the Exception lost its nested Exception: %+v", p.Exception)
 				}
 				return
 			}
-			t.Error("the raw node was never asked")
+			t.Error("the raw node received no query in 30 attempts")
 		})
 	}
 }
 
-// What is no native client at all, or a broken one, gets an error and disturbs nobody.
-func TestWhatIsNoNativeClient(t *testing.T) {
+// A client of another protocol, of an unsupported revision, or with malformed packets gets an error and an orderly close, and later
+// clients are served.
+func TestInvalidNativeClients(t *testing.T) {
 	r := newRig(t, 1, "")
-	for name, c := range map[string]struct{ sent, says string }{
-		"HTTP":                   {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP"},
-		"an old revision":        {string(native.Hello{Name: "old", Revision: 50000, User: "u"}.Encode()), "54429"},
-		"an enormous length":     {"\x00\xff\xff\xff\xff\xff\xff\xff\xff\x7f", "at most"},
-		"garbage behind a Hello": {string(native.Hello{Name: "c", Revision: native.NewestRevision, User: "u"}.Encode()) + "\x00\x63", "99"},
+	for name, c := range map[string]struct{ sent, message string }{
+		"HTTP":                {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", "HTTP"},
+		"an old revision":     {string(native.Hello{Name: "old", Revision: 50000, User: "u"}.Encode()), "54429"},
+		"an enormous length":  {"\x00\xff\xff\xff\xff\xff\xff\xff\xff\x7f", "at most"},
+		"garbage after Hello": {string(native.Hello{Name: "c", Revision: native.NewestRevision, User: "u"}.Encode()) + "\x00\x63", "99"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", r.d.NativeAddress())
@@ -202,23 +205,23 @@
 					err = p.Exception
 				}
 			}
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%v, want %q", err, c.says)
+			if err == nil || !strings.Contains(err.Error(), c.message) {
+				t.Errorf("%v, want %q", err, c.message)
 			}
 			if _, err := io.Copy(io.Discard, conn); err != nil {
-				t.Error("not closed in order: ", err)
+				t.Error("the connection was not closed in order: ", err)
 			}
 		})
 	}
 	c := r.native(t, "u")
 	defer closeQuietly(c)
 	if n, err := selectNative(t.Context(), c, "SELECT 1 /* rows=2 */"); err != nil || n != 2 {
-		t.Errorf("after them: %d, %v", n, err)
+		t.Errorf("a valid client afterwards: %d rows, %v", n, err)
 	}
 }
 
-// Clients and nodes of other revisions: an old client at new nodes, and a new one at old nodes, which are learned of at
-// the first query.
+// Clients and nodes of different protocol revisions work together. The dispatcher learns the revision of a node at its first
+// query, so that the first queries of a newer client may fail.
 func TestOldAndNewRevisions(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -235,7 +238,7 @@
 				return fmt.Sprintf(`{"list": [{"name": "old", "native": %q}]}`, old.Native)
 			}, "")
 			var err error
-			for range 3 { // the first meets nodes whose revision is not known
+			for range 3 { // the first query may fail, as the node's revision is not known yet
 				var client *ch.Client
 				client, err = ch.Dial(t.Context(), ch.Options{Address: r.d.NativeAddress(), User: "u", ProtocolVersion: c.client})
 				if err != nil {
@@ -258,14 +261,14 @@
 	}
 }
 
-// idleEnv names the address and count for the process that holds idle clients.
+// idleEnv is the environment variable with the dispatcher's address and the number of connections for the process of idle clients.
 const idleEnv = "EMBERSHUNT_IDLE"
 
-// TestHoldIdleClients is no test: it is the process that TestIdleNativeConnections starts for its clients.
+// TestHoldIdleClients tests nothing itself: it runs in the process that TestIdleNativeConnections starts for its clients.
 func TestHoldIdleClients(t *testing.T) {
 	address, count, ok := strings.Cut(os.Getenv(idleEnv), " ")
 	if !ok {
-		t.Skip("started by another test")
+		t.Skip("runs only in the process that TestIdleNativeConnections starts")
 	}
 	n, err := strconv.Atoi(count)
 	if err != nil {
@@ -278,12 +281,12 @@
 		}
 		defer closeQuietly(c)
 	}
-	fmt.Println("all up")
-	_, _ = io.Copy(io.Discard, os.Stdin) // until the test closes it
+	fmt.Println("all connected")
+	_, _ = io.Copy(io.Discard, os.Stdin) // until the parent process closes it
 }
 
-// Many idle connections, of another process, cost little; queries beside them are answered; they are gone when their
-// clients are.
+// Beside thousands of idle connections of another process, whose memory is logged, queries are served, and the dispatcher closes the
+// connections when their clients are gone. The process of its own keeps the clients' memory out of the measurement.
 func TestIdleNativeConnections(t *testing.T) {
 	r := newRig(t, 1, "")
 	n := 2000
@@ -311,8 +314,8 @@
 		t.Fatal(err)
 	}
 	line, _ := bufio.NewReader(out).ReadString('\n')
-	if line != "all up\n" {
-		t.Fatalf("the clients said %q", line)
+	if line != "all connected\n" {
+		t.Fatalf("the process of idle clients printed %q", line)
 	}
 	if got := r.d.Native().Conns(); got != n {
 		t.Errorf("%d connections, want %d", got, n)
@@ -321,10 +324,10 @@
 	c := r.native(t, "u")
 	defer closeQuietly(c)
 	if rows, err := selectNative(t.Context(), c, "SELECT 1 /* rows=2 */"); err != nil || rows != 2 {
-		t.Errorf("%d, %v", rows, err)
+		t.Errorf("a query beside them: %d rows, %v", rows, err)
 	}
 	closeQuietly(in)
-	_, _ = io.Copy(io.Discard, out) // Wait has the error
+	_, _ = io.Copy(io.Discard, out) // cmd.Wait returns the error
 	if err := cmd.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -335,9 +338,9 @@
 	}
 }
 
-// A client calls a large answer off in the middle of its blocks and uses the connection again: what it reads up to the end
-// is complete packets, and the node gets the cancellation.
-func TestCancelledInTheMiddleOfAnAnswer(t *testing.T) {
+// A client cancels a query in the middle of a large answer and uses the connection again: it reads complete packets up to
+// EndOfStream, and fewer rows than the whole answer.
+func TestCancelDuringAnswer(t *testing.T) {
 	r := newRig(t, 1, "")
 	c := r.rawNative(t)
 	for range 3 {
@@ -365,12 +368,11 @@
 	}
 }
 
-// A node drains while connections to it are pooled: nothing new goes there, over neither; once it has left the list they
-// are closed.
+// A node that drains gets no new queries over the connections that are pooled to it; once it has left the node list, they are closed.
 func TestDrainWithPooledConnections(t *testing.T) {
 	r := newRig(t, 2, "")
 	c := r.rawNative(t)
-	ask := func() {
+	query := func() {
 		t.Helper()
 		c.ask("SELECT 1 /* rows=1 */")
 		if p := c.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
@@ -378,30 +380,30 @@
 		}
 	}
 	for len(r.nodes[0].Attempts()) == 0 {
-		ask()
+		query()
 	}
-	set := func(drains bool) {
+	setNodes := func(withDraining bool) {
 		rows := []nodelist.Node{{ID: "node-1", Address: r.nodes[1].Address, Native: r.nodes[1].Native}}
-		if drains {
+		if withDraining {
 			rows = append(rows, nodelist.Node{ID: "node-0", Address: r.nodes[0].Address, Native: r.nodes[0].Native, State: policy.Draining})
 		}
 		if err := r.d.Fleet().SetNodes(rows); err != nil {
 			t.Fatal(err)
 		}
 	}
-	set(true)
+	setNodes(true)
 	before := len(r.nodes[0].Attempts())
 	for range 30 {
-		ask()
+		query()
 	}
 	if n := len(r.nodes[0].Attempts()) - before; n > 0 {
-		t.Errorf("%d queries reached the node that drains", n)
+		t.Errorf("%d queries reached the draining node", n)
 	}
-	set(false)
-	ask()
+	setNodes(false)
+	query()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if r.nodes[0].Await(ctx, func([]simulated.AttemptRecord) bool { return r.nodes[0].NativeConns() == 0 }) != nil {
-		t.Errorf("%d connections to the node that left", r.nodes[0].NativeConns())
+		t.Errorf("%d connections are open to the node that left the list", r.nodes[0].NativeConns())
 	}
 }
--- a/server/native_test.go
+++ b/server/native_test.go
@@ -15,6 +15,7 @@
 	"embershunt/simulated"
 )
 
+// native connects a ch-go client without compression.
 func (r *rig) native(t testing.TB, user string) *ch.Client {
 	t.Helper()
 	c, err := ch.Dial(t.Context(), ch.Options{Address: r.d.NativeAddress(), User: user, Compression: ch.CompressionDisabled})
@@ -24,6 +25,7 @@
 	return c
 }
 
+// selectNative executes a SELECT of the columns node and row and returns the number of rows.
 func selectNative(ctx context.Context, c *ch.Client, statement string) (rows int, err error) {
 	var node proto.ColStr
 	var row proto.ColInt64
@@ -32,7 +34,7 @@
 	return rows, err
 }
 
-// Unmodified clients of the protocol go through the dispatcher to a node and back.
+// Unmodified clients of the native protocol execute queries through the dispatcher.
 func TestNativeClients(t *testing.T) {
 	r := newRig(t, 2, "")
 	c := r.native(t, "default")
@@ -50,7 +52,7 @@
 	}
 	err := c.Do(t.Context(), ch.Query{Body: "SELECT /* fail=no_such_table */ 1", Result: proto.Results{}})
 	if e, ok := ch.AsException(err); !ok || e.Code != 62 || !strings.Contains(e.Message, "no_such_table") {
-		t.Errorf("the node's own word: %v", err)
+		t.Errorf("want the node's own Exception: %v", err)
 	}
 	db := clickhouse.OpenDB(&clickhouse.Options{Addr: []string{r.d.NativeAddress()}, Settings: clickhouse.Settings{"max_execution_time": 5}})
 	defer closeQuietly(db)
@@ -62,26 +64,28 @@
 	if err := db.QueryRowContext(t.Context(), "SELECT 1 /* rows=0 */").Scan(&node, &row); !errors.Is(err, sql.ErrNoRows) {
 		t.Errorf("no rows: %v", err)
 	}
-	// Kept connections are used again: the nodes saw fewer than the queries.
+	// The first client's connection still works after its failed query.
 	if n, _ := selectNative(t.Context(), c, "SELECT 1 /* rows=1 */"); n != 1 {
-		t.Error("after all that")
+		t.Errorf("the connection after a failed query: %d rows, want 1", n)
 	}
 }
 
+// Faults of one node are hidden from the client by the other. When both nodes are faulty, the client gets the reason: with a deadline
+// of 0.8 s within 0.9 s.
 func TestNativeFaults(t *testing.T) {
 	cases := []struct {
 		name     string
 		fault    simulated.Faults
-		all      bool
-		deadline string
-		want     string
+		all      bool   // both nodes have the fault, otherwise node-0 alone
+		deadline string // max_execution_time, in seconds
+		want     string // part of the error; "": the query succeeds
 	}{
-		{"one turns all away", simulated.Faults{Full: true}, false, "4", ""},
+		{"one rejects all queries", simulated.Faults{Full: true}, false, "4", ""},
 		{"one fails fast", simulated.Faults{Fail: 1}, false, "4", ""},
-		{"all cut within a block", simulated.Faults{CutRow: 100}, true, "4", "failed (ANSWER_BROKEN"},
-		{"all stall within the answer", simulated.Faults{StallRow: 100}, true, "0.8", "failed (DEADLINE"},
-		{"all silent", simulated.Faults{Hang: true}, true, "0.8", "failed (ATTEMPT_FAILED"},
-		{"all full", simulated.Faults{Full: true}, true, "0.8", "refused (OVERLOADED"},
+		{"all break off within a block", simulated.Faults{CutRow: 100}, true, "4", "failed (ANSWER_BROKEN"},
+		{"all stall during the answer", simulated.Faults{StallRow: 100}, true, "0.8", "failed (DEADLINE"},
+		{"all hang", simulated.Faults{Hang: true}, true, "0.8", "failed (ATTEMPT_FAILED"},
+		{"all reject", simulated.Faults{Full: true}, true, "0.8", "refused (OVERLOADED"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -105,11 +109,11 @@
 				closeQuietly(client)
 				if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want) && c.want != "") {
 					if c.want == "failed (ATTEMPT_FAILED" && err != nil && strings.Contains(err.Error(), "refused (OVERLOADED") {
-						continue // nobody else to ask, and it only reads: that may be said too
+						continue // also correct: no other node is available, and the query only reads, so that a rejection is safe
 					}
 					if c.want == "failed (ATTEMPT_FAILED" && err != nil && strings.Contains(err.Error(), "failed (DEADLINE") {
 						if d := stalled(); d >= deadlineGuard {
-							t.Logf("the deadline came first: this process did not run for %v", d)
+							t.Logf("DEADLINE accepted: this process did not run for %v", d)
 							continue
 						}
 					}
@@ -123,7 +127,8 @@
 	}
 }
 
-func TestNativeClientsThatGoAway(t *testing.T) {
+// A cancelled query is cancelled on its node, and other clients are served afterwards.
+func TestAbandonedNativeQuery(t *testing.T) {
 	r := newRig(t, 1, "")
 	c := r.native(t, "u")
 	defer closeQuietly(c)
@@ -140,7 +145,7 @@
 	if err := r.nodes[0].Await(t.Context(), anyCancelled); err != nil {
 		t.Error(err)
 	}
-	_ = awaitEnd(done) // the client has gone: only its end counts
+	_ = awaitEnd(done) // its error does not matter: the client has cancelled
 	next := r.native(t, "u")
 	defer closeQuietly(next)
 	if n, err := selectNative(t.Context(), next, "SELECT 1 /* rows=2 */"); err != nil || n != 2 {
@@ -148,19 +153,20 @@
 	}
 }
 
-// One fleet, two protocols: each query goes to the nodes that speak its own.
+// In a fleet of two protocols each query goes only to nodes that speak the protocol of its client. node-0 speaks Flight SQL only,
+// node-1 the native protocol only, and node-2 both.
 func TestAQueryStaysWithinItsProtocol(t *testing.T) {
 	r := newRigWith(t, 3, func(rows string) string {
 		parts := strings.Split(rows, "},")
 		parts[0] = strings.Replace(parts[0], `"native"`, `"state": "", "started"`, 1)
-		flightAlone, _, found := strings.Cut(parts[0], `, "state"`)
+		flightOnly, _, found := strings.Cut(parts[0], `, "state"`)
 		if !found {
 			t.Fatalf("no native address in %s", rows)
 		}
-		parts[0] = flightAlone
+		parts[0] = flightOnly
 		parts[1] = strings.Replace(parts[1], `"address"`, `"address": "", "hall": "", "x"`, 1)
-		at, to := strings.Index(parts[1], `, "x"`), strings.Index(parts[1], `, "native"`)
-		parts[1] = parts[1][:at] + parts[1][to:] // speaks the native protocol alone
+		start, end := strings.Index(parts[1], `, "x"`), strings.Index(parts[1], `, "native"`)
+		parts[1] = parts[1][:start] + parts[1][end:] // removes the Flight SQL address
 		return `{"list": [` + strings.Join(parts, "},") + `]}`
 	}, "")
 	c := r.native(t, "u")
@@ -177,13 +183,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended := 0.0
+	endedAttempts := 0.0
 	for _, f := range families {
 		if f.GetName() != "embershunt_attempts_ended_total" {
 			continue
 		}
 		for _, m := range f.GetMetric() {
-			ended += m.GetCounter().GetValue()
+			endedAttempts += m.GetCounter().GetValue()
 			for _, l := range m.GetLabel() {
 				if l.GetName() == "code" && l.GetValue() != "ok" {
 					t.Errorf("%v attempts ended as %s", m.GetCounter().GetValue(), l.GetValue())
@@ -191,7 +197,7 @@
 			}
 		}
 	}
-	if ended != 40 {
-		t.Errorf("%v attempts, want 40", ended)
+	if endedAttempts != 40 { // one for each query: no attempt was wasted on a node of the other protocol
+		t.Errorf("%v attempts, want 40", endedAttempts)
 	}
 }
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -14,13 +14,14 @@
 	"embershunt/simulated"
 )
 
-// run asks one statement and returns its Exception, if there is one.
+// run executes a statement and returns its Exception, or nil.
 func (c *rawNative) run(statement string) *native.Exception {
 	c.t.Helper()
 	c.ask(statement)
 	return c.until(native.ServerEndOfStream).Exception
 }
 
+// awaitNoTables waits until no node holds a temporary table.
 func (r *rig) awaitNoTables() {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
@@ -32,8 +33,8 @@
 	}
 }
 
-// Temporary tables stay with one connection to one node; options and the database are replayed; nothing is left on pooled
-// connections, and nothing on nodes when the client is gone.
+// All statements on a client's temporary tables reach the node that holds them, other clients don't see them, and no node keeps a
+// table after it is dropped or its client has disconnected.
 func TestTemporaryTables(t *testing.T) {
 	r := newRig(t, 3, "")
 	c := r.rawNative(t)
@@ -46,8 +47,8 @@
 		}
 	}
 	r.awaitNoTables()
-	if _, held, _ := r.d.Sessions().Status(); held != 0 {
-		t.Errorf("%d sessions are held", held)
+	if _, withState, _ := r.d.Sessions().Status(); withState != 0 {
+		t.Errorf("%d sessions still have state", withState)
 	}
 	if e := c.run("CREATE TEMPORARY TABLE tmp_c (id UInt64)"); e != nil {
 		t.Fatal(e)
@@ -57,7 +58,7 @@
 	}
 	closeQuietly(c)
 	r.awaitNoTables()
-	// Rows into a temporary table, with an unmodified client.
+	// An unmodified client inserts rows into a temporary table and reads them.
 	client, err := ch.Dial(t.Context(), ch.Options{Address: r.d.NativeAddress(), User: "u", Compression: ch.CompressionLZ4})
 	if err != nil {
 		t.Fatal(err)
@@ -74,38 +75,39 @@
 	}
 }
 
-// What concerns the connection alone is answered here: options are replayed on every node, what cannot be is refused.
-func TestOptionsOfAConnection(t *testing.T) {
+// SET and USE apply to the client's own connection: the dispatcher answers them and sends the settings along with each later query.
+// Statements that change connection state which cannot be replayed on another node are rejected.
+func TestConnectionSettings(t *testing.T) {
 	r := newRig(t, 2, "")
 	c := r.rawNative(t)
-	for s, says := range map[string]string{"SET max_execution_time = 0.2": "", "SET ROLE admin": "can neither be replayed", "BEGIN TRANSACTION": "can neither be replayed", "USE other": ""} {
-		if e := c.run(s); says == "" && e != nil || says != "" && (e == nil || !strings.Contains(e.Message, says)) {
-			t.Errorf("%s: %v, want %q", s, e, says)
+	for s, message := range map[string]string{"SET max_execution_time = 0.2": "", "SET ROLE admin": "can neither be replayed", "BEGIN TRANSACTION": "can neither be replayed", "USE other": ""} {
+		if e := c.run(s); message == "" && e != nil || message != "" && (e == nil || !strings.Contains(e.Message, message)) {
+			t.Errorf("%s: %v, want %q", s, e, message)
 		}
 	}
 	begin := time.Now()
 	if e := c.run("SELECT 1 /* work_ms=3000 cost_ms=1 */"); e == nil || time.Since(begin) > time.Second {
-		t.Errorf("the option that was set does not hold: %v after %v", e, time.Since(begin))
+		t.Errorf("max_execution_time = 0.2 had no effect: %v after %v", e, time.Since(begin))
 	}
 	other := r.rawNative(t)
 	if e := other.run("SELECT 1 /* work_ms=400 */"); e != nil {
-		t.Errorf("another client has the option: %v", e)
+		t.Errorf("the setting applies to another client too: %v", e)
 	}
 }
 
-// Temporary tables that are lost: one clear failure, then the connection begins anew.
-func TestTemporaryTablesThatAreLost(t *testing.T) {
+// When a client's temporary tables are lost, the next statement fails with the reason, and the connection can be used again.
+func TestLostTemporaryTables(t *testing.T) {
 	cases := []struct {
-		name string
-		more string
-		lose func(r *rig, at int)
-		says string
+		name    string
+		config  string
+		lose    func(r *rig, node int)
+		message string
 	}{
-		{"the node drains", `, "limits": {"drain_grace": "150ms"}`, func(r *rig, at int) {
+		{"the node drains", `, "limits": {"drain_grace": "150ms"}`, func(r *rig, node int) {
 			var rows []nodelist.Node
 			for i, n := range r.nodes {
 				row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
-				if i == at {
+				if i == node {
 					row.State = policy.Draining
 				}
 				rows = append(rows, row)
@@ -115,9 +117,9 @@
 			}
 			r.awaitNoTables()
 		}, "failed (NODE_DRAINED)"},
-		{"its connection breaks", "", func(r *rig, at int) {
-			r.nodes[at].Crash()
-			if err := r.nodes[at].Start("", false); err != nil {
+		{"the connection to the node breaks", "", func(r *rig, node int) {
+			r.nodes[node].Crash()
+			if err := r.nodes[node].Start("", false); err != nil {
 				r.t.Fatal(err)
 			}
 		}, "failed (STATE_GONE)"},
@@ -125,31 +127,31 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, 3, c.more)
+			r := newRig(t, 3, c.config)
 			client := r.rawNative(t)
 			if e := client.run("CREATE TEMPORARY TABLE tmp_a (id UInt64)"); e != nil {
 				t.Fatal(e)
 			}
-			at := 0
+			node := 0
 			for i, n := range r.nodes {
 				if n.Temporary() > 0 {
-					at = i
+					node = i
 				}
 			}
-			c.lose(r, at)
-			if e := client.run("SELECT * FROM tmp_a"); e == nil || !strings.Contains(e.Message, c.says) {
-				t.Errorf("%v, want %q", e, c.says)
+			c.lose(r, node)
+			if e := client.run("SELECT * FROM tmp_a"); e == nil || !strings.Contains(e.Message, c.message) {
+				t.Errorf("%v, want %q", e, c.message)
 			}
 			if e := client.run("SELECT 1"); e != nil {
-				t.Errorf("afterwards: %v", e)
+				t.Errorf("the next statement: %v", e)
 			}
 			for _, n := range r.nodes {
 				if m := n.Tally().Misplaced; len(m) > 0 {
-					t.Errorf("ran where the state was not: %q", m)
+					t.Errorf("statements ran on a node that does not hold the tables: %q", m)
 				}
 			}
 			if e := client.run("CREATE TEMPORARY TABLE tmp_a (id UInt64)"); e != nil {
-				t.Errorf("begun again: %v", e)
+				t.Errorf("a new temporary table: %v", e)
 			}
 		})
 	}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -30,10 +30,11 @@
 	"embershunt/simulated"
 )
 
-// sharedKey seals tokens, so that another dispatcher can read them.
+// sharedKey configures the key that seals tokens, so that another dispatcher with the same key can read them.
 const sharedKey = `, "keys": ["000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"]`
 
-// sessionFailure is what a session's failure says: reason, and whether a commit is known not to have run.
+// sessionFailure returns the reason of a session's failure and whether a commit is known not to have run. Without an ErrorInfo, reason
+// is the text of the error, "<nil>" for none.
 func sessionFailure(err error) (reason, commit string) {
 	for _, d := range status.Convert(err).Details() {
 		if i, ok := d.(*errdetails.ErrorInfo); ok {
@@ -43,7 +44,7 @@
 	return fmt.Sprint(err), ""
 }
 
-// nodeWithTransaction is the node that has a transaction open.
+// nodeWithTransaction returns the index of the first node that has a transaction open.
 func (r *rig) nodeWithTransaction() int {
 	r.t.Helper()
 	for i, n := range r.nodes {
@@ -55,24 +56,24 @@
 	return -1
 }
 
-// awaitNoState waits until no node holds anything of a session, and checks what reached them.
+// awaitNoState waits until no node has a transaction open, and checks that no session was committed twice.
 func (r *rig) awaitNoState() {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
 		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Transactions() == 0 }) != nil {
-			r.t.Errorf("%s still holds %d transactions", n.Name, n.Transactions())
+			r.t.Errorf("%s still has %d open transactions", n.Name, n.Transactions())
 		}
-		for s, k := range n.Tally().Commits {
-			if k > 1 {
-				r.t.Errorf("session %s was committed %d times", s, k)
+		for session, commits := range n.Tally().Commits {
+			if commits > 1 {
+				r.t.Errorf("session %s was committed %d times", session, commits)
 			}
 		}
 	}
 }
 
-// awaitRollback waits until a node has no transaction open.
+// awaitRollback waits until the node with the given index has no transaction open.
 func (r *rig) awaitRollback(ctx context.Context, node int) {
 	r.t.Helper()
 	if err := r.nodes[node].Await(ctx, func([]simulated.AttemptRecord) bool { return r.nodes[node].Transactions() == 0 }); err != nil {
@@ -80,6 +81,7 @@
 	}
 }
 
+// committedStatements returns the committed statements of all nodes.
 func (r *rig) committedStatements() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Committed...)
@@ -87,8 +89,8 @@
 	return all
 }
 
-// An unmodified client's transactions: all statements reach the node that holds them, a commit makes them seen, a roll back
-// does not, savepoints and prepared statements are part of it.
+// All statements of an unmodified client's transaction reach the node that holds it. A commit makes their effects visible, a rollback
+// discards them, and savepoints and prepared statements work within a transaction.
 func TestTransactions(t *testing.T) {
 	r := newRig(t, 3, "")
 	for i := range 10 {
@@ -96,8 +98,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		at := r.nodes[r.nodeWithTransaction()]
-		before := len(at.Attempts())
+		node := r.nodes[r.nodeWithTransaction()]
+		before := len(node.Attempts())
 		for k := range 3 {
 			if _, err := tx.ExecuteUpdate(t.Context(), fmt.Sprintf("INSERT INTO t VALUES (%d) /* tx=%d */", k, i)); err != nil {
 				t.Fatal(err)
@@ -117,10 +119,10 @@
 			}
 			reader.Release()
 		}
-		if got := len(at.Attempts()) - before; got != 6 {
+		if got := len(node.Attempts()) - before; got != 6 {
 			t.Fatalf("%d of 6 statements reached the node that holds the transaction", got)
 		}
-		point, err := tx.BeginSavepoint(t.Context(), "p")
+		savepoint, err := tx.BeginSavepoint(t.Context(), "p")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +133,7 @@
 		if _, err := prepared.ExecuteUpdate(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if err := tx.RollbackSavepoint(t.Context(), point); err != nil {
+		if err := tx.RollbackSavepoint(t.Context(), savepoint); err != nil {
 			t.Fatal(err)
 		}
 		end := tx.Commit
@@ -142,17 +144,18 @@
 			t.Fatal(err)
 		}
 	}
-	if n := len(r.committedStatements()); n != 15 {
+	if n := len(r.committedStatements()); n != 15 { // 3 in each of 5 commits
 		t.Errorf("%d statements were committed, want 15: %q", n, r.committedStatements())
 	}
 	r.awaitNoState()
-	if _, held, _ := r.d.Sessions().Status(); held != 0 {
-		t.Errorf("%d sessions are held", held)
+	if _, withState, _ := r.d.Sessions().Status(); withState != 0 {
+		t.Errorf("%d sessions still have state", withState)
 	}
 }
 
-// What goes wrong in the middle of a transaction: one clear failure, never a move, no commit twice, nothing left behind.
-func TestTransactionsThatAreLost(t *testing.T) {
+// A transaction that cannot go on fails with the reason and with what is known of its commit. It is never moved to another node or
+// committed twice, and no node keeps its state.
+func TestLostTransactions(t *testing.T) {
 	drain := func(node int) func(i int, n *nodelist.Node) bool {
 		return func(i int, n *nodelist.Node) bool {
 			if i == node {
@@ -162,69 +165,69 @@
 		}
 	}
 	cases := []struct {
-		name   string
-		more   string
-		play   func(r *rig, tx *flightsql.Txn, at int) error
-		reason string
-		commit string
-		effect int // statements committed in the end
+		name      string
+		config    string
+		act       func(r *rig, tx *flightsql.Txn, node int) error // node holds the transaction
+		reason    string
+		commit    string
+		committed int // statements that are committed in the end
 	}{
-		{"a drain between statements, past the grace", `, "limits": {"drain_grace": "400ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
-			r.listNodes(drain(at))
+		{"a drain, and a commit after the grace", `, "limits": {"drain_grace": "400ms"}`, func(r *rig, tx *flightsql.Txn, node int) error {
+			r.listNodes(drain(node))
 			if _, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (2)"); err != nil {
 				return fmt.Errorf("within the grace: %w", err)
 			}
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.awaitRollback(ctx, at)
+			r.awaitRollback(ctx, node)
 			return tx.Commit(r.t.Context())
 		}, "NODE_DRAINED", "known not to have run", 0},
-		{"a drain, and a commit within the grace", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.listNodes(drain(at))
+		{"a drain, and a commit within the grace", "", func(r *rig, tx *flightsql.Txn, node int) error {
+			r.listNodes(drain(node))
 			return tx.Commit(r.t.Context())
 		}, "", "", 1},
-		{"the node restarts within a heartbeat", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].Crash()
-			if err := r.nodes[at].Start("", false); err != nil {
+		{"the node restarts and stays listed", "", func(r *rig, tx *flightsql.Txn, node int) error {
+			r.nodes[node].Crash()
+			if err := r.nodes[node].Start("", false); err != nil {
 				return err
 			}
 			r.listNodes(func(i int, n *nodelist.Node) bool {
-				if i == at {
-					n.Started = r.nodes[at].Started()
+				if i == node {
+					n.Started = r.nodes[node].Started()
 				}
 				return true
 			})
 			return tx.Commit(r.t.Context())
 		}, "NODE_RESTARTED", "known not to have run", 0},
-		{"the node leaves the list", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.listNodes(func(i int, _ *nodelist.Node) bool { return i != at })
+		{"the node leaves the list", "", func(r *rig, tx *flightsql.Txn, node int) error {
+			r.listNodes(func(i int, _ *nodelist.Node) bool { return i != node })
 			_, err := tx.ExecuteUpdate(r.t.Context(), "INSERT INTO t VALUES (2)")
-			r.nodes[at].Crash()
+			r.nodes[node].Crash()
 			return err
 		}, "NODE_GONE", "known not to have run", 0},
-		{"the commit's answer is lost", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].SetFaults(simulated.Faults{LoseAnswers: true})
+		{"the commit's answer is lost", "", func(r *rig, tx *flightsql.Txn, node int) error {
+			r.nodes[node].SetFaults(simulated.Faults{LoseAnswers: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), time.Second)
 			defer cancel()
 			id := tx.ID()
 			err := tx.Commit(ctx)
-			if reason, _ := sessionFailure(actionError(r, id)); reason != "COMMIT_UNKNOWN" {
-				r.t.Errorf("afterwards: %s", reason)
+			if reason, _ := sessionFailure(commitByToken(r, id)); reason != "COMMIT_UNKNOWN" {
+				r.t.Errorf("the reason at a second commit: %s", reason)
 			}
 			return err
 		}, "COMMIT_UNKNOWN", "unknown", 1},
-		{"the node hangs with a statement out", "", func(r *rig, tx *flightsql.Txn, at int) error {
-			r.nodes[at].SetFaults(simulated.Faults{Hang: true})
+		{"the node hangs while it executes a statement", "", func(r *rig, tx *flightsql.Txn, node int) error {
+			r.nodes[node].SetFaults(simulated.Faults{Hang: true})
 			ctx, cancel := context.WithTimeout(r.t.Context(), 500*time.Millisecond)
 			defer cancel()
 			_, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)")
-			r.nodes[at].SetFaults(simulated.Faults{})
+			r.nodes[node].SetFaults(simulated.Faults{})
 			return err
 		}, "STATE_UNKNOWN", "known not to have run", 0},
-		{"idle for too long", `, "sessions": {"idle": "200ms"}`, func(r *rig, tx *flightsql.Txn, at int) error {
+		{"idle for too long", `, "sessions": {"idle": "200ms"}`, func(r *rig, tx *flightsql.Txn, node int) error {
 			ctx, cancel := context.WithTimeout(r.t.Context(), 5*time.Second)
 			defer cancel()
-			r.awaitRollback(ctx, at)
+			r.awaitRollback(ctx, node)
 			return tx.Commit(r.t.Context())
 		}, "SESSION_IDLE", "known not to have run", 0},
 		{"committed twice by its client", "", func(r *rig, tx *flightsql.Txn, _ int) error {
@@ -236,23 +239,23 @@
 			if err != nil {
 				return err
 			}
-			defer func() { _ = other.Rollback(r.t.Context()) }() // its answer is not the case's
-			return actionError(r, id)
+			defer func() { _ = other.Rollback(r.t.Context()) }() // not what this case checks
+			return commitByToken(r, id)
 		}, "TRANSACTION_DONE", "known not to have run", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, 3, c.more)
+			r := newRig(t, 3, c.config)
 			tx := r.beginWithInsert()
 			reason, commit := "", ""
-			if err := c.play(r, tx, r.nodeWithTransaction()); err != nil {
+			if err := c.act(r, tx, r.nodeWithTransaction()); err != nil {
 				reason, commit = sessionFailure(err)
 			}
 			if reason != c.reason || commit != c.commit {
-				t.Errorf("told %q, commit %q, want %q, %q", reason, commit, c.reason, c.commit)
+				t.Errorf("reason %q, commit %q, want %q, %q", reason, commit, c.reason, c.commit)
 			}
-			if n := len(r.committedStatements()); n != c.effect {
-				t.Errorf("%d statements were committed, want %d", n, c.effect)
+			if n := len(r.committedStatements()); n != c.committed {
+				t.Errorf("%d statements were committed, want %d", n, c.committed)
 			}
 			r.checkNothingLeft()
 		})
@@ -272,8 +275,8 @@
 	return tx
 }
 
-// checkNothingLeft ends all faults and checks that no state is left, that no statement ran where the state was not, and that queries without
-// a session are served.
+// checkNothingLeft ends all faults and checks that no transaction is open, that each statement of a session reached the node with its
+// state, and that queries without a session are served.
 func (r *rig) checkNothingLeft() {
 	r.t.Helper()
 	for _, n := range r.nodes {
@@ -281,13 +284,14 @@
 	}
 	r.awaitNoState()
 	if m := r.misplacedStatements(); len(m) > 0 {
-		r.t.Errorf("ran where the state was not: %q", m)
+		r.t.Errorf("statements reached a node without their session's state: %q", m)
 	}
 	if _, err := r.query(r.t.Context(), "SELECT 1 /* rows=1 */"); err != nil {
-		r.t.Error("without a session: ", err)
+		r.t.Error("a query without a session: ", err)
 	}
 }
 
+// misplacedStatements returns the statements that reached a node without their session's state.
 func (r *rig) misplacedStatements() (all []string) {
 	for _, n := range r.nodes {
 		all = append(all, n.Tally().Misplaced...)
@@ -295,28 +299,29 @@
 	return all
 }
 
-// A session used by two calls at once, a flood of begins that never end, and another dispatcher that takes one over.
-func TestTransactionsOfManyHands(t *testing.T) {
+// Two concurrent calls of one session: the second is rejected as SESSION_BUSY. A restarted dispatcher goes on with a transaction by its
+// token. Transactions beyond the limit of sessions are rejected with a retry delay. Forged tokens are rejected.
+func TestTransactionTokensAndLimits(t *testing.T) {
 	r := newRig(t, 2, sharedKey+`, "sessions": {"most": 20, "idle": "30s"}`)
 	tx, err := r.client.BeginTransaction(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan error, 1)
-	const slow = "INSERT INTO t VALUES (1) /* work_ms=300 */"
+	const slowInsert = "INSERT INTO t VALUES (1) /* work_ms=300 */"
 	go func() {
-		_, err := tx.ExecuteUpdate(t.Context(), slow)
+		_, err := tx.ExecuteUpdate(t.Context(), slowInsert)
 		done <- err
 	}()
-	r.seenBy(slow)
+	r.seenBy(slowInsert)
 	_, err = tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (2)")
 	if reason, _ := sessionFailure(err); reason != "SESSION_BUSY" {
-		t.Errorf("the second call: %v", err)
+		t.Errorf("the concurrent call: %v", err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	// The dispatcher restarts: the token says where the state is.
+	// A restarted dispatcher finds the node with the state from the token.
 	address := r.d.Address()
 	r.cancel()
 	r.ended <- <-r.ended
@@ -325,7 +330,7 @@
 	defer cancel()
 	id := tx.ID()
 	if err := tx.Commit(ctx); err != nil {
-		t.Error("after a restart: ", err)
+		t.Error("a commit after the restart: ", err)
 	}
 	if n := len(r.committedStatements()); n != 1 {
 		t.Errorf("%d statements were committed, want 1", n)
@@ -333,7 +338,7 @@
 	var open []*flightsql.Txn
 	var mu sync.Mutex
 	var group sync.WaitGroup
-	turned := 0
+	rejected := 0
 	for range 60 {
 		group.Add(1)
 		go func() {
@@ -346,17 +351,17 @@
 				return
 			}
 			if reason, _ := sessionFailure(err); reason != "TOO_MANY_SESSIONS" || !hasRetryDelay(err) {
-				t.Errorf("turned away with %v", err)
+				t.Errorf("rejected with %v, want TOO_MANY_SESSIONS and a retry delay", err)
 			}
-			turned++
+			rejected++
 		}()
 	}
 	group.Wait()
-	if len(open) != 20 || turned != 40 {
-		t.Errorf("%d begun, %d turned away, want 20 and 40", len(open), turned)
+	if len(open) != 20 || rejected != 40 {
+		t.Errorf("%d transactions begun, %d rejected, want 20 and 40", len(open), rejected)
 	}
 	if _, err := r.query(ctx, "SELECT 1 /* rows=1 */"); err != nil {
-		t.Error("beside them: ", err)
+		t.Error("a query beside them: ", err)
 	}
 	for _, tx := range open {
 		if err := tx.Rollback(ctx); err != nil {
@@ -364,17 +369,17 @@
 		}
 	}
 	r.awaitNoState()
-	// Forged and foreign tokens.
-	for name, token := range map[string]string{"forged": strings.Repeat("x", 60), "another purpose": string(id)[:20]} {
-		if err := actionError(r, []byte(token)); err == nil {
-			t.Errorf("%s: taken", name)
+	// Tokens that the dispatcher did not make.
+	for name, token := range map[string]string{"forged": strings.Repeat("x", 60), "truncated": string(id)[:20]} {
+		if err := commitByToken(r, []byte(token)); err == nil {
+			t.Errorf("a token that is %s was accepted", name)
 		}
 	}
 }
 
-// actionError ends a transaction by hand and returns the error of that.
-func actionError(r *rig, token []byte) error {
-	s, err := r.client.Client.DoAction(r.t.Context(), endAction(token, 1))
+// commitByToken commits the transaction with the token through a raw EndTransaction action and returns its error.
+func commitByToken(r *rig, token []byte) error {
+	s, err := r.client.Client.DoAction(r.t.Context(), endTransactionAction(token, 1))
 	if err != nil {
 		return err
 	}
@@ -388,25 +393,24 @@
 	}
 }
 
-func endAction(token []byte, how uint64) *flight.Action {
-	body := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, token), 2, how)
+// endTransactionAction returns the EndTransaction action for a token; mode 1 commits.
+func endTransactionAction(token []byte, mode uint64) *flight.Action {
+	body := flightwire.AppendVarint(flightwire.AppendBytes(nil, 1, token), 2, mode)
 	return &flight.Action{Type: "EndTransaction", Body: flightwire.NewCommand("ActionEndTransactionRequest", body)}
 }
 
-// A drain while BEGIN is out; a client that vanishes; a dispatcher that takes a transaction over from another; a drain that is
-// announced; a tenant at its limit; and a node that dies with all sessions, whose clients are told to retry one after
-// another.
-func TestTransactionsOnBadDays(t *testing.T) {
-	t.Run("a drain while BEGIN is out", drainDuringBegin)
-	t.Run("the client vanishes", clientVanishes)
-	t.Run("another dispatcher goes on", anotherDispatcherContinues)
-	t.Run("a drain that is announced", announcedDrain)
-	t.Run("its class ends in the settings", classRemoved)
-	t.Run("a tenant that has its share", tenantAtItsLimit)
-	t.Run("all on one node when it dies", nodeDiesWithAllSessions)
+// Transactions through drains, lost clients and nodes, another dispatcher, changed settings and tenant limits.
+func TestTransactionEdgeCases(t *testing.T) {
+	t.Run("a drain during BEGIN", drainDuringBegin)
+	t.Run("the client disconnects", clientDisconnects)
+	t.Run("another dispatcher commits", anotherDispatcherContinues)
+	t.Run("an announced drain", announcedDrain)
+	t.Run("the class is removed from the settings", classRemoved)
+	t.Run("a tenant at its session limit", tenantAtItsLimit)
+	t.Run("the node with all sessions is lost", nodeWithAllSessionsLost)
 }
 
-// listNodes puts a node list in force with the rows for which change returns true.
+// listNodes applies a node list with the rows for which change returns true; change may alter a row.
 func (r *rig) listNodes(change func(i int, n *nodelist.Node) bool) {
 	r.t.Helper()
 	var rows []nodelist.Node
@@ -421,7 +425,7 @@
 	}
 }
 
-// drainDuringBegin drains a node while it is asked to begin a transaction: nothing is begun, and nothing stays there.
+// drainDuringBegin drains a node while it executes BEGIN: the client gets an error, and no transaction stays open on the node.
 func drainDuringBegin(t *testing.T) {
 	r := newRig(t, 1, `, "limits": {"drain_grace": "300ms"}`)
 	r.nodes[0].SetFaults(simulated.Faults{Hang: true})
@@ -432,19 +436,19 @@
 		_, err := r.client.BeginTransaction(ctx)
 		done <- err
 	}()
-	for _, held, _ := r.d.Sessions().Status(); held == 0 && len(done) == 0; _, held, _ = r.d.Sessions().Status() {
+	for _, withState, _ := r.d.Sessions().Status(); withState == 0 && len(done) == 0; _, withState, _ = r.d.Sessions().Status() {
 		runtime.Gosched()
 	}
 	r.listNodes(func(_ int, n *nodelist.Node) bool { n.State = policy.Draining; return true })
 	if err := <-done; err == nil {
-		t.Error("begun")
+		t.Error("the transaction was begun on a draining node")
 	}
 	r.nodes[0].SetFaults(simulated.Faults{})
 	r.awaitNoState()
 }
 
-// clientVanishes disconnects a client within its transaction: the idle timeout rolls it back.
-func clientVanishes(t *testing.T) {
+// clientDisconnects disconnects a client within its transaction, which is rolled back after the idle timeout of the session.
+func clientDisconnects(t *testing.T) {
 	r := newRig(t, 2, `, "sessions": {"idle": "300ms"}`)
 	other := r.connect()
 	if _, err := other.BeginTransaction(t.Context()); err != nil {
@@ -476,7 +480,7 @@
 	second.d = d
 	second.client = second.connect()
 	defer closeQuietly(second.client)
-	if err := actionError(&second, tx.ID()); err != nil { // a commit
+	if err := commitByToken(&second, tx.ID()); err != nil {
 		t.Error(err)
 	}
 	if n := len(r.committedStatements()); n != 1 {
@@ -485,7 +489,7 @@
 	r.awaitNoState()
 }
 
-// announcedDrain checks that a client is told when its node is to drain.
+// announcedDrain checks that the answers of a session tell its client, in a header, how long its node still accepts statements.
 func announcedDrain(t *testing.T) {
 	r := newRig(t, 1, "")
 	tx, err := r.client.BeginTransaction(t.Context())
@@ -510,14 +514,15 @@
 		ms, _ = strconv.Atoi(v[0])
 	}
 	if ms < 55000 || ms > 62000 {
-		t.Errorf("told %v, want about 62000 ms with the grace", header)
+		t.Errorf("headers %v, want a drain in about 62000 ms: 60 s and the grace", header)
 	}
 	if err := tx.Commit(t.Context()); err != nil {
 		t.Error(err)
 	}
 }
 
-// classRemoved removes the class of a transaction from the settings: statements of that class are rejected, others go on.
+// classRemoved removes the class of a transaction from the settings: statements of that class are rejected, others of the transaction
+// still run.
 func classRemoved(t *testing.T) {
 	c := simulated.NewControl("nodes")
 	if err := c.Start(); err != nil {
@@ -526,16 +531,16 @@
 	defer c.Stop()
 	r := newControlledRig(t, c, 2, "")
 	c.Set(listed(r), "")
-	with := func(n uint64, audit bool) {
+	applySettings := func(n uint64, withAudit bool) {
 		t.Helper()
 		c.Put(stream.SettingsName, settings(t, n, func(s *control.Set) {
-			if audit {
+			if withAudit {
 				s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
 			}
 		})...)
-		r.until("a set in force", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
+		r.until("the settings in effect", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
 	}
-	with(1, true)
+	applySettings(1, true)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "embershunt-class", "audit")
 	tx, err := r.client.BeginTransaction(ctx)
 	if err != nil {
@@ -544,9 +549,9 @@
 	if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (1)"); err != nil {
 		t.Fatal(err)
 	}
-	with(2, false)
+	applySettings(2, false)
 	if _, err := tx.ExecuteUpdate(ctx, "INSERT INTO t VALUES (2)"); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("a class that ended: %v", err)
+		t.Errorf("a statement of a removed class: %v", err)
 	}
 	if _, err := tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (3)"); err != nil {
 		t.Error(err)
@@ -559,7 +564,7 @@
 	}
 }
 
-// tenantAtItsLimit checks that a tenant's limit holds for it alone.
+// tenantAtItsLimit checks that sessions.per_tenant counts the sessions of each tenant separately.
 func tenantAtItsLimit(t *testing.T) {
 	r := newRig(t, 2, `, "tenants": [{"name": "motor", "per_second": 100}, {"name": "travel", "per_second": 100}], "sessions": {"per_tenant": 2},
 		"rules": [{"name": "m", "user": "^m$", "tenant": "motor"}, {"name": "t", "user": "^t$", "tenant": "travel"}]`)
@@ -582,21 +587,22 @@
 	}
 }
 
-// nodeDiesWithAllSessions checks that clients of a lost node are told to retry at different times.
-func nodeDiesWithAllSessions(t *testing.T) {
+// nodeWithAllSessionsLost checks that the clients of a lost node get retry delays spread over sessions.spread, so that they don't all
+// reconnect at once.
+func nodeWithAllSessionsLost(t *testing.T) {
 	r := newRig(t, 1, `, "sessions": {"spread": "4s"}`)
-	var all []*flightsql.Txn
+	var transactions []*flightsql.Txn
 	for range 40 {
 		tx, err := r.client.BeginTransaction(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, tx)
+		transactions = append(transactions, tx)
 	}
 	r.nodes[0].Crash()
 	r.listNodes(func(int, *nodelist.Node) bool { return false })
-	back := map[int64]int{}
-	for _, tx := range all {
+	retries := map[int64]int{} // by retry delay in units of 400 ms
+	for _, tx := range transactions {
 		begin := time.Now()
 		err := tx.Commit(t.Context())
 		if reason, commit := sessionFailure(err); reason != "NODE_GONE" || commit != "known not to have run" || time.Since(begin) > time.Second {
@@ -604,16 +610,16 @@
 		}
 		for _, d := range status.Convert(err).Details() {
 			if i, ok := d.(*errdetails.RetryInfo); ok {
-				back[i.GetRetryDelay().AsDuration().Milliseconds()/400]++
+				retries[i.GetRetryDelay().AsDuration().Milliseconds()/400]++
 			}
 		}
 	}
-	for at, n := range back {
-		if n > 5 || at > 10 {
-			t.Errorf("%d come back within 400 ms, at %d ms", n, at*400)
+	for delay, n := range retries {
+		if n > 5 || delay > 10 {
+			t.Errorf("%d clients retry within 400 ms, after %d ms", n, delay*400)
 		}
 	}
-	if len(back) < 9 {
-		t.Errorf("come-back times %v", back)
+	if len(retries) < 9 {
+		t.Errorf("retry delays %v are not spread over 4 s", retries)
 	}
 }
