--- a/soak/checker.go
+++ b/soak/checker.go
@@ -16,32 +16,32 @@
 	InvariantAnswer    Invariant = "answer"    // each request gets one final answer, in time and correct
 	InvariantRejection Invariant = "refusal"   // a rejected request without idempotency never ran
 	InvariantDuplicate Invariant = "duplicate" // no effect happens twice
-	InvariantOverlap   Invariant = "overlap"   // no two attempts of one request are out at once
-	InvariantDrain     Invariant = "drain"     // no attempt at a node past the grace period after notice of its drain or removal
-	InvariantClient    Invariant = "client"    // no attempt starts for a client that has disconnected, or after its timeout
-	InvariantTTL       Invariant = "ttl"       // the deadline forwarded is no more than the client's remaining time
-	InvariantBudget    Invariant = "budget"    // retries keep within their budget
+	InvariantOverlap   Invariant = "overlap"   // no two attempts of one request are in flight at once
+	InvariantDrain     Invariant = "drain"     // no attempt reaches a node later than the drain grace after notice of its drain or removal
+	InvariantClient    Invariant = "client"    // no attempt starts after the client cancelled or disconnected, or after the timeout
+	InvariantTTL       Invariant = "ttl"       // the TTL forwarded to a node is no more than the client's remaining time
+	InvariantBudget    Invariant = "budget"    // retries stay within the retry budget
 	InvariantProcess   Invariant = "process"   // no crash, start in time, exit code 0 after SIGTERM
-	InvariantInternal  Invariant = "own"       // the dispatcher's own checks count no violation
+	InvariantInternal  Invariant = "own"       // the dispatcher logs no fault, no panic and no violated rule
 )
 
 // Tolerances of the invariants.
 const (
-	ruleSlack    = 50 * time.Millisecond  // of every time limit
-	answerSlack  = 500 * time.Millisecond // an answer may be this late
-	abandonSlack = 100 * time.Millisecond // an attempt may start this long after its client disconnected
-	ttlSlack     = 150 * time.Millisecond
-	readSlack    = 60 * time.Millisecond // scheduling between the wire and the stand-ins' clocks, on a busy machine
+	ruleSlack    = 50 * time.Millisecond  // for an attempt after the timeout, the dedup window or the drain grace
+	answerSlack  = 500 * time.Millisecond // an answer may come this long after the timeout
+	abandonSlack = 100 * time.Millisecond // an attempt may start this long after its client cancelled or disconnected
+	ttlSlack     = 150 * time.Millisecond // a forwarded TTL may exceed the remaining time by this much
+	readSlack    = 60 * time.Millisecond  // added to every limit: delay between the wire and a peer's timestamp, on a busy machine
 )
 
-// Violation is one invariant broken once.
+// Violation records one breach of an invariant.
 type Violation struct {
 	Invariant Invariant
 	At        time.Duration
 	Detail    string
 }
 
-// String is one line of a report.
+// String formats the violation as one line of a report.
 func (v Violation) String() string {
 	return fmt.Sprintf("%7.3f %s: %s", v.At.Seconds(), v.Invariant, v.Detail)
 }
@@ -49,7 +49,7 @@
 // incarnationKey identifies one process of one dispatcher.
 type incarnationKey struct{ dispatcher, number int }
 
-// checker checks the record of a run that has ended.
+// checker indexes the record of a run that has ended, and collects the violations in it.
 type checker struct {
 	*Record
 	incarnations map[incarnationKey]*Incarnation
@@ -58,13 +58,13 @@
 	violations   []Violation
 }
 
-// Check lists the violations of a record, earliest first.
+// Check returns the violations in the record of a run that has ended, earliest first.
 func (r *Record) Check() []Violation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := &checker{Record: r, incarnations: map[incarnationKey]*Incarnation{}, requests: map[string]*Request{}, arrivals: map[string][]*Arrival{}}
-	for _, l := range r.incarnations {
-		c.incarnations[incarnationKey{l.Dispatcher, l.Number}] = l
+	for _, inc := range r.incarnations {
+		c.incarnations[incarnationKey{inc.Dispatcher, inc.Number}] = inc
 	}
 	for _, q := range r.requests {
 		c.requests[q.ID] = q
@@ -88,23 +88,25 @@
 	c.violations = append(c.violations, Violation{i, at, fmt.Sprintf(format, args...)})
 }
 
-// incarnation is the process that a request was sent to; nil where it is not in the record.
+// incarnation returns the process that a request was sent to, or nil where the record does not have it.
 func (c *checker) incarnation(q *Request) *Incarnation {
 	return c.incarnations[incarnationKey{q.Dispatcher, q.Incarnation}]
 }
 
-// excusedByKill tells that a process was killed without SIGTERM before while a request was open.
+// excusedByKill reports whether the process was killed, without a SIGTERM before, while the request was open. Such a kill excuses a
+// missing or incomplete answer.
 func (c *checker) excusedByKill(q *Request) bool {
-	l := c.incarnation(q)
-	return l != nil && l.Killed > 0 && l.Terminated == 0 && q.Sent <= l.Killed+readSlack && (q.Ended == 0 || q.Ended >= l.Killed-readSlack)
+	inc := c.incarnation(q)
+	return inc != nil && inc.Killed > 0 && inc.Terminated == 0 && q.Sent <= inc.Killed+readSlack &&
+		(q.Ended == 0 || q.Ended >= inc.Killed-readSlack)
 }
 
-// String identifies the request in a report.
+// String identifies the request in a report: dispatcher and incarnation, class, trace ID, and its times in seconds.
 func (q *Request) String() string {
 	return fmt.Sprintf("n%d.%d %s %s sent %.3f patience %.3f", q.Dispatcher, q.Incarnation, q.Class.Name, q.ID, q.Sent.Seconds(), q.Timeout.Seconds())
 }
 
-// checkAnswer checks the final answer of one request.
+// checkAnswer checks the final answer to one request, and that a rejected non-idempotent request never ran.
 func (c *checker) checkAnswer(q *Request) {
 	switch q.Outcome {
 	case Unreadable:
@@ -133,15 +135,15 @@
 	}
 }
 
-// endOfRun is when the last process ended.
+// endOfRun returns the time at which the last process ended.
 func (c *checker) endOfRun() (end time.Duration) {
-	for _, l := range c.Record.incarnations {
-		end = max(end, l.Ended)
+	for _, inc := range c.Record.incarnations {
+		end = max(end, inc.Ended)
 	}
 	return end
 }
 
-// checkAttempts checks the attempts at nodes for one request.
+// checkAttempts checks the attempts of one request that reached a node.
 func (c *checker) checkAttempts(q *Request) {
 	for i, a := range c.arrivals[q.ID] {
 		if abandoned := q.AbandonedAt; abandoned > 0 && a.At > abandoned+abandonSlack+readSlack {
@@ -161,9 +163,10 @@
 	}
 }
 
-// checkRetry checks a retry against the attempts before it.
-func (c *checker) checkRetry(q *Request, before []*Arrival, a *Arrival) {
-	for _, b := range before {
+// checkRetry checks that no earlier attempt forbids a retry. An attempt that the node answered with "full" never ran, so it does not
+// count. After any other attempt a non-idempotent request is not retried, and a keyed request only within its dedup window.
+func (c *checker) checkRetry(q *Request, earlier []*Arrival, a *Arrival) {
+	for _, b := range earlier {
 		if b.Full {
 			continue
 		}
@@ -180,9 +183,10 @@
 	}
 }
 
-// checkOverlap checks that no attempt before another one was still out. A node reads a cancel or the end of a connection with a delay.
-func (c *checker) checkOverlap(q *Request, before []*Arrival, a *Arrival) {
-	for _, b := range before {
+// checkOverlap checks that every earlier attempt had ended when an attempt arrived. readSlack is allowed, because a node reads a cancel
+// or the end of a connection with a delay.
+func (c *checker) checkOverlap(q *Request, earlier []*Arrival, a *Arrival) {
+	for _, b := range earlier {
 		if b.Ended == 0 || b.Ended > a.At+readSlack {
 			c.add(InvariantOverlap, a.At, "%s: sent to %s (connection %d) while the attempt of %.3f at %s (connection %d) was out, to %.3f", q, a.Node, a.Conn,
 				b.At.Seconds(), b.Node, b.Conn, b.Ended.Seconds())
@@ -191,9 +195,10 @@
 	}
 }
 
-// checkDrains checks that no attempt went to nodes that are draining or were removed.
+// checkDrains checks that no attempt reached a node later than drainGrace after the dispatcher was notified of the node's drain or
+// removal.
 func (c *checker) checkDrains() {
-	type target struct { // of notices and attempts
+	type target struct { // a node as one incarnation of a dispatcher sees it
 		incarnationKey
 		node string
 	}
@@ -214,13 +219,14 @@
 	}
 }
 
-// Tolerance of the retry budget beyond the settings: 15 percent and one attempt.
+// Tolerances of the retry budget: retries may exceed the configured budget by 15 percent and one attempt.
 const (
 	budgetSlackFactor   = 1.15
 	budgetSlackAttempts = 1
 )
 
-// checkBudgets checks retries against the requests sent, for each incarnation of each dispatcher.
+// checkBudgets checks the retries of each incarnation of each dispatcher against its retry budget. In every budgetWindow that ends at a
+// retry, the budget is budgetBase plus budgetRatio of the requests sent. Each incarnation is reported once at most.
 func (c *checker) checkBudgets() {
 	type sendTimes struct{ requests, retries []time.Duration }
 	byIncarnation := map[incarnationKey]*sendTimes{}
@@ -247,7 +253,7 @@
 	}
 }
 
-// countWithin counts the times in the window that ends at a time, which is inside.
+// countWithin counts the times in the window that ends at end. The window includes end and excludes its begin.
 func countWithin(times []time.Duration, end, window time.Duration) (n float64) {
 	for _, t := range times {
 		if t <= end && t > end-window {
@@ -257,18 +263,18 @@
 	return n
 }
 
-// checkProcesses checks how processes started and ended.
+// checkProcesses checks how processes started and ended, and reports the log lines recorded as violations.
 func (c *checker) checkProcesses() {
-	for _, l := range c.Record.incarnations {
-		name := fmt.Sprintf("n%d.%d", l.Dispatcher, l.Number)
-		if l.Ready == 0 && (l.Killed == 0 || l.Killed-l.Started > maxStartup) {
-			c.add(InvariantProcess, l.Started, "%s was never ready", name)
+	for _, inc := range c.Record.incarnations {
+		name := fmt.Sprintf("n%d.%d", inc.Dispatcher, inc.Number)
+		if inc.Ready == 0 && (inc.Killed == 0 || inc.Killed-inc.Started > maxStartup) {
+			c.add(InvariantProcess, inc.Started, "%s was never ready", name)
 		}
-		if l.Terminated > 0 && l.Killed == 0 && l.ExitCode != 0 || l.Terminated == 0 && l.Killed == 0 {
-			c.add(InvariantProcess, l.Ended, "%s ended with code %d", name, l.ExitCode)
+		if inc.Terminated > 0 && inc.Killed == 0 && inc.ExitCode != 0 || inc.Terminated == 0 && inc.Killed == 0 {
+			c.add(InvariantProcess, inc.Ended, "%s ended with code %d", name, inc.ExitCode)
 		}
-		for _, line := range l.Violations {
-			c.add(InvariantInternal, l.Ended, "%s: %s", name, line)
+		for _, line := range inc.Violations {
+			c.add(InvariantInternal, inc.Ended, "%s: %s", name, line)
 		}
 	}
 }
--- a/soak/client.go
+++ b/soak/client.go
@@ -13,17 +13,17 @@
 	"embershunt/policy"
 )
 
-// ClientBehavior is how a client behaves; shares are of its requests or batches, from 0 to 1.
+// ClientBehavior sets how a client behaves. The shares, from 0 to 1, are of its batches; a batch is one request or a few sent at once.
 type ClientBehavior struct {
-	ThinkTime           time.Duration // mean time between two requests
+	ThinkTime           time.Duration // mean pause between two batches
 	CancelShare         float64       // cancelled with a CancelRequest
 	DisconnectShare     float64       // abandoned by closing the connection
-	BurstShare          float64       // several requests sent at once
+	BurstShare          float64       // of up to three requests; the others have one
 	SlowWriteShare      float64       // written in pieces
-	ImmediateRetryShare float64       // a rejection is followed by the next request without backoff
+	ImmediateRetryShare float64       // share of rejections that are followed by the next request without backoff
 }
 
-// client sends requests to one dispatcher for as long as the run lasts.
+// client sends requests to one dispatcher for as long as the run lasts, over one session at a time.
 type client struct {
 	record     *Record
 	dispatcher *Dispatcher
@@ -40,7 +40,7 @@
 		}
 	}()
 	for clock.Sleep(ctx, time.Duration(c.rng.ExpFloat64()*float64(c.behavior.ThinkTime))) {
-		if c.session != nil && !c.session.isIdle() { // the dispatcher closed it while it was idle
+		if c.session != nil && !c.session.isIdle() { // the dispatcher closed the idle session
 			c.session.drop()
 			c.session = nil
 		}
@@ -53,7 +53,7 @@
 
 func (c *client) drawClass() *Class { return classes[c.rng.IntN(len(classes))] }
 
-// bernoulli draws 1 with probability p, else 0.
+// bernoulli draws 1 with probability p, and 0 otherwise.
 func (c *client) bernoulli(p float64) int {
 	if c.rng.Float64() < p {
 		return 1
@@ -61,7 +61,7 @@
 	return 0
 }
 
-// connect opens a session where the dispatcher accepts new connections now; false where it failed.
+// connect opens a session if clients may connect now. It returns false where no session was opened.
 func (c *client) connect(ctx context.Context) bool {
 	if !c.dispatcher.connectable() {
 		return false
@@ -73,7 +73,8 @@
 	return err == nil
 }
 
-// send sends some requests at once and waits for their answers. retries counts how often one was sent before.
+// send sends a batch of count requests and waits for the answers. retries is 1 where the batch replaces a request that raced with a
+// close, and 0 otherwise.
 func (c *client) send(ctx context.Context, count, retries int, class *Class) {
 	s, fresh := c.session, c.session.fresh
 	s.fresh = false
@@ -81,15 +82,15 @@
 	if c.bernoulli(c.behavior.SlowWriteShare) == 1 {
 		message = c.writePieces(ctx, s, message)
 	}
-	before := c.record.now()
+	writeStart := c.record.now()
 	_, err := s.Write(message)
 	for _, q := range batch {
 		q.Sent = c.record.now()
 		c.record.addRequest(q)
 	}
-	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) { // closed before: the dispatcher read nothing
+	if errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET) { // closed before the dispatcher could read a whole request
 		for _, q := range batch {
-			c.record.change(func() { q.Outcome, q.RacedClose, q.Ended = Closed, true, before })
+			c.record.change(func() { q.Outcome, q.RacedClose, q.Ended = Closed, true, writeStart })
 		}
 		c.replaceSession(ctx, retries, class, false)
 		return
@@ -97,9 +98,10 @@
 	c.receive(ctx, s, batch, fresh, retries)
 }
 
-// newBatch draws requests of a class, and the bytes that send them.
+// newBatch draws requests of a class, and returns them with the Query messages that send them.
 func (c *client) newBatch(count int, class *Class) (batch []*Request, message []byte) {
-	// One timeout for all: answers come in the order of the requests, and a later one cannot be given before an earlier one is.
+	// All requests share one timeout: answers come in the order of the requests, so a later request cannot be answered before an
+	// earlier one.
 	timeout := time.Duration((0.6 + 0.4*c.rng.Float64()) * float64(class.Deadline)).Truncate(time.Millisecond)
 	for range count {
 		q := &Request{ID: fmt.Sprintf("%016x", c.rng.Uint64()), Dispatcher: c.dispatcher.number,
@@ -116,21 +118,23 @@
 	return batch, message
 }
 
-// writePieces writes the first bytes of a message in two pieces with pauses, and returns what is left to write.
+// writePieces writes the first bytes of a message in two pieces, each followed by a pause, and returns the rest of the message.
 func (c *client) writePieces(ctx context.Context, s *session, message []byte) []byte {
 	for range 2 {
 		n := min(len(message)/2, 40)
-		_, _ = s.Write(message[:n]) // the write of the last piece fails too
+		_, _ = s.Write(message[:n]) // after an error the caller's write of the rest fails too
 		message = message[n:]
 		clock.Sleep(ctx, time.Duration(1+c.rng.IntN(15))*time.Millisecond)
 	}
 	return message
 }
 
-// closeRaceWindow is how soon after it was sent a request may meet the dispatcher's close of an idle connection.
+// closeRaceWindow is how long after a request was sent the end of its connection may still be the dispatcher's close of an idle
+// connection, which the request met on its way.
 const closeRaceWindow = 50 * time.Millisecond
 
-// receive waits for the answers of a batch, unless the client abandons it first.
+// receive waits for the answers to a batch, unless the client abandons it first. After a rejection it waits for the backoff, unless the
+// client retries immediately.
 func (c *client) receive(ctx context.Context, s *session, batch []*Request, fresh bool, retries int) {
 	abandonAfter, backoff := time.Duration(0), time.Duration(0)
 	cancels := c.bernoulli(c.behavior.CancelShare) == 1
@@ -161,7 +165,8 @@
 	clock.Sleep(ctx, backoff)
 }
 
-// replaceSession drops a session that has ended; a request that raced with its close is sent once more on a new one.
+// replaceSession drops a session that has ended. With resend, it sends a new request of the same class on a new session, in place of a
+// request that raced with the close; it does so once, not for the replacement.
 func (c *client) replaceSession(ctx context.Context, retries int, class *Class, resend bool) {
 	c.session.drop()
 	c.session = nil
@@ -170,10 +175,11 @@
 	}
 }
 
-// lateAnswerWait is how long after its deadline a late answer is still waited for.
+// lateAnswerWait is how long after the timeout of a request its client still waits for the answer.
 const lateAnswerWait = 700 * time.Millisecond
 
-// awaitAnswer waits for one answer; ok is false where abandonAfter (0: never) or the last moment passes, or the run ends.
+// awaitAnswer waits for one answer. ok is false where abandonAfter (0: never) or the timeout plus lateAnswerWait has passed, or the run
+// has ended.
 func (c *client) awaitAnswer(ctx context.Context, s *session, q *Request, abandonAfter time.Duration) (a answer, ok bool) {
 	wait := q.Timeout + lateAnswerWait - (c.record.now() - q.Sent)
 	if abandonAfter > 0 {
@@ -193,10 +199,11 @@
 	return a, false
 }
 
-// cancelGrace is how long a session stays open behind its CancelRequest.
+// cancelGrace is how long a session stays open after its CancelRequest.
 const cancelGrace = 500 * time.Millisecond
 
-// abandon gives up requests whose answers have not come: by a CancelRequest and a close after cancelGrace, or by a close alone.
+// abandon gives up requests whose answers have not come: by a CancelRequest and a close after cancelGrace, or by a close alone. Requests
+// whose timeout has passed stay Pending, so that the checker reports the missing answer.
 func (c *client) abandon(batch []*Request, s *session, cancel bool) {
 	c.session = nil
 	now := c.record.now()
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -13,20 +13,20 @@
 	"embershunt/policy"
 )
 
-// Options are the size of a deployment and the behavior of its clients.
+// Options set the size of a deployment, the behavior of its clients and the faults that its servers always have.
 type Options struct {
 	Program     string // path of the dispatcher's executable
-	Directory   string // for files and logs
+	Directory   string // of the dispatchers' configuration files and logs
 	Seed        uint64
 	Dispatchers int
-	Servers     int
+	Servers     int // query nodes at the start
 	Clients     int // of each dispatcher
 	Descriptors int // file descriptors that each dispatcher may use
 	Behavior    ClientBehavior
-	BaseFaults  ServerFaults // of every server, while no others are injected
+	BaseFaults  ServerFaults // of every server, while no other faults are injected into it
 }
 
-// Cluster is a deployment on loopback: dispatchers as processes, and simulated peers.
+// Cluster is a deployment on loopback: dispatchers as separate processes, and simulated clients, query nodes and name services.
 type Cluster struct {
 	Record      *Record
 	Dispatchers []*Dispatcher
@@ -35,13 +35,14 @@
 	clients errgroup.Group
 	stop    context.CancelFunc
 
-	mu        sync.Mutex
-	servers   map[string]*Server
-	endpoints []nodelist.Node // the current endpoint list
-	serial    int
+	mu           sync.Mutex
+	servers      map[string]*Server // by ID, removed ones too
+	endpoints    []nodelist.Node    // the current endpoint list
+	serversAdded int                // the last server's number
 }
 
-// NewCluster starts servers and dispatchers and waits until all are ready; clients start then. On an error the cluster is to be closed.
+// NewCluster starts servers and dispatchers, waits until all dispatchers are ready, and then starts the clients. The cluster is not nil
+// even on an error, and the caller must close it.
 func NewCluster(ctx context.Context, o Options) (*Cluster, error) {
 	c := &Cluster{Record: newRecord(), options: o, servers: map[string]*Server{}}
 	for range o.Servers {
@@ -51,11 +52,11 @@
 	}
 	var group errgroup.Group
 	for i := range o.Dispatchers {
-		names, err := newNameService(c.Record, i, o.Seed)
+		nameService, err := newNameService(c.Record, i, o.Seed)
 		if err != nil {
 			return c, err
 		}
-		d, err := newDispatcher(c.Record, i, o, names)
+		d, err := newDispatcher(c.Record, i, o, nameService)
 		if err != nil {
 			return c, err
 		}
@@ -77,27 +78,27 @@
 	for i, d := range c.Dispatchers {
 		for k := range o.Clients {
 			rng := rand.New(rand.NewPCG(o.Seed, uint64(i*1000+k)))
-			one := &client{record: c.Record, dispatcher: d, behavior: o.Behavior, rng: rng}
-			c.clients.Go(func() error { one.run(ctx); return nil })
+			cl := &client{record: c.Record, dispatcher: d, behavior: o.Behavior, rng: rng}
+			c.clients.Go(func() error { cl.run(ctx); return nil })
 		}
 	}
 	return c, nil
 }
 
-// endpointList is the current list.
+// endpointList returns a copy of the current endpoint list.
 func (c *Cluster) endpointList() []nodelist.Node {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.endpoints)
 }
 
-// AddServer starts a server and adds it to the list.
+// AddServer starts a server and publishes an endpoint list with it.
 func (c *Cluster) AddServer() (*Server, error) {
 	c.mu.Lock()
-	c.serial++
-	id := fmt.Sprintf("s-%d", c.serial)
+	c.serversAdded++
+	id := fmt.Sprintf("s-%d", c.serversAdded)
 	c.mu.Unlock()
-	s, err := newServer(c.Record, id, c.options.Seed+uint64(c.serial))
+	s, err := newServer(c.Record, id, c.options.Seed+uint64(c.serversAdded))
 	if err != nil {
 		return nil, err
 	}
@@ -110,7 +111,7 @@
 	return s, nil
 }
 
-// DrainServer marks a server as draining in the list.
+// DrainServer publishes an endpoint list in which a server is draining.
 func (c *Cluster) DrainServer(id string) {
 	c.mu.Lock()
 	c.endpoints = slices.Clone(c.endpoints)
@@ -123,7 +124,7 @@
 	c.publish()
 }
 
-// RemoveServer removes a server from the list; it runs on until it is crashed.
+// RemoveServer publishes an endpoint list without a server. The server itself keeps running until Crash is called on it.
 func (c *Cluster) RemoveServer(id string) {
 	c.mu.Lock()
 	c.endpoints = slices.DeleteFunc(slices.Clone(c.endpoints), func(n nodelist.Node) bool { return n.ID == id })
@@ -131,14 +132,14 @@
 	c.publish()
 }
 
-// Server returns a server by its ID; nil where there is none.
+// Server returns a server by its ID, or nil where there is none.
 func (c *Cluster) Server(id string) *Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.servers[id]
 }
 
-// HealthyServers are the IDs of the servers that the list calls healthy.
+// HealthyServers returns the IDs of the servers that are healthy in the endpoint list.
 func (c *Cluster) HealthyServers() (ids []string) {
 	for _, n := range c.endpointList() {
 		if n.State == policy.Healthy {
@@ -148,7 +149,7 @@
 	return ids
 }
 
-// publish hands the current list to every name service.
+// publish gives the current endpoint list to every dispatcher's name service.
 func (c *Cluster) publish() {
 	nodes := c.endpointList()
 	for _, d := range c.Dispatchers {
@@ -156,7 +157,8 @@
 	}
 }
 
-// Restart starts a dispatcher's next process and waits until it is ready; one that is not shows in the record.
+// Restart starts a dispatcher's next process and waits until it is ready. A process that does not get ready in time is no error here:
+// the checker reports it from the record.
 func (c *Cluster) Restart(ctx context.Context, d *Dispatcher) error {
 	if err := d.Start(c.endpointList()); err != nil {
 		return err
@@ -165,7 +167,7 @@
 	return nil
 }
 
-// Close ends the run: clients first, then dispatchers, then servers; all goroutines of the servers have ended then.
+// Close stops clients first, then dispatchers, then servers, and waits until all goroutines of the servers have ended.
 func (c *Cluster) Close() error {
 	if c.stop != nil {
 		c.stop()
--- a/soak/dispatcher.go
+++ b/soak/dispatcher.go
@@ -18,16 +18,16 @@
 	"embershunt/nodelist"
 )
 
-// Dispatcher is one dispatcher: a process of its own that is killed, terminated and restarted under the same name and address.
+// Dispatcher runs one dispatcher as a separate process, which is killed, terminated and restarted under the same name and address.
 type Dispatcher struct {
 	record      *Record
 	number      int
-	program     string
-	directory   string
-	listen      string
-	descriptors int
+	program     string // path of the executable
+	directory   string // of the configuration file and the log
+	listen      string // host:port for clients
+	descriptors int    // file descriptors that the process may use
 	nameService *NameService
-	log         *os.File
+	log         *os.File // output of all incarnations
 
 	mu          sync.Mutex
 	command     *exec.Cmd
@@ -36,39 +36,39 @@
 	accepting   bool          // clients may open connections
 }
 
-// addresses counts the loopback addresses that this process has given away.
-var addresses atomic.Uint32
+// addressesAssigned counts the loopback addresses that ownLoopbackAddress has returned.
+var addressesAssigned atomic.Uint32
 
 // ownLoopbackAddress returns an address of 127.0.0.0/8 that no other dispatcher of this process has. A dispatcher's port is free
-// until it has started, and again while it restarts: on an address of its own no other socket can take the port meanwhile.
+// until the dispatcher has started, and again while it restarts. Since no other socket uses the address, none can take the port meanwhile.
 func ownLoopbackAddress() string {
-	n := addresses.Add(1)
+	n := addressesAssigned.Add(1)
 	return net.IPv4(127, byte(64+os.Getpid()%128), byte(n>>8), byte(n)).String()
 }
 
-// newDispatcher returns a dispatcher with a free port, which is not started yet.
-func newDispatcher(r *Record, number int, o Options, names *NameService) (*Dispatcher, error) {
-	l, err := net.Listen("tcp", net.JoinHostPort(ownLoopbackAddress(), "0")) // a free port
+// newDispatcher returns a dispatcher that has an address with a free port and is not started yet.
+func newDispatcher(r *Record, number int, o Options, nameService *NameService) (*Dispatcher, error) {
+	l, err := net.Listen("tcp", net.JoinHostPort(ownLoopbackAddress(), "0")) // the system chooses a free port
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = l.Close() }() // the port is free for the dispatcher then
+	defer func() { _ = l.Close() }() // frees the port for the dispatcher
 	log, err := os.Create(filepath.Join(o.Directory, fmt.Sprintf("n%d.log", number)))
 	if err != nil {
 		return nil, err
 	}
 	return &Dispatcher{record: r, number: number, program: o.Program, directory: o.Directory, listen: l.Addr().String(),
-		descriptors: o.Descriptors, nameService: names, log: log}, nil
+		descriptors: o.Descriptors, nameService: nameService, log: log}, nil
 }
 
-// connectable tells whether clients may open connections now.
+// connectable reports whether clients may open connections now.
 func (d *Dispatcher) connectable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.accepting
 }
 
-// incarnationNumber is the number of its current incarnation, from 1 on.
+// incarnationNumber returns the number of the current incarnation, which counts from 1.
 func (d *Dispatcher) incarnationNumber() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -79,7 +79,7 @@
 	return filepath.Join(d.directory, fmt.Sprintf("n%d.json", d.number))
 }
 
-// writeConfig writes its configuration file with the endpoint list and the name service's address.
+// writeConfig writes the dispatcher's configuration file, with the endpoint list and the name service's address.
 func (d *Dispatcher) writeConfig(nodes []nodelist.Node) error {
 	text, err := configuration{name: fmt.Sprintf("n%d", d.number), listen: d.listen, resolver: d.nameService.Address(), descriptors: d.descriptors,
 		nodes: nodes}.marshal()
@@ -89,7 +89,7 @@
 	return os.WriteFile(d.configPath(), text, 0o600)
 }
 
-// Start starts the process with an endpoint list; WaitReady waits until it is ready.
+// Start starts the next incarnation, whose configuration file holds the given endpoint list. WaitReady waits until it is ready.
 func (d *Dispatcher) Start(nodes []nodelist.Node) error {
 	if err := d.writeConfig(nodes); err != nil {
 		return err
@@ -106,7 +106,7 @@
 	d.command = exec.Command(d.program, "--platform")
 	d.command.Env = append(os.Environ(), "NODE_CONFIG="+d.configPath())
 	d.command.Stdout, d.command.Stderr = d.log, d.log
-	d.logf("start %d", number)
+	d.logf("start of incarnation %d", number)
 	if err := d.command.Start(); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// recordEnd waits for the end of a process, records it and closes ended; Kill waits for it.
+// recordEnd waits until a process has ended, records its exit code, and closes ended, which Kill and Terminate wait for.
 func (d *Dispatcher) recordEnd(command *exec.Cmd, incarnation *Incarnation, ended chan<- struct{}) {
 	defer close(ended)
 	err := command.Wait()
@@ -131,10 +131,11 @@
 	}
 }
 
-// maxStartup is how long a process may take to be ready.
+// maxStartup is how long a process may take to become ready.
 const maxStartup = 10 * time.Second
 
-// WaitReady waits until the process answers an empty query, and lets clients connect; false where it took too long.
+// WaitReady waits until the process answers an empty query, and then lets clients connect. It returns false after maxStartup, or where
+// ctx has ended.
 func (d *Dispatcher) WaitReady(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, maxStartup)
 	defer cancel()
@@ -152,14 +153,14 @@
 	return true
 }
 
-// Signal sends a signal to the process; one that has ended does not get it.
+// Signal sends a signal to the process, if it is still running.
 func (d *Dispatcher) Signal(s os.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	_ = d.command.Process.Signal(s) // the process may have ended
 }
 
-// Kill sends SIGKILL and waits until the process has ended.
+// Kill sends SIGKILL and waits until the process has ended. Clients open no more connections until the next WaitReady.
 func (d *Dispatcher) Kill() {
 	d.mu.Lock()
 	d.accepting = false
@@ -174,11 +175,11 @@
 	<-ended
 }
 
-// connectsAfterSIGTERM is how long after SIGTERM clients still open connections.
+// connectsAfterSIGTERM is how long clients still open connections after SIGTERM.
 const connectsAfterSIGTERM = 300 * time.Millisecond
 
-// Terminate ends the process as a planned restart does: SIGTERM, further signals, SIGKILL at the earliest moment that the
-// platform's protocol allows.
+// Terminate ends the process as a planned restart does: it sends SIGTERM, then the further signals with an interval before each, and
+// SIGKILL at the earliest time that the platform's protocol allows.
 func (d *Dispatcher) Terminate(further []os.Signal, interval time.Duration) {
 	d.mu.Lock()
 	incarnation, ended := d.incarnation, d.ended
@@ -187,12 +188,12 @@
 	_ = d.command.Process.Signal(syscall.SIGTERM) // the process may have ended
 	d.mu.Unlock()
 	kill := time.After(killAfter())
-	closes := time.AfterFunc(connectsAfterSIGTERM, func() {
+	stopConnects := time.AfterFunc(connectsAfterSIGTERM, func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.accepting = d.accepting && d.incarnation != incarnation
 	})
-	defer closes.Stop()
+	defer stopConnects.Stop()
 	for _, s := range further {
 		select {
 		case <-ended:
@@ -208,7 +209,8 @@
 	}
 }
 
-// MoveNameService moves its name service to another address and notifies the process by SIGHUP.
+// MoveNameService moves the dispatcher's name service to another port, writes its address and the endpoint list to the configuration
+// file, and has the process read the file by SIGHUP.
 func (d *Dispatcher) MoveNameService(nodes []nodelist.Node) error {
 	if err := d.nameService.Move(); err != nil {
 		return err
@@ -217,12 +219,13 @@
 		return err
 	}
 	d.nameService.SetMoved()
-	d.logf("name service at %s, SIGHUP", d.nameService.Address())
+	d.logf("name service moved to %s, sending SIGHUP", d.nameService.Address())
 	d.Signal(syscall.SIGHUP)
 	return nil
 }
 
-// Close kills the process, closes its name service and records the log lines that must not be there.
+// Close kills the process, closes its name service, and records the log lines that report a fault, a panic or a violated rule. All of
+// them are recorded with the last incarnation, whichever incarnation wrote them.
 func (d *Dispatcher) Close() error {
 	d.Kill()
 	d.nameService.Close()
@@ -233,7 +236,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // the file was only read
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		line := lines.Text()
 		if strings.Contains(line, `"msg":"fault"`) || strings.Contains(line, "panic") || strings.Contains(line, `"msg":"rule violated"`) {
@@ -243,13 +246,13 @@
 	return nil
 }
 
-// SetNameFaults sets the faults of its name service.
+// SetNameFaults sets the faults of the dispatcher's name service.
 func (d *Dispatcher) SetNameFaults(f NameFaults) {
-	d.logf("name service: %+v", f)
+	d.logf("name service faults: %+v", f)
 	d.nameService.SetFaults(f)
 }
 
-// logf writes a line of the run itself into the dispatcher's log.
+// logf writes a line about the run into the dispatcher's log, with the time since the start of the run. "---" marks such lines.
 func (d *Dispatcher) logf(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.log, "--- %.3f s: %s\n", d.record.now().Seconds(), fmt.Sprintf(format, args...))
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -13,52 +13,53 @@
 	"embershunt/internal/clock"
 )
 
-// Plan is a deployment, and the faults injected into it.
+// Plan describes a deployment and the faults injected into it.
 type Plan struct {
 	Options
-	Length    time.Duration // for which faults are injected
-	IdleCrowd bool          // idle connections exhaust the descriptors now and then
+	Length    time.Duration // for how long faults are injected
+	IdleCrowd bool          // idle connections exhaust a dispatcher's descriptors now and then
 }
 
-// smallFleet is the number of servers of the plans in which a retry has hardly another server to go to.
-const smallFleet = 2
+// smallFleetServers is the number of servers in plans that leave a retry hardly another server to go to.
+const smallFleetServers = 2
 
-// RandomPlan draws the plan of a seed: its size is given; client behavior, descriptors, the idle crowd and whether there are so many
-// servers or a smallFleet with more faults are drawn.
+// RandomPlan draws a plan from the seed in o. The client behavior, the number of descriptors and whether there is an idle crowd are drawn.
+// The rest of o stays, except that one plan of three has smallFleetServers servers instead, with faults throughout.
 func RandomPlan(o Options, length time.Duration) Plan {
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
 	o.Behavior = ClientBehavior{ThinkTime: time.Duration(100+rng.IntN(200)) * time.Millisecond, CancelShare: 0.1 * rng.Float64(), DisconnectShare: 0.1 * rng.Float64(),
 		BurstShare: 0.1 * rng.Float64(), SlowWriteShare: 0.2 * rng.Float64(), ImmediateRetryShare: rng.Float64()}
 	o.Descriptors = 160 + rng.IntN(200)
-	crowd := rng.IntN(3) == 0
+	idleCrowd := rng.IntN(3) == 0
 	if rng.IntN(3) == 0 {
-		o.Servers, o.BaseFaults = smallFleet, ServerFaults{LostPages: 0.2, LateCopy: 0.2, Fail: 0.05}
+		o.Servers, o.BaseFaults = smallFleetServers, ServerFaults{LostPages: 0.2, LateCopy: 0.2, Fail: 0.05}
 	}
-	return Plan{Options: o, Length: length, IdleCrowd: crowd}
+	return Plan{Options: o, Length: length, IdleCrowd: idleCrowd}
 }
 
-// faultRunner injects faults into a cluster; each kind of fault draws from a source of its own.
+// faultRunner injects faults into a cluster. Each goroutine that injects faults draws from a random source of its own, so that its
+// draws do not depend on the scheduling of the others.
 type faultRunner struct {
 	*Cluster
-	plan    Plan
-	end     time.Time
-	running sync.WaitGroup
-	failed  chan error // the first failed restart
+	plan       Plan
+	end        time.Time // when the injection of faults ends
+	injectors  sync.WaitGroup
+	restartErr chan error // the first error of a restart
 }
 
-// Run runs a plan to its end and returns its record; the record is set also where the error is not nil.
+// Run runs a plan to its end, and returns its record even where the error is not nil.
 func Run(ctx context.Context, plan Plan) (*Record, error) {
 	c, err := NewCluster(ctx, plan.Options)
 	if err != nil {
 		return c.Record, errors.Join(err, c.Close())
 	}
-	p := &faultRunner{Cluster: c, plan: plan, end: time.Now().Add(plan.Length), failed: make(chan error, 1)}
+	p := &faultRunner{Cluster: c, plan: plan, end: time.Now().Add(plan.Length), restartErr: make(chan error, 1)}
 	source := uint64(1)
 	start := func(inject func(context.Context, *rand.Rand)) {
 		rng := rand.New(rand.NewPCG(plan.Seed, source<<32))
 		source++
-		p.running.Add(1)
-		go func() { defer p.running.Done(); inject(ctx, rng) }()
+		p.injectors.Add(1)
+		go func() { defer p.injectors.Done(); inject(ctx, rng) }()
 	}
 	for _, d := range c.Dispatchers {
 		start(func(ctx context.Context, rng *rand.Rand) { p.nameFaults(ctx, rng, d) })
@@ -72,23 +73,23 @@
 	if plan.IdleCrowd {
 		start(p.idleCrowd)
 	}
-	p.running.Wait()
-	p.sleep(ctx, killAfter()) // the last requests are answered
+	p.injectors.Wait()
+	p.sleep(ctx, killAfter()) // until the last requests have been answered
 	err = c.Close()
 	select {
-	case failed := <-p.failed:
-		err = errors.Join(failed, err)
+	case restartErr := <-p.restartErr:
+		err = errors.Join(restartErr, err)
 	default:
 	}
 	return c.Record, err
 }
 
-// sleep waits; false where ctx or the plan's length has ended.
+// sleep waits for a duration. It returns false where ctx has ended or the injection of faults is over by then.
 func (p *faultRunner) sleep(ctx context.Context, d time.Duration) bool {
 	return clock.Sleep(ctx, d) && time.Now().Before(p.end)
 }
 
-// uniform draws a duration from an interval.
+// uniform draws a duration between minimum and maximum, uniformly distributed.
 func uniform(rng *rand.Rand, minimum, maximum time.Duration) time.Duration {
 	return minimum + time.Duration(rng.Float64()*float64(maximum-minimum))
 }
@@ -153,7 +154,7 @@
 	}
 }
 
-// processFaults kills, terminates and restarts one dispatcher, and sends it signals.
+// processFaults kills and restarts one dispatcher, restarts it as planned, or moves its name service, now and then.
 func (p *faultRunner) processFaults(ctx context.Context, rng *rand.Rand, d *Dispatcher) {
 	for p.sleep(ctx, uniform(rng, 500*time.Millisecond, 9*time.Second)) {
 		switch rng.IntN(4) {
@@ -173,24 +174,24 @@
 	}
 }
 
-// restart starts a dispatcher's next process; a failure ends up in the run's error.
+// restart starts a dispatcher's next process. The first error of a restart becomes part of the error that Run returns.
 func (p *faultRunner) restart(ctx context.Context, d *Dispatcher) {
 	if err := p.Restart(ctx, d); err != nil {
 		select {
-		case p.failed <- err:
+		case p.restartErr <- err:
 		default:
 		}
 	}
 }
 
-// moveNameService moves a dispatcher's name service; where that fails the fault was not injected.
+// moveNameService moves a dispatcher's name service. A failure is only logged: the run goes on without this fault.
 func (p *faultRunner) moveNameService(d *Dispatcher) {
 	if err := d.MoveNameService(p.endpointList()); err != nil {
 		d.logf("name service not moved: %v", err)
 	}
 }
 
-// plannedRestart terminates and restarts a dispatcher, with up to three more signals.
+// plannedRestart terminates and restarts a dispatcher. It may send SIGHUP before SIGTERM, and up to three more signals after it.
 func (p *faultRunner) plannedRestart(ctx context.Context, rng *rand.Rand, d *Dispatcher) {
 	signals := []os.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT}
 	var further []os.Signal
@@ -205,28 +206,28 @@
 	p.restart(ctx, d)
 }
 
-// minHealthyServers is how many servers the endpoint list keeps healthy at least; one less than all where there are fewer.
+// minHealthyServers is how many servers the endpoint list keeps healthy at least. A plan with no more servers than that keeps all but one.
 const minHealthyServers = 4
 
-// serverChanges drains, removes, crashes and adds servers.
+// serverChanges adds servers, drains or removes them, and crashes those some time later.
 func (p *faultRunner) serverChanges(ctx context.Context, rng *rand.Rand) {
 	minimum := min(minHealthyServers, p.plan.Servers-1)
 	for p.sleep(ctx, uniform(rng, 200*time.Millisecond, 1500*time.Millisecond)) {
 		ids := p.HealthyServers()
 		if rng.IntN(3) == 0 || len(ids) <= minimum {
-			_, _ = p.AddServer() // without a free port there is no new server this time
+			_, _ = p.AddServer() // where no port is free, no server is added this time
 			continue
 		}
 		id := ids[rng.IntN(len(ids))]
-		if rng.IntN(4) == 0 { // without a drain
+		if rng.IntN(4) == 0 { // removed without a drain
 			p.RemoveServer(id)
 		} else {
 			p.DrainServer(id)
 		}
 		crash := uniform(rng, 1500*time.Millisecond, 6*time.Second)
-		p.running.Add(1)
+		p.injectors.Add(1)
 		go func() {
-			defer p.running.Done()
+			defer p.injectors.Done()
 			p.sleep(ctx, crash)
 			p.RemoveServer(id)
 			p.Server(id).Crash()
@@ -234,7 +235,7 @@
 	}
 }
 
-// malformedClients opens sessions that send unreadable bytes, half a request, or nothing.
+// malformedClients opens sessions that send unreadable bytes, half a message, a query without a known class, or nothing, and close soon.
 func (p *faultRunner) malformedClients(ctx context.Context, rng *rand.Rand) {
 	payloads := [][]byte{[]byte("GET / HTTP/1.1\r\n\r\n"), {0, 0, 0, 8, 4, 210, 22, 47}, {0xff, 0xff, 0xff, 0xff}, queryMessage("SELECT 1"),
 		queryMessage("/* route=none,trace=1 */ SELECT 1"), {'Q', 0, 0}, {'Q', 0x7f, 0xff, 0xff, 0xff}, nil}
@@ -253,7 +254,7 @@
 	}
 }
 
-// idleCrowd opens idle connections until the descriptors of a dispatcher are in use, and closes them again.
+// idleCrowd tries to open as many idle connections to a dispatcher as it has descriptors, and closes them one to three seconds later.
 func (p *faultRunner) idleCrowd(ctx context.Context, rng *rand.Rand) {
 	for p.sleep(ctx, uniform(rng, time.Second, 3*time.Second)) {
 		d := p.Dispatchers[rng.IntN(len(p.Dispatchers))]
--- a/soak/nameservice.go
+++ b/soak/nameservice.go
@@ -14,27 +14,28 @@
 	"embershunt/simulated"
 )
 
-// NameFaults are faults of a name service; shares, from 0 to 1, are of its answers. The zero value has none.
+// NameFaults are faults of a name service. Shares, from 0 to 1, are of its answers. The zero value has no faults.
 type NameFaults struct {
-	Down                bool          // nothing is answered
+	Down                bool          // no query is answered
 	Latency             time.Duration // of each answer
-	Loss                float64       // share lost on their way
-	Corrupt             float64       // share that are cut short, have the wrong ID, report SERVFAIL, or hold the oldest list
-	Duplicate           float64       // share sent twice
-	BadRow              bool          // each answer has a row with an unknown zone
-	PreviousIncarnation float64       // share that hold a list published before the dispatcher's last start, with its number
-	StaleRows           float64       // share that hold the previous rows under the current number
-	MuteClients         bool          // clients seen so far are never answered again; a single event
+	Loss                float64       // share that is lost on the way
+	Corrupt             float64       // share that is cut short, has the wrong ID, reports SERVFAIL, or holds the incarnation's first list
+	Duplicate           float64       // share that is sent twice
+	BadRow              bool          // each answer whose content no other fault changes has a row with an unknown zone
+	PreviousIncarnation float64       // share that holds a list published before the dispatcher's last start, with that list's number
+	StaleRows           float64       // share that holds the rows of the list before the current one, with the current number
+	MuteClients         bool          // from now on the clients seen so far get no answer; it is an event, not a state
 }
 
-// version is one endpoint list as it was published.
+// version is a published endpoint list.
 type version struct {
-	number int
-	at     time.Duration
+	number int           // counts from 1 in each incarnation
+	at     time.Duration // when it was published
 	nodes  []nodelist.Node
 }
 
-// NameService is the name service as one dispatcher sees it. It records when that dispatcher counts as notified.
+// NameService is a simulated name service for one dispatcher: it answers DNS queries with the endpoint list. It records when the
+// dispatcher counts as notified that a node is draining or was removed.
 type NameService struct {
 	record     *Record
 	dispatcher int
@@ -46,29 +47,28 @@
 	versions         []version // of this incarnation; the last one is current
 	previousVersions []version // of earlier incarnations
 	incarnation      int
-	clients          map[netip.AddrPort]bool
-	muted            map[netip.AddrPort]bool
-	notified         map[string]bool // nodes of whose drain or removal it was notified
-	outageAt         time.Duration   // when the last outage began; 0: never
-	movedAt          time.Duration   // when the dispatcher was notified of the last move; 0: never
-	done             sync.WaitGroup
+	clients          map[netip.AddrPort]bool // clients that sent a query to this socket since the last MuteClients
+	muted            map[netip.AddrPort]bool // clients that get no answer
+	notified         map[string]bool         // IDs of nodes of whose drain or removal the dispatcher counts as notified
+	outageAt         time.Duration           // when the last outage began; 0: never
+	movedAt          time.Duration           // when the dispatcher was notified of the last move; 0: never
+	done             sync.WaitGroup          // serve loops
 }
 
-// The platform's protocol counts a dispatcher as notified of a change this long after it, after the begin of an outage, or
-// after a move, at the latest.
+// By the platform's protocol a dispatcher counts as notified of a change at the latest when all of these limits have passed.
 const (
-	notifyLimit       = 1500 * time.Millisecond
-	outageNotifyLimit = 4500 * time.Millisecond
-	moveNotifyLimit   = 4 * time.Second
+	notifyLimit       = 1500 * time.Millisecond // after the change
+	outageNotifyLimit = 4500 * time.Millisecond // after the begin of an outage
+	moveNotifyLimit   = 4 * time.Second         // after the dispatcher was notified that the name service has moved
 )
 
-// newNameService returns a name service for one dispatcher, which listens on loopback.
+// newNameService returns a name service for one dispatcher. It listens on loopback, and answers after the first Restart.
 func newNameService(r *Record, dispatcher int, seed uint64) (*NameService, error) {
 	s := &NameService{record: r, dispatcher: dispatcher, rng: rand.New(rand.NewPCG(seed, uint64(dispatcher)))}
 	return s, s.listen()
 }
 
-// listen opens another socket and answers queries on it; the clients of the old one are forgotten.
+// listen opens another socket and answers queries on it. It forgets which clients the old socket has seen or muted.
 func (s *NameService) listen() error {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -82,14 +82,14 @@
 	return nil
 }
 
-// Address is where it listens now.
+// Address returns the host and port at which the name service listens now.
 func (s *NameService) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conn.LocalAddr().String()
 }
 
-// Move has it listen at another port; the old address answers no more.
+// Move makes the name service listen at another port. The old address answers no more queries.
 func (s *NameService) Move() error {
 	s.mu.Lock()
 	old := s.conn
@@ -108,7 +108,7 @@
 	s.movedAt = s.record.now()
 }
 
-// Close stops it; delayed answers may still fail to be sent.
+// Close closes the socket and waits for the serve loops. Answers that are still delayed are lost.
 func (s *NameService) Close() {
 	s.mu.Lock()
 	_ = s.conn.Close() // its serve loop ends either way
@@ -116,7 +116,7 @@
 	s.done.Wait()
 }
 
-// Restart begins another incarnation of the dispatcher: numbers begin again at 1, with the list of its configuration.
+// Restart begins another incarnation of the dispatcher: list numbers begin again at 1, with the list in the dispatcher's configuration.
 func (s *NameService) Restart(incarnation int, nodes []nodelist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 	s.markNotified(s.versions[0], now)
 }
 
-// SetEndpoints publishes another list.
+// SetEndpoints publishes another endpoint list. Before the first Restart it does nothing.
 func (s *NameService) SetEndpoints(nodes []nodelist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,8 +138,8 @@
 	s.scheduleNotified(v, s.incarnation, s.notifyLimitFrom(v.at))
 }
 
-// scheduleNotified counts the dispatcher as notified of a version some time after it was published; an outage or a move
-// until then gives more time. s.mu is held.
+// scheduleNotified counts the dispatcher as notified of v at the given time after v was published. An outage or a move until then
+// extends the time; a new incarnation ends the wait. The caller holds s.mu.
 func (s *NameService) scheduleNotified(v version, incarnation int, within time.Duration) {
 	time.AfterFunc(within-(s.record.now()-v.at), func() {
 		s.mu.Lock()
@@ -154,7 +154,8 @@
 	})
 }
 
-// notifyLimitFrom is how long after a change at that time the dispatcher counts as notified in any case. s.mu is held.
+// notifyLimitFrom returns how long after a change the dispatcher counts as notified of it in any case; at is the time of the change.
+// The caller holds s.mu.
 func (s *NameService) notifyLimitFrom(at time.Duration) time.Duration {
 	within := notifyLimit
 	if s.outageAt > 0 {
@@ -166,7 +167,8 @@
 	return within
 }
 
-// SetFaults sets its faults.
+// SetFaults replaces the faults. Muted clients stay muted until a move, or until the next MuteClients, which instead mutes the clients
+// seen since the last one.
 func (s *NameService) SetFaults(f NameFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +182,8 @@
 	s.faults = f
 }
 
-// markNotified counts the dispatcher as notified of the nodes that are draining or missing in a version. s.mu is held.
+// markNotified counts the dispatcher as notified that nodes of v or of earlier versions are draining in v or missing from it. The caller
+// holds s.mu.
 func (s *NameService) markNotified(v version, at time.Duration) {
 	listed := map[string]policy.EndpointState{}
 	for _, n := range v.nodes {
@@ -216,7 +219,8 @@
 	}
 }
 
-// answer answers one question, subject to the current faults.
+// answer answers one query, subject to the current faults. The dispatcher counts as notified when a useful answer is due, even if the
+// answer is then lost by the Loss fault.
 func (s *NameService) answer(conn *net.UDPConn, from netip.AddrPort, id uint16) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,16 +243,16 @@
 		}
 		for range copies {
 			if !lost {
-				_, _ = conn.WriteToUDPAddrPort(message, from) // a failure is like a datagram lost
+				_, _ = conn.WriteToUDPAddrPort(message, from) // a failure is like a lost datagram
 			}
 		}
 	})
 }
 
-// drawMessage draws an answer; useful is false where a dispatcher need not learn the current list from it. s.mu is held.
+// drawMessage draws an answer. useful is false where a dispatcher need not learn the current list from it. The caller holds s.mu.
 func (s *NameService) drawMessage(id uint16, current version, corrupted bool) (message []byte, useful bool) {
 	encode := func(number int, nodes []nodelist.Node) []byte {
-		return simulated.ListAnswer(id, uint32(number), nodes, names)
+		return simulated.ListAnswer(id, uint32(number), nodes, nodeNames)
 	}
 	switch f := s.faults; {
 	case s.rng.Float64() < f.PreviousIncarnation && len(s.previousVersions) > 0:
@@ -264,13 +268,13 @@
 	return encode(current.number, current.nodes), true
 }
 
-// A row that no dispatcher can use: its zone is in no settings.
+// An endpoint that no dispatcher can use, because its zone is not in the settings, and the names that encode it.
 var (
 	unusableNode  = nodelist.Node{ID: "s-odd", Zone: 1, Platform: "127.0.0.1:9", Weight: 1}
-	unusableNames = nodelist.Names{Zones: []string{"west", "nowhere"}, Kinds: names.Kinds}
+	unusableNames = nodelist.Names{Zones: []string{"west", "nowhere"}, Kinds: nodeNames.Kinds}
 )
 
-// corrupt makes an answer useless. s.mu is held.
+// corrupt draws how an answer is made useless, and returns the changed answer. The caller holds s.mu.
 func (s *NameService) corrupt(message []byte, id uint16) []byte {
 	switch s.rng.IntN(4) {
 	case 0:
@@ -281,7 +285,7 @@
 		message[0] ^= 0x55
 	default:
 		oldest := s.versions[0]
-		return simulated.ListAnswer(id, uint32(oldest.number), oldest.nodes, names)
+		return simulated.ListAnswer(id, uint32(oldest.number), oldest.nodes, nodeNames)
 	}
 	return message
 }
--- a/soak/server.go
+++ b/soak/server.go
@@ -10,37 +10,38 @@
 	"embershunt/simulated"
 )
 
-// ServerFaults are faults of a query node. Shares, from 0 to 1, are of requests or connections. The zero value has none.
+// ServerFaults are faults of a query node. Shares, from 0 to 1, are of requests unless a field says otherwise. The zero value has no
+// faults.
 type ServerFaults struct {
 	Hang        bool          // requests are read and never answered
-	Slowdown    float64       // factor on the work of requests; 0: none
-	Full        float64       // share answered "full"
+	Slowdown    float64       // factor on the work of requests; less than 1 counts as 1
+	Full        float64       // share answered "full", which never ran
 	Fail        float64       // share answered "failed", half of which ran
 	LostAnswer  float64       // share that runs and is never answered
-	ResetDuring float64       // share of requests whose connection is reset, half of which ran
+	ResetDuring float64       // share whose connection is reset, half of which ran
 	ResetNew    float64       // share of new connections that are reset at once
 	Malformed   float64       // share answered with an unreadable line
-	Incomplete  float64       // share answered with fewer bytes than their length says
-	Duplicate   float64       // share answered twice
-	LostPages   float64       // share of results whose further pages the node has lost: each request for one is answered "failed"
+	Incomplete  float64       // share answered with a body shorter than its stated length
+	Duplicate   float64       // share of results whose first page is sent twice
+	LostPages   float64       // share of results whose further pages the node has lost: each request for such a page is answered "failed"
 	LateCopy    float64       // share of answers that are sent again some milliseconds later
-	ReadDelay   time.Duration // a new connection is read only after this
-	IdleTimeout time.Duration // an idle connection is closed after this; 0: the default idleTimeout
+	ReadDelay   time.Duration // the node starts to read a new connection only after this
+	IdleTimeout time.Duration // an idle connection is closed after this; 0: after the default idleTimeout
 }
 
-// Server is a simulated query node of the platform's line protocol.
+// Server is a simulated query node that speaks the platform's line protocol.
 type Server struct {
 	record   *Record
 	id       string
 	listener net.Listener
 	done     sync.WaitGroup
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	faults ServerFaults
-	conns  map[net.Conn]bool
-	serial int // connections accepted
-	closed bool
+	mu       sync.Mutex
+	rng      *rand.Rand
+	faults   ServerFaults
+	conns    map[net.Conn]bool // open connections
+	accepted int               // number of connections accepted so far
+	closed   bool              // the server has crashed
 }
 
 // newServer returns a server that listens on loopback.
@@ -55,33 +56,33 @@
 	return s, nil
 }
 
-// Node is its row in the endpoint list.
+// Node returns the server's row in the endpoint list.
 func (s *Server) Node() nodelist.Node {
 	return nodelist.Node{ID: s.id, Platform: s.listener.Addr().String(), Weight: 4}
 }
 
-// SetFaults sets its faults, also for open connections.
+// SetFaults replaces the server's faults, also for open connections.
 func (s *Server) SetFaults(f ServerFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// currentFaults are those set last.
+// currentFaults returns the faults that were set last.
 func (s *Server) currentFaults() ServerFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// chance draws true with a probability.
+// chance draws true with probability p.
 func (s *Server) chance(p float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Float64() < p
 }
 
-// Crash ends it as a process that dies: its connections are reset.
+// Crash ends the server like a process that dies: it accepts no more connections, and the open ones are reset.
 func (s *Server) Crash() {
 	_ = s.listener.Close() // accept ends either way
 	s.mu.Lock()
@@ -92,7 +93,7 @@
 	s.mu.Unlock()
 }
 
-// Wait waits until all its goroutines have ended; call it after Crash.
+// Wait waits until all goroutines of the server have ended. Call it after Crash.
 func (s *Server) Wait() { s.done.Wait() }
 
 // accept serves connections until the listener is closed.
@@ -110,15 +111,15 @@
 			return
 		}
 		s.conns[conn] = true
-		s.serial++
-		number := s.serial
+		s.accepted++
+		number := s.accepted
 		s.mu.Unlock()
 		s.done.Add(1)
 		go s.serve(conn, number)
 	}
 }
 
-// drawWork draws how long a request takes, around its class's mean work times a factor.
+// drawWork draws a duration whose mean is mean times factor. Half of that is fixed, the other half is exponentially distributed.
 func (s *Server) drawWork(mean time.Duration, factor float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/soak/serverconn.go
+++ b/soak/serverconn.go
@@ -17,25 +17,25 @@
 type serverConn struct {
 	server *Server
 	conn   net.Conn
-	number int // among the connections of its server
+	number int // counts the connections of the server from 1
 
-	opened time.Duration
-	input  countingReader
-	reader *bufio.Reader // on input
-	waited int64         // bytes that were there when reading began
+	opened        time.Duration // when the connection was accepted, since the start of the run
+	input         countingReader
+	reader        *bufio.Reader // on input
+	initialUnread int64         // bytes that waited in the socket's buffer when reading began
 
 	mu      sync.Mutex
 	pending map[string]*pendingRequest // by request ID
-	lost    map[string]bool            // requests whose further pages are lost, by ID
+	lost    map[string]bool            // IDs of requests whose further pages are lost
 }
 
-// pendingRequest is a request that has not been answered; a timer answers it.
+// pendingRequest is a request that has not been answered. Its timer answers it.
 type pendingRequest struct {
 	arrival *Arrival
 	timer   *time.Timer
 }
 
-// serve reads commands until the connection ends or is to be closed.
+// serve reads and executes commands until the connection ends or a command requires that it is closed.
 func (s *Server) serve(conn net.Conn, number int) {
 	defer s.done.Done()
 	c := &serverConn{server: s, conn: conn, number: number, pending: map[string]*pendingRequest{}, lost: map[string]bool{}}
@@ -47,7 +47,7 @@
 	}
 	c.opened = s.record.now()
 	time.Sleep(f.ReadDelay)
-	c.input.conn, c.waited = conn, unreadBytes(conn)
+	c.input.conn, c.initialUnread = conn, unreadBytes(conn)
 	c.reader = bufio.NewReader(&c.input)
 	for {
 		c.setIdleDeadline()
@@ -62,19 +62,19 @@
 	}
 }
 
-// position counts the bytes of the commands that have been read.
+// position returns how many bytes have been taken from reader, which is where the next command begins.
 func (c *serverConn) position() int64 { return c.input.read - int64(c.reader.Buffered()) }
 
-// arrivedAt is when a request that began at a position and has just been read reached the node's machine, at the earliest: one that
-// waited in the socket's buffer when reading began may have come as soon as the connection was open.
+// arrivedAt returns the earliest time at which a request can have reached the node's machine. The request begins at the given position
+// and has just been read. If it waited in the socket's buffer when reading began, it may have come as soon as the connection was open.
 func (c *serverConn) arrivedAt(begin int64) time.Duration {
-	if begin < c.waited {
+	if begin < c.initialUnread {
 		return c.opened
 	}
 	return c.server.record.now()
 }
 
-// setIdleDeadline bounds the wait for the next command where no request is pending.
+// setIdleDeadline limits the wait for the next command to the idle timeout, unless a request is pending.
 func (c *serverConn) setIdleDeadline() {
 	idle := c.server.currentFaults().IdleTimeout
 	if idle == 0 {
@@ -89,7 +89,7 @@
 	_ = c.conn.SetReadDeadline(deadline) // fails on a closed connection only, as the read then does
 }
 
-// close closes the connection and gives up the requests that are pending on it.
+// close closes the connection and ends the requests that are pending on it, without an answer.
 func (c *serverConn) close() {
 	c.server.mu.Lock()
 	delete(c.server.conns, c.conn)
@@ -104,7 +104,7 @@
 	}
 }
 
-// command carries out one command that began at a position; false where the connection is to be closed.
+// command executes one command, which begins at the given position. It returns false where the connection must be closed.
 func (c *serverConn) command(words []string, begin int64) bool {
 	if len(words) < 2 {
 		return false
@@ -135,10 +135,11 @@
 	return true
 }
 
-// maxLateness bounds how late an answer is that is sent again, or that follows an error.
-const maxLateness = 8 * time.Millisecond
+// meanLateness is the mean delay of an answer that is sent again or that follows an error. One draw in a thousand exceeds 8 ms.
+const meanLateness = 2 * time.Millisecond
 
-// page answers the request for a further page. Where the pages are lost each of them is answered "failed", the second one late.
+// page answers the request for a further page. Where the pages are lost, it answers "failed": at once for the page with index 1, late
+// for the others.
 func (c *serverConn) page(id, index string) {
 	c.mu.Lock()
 	lost := c.lost[id]
@@ -155,12 +156,12 @@
 	c.writeLater(failed)
 }
 
-// writeLater writes within maxLateness.
+// writeLater writes after a short random delay.
 func (c *serverConn) writeLater(text string) {
-	time.AfterFunc(c.server.drawWork(maxLateness/4, 1), func() { c.write(text) })
+	time.AfterFunc(c.server.drawWork(meanLateness, 1), func() { c.write(text) })
 }
 
-// finish ends a pending request; false where there is none with that ID.
+// finish ends a pending request. It returns false where no request with that ID is pending.
 func (c *serverConn) finish(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,13 +175,13 @@
 	return true
 }
 
-// write writes to the connection within a second; what fails shows at the other end.
+// write writes to the connection within a second. It ignores errors: the dispatcher notices that the answer is missing.
 func (c *serverConn) write(text string) {
 	_ = c.conn.SetWriteDeadline(time.Now().Add(time.Second)) // fails on a closed connection only, as the write then does
-	_, _ = io.WriteString(c.conn, text)                      // the dispatcher may have closed
+	_, _ = io.WriteString(c.conn, text)                      // the dispatcher may have closed the connection
 }
 
-// get records a request and carries it out, subject to the current faults; false where the connection is to be closed.
+// get records a request and executes it, subject to the current faults. It returns false where the connection must be closed.
 func (c *serverConn) get(id, fields string, begin int64) bool {
 	f, record := c.server.currentFaults(), c.server.record
 	a := &Arrival{ID: id, Node: c.server.id, Conn: c.number, At: c.arrivedAt(begin)}
@@ -222,13 +223,14 @@
 	return true
 }
 
-// parseFields takes the TTL and the key from a command's fields, and returns the mean work of the class that they name.
+// parseFields sets the TTL and the idempotency key from the fields of a GET command. It returns the mean work of the class in them, or
+// of the first class where they name no known one.
 func (a *Arrival) parseFields(fields string) (meanWork time.Duration) {
 	meanWork = classes[0].MeanWork
 	for field := range strings.SplitSeq(fields, ",") {
 		switch name, value, _ := strings.Cut(field, "="); name {
 		case "ttl":
-			ms, _ := strconv.Atoi(value) // no number is no time
+			ms, _ := strconv.Atoi(value) // 0 where the value is not a number
 			a.TTL = time.Duration(ms) * time.Millisecond
 		case "dedupe":
 			a.Key = value
@@ -243,7 +245,7 @@
 	return meanWork
 }
 
-// drawResult is the first page of a result of one page or three, subject to faults.
+// drawResult draws a result of one page or three, subject to faults, and returns the answer with its first page.
 func (c *serverConn) drawResult(id string, f ServerFaults) string {
 	copies, pages := 1, 1
 	if c.server.chance(f.Duplicate) {
@@ -261,12 +263,12 @@
 	return strings.Repeat(simulated.PlatformAnswer(id, "data", fmt.Sprintf("total=%d,rep=busy:0.2;rif:2", pages), id+"\tpage\t0\n"), copies)
 }
 
-// markRan records that a request had its effect.
+// markRan records that a request ran and had its effect.
 func (c *serverConn) markRan(a *Arrival) {
 	c.server.record.change(func() { a.Ran = true })
 }
 
-// answerAfter answers a request after some time, unless it has been dropped or the connection has ended by then.
+// answerAfter answers a request after the given time, unless the request has been dropped or the connection has ended by then.
 func (c *serverConn) answerAfter(d time.Duration, a *Arrival, text string) {
 	c.addPending(a, d, func() {
 		if c.finish(a.ID) {
@@ -278,10 +280,10 @@
 	})
 }
 
-// neverAnswer leaves a request pending until it is dropped or the connection ends.
+// neverAnswer leaves a request pending until it is dropped or the connection ends. Its timer does nothing.
 func (c *serverConn) neverAnswer(a *Arrival) { c.addPending(a, time.Hour, func() {}) }
 
-// addPending makes a request pending, and calls expire after some time unless it is finished before.
+// addPending makes a request pending, and calls expire after the given time unless the request is finished before.
 func (c *serverConn) addPending(a *Arrival, d time.Duration, expire func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/soak/session.go
+++ b/soak/session.go
@@ -16,21 +16,21 @@
 // answer is the response to one query, up to ReadyForQuery.
 type answer struct {
 	rows       []string // columns joined with tabs
-	complete   bool     // CommandComplete came
-	empty      bool     // EmptyQueryResponse came
-	code       string   // SQLSTATE of an error
+	complete   bool     // CommandComplete was received
+	empty      bool     // EmptyQueryResponse was received
+	code       string   // SQLSTATE of an error; "": none
 	retryAfter time.Duration
-	err        error // the connection ended; nothing follows
+	err        error // the connection ended; no answer follows
 }
 
-// outcome classifies the answer to the request with this trace ID, with a detail for reports.
+// outcome classifies the answer to the request with the given trace ID, and returns a detail for reports.
 func (a answer) outcome(trace string) (Outcome, string) {
 	switch {
 	case a.err != nil:
 		return Closed, a.err.Error()
 	case strings.HasPrefix(a.code, "53") || a.code == "57P03":
 		if len(a.rows) > 0 {
-			return Unreadable, "rows before a refusal"
+			return Unreadable, "rows before a rejection"
 		}
 		return Rejected, a.code
 	case a.code != "":
@@ -46,7 +46,7 @@
 	return Served, ""
 }
 
-// readAnswer reads messages up to ReadyForQuery; cancelKey is set where a BackendKeyData is among them.
+// readAnswer reads messages up to ReadyForQuery. It sets cancelKey where a BackendKeyData is among them.
 func readAnswer(r *bufio.Reader, cancelKey *[8]byte) (a answer) {
 	for {
 		kind, body, err := pgwire.ReadMessage(r, nil, maxAnswerBytes)
@@ -71,7 +71,7 @@
 	}
 }
 
-// readError takes the SQLSTATE and the pause in milliseconds from an ErrorResponse.
+// readError sets the SQLSTATE, and retryAfter from a "pause=" in milliseconds, from the body of an ErrorResponse.
 func (a *answer) readError(body string) {
 	for field := range strings.SplitSeq(body, "\x00") {
 		if code, ok := strings.CutPrefix(field, "C"); ok && a.code == "" {
@@ -79,7 +79,7 @@
 		}
 		if _, text, ok := strings.Cut(field, "pause="); ok {
 			var ms int
-			_, _ = fmt.Sscan(text, &ms) // no number is no pause
+			_, _ = fmt.Sscan(text, &ms) // 0 where the text is not a number
 			a.retryAfter = time.Duration(ms) * time.Millisecond
 		}
 	}
@@ -100,19 +100,19 @@
 	return strings.Join(columns, "\t")
 }
 
-// session is one client connection. A goroutine reads its answers until the connection ends; drop waits for it.
+// session is a client connection after the startup. A goroutine reads its answers until the connection ends; drop waits for it.
 type session struct {
 	net.Conn
 	cancelKey [8]byte
-	answers   chan answer // closed behind the last one
+	answers   chan answer // closed after the last answer
 	fresh     bool        // no request has been sent on it
 }
 
-// maxAnswerBytes bounds a message that a client reads.
+// maxAnswerBytes is the maximum size of a message that a client reads.
 const maxAnswerBytes = 1 << 20
 
-// startup is a StartupMessage of protocol 3.0.
-var startup = append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...)
+// startupMessage is a StartupMessage of protocol 3.0.
+var startupMessage = append([]byte{0, 0, 0, 30, 0, 3, 0, 0}, "user\x00app\x00database\x00dw\x00\x00"...)
 
 // openSession connects and waits until the dispatcher has accepted the session.
 func openSession(ctx context.Context, address string) (*session, error) {
@@ -134,17 +134,17 @@
 // handshake sends the startup message and reads the answer to it, within three seconds.
 func (s *session) handshake(r *bufio.Reader) error {
 	_ = s.SetDeadline(time.Now().Add(3 * time.Second)) // fails on a closed connection only, as the write then does
-	if _, err := s.Write(startup); err != nil {
+	if _, err := s.Write(startupMessage); err != nil {
 		return err
 	}
 	if a := readAnswer(r, &s.cancelKey); a.err != nil || a.code != "" {
-		return errors.Join(a.err, fmt.Errorf("rejected with SQLSTATE %q", a.code))
+		return errors.Join(a.err, fmt.Errorf("session startup failed with SQLSTATE %q", a.code))
 	}
 	_ = s.SetDeadline(time.Time{}) // fails on a closed connection only, as the next read then does
 	return nil
 }
 
-// readAnswers hands answers over until the connection ends; the last one has its error.
+// readAnswers sends answers to the channel until the connection ends. The last answer has the error.
 func (s *session) readAnswers(r *bufio.Reader) {
 	defer close(s.answers)
 	for {
@@ -156,14 +156,15 @@
 	}
 }
 
-// drop closes the session and waits for its reader, whose answers are lost.
+// drop closes the session, waits until its reader has ended, and discards the remaining answers.
 func (s *session) drop() {
-	_ = s.Close() // nothing more is sent, and its reader ends either way
+	_ = s.Close() // the reader ends even where the close fails
 	for range s.answers {
 	}
 }
 
-// isIdle tells that nothing has arrived on a session without an open request, not even its end.
+// isIdle reports whether nothing has arrived on a session without an open request, not even its end. Where it returns false, it has
+// discarded an answer, so the caller must drop the session.
 func (s *session) isIdle() bool {
 	select {
 	case <-s.answers:
@@ -173,23 +174,23 @@
 	}
 }
 
-// queryMessage is a statement as a Query message.
-func queryMessage(text string) []byte {
-	b := binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(len(text)+5))
-	return append(append(b, text...), 0)
+// queryMessage returns a Query message with a statement.
+func queryMessage(statement string) []byte {
+	b := binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(len(statement)+5))
+	return append(append(b, statement...), 0)
 }
 
-// sendCancel sends a CancelRequest for the session on a connection of its own.
+// sendCancel sends a CancelRequest for the session on a separate connection. Errors are ignored: a CancelRequest may be lost.
 func (s *session) sendCancel(address string) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
-	_, _ = conn.Write(append([]byte{0, 0, 0, 16, 4, 210, 22, 46}, s.cancelKey[:]...)) // a cancel may be lost
-	_ = conn.Close()                                                                  // nothing is read from it
+	_, _ = conn.Write(append([]byte{0, 0, 0, 16, 4, 210, 22, 46}, s.cancelKey[:]...)) // may be lost
+	_ = conn.Close()                                                                  // the dispatcher sends no answer to a cancel
 }
 
-// isReady tells that a dispatcher answers an empty query.
+// isReady reports whether a dispatcher accepts a session and answers an empty query on it.
 func isReady(ctx context.Context, address string) bool {
 	s, err := openSession(ctx, address)
 	if err != nil {
@@ -197,6 +198,6 @@
 	}
 	defer s.drop()
 	_ = s.SetDeadline(time.Now().Add(time.Second)) // fails on a closed connection only, as the read then does
-	_, _ = s.Write(queryMessage(""))               // a failure shows as a missing answer
+	_, _ = s.Write(queryMessage(""))               // where it fails, no answer comes
 	return (<-s.answers).empty
 }
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -13,11 +13,11 @@
 	Name        string
 	Effect      policy.Effect
 	Deadline    time.Duration
-	DedupWindow time.Duration // of a keyed class: how long nodes deduplicate by a key
-	MeanWork    time.Duration // mean time at a node
+	DedupWindow time.Duration // for how long nodes deduplicate requests with the same key; 0 where the class has no keys
+	MeanWork    time.Duration // mean time that a node takes for a request
 }
 
-// classes are those of every run. Their deadlines are short, so that many restarts fit into one.
+// classes are the request classes of every run. Their deadlines are short, so that many planned restarts fit into a run.
 var classes = []*Class{
 	{Name: "lookup", Effect: policy.Idempotent, Deadline: 1500 * time.Millisecond, MeanWork: 20 * time.Millisecond},
 	{Name: "load", Effect: policy.IdempotentByKey, Deadline: 2500 * time.Millisecond, DedupWindow: 1200 * time.Millisecond, MeanWork: 60 * time.Millisecond},
@@ -25,7 +25,7 @@
 	{Name: "report", Effect: policy.Idempotent, Deadline: 2500 * time.Millisecond, MeanWork: 250 * time.Millisecond},
 }
 
-// Limits of every run, written into its settings. None has secondCopies: hedging is not allowed.
+// Limits that marshal writes into the settings of every run. The settings have no secondCopies, so hedging is not allowed.
 const (
 	drainGrace     = time.Second
 	budgetBase     = 5
@@ -36,7 +36,7 @@
 	idleTimeout    = 4 * time.Second
 )
 
-// killAfter is the earliest SIGKILL after SIGTERM: the longest deadline plus 0.7 s.
+// killAfter returns the earliest time of SIGKILL after SIGTERM: the longest deadline of a class plus 0.7 s.
 func killAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range classes {
@@ -45,20 +45,20 @@
 	return longest + 700*time.Millisecond
 }
 
-// effectNames are the platform's words for effects.
+// effectNames are the names of effects in the platform's configuration.
 var effectNames = map[policy.Effect]string{policy.Idempotent: "retryable", policy.IdempotentByKey: "dedup", policy.NonIdempotent: "fragile"}
 
-// names are the zones and kinds of every run.
-var names = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
+// nodeNames are the zones and kinds of every run.
+var nodeNames = nodelist.Names{Zones: []string{"west"}, Kinds: []string{"std"}}
 
-// configuration is the platform's configuration file for one incarnation of a dispatcher.
+// configuration holds what differs between the configuration files of two dispatchers or incarnations.
 type configuration struct {
-	name, listen, resolver string
+	name, listen, resolver string // resolver is the name service's address
 	descriptors            int
 	nodes                  []nodelist.Node
 }
 
-// marshal is the file's content; its keys are the platform's.
+// marshal returns the content of a configuration file in the platform's format.
 func (c configuration) marshal() ([]byte, error) {
 	type object = map[string]any
 	var targets []object
@@ -74,7 +74,7 @@
 			"deadlineUs": class.Deadline.Microseconds(), "effect": effectNames[class.Effect], "group": "all", "windowUs": class.DedupWindow.Microseconds()})
 		waits, writes, threads = append(waits, false), append(writes, false), append(threads, 1)
 	}
-	settings := object{"az": 0, "me": 0, "peersTotal": 1, "zones": names.Zones, "models": names.Kinds, "classes": list,
+	settings := object{"az": 0, "me": 0, "peersTotal": 1, "zones": nodeNames.Zones, "models": nodeNames.Kinds, "classes": list,
 		"familyInfo": object{"dop": threads, "kindCores": []int{64}, "ramOfKindMb": []int{131072}, "waitsForLoads": waits, "writesTables": writes},
 		"feedback":   object{"how": "piggyback", "fields": []string{"busy", "rif"}},
 		"limits": object{"connectTimeoutUs": connectTimeout.Microseconds(), "connIdleUs": idleTimeout.Microseconds(), "streamsPerConn": 100,
--- a/soak/unread.go
+++ b/soak/unread.go
@@ -8,7 +8,7 @@
 // countingReader counts the bytes read from a connection.
 type countingReader struct {
 	conn net.Conn
-	read int64
+	read int64 // bytes
 }
 
 // Read implements io.Reader.
@@ -18,11 +18,12 @@
 	return n, err
 }
 
-// maxUnread bounds what unreadBytes counts.
+// maxUnread is the highest number of bytes that unreadBytes counts.
 const maxUnread = 64 << 10
 
-// unreadBytes is how many bytes wait in the buffer of a connection's socket, maxUnread at most (recv(2), MSG_PEEK).
-func unreadBytes(conn net.Conn) (waiting int64) {
+// unreadBytes returns how many bytes wait in the receive buffer of a connection's socket, maxUnread at most. It peeks at them with
+// recv(2) and MSG_PEEK.
+func unreadBytes(conn net.Conn) (unread int64) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -31,12 +32,12 @@
 	if err != nil {
 		return 0
 	}
-	_ = raw.Read(func(fd uintptr) bool { // fails on a closed connection only, on which nothing waits
+	_ = raw.Read(func(fd uintptr) bool { // fails on a closed connection only, which has no unread bytes
 		n, _, err := syscall.Recvfrom(int(fd), make([]byte, maxUnread), syscall.MSG_PEEK)
 		if err == nil {
-			waiting = int64(max(n, 0))
+			unread = int64(max(n, 0))
 		}
 		return true
 	})
-	return waiting
+	return unread
 }
