--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -7,8 +7,8 @@
 
 const second = time.Second
 
-// soundRecord breaks no invariant: one request of each class, served by the first attempt.
-func soundRecord() *Record {
+// validRecord returns a record that breaks no invariant: one request of each class, served by the first attempt.
+func validRecord() *Record {
 	r := newRecord()
 	r.incarnations = []*Incarnation{{Dispatcher: 0, Number: 1, Ready: 1, Killed: 30 * second, Ended: 30 * second, ExitCode: -1}}
 	for i, class := range classes {
@@ -19,7 +19,7 @@
 	return r
 }
 
-// The checker finds each kind of violation, once, and none where there is none.
+// Check reports each kind of violation once, and reports nothing for a valid record.
 func TestCheck(t *testing.T) {
 	const lookup, load, booking = 0, 1, 2
 	retry := func(r *Record, index int, after time.Duration) {
@@ -33,65 +33,72 @@
 		edit func(r *Record)
 		want Invariant
 	}{
-		"sound":                      {func(*Record) {}, ""},
-		"no answer":                  {func(r *Record) { r.requests[lookup].Outcome = Pending }, InvariantAnswer},
-		"an answer far too late":     {func(r *Record) { r.requests[lookup].Ended = 7 * second }, InvariantAnswer},
-		"an answer that is not true": {func(r *Record) { r.requests[lookup].Outcome = Unreadable }, InvariantAnswer},
-		"closed without an answer":   {func(r *Record) { r.requests[lookup].Outcome = Closed }, InvariantAnswer},
-		"closed by a kill": {func(r *Record) {
+		"valid":                              {func(*Record) {}, ""},
+		"no answer":                          {func(r *Record) { r.requests[lookup].Outcome = Pending }, InvariantAnswer},
+		"late answer":                        {func(r *Record) { r.requests[lookup].Ended = 7 * second }, InvariantAnswer},
+		"unreadable answer":                  {func(r *Record) { r.requests[lookup].Outcome = Unreadable }, InvariantAnswer},
+		"connection ended without an answer": {func(r *Record) { r.requests[lookup].Outcome = Closed }, InvariantAnswer},
+		"connection ended by a kill": {func(r *Record) {
 			r.requests[lookup].Outcome = Closed
 			r.incarnations[0].Killed = 5500 * time.Millisecond
 		}, ""},
-		"closed by a planned restart": {func(r *Record) {
+		"connection ended by a planned restart": {func(r *Record) {
 			r.requests[lookup].Outcome = Closed
 			r.incarnations[0].Killed, r.incarnations[0].Terminated = 5500*time.Millisecond, second
 		}, InvariantAnswer},
-		"crossed a close": {func(r *Record) {
+		"raced with a close": {func(r *Record) {
 			r.requests[lookup].Outcome, r.requests[lookup].RacedClose, r.arrivals[lookup].ID = Closed, true, "x"
 		}, ""},
-		"crossed, and sent on":       {func(r *Record) { r.requests[lookup].Outcome, r.requests[lookup].RacedClose = Closed, true }, InvariantAnswer},
-		"refused, and ran":           {func(r *Record) { r.requests[booking].Outcome = Rejected }, InvariantRejection},
-		"refused, and may be":        {func(r *Record) { r.requests[lookup].Outcome = Rejected }, ""},
-		"unsafe, sent twice":         {func(r *Record) { retry(r, booking, 350*time.Millisecond) }, InvariantDuplicate},
-		"unsafe, the first was full": {func(r *Record) { r.arrivals[booking].Full = true; retry(r, booking, 350*time.Millisecond) }, ""},
-		"keyed, in its window":       {func(r *Record) { retry(r, load, 500*time.Millisecond) }, ""},
-		"keyed, past its window": {func(r *Record) {
+		"raced with a close after it was forwarded": {func(r *Record) {
+			r.requests[lookup].Outcome, r.requests[lookup].RacedClose = Closed, true
+		}, InvariantAnswer},
+		"non-idempotent, rejected after it ran": {func(r *Record) { r.requests[booking].Outcome = Rejected }, InvariantRejection},
+		"idempotent, rejected after it ran":     {func(r *Record) { r.requests[lookup].Outcome = Rejected }, ""},
+		"non-idempotent, retried":               {func(r *Record) { retry(r, booking, 350*time.Millisecond) }, InvariantDuplicate},
+		"non-idempotent, retried after full": {func(r *Record) {
+			r.arrivals[booking].Full = true
+			retry(r, booking, 350*time.Millisecond)
+		}, ""},
+		"keyed, retried within its dedup window": {func(r *Record) { retry(r, load, 500*time.Millisecond) }, ""},
+		"keyed, retried after its dedup window": {func(r *Record) {
 			r.requests[load].Timeout = 3 * second
 			r.arrivals[load].TTL = 2900 * time.Millisecond
 			retry(r, load, 1400*time.Millisecond)
 		}, InvariantDuplicate},
-		"a further one beside the first": {func(r *Record) { retry(r, lookup, 100*time.Millisecond) }, InvariantOverlap},
-		"a further one, the first has no end": {func(r *Record) {
+		"retry during the first attempt": {func(r *Record) { retry(r, lookup, 100*time.Millisecond) }, InvariantOverlap},
+		"retry, the first attempt never ended": {func(r *Record) {
 			r.arrivals[lookup].Ended = 0
 			retry(r, lookup, 350*time.Millisecond)
 		}, InvariantOverlap},
-		"a further one right after the first": {func(r *Record) { retry(r, lookup, 300*time.Millisecond) }, ""},
-		"sent in the grace":                   {func(r *Record) { r.notices = []Notice{{0, 1, "s-1", 4100 * time.Millisecond}} }, ""},
-		"another start was told":              {func(r *Record) { r.notices = []Notice{{0, 2, "s-1", 3 * second}} }, ""},
-		"sent past the grace": {func(r *Record) {
+		"retry right after the first attempt": {func(r *Record) { retry(r, lookup, 300*time.Millisecond) }, ""},
+		"draining node, attempt within the grace": {func(r *Record) {
+			r.notices = []Notice{{0, 1, "s-1", 4100 * time.Millisecond}}
+		}, ""},
+		"draining node, another incarnation notified": {func(r *Record) { r.notices = []Notice{{0, 2, "s-1", 3 * second}} }, ""},
+		"draining node, attempt after the grace": {func(r *Record) {
 			r.notices = []Notice{{0, 1, "s-1", 3900 * time.Millisecond}}
 			r.arrivals = r.arrivals[:1]
 		}, InvariantDrain},
-		"sent for one that left": {func(r *Record) {
+		"attempt after the client disconnected": {func(r *Record) {
 			q := r.requests[lookup]
 			q.Outcome, q.AbandonedAt = Abandoned, 4900*time.Millisecond
 		}, InvariantClient},
-		"more time passed on": {func(r *Record) { r.arrivals[lookup].TTL = 1200 * time.Millisecond }, InvariantTTL},
-		"too many attempts": {func(r *Record) {
+		"TTL longer than the remaining time": {func(r *Record) { r.arrivals[lookup].TTL = 1200 * time.Millisecond }, InvariantTTL},
+		"retry budget exceeded": {func(r *Record) {
 			r.arrivals[lookup].Ended = r.arrivals[lookup].At
 			for range 9 {
 				retry(r, lookup, 10*time.Millisecond)
 			}
 		}, InvariantBudget},
 		"never ready": {func(r *Record) { r.incarnations[0].Ready = 0 }, InvariantProcess},
-		"a crash":     {func(r *Record) { r.incarnations[0].Killed, r.incarnations[0].ExitCode = 0, 1 }, InvariantProcess},
-		"a bad end": {func(r *Record) {
+		"crash":       {func(r *Record) { r.incarnations[0].Killed, r.incarnations[0].ExitCode = 0, 1 }, InvariantProcess},
+		"exit code 1 after SIGTERM": {func(r *Record) {
 			r.incarnations[0].Killed, r.incarnations[0].Terminated, r.incarnations[0].ExitCode = 0, second, 1
 		}, InvariantProcess},
-		"a violation of its own": {func(r *Record) { r.incarnations[0].Violations = []string{"fault"} }, InvariantInternal},
+		"fault in the dispatcher's log": {func(r *Record) { r.incarnations[0].Violations = []string{"fault"} }, InvariantInternal},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := soundRecord()
+			r := validRecord()
 			c.edit(r)
 			found := r.Check()
 			if c.want == "" && len(found) > 0 || c.want != "" && (len(found) != 1 || found[0].Invariant != c.want) {
--- a/soak/drain_test.go
+++ b/soak/drain_test.go
@@ -12,7 +12,7 @@
 	"embershunt/soak"
 )
 
-// program is the path of the dispatcher that all tests here run.
+// program is the path of the dispatcher's executable, which TestMain builds for all tests of the package.
 var program string
 
 func TestMain(m *testing.M) {
@@ -27,7 +27,7 @@
 		os.Exit(1)
 	}
 	code := m.Run()
-	_ = os.RemoveAll(directory) // left to the system where it fails
+	_ = os.RemoveAll(directory) // where this fails, the directory is left to the system
 	os.Exit(code)
 }
 
@@ -37,7 +37,7 @@
 	return newCluster(t, soak.Options{Seed: seed, Dispatchers: 4, Servers: 6, Clients: 4, Descriptors: 256})
 }
 
-// newCluster starts a cluster of the given size whose clients send often.
+// newCluster starts a cluster of the given size whose clients pause 40 ms on average between two requests.
 func newCluster(t *testing.T, o soak.Options) *soak.Cluster {
 	t.Helper()
 	o.Program, o.Directory = program, t.TempDir()
@@ -49,7 +49,7 @@
 	return c
 }
 
-// wait lets the cluster run on for some time.
+// wait lets the cluster run for the given time, or until ctx ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -57,15 +57,15 @@
 	}
 }
 
-// report closes the cluster and fails the test where its record breaks an invariant.
-func report(t *testing.T, c *soak.Cluster) {
+// closeAndCheck closes the cluster and fails the test where the record has violations; it prints the first 20.
+func closeAndCheck(t *testing.T, c *soak.Cluster) {
 	t.Helper()
 	if err := c.Close(); err != nil {
 		t.Error(err)
 	}
 	for i, v := range c.Record.Check() {
 		if i == 20 {
-			t.Error("and more")
+			t.Error("further violations are not shown")
 			break
 		}
 		t.Error(v)
@@ -73,14 +73,14 @@
 	t.Log(c.Record.Summary())
 }
 
-// An incident: three of four dispatchers have been killed and restarted, the name service answers slowly, and a server begins to
-// drain. All dispatchers must observe the drain, however late the answers are.
+// Guards against dispatchers that keep sending to a draining or removed server because the name service answers slowly. As in an
+// incident, three of four dispatchers are killed and restarted before. All four must observe the drain, however late the answers are.
 func TestDrainIsObservedWithSlowNameService(t *testing.T) {
 	for _, latency := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 1200 * time.Millisecond} {
 		t.Run(latency.String(), func(t *testing.T) {
 			t.Parallel()
 			c := smallCluster(t, 1)
-			defer report(t, c)
+			defer closeAndCheck(t, c)
 			for _, d := range c.Dispatchers[1:] {
 				d.Kill()
 				if err := c.Restart(t.Context(), d); err != nil {
@@ -99,14 +99,17 @@
 	}
 }
 
-// After a restart the numbers of lists begin again. A list published before it, with its higher number, must not hide later ones; nor
-// may an answer that has the newest number and older rows.
+// Guards against endpoint lists that hide a drain by their number. List numbers begin again when a dispatcher restarts, so a list from
+// before the restart may have a higher number than the current one. An answer may also have the current number with older rows.
 func TestDrainIsObservedAfterMisleadingNumber(t *testing.T) {
-	for name, faults := range map[string]soak.NameFaults{"earlier start": {PreviousIncarnation: 0.1}, "old rows": {StaleRows: 0.3}} {
+	for name, faults := range map[string]soak.NameFaults{
+		"previous incarnation": {PreviousIncarnation: 0.1},
+		"stale rows":           {StaleRows: 0.3},
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := smallCluster(t, 2)
-			defer report(t, c)
+			defer closeAndCheck(t, c)
 			for range 4 {
 				if _, err := c.AddServer(); err != nil {
 					t.Fatal(err)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -9,16 +9,17 @@
 	"embershunt/soak"
 )
 
-// By hand: go test ./soak -run TestSoak -soak.first=100 -soak.seeds=50 -timeout 60m
+// Example of a longer run: go test ./soak -run TestSoak -soak.first=100 -soak.seeds=50 -timeout 60m
 var (
 	firstSeed = flag.Uint64("soak.first", 1, "first seed of the runs")
-	seeds     = flag.Int("soak.seeds", 3, "how many seeds are run")
-	length    = flag.Duration("soak.length", 12*time.Second, "for how long each run injects faults")
-	processes = flag.Int("soak.processes", 24, "dispatchers of each run, each a process of its own")
-	logs      = flag.String("soak.logs", "", "folder that the logs of the dispatchers are kept in")
+	seeds     = flag.Int("soak.seeds", 3, "number of seeds to run")
+	length    = flag.Duration("soak.length", 12*time.Second, "how long each run injects faults")
+	processes = flag.Int("soak.processes", 24, "dispatchers of each run, each a separate process")
+	logs      = flag.String("soak.logs", "", "directory that keeps the dispatchers' logs; a temporary one if empty")
 )
 
-// Random, overlapping faults over a few dozen processes break no invariant.
+// Guards against violations of an invariant under random, overlapping faults in a deployment of a few dozen processes. Each seed draws
+// another plan.
 func TestSoak(t *testing.T) {
 	for i := range *seeds {
 		seed := *firstSeed + uint64(i)
@@ -42,7 +43,7 @@
 			if len(found) > 0 {
 				t.Errorf("violations by invariant: %v", counts)
 			}
-			t.Logf("crowd %v, %d servers; %s", plan.IdleCrowd, plan.Servers, record.Summary())
+			t.Logf("idle crowd %v, %d servers; %s", plan.IdleCrowd, plan.Servers, record.Summary())
 		})
 	}
 }
