--- a/simulated/assignment.go
+++ b/simulated/assignment.go
@@ -12,43 +12,43 @@
 
 // ListedNode is one node of the control service's endpoint list.
 type ListedNode struct {
-	Name, Address, Zone, Kind string
-	Native                    string
+	Name, Address, Zone, Kind string // Address is host:port of Flight SQL
+	Native                    string // host:port of the native protocol; "": none
 	Draining                  bool
-	Started                   time.Time
+	Started                   time.Time // zero: not listed
 }
 
-// edsType is the type URL of an EDS response.
+// edsType is the type URL of EDS resources.
 const edsType = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
 
-// Assignment is an endpoint list as EDS has it.
-func Assignment(cluster string, rows []ListedNode) *endpointv3.ClusterLoadAssignment {
+// Assignment returns an endpoint list as an EDS resource.
+func Assignment(cluster string, nodes []ListedNode) *endpointv3.ClusterLoadAssignment {
 	list := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
-	for _, r := range rows {
-		list.Endpoints = append(list.Endpoints, r.endpoint())
+	for _, n := range nodes {
+		list.Endpoints = append(list.Endpoints, n.endpoint())
 	}
 	return list
 }
 
-// endpoint is the node with its zone, state and metadata.
-func (r ListedNode) endpoint() *endpointv3.LocalityLbEndpoints {
-	host, port, _ := net.SplitHostPort(r.Address)
-	number, _ := strconv.Atoi(port)
+// endpoint returns the node's EDS entry: its zone, address, health status and metadata.
+func (n ListedNode) endpoint() *endpointv3.LocalityLbEndpoints {
+	host, port, _ := net.SplitHostPort(n.Address)
+	portNumber, _ := strconv.Atoi(port)
 	state := corev3.HealthStatus_HEALTHY
-	if r.Draining {
+	if n.Draining {
 		state = corev3.HealthStatus_DRAINING
 	}
-	fields := map[string]*structpb.Value{"name": structpb.NewStringValue(r.Name), "kind": structpb.NewStringValue(r.Kind)}
-	if r.Native != "" {
-		fields["native"] = structpb.NewStringValue(r.Native)
+	fields := map[string]*structpb.Value{"name": structpb.NewStringValue(n.Name), "kind": structpb.NewStringValue(n.Kind)}
+	if n.Native != "" {
+		fields["native"] = structpb.NewStringValue(n.Native)
 	}
-	if !r.Started.IsZero() {
-		fields["started"] = structpb.NewNumberValue(float64(r.Started.UnixMicro()) / 1e6)
+	if !n.Started.IsZero() {
+		fields["started"] = structpb.NewNumberValue(float64(n.Started.UnixMicro()) / 1e6)
 	}
-	return &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: r.Zone},
+	return &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: n.Zone},
 		LbEndpoints: []*endpointv3.LbEndpoint{{HealthStatus: state,
 			Metadata: &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{"embershunt": {Fields: fields}}},
 			HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Address: &corev3.Address{
 				Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{Address: host,
-					PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(number)}}}}}}}}}
+					PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: uint32(portNumber)}}}}}}}}}
 }
--- a/simulated/control.go
+++ b/simulated/control.go
@@ -11,46 +11,47 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Control is a simulated control service: xDS v3 on ADS streams, state of the world and delta, for the endpoint list and any
-// other resource type.
+// Control is a simulated control service. It serves xDS v3 over ADS streams, in the state-of-the-world and the delta variant, for
+// the endpoint list and any other resource type.
 type Control struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	cluster string
 	address string
 
-	mu                sync.Mutex // guards what follows, but done
+	mu                sync.Mutex // guards the fields below except done
 	nodes             []ListedNode
 	resources         map[string]resource // by type URL
 	version           int
-	resourcesChanged  chan struct{} // closed and replaced at each change of what is to be sent
-	dispatcherChanged chan struct{} // closed and replaced at each request or reply
+	resourcesChanged  chan struct{} // closed and replaced at each change of the resources to send
+	dispatcherChanged chan struct{} // closed and replaced at each request from a dispatcher
 	server            *grpc.Server
 	done              sync.WaitGroup
 	replies           []Reply
 	pushed            []Push
-	streamStarts      []time.Time // when each stream began
-	sets              map[uint64][]*anypb.Any
-	sentBytes         int // of all responses
+	streamStarts      []time.Time             // when each stream had its first request
+	sets              map[uint64][]*anypb.Any // by number, for Stage
+	sentBytes         int                     // size of all resources sent
 	chooseSet         func(dispatcher string) uint64
 	onReply           func(dispatcher string, number uint64, refused string)
 }
 
-// resource is one resource with the version that it was put with.
+// resource is one resource and the version it was set with.
 type resource struct {
 	name    string
-	content *anypb.Any // nil: an empty response
+	content *anypb.Any
 	version int
 }
 
-// NewControl returns a service that does not listen yet.
+// NewControl returns a control service for a cluster. It listens after Start.
 func NewControl(cluster string) *Control {
-	return &Control{cluster: cluster, resourcesChanged: make(chan struct{}), dispatcherChanged: make(chan struct{}), resources: map[string]resource{}}
+	return &Control{cluster: cluster, resourcesChanged: make(chan struct{}), dispatcherChanged: make(chan struct{}),
+		resources: map[string]resource{}}
 }
 
-// At sets the address that the next Start listens at.
+// At sets the address that the next Start listens on, as host:port.
 func (c *Control) At(address string) { c.address = address }
 
-// Start listens, at the address it had before if it had one.
+// Start listens on the address of At or of the previous Start; without either, on any free port on loopback.
 func (c *Control) Start() error {
 	address := c.address
 	if address == "" {
@@ -73,10 +74,10 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the service listens on, as host:port.
 func (c *Control) Address() string { return c.address }
 
-// Stop breaks all streams and stops listening.
+// Stop closes all streams and stops listening.
 func (c *Control) Stop() {
 	c.mu.Lock()
 	s := c.server
@@ -88,13 +89,14 @@
 	}
 }
 
-// Set changes the endpoint list and pushes it; bad is "", or "malformed" or "empty" for a list that is to be refused.
-func (c *Control) Set(nodes []ListedNode, bad string) {
-	if bad != "" {
+// Set replaces the endpoint list and pushes it. fault is "", or "empty" or "malformed" to push such a list in place of nodes, which
+// dispatchers are expected to refuse.
+func (c *Control) Set(nodes []ListedNode, fault string) {
+	if fault != "" {
 		nodes = nil
 	}
 	list, err := anypb.New(Assignment(c.cluster, nodes))
-	if err != nil || bad == "malformed" {
+	if err != nil || fault == "malformed" {
 		list = &anypb.Any{TypeUrl: edsType, Value: []byte{0xff, 0xff, 0xff}}
 	}
 	c.mu.Lock()
@@ -103,7 +105,7 @@
 	c.Put(c.cluster, list)
 }
 
-// Put changes resources, whose Any messages have their types, and pushes them under a name.
+// Put replaces the resource of each given resource's type and pushes it under name. All get one new version.
 func (c *Control) Put(name string, resources ...*anypb.Any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,21 +116,22 @@
 	c.push()
 }
 
-// push wakes the streams. c.mu is held.
+// push wakes all streams, so that they send changed resources. The caller holds c.mu.
 func (c *Control) push() {
 	close(c.resourcesChanged)
 	c.resourcesChanged = make(chan struct{})
 }
 
-// Stage gives each dispatcher a set of resources of its own: chooseSet returns the number of the set to offer, onReply is called with
-// what the dispatcher replied. Both are called with the service's lock held.
+// Stage offers each dispatcher a set of resources of its own, besides those of Put. chooseSet returns the number of the set to offer.
+// onReply is called for each reply to a response other than an endpoint list, with the response's nonce, which is the number of its
+// set, and the error message of a NACK, "" for an ACK. Both are called with the service's lock held.
 func (c *Control) Stage(chooseSet func(dispatcher string) uint64, onReply func(dispatcher string, number uint64, refused string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.chooseSet, c.onReply, c.sets = chooseSet, onReply, map[uint64][]*anypb.Any{}
 }
 
-// Locked runs a function with the service's lock held, and pushes what it has changed.
+// Locked calls change with the service's lock held, and pushes the changed resources.
 func (c *Control) Locked(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,10 +139,10 @@
 	c.push()
 }
 
-// AddSet adds a set for Stage; call it in Locked.
+// AddSet adds a set of resources for Stage. Call it within Locked.
 func (c *Control) AddSet(number uint64, resources []*anypb.Any) { c.sets[number] = resources }
 
-// resourcesFor are the resources to offer to a dispatcher. c.mu is held.
+// resourcesFor returns the resources to offer to a dispatcher, by type URL. The caller holds c.mu.
 func (c *Control) resourcesFor(dispatcher string) map[string]resource {
 	if c.chooseSet == nil {
 		return c.resources
--- a/simulated/controlrecord.go
+++ b/simulated/controlrecord.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// Push is one endpoint list as it was sent to one dispatcher.
+// Push is the record of one endpoint list sent to one dispatcher.
 type Push struct {
 	At         time.Time
 	Dispatcher string
-	Draining   []string
-	Healthy    []string
+	Draining   []string // node names
+	Healthy    []string // node names
 	Nonce      string
-	Refused    bool
+	Refused    bool // the dispatcher replied with a NACK
 }
 
 // Reply is a dispatcher's ACK or NACK of one response.
 type Reply struct {
 	At             time.Time
 	Dispatcher     string
-	Type           string
+	Type           string // type URL of the response
 	Version, Nonce string
 	Refused        string // the error message of a NACK; "" for an ACK
 }
 
-// maxReplies bounds the replies recorded.
+// maxReplies is how many earlier replies are kept when a reply is recorded.
 const maxReplies = 100000
 
-// Pushed returns the endpoint lists that were sent, refused ones too.
+// Pushed returns the endpoint lists sent, including refused ones but not malformed ones.
 func (c *Control) Pushed() []Push {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Push(nil), c.pushed...)
 }
 
-// Replies returns the replies of dispatchers, in order.
+// Replies returns the ACKs and NACKs of all dispatchers, in order of arrival.
 func (c *Control) Replies() []Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Reply(nil), c.replies...)
 }
 
-// Nacks returns the error messages of responses that dispatchers refused.
+// Nacks returns the error messages of the NACKs among Replies.
 func (c *Control) Nacks() (out []string) {
 	for _, r := range c.Replies() {
 		if r.Refused != "" {
@@ -58,14 +58,15 @@
 	return append([]time.Time(nil), c.streamStarts...)
 }
 
-// Bytes is the size of all resources sent.
+// Bytes returns the encoded size of all resources sent, in bytes.
 func (c *Control) Bytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentBytes
 }
 
-// Await waits until a condition on the requests and replies holds, or returns ctx's error. The condition may call the service.
+// Await waits until condition holds, or returns ctx's error. It checks again after each request or reply of a dispatcher. The
+// condition may call the service's methods.
 func (c *Control) Await(ctx context.Context, condition func() bool) error {
 	for {
 		c.mu.Lock()
--- a/simulated/controlstream.go
+++ b/simulated/controlstream.go
@@ -13,22 +13,22 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// stream is the state of one ADS stream, of either variant.
+// stream is the state of one ADS stream of either variant.
 type stream struct {
 	dispatcher        string
 	subscribed        map[string]bool // by type URL
-	sentVersions      map[string]int  // version sent last, by type URL
-	subscriptionAdded chan struct{}   // has a token after a subscription
+	sentVersions      map[string]int  // last version sent, by type URL
+	subscriptionAdded chan struct{}   // holds a token after each new subscription
 }
 
-// request is what a dispatcher sent on a stream: a subscription, a reply to a response, or both.
+// request is a message from a dispatcher on a stream: a subscription, a reply to a response, or both.
 type request struct {
 	dispatcher, typeURL     string
 	version, nonce, refused string
 	subscribes              bool
 }
 
-// recordRequest records a request and subscribes the stream.
+// recordRequest records a request's reply, if it has one, and adds its subscription to the stream.
 func (c *Control) recordRequest(s *stream, r request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,7 +52,8 @@
 	}
 }
 
-// recordReply records the reply to a response. c.mu is held.
+// recordReply records the reply to a response, calls onReply unless the response had an endpoint list, and marks a refused endpoint
+// list. The caller holds c.mu.
 func (c *Control) recordReply(dispatcher string, r request) {
 	if n, err := strconv.ParseUint(r.nonce, 10, 64); err == nil && c.onReply != nil && r.typeURL != edsType {
 		c.onReply(dispatcher, n, r.refused)
@@ -66,7 +67,8 @@
 	}
 }
 
-// nextResources are those that a stream has not been sent yet; changed is closed when there may be more.
+// nextResources returns the subscribed resources whose current version the stream has not sent yet, and marks them as sent. changed
+// is closed when there may be more.
 func (c *Control) nextResources(s *stream) (out []resource, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,14 +84,14 @@
 		s.sentVersions[url] = r.version
 		c.sentBytes += proto.Size(r.content)
 		out = append(out, r)
-		if value := r.content.GetValue(); url == edsType && value != nil && value[0] != 0xff { // not a malformed one
+		if value := r.content.GetValue(); url == edsType && value != nil && value[0] != 0xff { // Set's malformed list begins with 0xff
 			c.recordPush(s.dispatcher, r.version)
 		}
 	}
 	return out, c.resourcesChanged
 }
 
-// recordPush records that the current endpoint list is sent. c.mu is held.
+// recordPush records that a dispatcher is sent the current endpoint list. The caller holds c.mu.
 func (c *Control) recordPush(dispatcher string, version int) {
 	p := Push{At: time.Now(), Dispatcher: dispatcher, Nonce: strconv.Itoa(version)}
 	for _, node := range c.nodes {
@@ -102,14 +104,14 @@
 	c.pushed = append(c.pushed, p)
 }
 
-// serve runs a stream until it ends: recv records one request, send sends one resource.
+// serve runs a stream until it ends. recv receives and records one request, send sends one resource.
 func (c *Control) serve(ctx context.Context, recv func(*stream) error, send func(resource) error) error {
 	s := &stream{subscribed: map[string]bool{}, sentVersions: map[string]int{}, subscriptionAdded: make(chan struct{}, 1)}
-	broken := make(chan error, 1)
-	go func() { // ends with the stream
+	recvFailed := make(chan error, 1)
+	go func() { // ends with the gRPC stream
 		for {
 			if err := recv(s); err != nil {
-				broken <- err
+				recvFailed <- err
 				return
 			}
 		}
@@ -124,7 +126,7 @@
 		select {
 		case <-changed:
 		case <-s.subscriptionAdded:
-		case err := <-broken:
+		case err := <-recvFailed:
 			return err
 		case <-ctx.Done():
 			return errors.New("stream ended")
@@ -132,12 +134,12 @@
 	}
 }
 
-// StreamAggregatedResources implements the service, state of the world.
+// StreamAggregatedResources implements the state-of-the-world variant of ADS.
 func (c *Control) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return c.serve(s.Context(), func(o *stream) error {
+	return c.serve(s.Context(), func(state *stream) error {
 		r, err := s.Recv()
 		if err == nil {
-			c.recordRequest(o, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), version: r.GetVersionInfo(),
+			c.recordRequest(state, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), version: r.GetVersionInfo(),
 				nonce: r.GetResponseNonce(), refused: r.GetErrorDetail().GetMessage(), subscribes: true})
 		}
 		return err
@@ -148,12 +150,12 @@
 	})
 }
 
-// DeltaAggregatedResources implements the service, incrementally.
+// DeltaAggregatedResources implements the delta (incremental) variant of ADS.
 func (c *Control) DeltaAggregatedResources(s discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	return c.serve(s.Context(), func(o *stream) error {
+	return c.serve(s.Context(), func(state *stream) error {
 		r, err := s.Recv()
 		if err == nil {
-			c.recordRequest(o, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), nonce: r.GetResponseNonce(),
+			c.recordRequest(state, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), nonce: r.GetResponseNonce(),
 				refused: r.GetErrorDetail().GetMessage(), subscribes: len(r.GetResourceNamesSubscribe()) > 0})
 		}
 		return err
--- a/simulated/faults.go
+++ b/simulated/faults.go
@@ -10,21 +10,21 @@
 	"google.golang.org/grpc/status"
 )
 
-// Faults are faults of a node. The zero value has none.
+// Faults are the faults that a node simulates. The zero value has none.
 type Faults struct {
-	Hang          bool          // queries are accepted and never answered
-	LoseAnswers   bool          // queries run and their answers are lost; health checks succeed
-	StallRow      int           // answers stop after this many rows, for good; 0: no
-	CutRow        int           // answers break off after this many rows; 0: no
-	Fail          float64       // share of queries failed at once
-	Slow          float64       // speed is divided by this; 0 or 1: no
-	PauseFor      time.Duration // the machine stands still for this long ...
-	PauseInterval time.Duration // ... this often
-	Full          bool          // queries are rejected before they run
-	Broken        bool          // answers end with an error behind their first rows (native protocol only)
+	Hang          bool          // queries and transaction actions are accepted and never answered
+	LoseAnswers   bool          // queries run, but their answers are never sent; health checks succeed
+	StallRow      int           // answers stall for ever after this many rows; 0: no stall
+	CutRow        int           // answers are cut off after this many rows; 0: no cut
+	Fail          float64       // share of queries, from 0 to 1, that fail immediately
+	Slow          float64       // the cores' speed is divided by this; at most 1: no effect
+	PauseFor      time.Duration // the machine pauses for this long ...
+	PauseInterval time.Duration // ... this long after the end of each pause
+	Full          bool          // queries are rejected before they run, as by a node that has too many
+	Broken        bool          // answers end with an exception after their first block of rows (native protocol only)
 }
 
-// SetFaults sets the faults, also for queries that are running.
+// SetFaults replaces the node's faults. They also apply to running queries.
 func (n *Node) SetFaults(f Faults) {
 	n.mu.Lock()
 	n.currentFaults = f
@@ -35,14 +35,14 @@
 	}
 }
 
-// faults are those set last.
+// faults returns the faults set last.
 func (n *Node) faults() Faults {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.currentFaults
 }
 
-// applyFaults sets the machine's speed.
+// applyFaults sets the machine's speed by the Slow fault, and ends a pause.
 func (n *Node) applyFaults(p *process) {
 	f := n.faults()
 	p.machine.update(func() {
@@ -54,7 +54,8 @@
 	})
 }
 
-// injectPauses stops the machine now and then where the faults say so, and rolls idle transactions back.
+// injectPauses pauses the machine by the faults PauseFor and PauseInterval until ctx ends. Between pauses it rolls back idle
+// transactions.
 func (n *Node) injectPauses(ctx context.Context, p *process) {
 	for {
 		n.rollBackIdle()
@@ -74,23 +75,23 @@
 	}
 }
 
-// failByFault is what faults do to a transaction action before it has an effect.
+// failByFault applies the Hang and Fail faults to a transaction action, before the action has an effect.
 func (n *Node) failByFault(ctx context.Context) error {
 	f := n.faults()
 	n.mu.Lock()
-	chance := n.rng.Float64()
+	draw := n.rng.Float64()
 	n.mu.Unlock()
 	switch {
 	case f.Hang:
 		<-ctx.Done()
 		return ctx.Err()
-	case chance < f.Fail:
+	case draw < f.Fail:
 		return status.Error(codes.Internal, "failed at once")
 	}
 	return nil
 }
 
-// loseAnswer withholds an answer, until ctx ends, where the faults say so.
+// loseAnswer blocks until ctx ends if the LoseAnswers fault is set, so that the answer is never sent.
 func (n *Node) loseAnswer(ctx context.Context) error {
 	if !n.faults().LoseAnswers {
 		return nil
--- a/simulated/flight.go
+++ b/simulated/flight.go
@@ -14,7 +14,7 @@
 	"embershunt/internal/flightwire"
 )
 
-// flightServer is a node's Flight SQL side.
+// flightServer serves Flight SQL calls for a process of a node.
 type flightServer struct {
 	arrowsql.BaseServer
 	node    *Node
@@ -22,7 +22,7 @@
 	ctx     context.Context // ends with the process
 }
 
-// flightInfo is the answer to a call that plans; schema may be nil.
+// flightInfo returns the answer to a planning call: one endpoint with the ticket, and the schema unless it is nil.
 func (s *flightServer) flightInfo(d *flight.FlightDescriptor, ticket []byte, schema *arrow.Schema) *flight.FlightInfo {
 	i := &flight.FlightInfo{FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1,
 		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: ticket}}}}
@@ -32,10 +32,10 @@
 	return i
 }
 
-// transactionSeparator separates a transaction's id from the statement, in tickets and handles.
+// transactionSeparator separates a transaction's ID from the statement in tickets and prepared statement handles.
 const transactionSeparator = "\x00"
 
-// plan is a ticket for a statement, in a transaction unless tx is empty.
+// plan returns a ticket that holds a statement, and the transaction's ID unless tx is empty.
 func (s *flightServer) plan(d *flight.FlightDescriptor, query string, tx []byte) (*flight.FlightInfo, error) {
 	if len(tx) > 0 {
 		if err := s.node.useTransaction(tx, query); err != nil {
@@ -55,7 +55,7 @@
 	return s.plan(d, q.GetQuery(), q.GetTransactionId())
 }
 
-// GetSchemaStatement returns a statement's schema.
+// GetSchemaStatement returns the schema of a statement's result.
 func (s *flightServer) GetSchemaStatement(_ context.Context, q arrowsql.StatementQuery, _ *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	return &flight.SchemaResult{Schema: flight.SerializeSchema(schemaOf(parseHints(q.GetQuery())), memory.DefaultAllocator)}, nil
 }
@@ -88,7 +88,7 @@
 	return s.update(ctx, u.GetQuery(), u.GetTransactionId())
 }
 
-// update runs an update, in a transaction unless tx is empty.
+// update runs an update, in a transaction unless tx is empty, and returns the number of rows in the statement's hints.
 func (s *flightServer) update(ctx context.Context, text string, tx []byte) (int64, error) {
 	if err := s.node.useTransaction(tx, text); err != nil {
 		return 0, err
@@ -101,7 +101,7 @@
 	return int64(h.rows), err
 }
 
-// actionServer adds the actions that change a running query's priority and end a session.
+// actionServer adds to a Flight SQL server the actions that change a running query's priority and release a session.
 type actionServer struct {
 	flight.FlightServer
 	node    *Node
@@ -120,11 +120,11 @@
 	return s.FlightServer.DoAction(a, stream)
 }
 
-// setPriority sets the priority of a running query: field 1 is its ID, field 2 its priority plus one.
+// setPriority sets the priority of a running query. In body, field 1 is the query ID and field 2 the priority plus one.
 func (s *actionServer) setPriority(body []byte) error {
 	fields, varints, err := flightwire.Fields(body)
 	if err != nil || len(fields) == 0 || varints[2] == 0 {
-		return status.Error(codes.InvalidArgument, "embershunt.terms: wanted are fields 1 and 2")
+		return status.Error(codes.InvalidArgument, "embershunt.terms: fields 1 (query ID) and 2 (priority plus one) are required")
 	}
 	machine := s.process.machine
 	machine.update(func() {
@@ -134,6 +134,6 @@
 			}
 		}
 	})
-	s.node.change(func() {}) // wakes those that await the priority
+	s.node.change(func() {}) // wakes callers of Await that check the priority
 	return nil
 }
--- a/simulated/flightmetadata.go
+++ b/simulated/flightmetadata.go
@@ -11,13 +11,13 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 )
 
-// singleValue is a metadata answer with the same values in each text column.
-func singleValue(schema *arrow.Schema, rows ...string) (*arrow.Schema, <-chan flight.StreamChunk, error) {
+// metadataResult returns a result with a row for each value. All columns of the schema are text, and each holds the row's value.
+func metadataResult(schema *arrow.Schema, values ...string) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 	defer b.Release()
-	for _, r := range rows {
+	for _, v := range values {
 		for i := range schema.NumFields() {
-			b.Field(i).(*array.StringBuilder).Append(r)
+			b.Field(i).(*array.StringBuilder).Append(v)
 		}
 	}
 	out := make(chan flight.StreamChunk, 1)
@@ -31,14 +31,14 @@
 	tableTypesSchema = arrow.NewSchema([]arrow.Field{{Name: "table_type", Type: arrow.BinaryTypes.String}}, nil)
 )
 
-// GetFlightInfoCatalogs and the others answer what a driver asks when it connects.
+// GetFlightInfoCatalogs plans the list of catalogs. Drivers send this and the other metadata calls when they connect.
 func (s *flightServer) GetFlightInfoCatalogs(_ context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	return s.flightInfo(d, d.Cmd, nil), nil
 }
 
-// DoGetCatalogs names one catalog.
+// DoGetCatalogs returns one catalog.
 func (s *flightServer) DoGetCatalogs(context.Context) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	return singleValue(catalogsSchema, "main")
+	return metadataResult(catalogsSchema, "main")
 }
 
 // GetFlightInfoTableTypes plans the list of table types.
@@ -46,9 +46,9 @@
 	return s.flightInfo(d, d.Cmd, nil), nil
 }
 
-// DoGetTableTypes names one table type.
+// DoGetTableTypes returns one table type.
 func (s *flightServer) DoGetTableTypes(context.Context) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	return singleValue(tableTypesSchema, "TABLE")
+	return metadataResult(tableTypesSchema, "TABLE")
 }
 
 // GetFlightInfoSchemas plans the list of schemas.
@@ -56,9 +56,9 @@
 	return s.flightInfo(d, d.Cmd, nil), nil
 }
 
-// DoGetDBSchemas names one schema.
+// DoGetDBSchemas returns one schema.
 func (s *flightServer) DoGetDBSchemas(context.Context, arrowsql.GetDBSchemas) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	return singleValue(schema_ref.DBSchemas, "main")
+	return metadataResult(schema_ref.DBSchemas, "main")
 }
 
 // GetFlightInfoTables plans the list of tables.
@@ -66,9 +66,9 @@
 	return s.flightInfo(d, d.Cmd, nil), nil
 }
 
-// DoGetTables names one table.
+// DoGetTables returns one table.
 func (s *flightServer) DoGetTables(context.Context, arrowsql.GetTables) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	return singleValue(schema_ref.Tables, "policy")
+	return metadataResult(schema_ref.Tables, "policy")
 }
 
 // GetFlightInfoXdbcTypeInfo plans the list of types.
@@ -76,7 +76,7 @@
 	return s.flightInfo(d, d.Cmd, nil), nil
 }
 
-// DoGetXdbcTypeInfo names one type, without its other columns.
+// DoGetXdbcTypeInfo returns one type. Its result has the column type_name alone.
 func (s *flightServer) DoGetXdbcTypeInfo(context.Context, arrowsql.GetXdbcTypeInfo) (*arrow.Schema, <-chan flight.StreamChunk, error) {
-	return singleValue(arrow.NewSchema([]arrow.Field{{Name: "type_name", Type: arrow.BinaryTypes.String}}, nil), "BIGINT")
+	return metadataResult(arrow.NewSchema([]arrow.Field{{Name: "type_name", Type: arrow.BinaryTypes.String}}, nil), "BIGINT")
 }
--- a/simulated/flightprepared.go
+++ b/simulated/flightprepared.go
@@ -10,7 +10,7 @@
 	arrowsql "github.com/apache/arrow-go/v18/arrow/flight/flightsql"
 )
 
-// CreatePreparedStatement gives a handle that holds the statement itself.
+// CreatePreparedStatement returns a handle that holds the statement's text, and the ID of its transaction if it has one.
 func (s *flightServer) CreatePreparedStatement(_ context.Context, r arrowsql.ActionCreatePreparedStatementRequest) (arrowsql.ActionCreatePreparedStatementResult, error) {
 	text := r.GetQuery()
 	out := arrowsql.ActionCreatePreparedStatementResult{Handle: []byte(text)}
@@ -33,12 +33,13 @@
 	return out, nil
 }
 
-// ClosePreparedStatement lets go of a handle.
+// ClosePreparedStatement does nothing, as the node keeps no state for a handle.
 func (s *flightServer) ClosePreparedStatement(context.Context, arrowsql.ActionClosePreparedStatementRequest) error {
 	return nil
 }
 
-// DoPutPreparedStatementQuery binds parameters: their count of rows goes into the handle, as rows of the answer.
+// DoPutPreparedStatementQuery binds parameters. It returns a handle whose statement has a rows hint with the number of parameter
+// rows, so that the result has as many rows.
 func (s *flightServer) DoPutPreparedStatementQuery(_ context.Context, q arrowsql.PreparedStatementQuery, r flight.MessageReader, _ flight.MetadataWriter) ([]byte, error) {
 	rows := 0
 	for r.Next() {
@@ -62,7 +63,7 @@
 	return s.plan(d, text, []byte(tx))
 }
 
-// DoPutPreparedStatementUpdate runs a prepared update with its parameters.
+// DoPutPreparedStatementUpdate runs a prepared update once and returns the number of its parameter rows.
 func (s *flightServer) DoPutPreparedStatementUpdate(ctx context.Context, u arrowsql.PreparedStatementUpdate, r flight.MessageReader) (int64, error) {
 	rows := int64(0)
 	for r.Next() {
--- a/simulated/flightresult.go
+++ b/simulated/flightresult.go
@@ -11,14 +11,15 @@
 	"google.golang.org/grpc/status"
 )
 
-// The schemas of results without and with a payload column.
+// resultSchema is the schema of results without a payload column.
 var resultSchema = arrow.NewSchema([]arrow.Field{{Name: "node", Type: arrow.BinaryTypes.String},
 	{Name: "row", Type: arrow.PrimitiveTypes.Int64}}, nil)
 
+// wideSchema is the schema of results with a payload column.
 var wideSchema = arrow.NewSchema(append(resultSchema.Fields(),
 	arrow.Field{Name: "payload", Type: arrow.BinaryTypes.Binary}), nil)
 
-// schemaOf is the schema of a statement's result.
+// schemaOf returns the schema of the result of a statement with these hints.
 func schemaOf(h hints) *arrow.Schema {
 	if h.rowBytes > 0 {
 		return wideSchema
@@ -26,13 +27,13 @@
 	return resultSchema
 }
 
-// A batch of a result has at most so many rows, and so many bytes of payload unless a row has more.
+// Limits of a batch of a result: its rows, and the bytes of its payload column. A single row may exceed batchBytes.
 const (
 	batchRows  = 1024
 	batchBytes = 256 << 10
 )
 
-// streamRows sends a result's batches, subject to the faults that strike among them, and closes out.
+// streamRows sends the batches of a result to out, applies the StallRow and CutRow faults between them, and closes out.
 func (s *flightServer) streamRows(ctx context.Context, h hints, attempt *AttemptRecord, out chan<- flight.StreamChunk) {
 	defer close(out)
 	for sent := 0; sent < h.rows; {
@@ -62,7 +63,7 @@
 	}
 }
 
-// flightBatchRows is how many rows the next batch has: it ends where a fault strikes.
+// flightBatchRows returns the number of rows of the next batch, which ends at the row of a StallRow or CutRow fault.
 func flightBatchRows(h hints, f Faults, sent int) int {
 	n := batchRows
 	if h.rowBytes > 0 {
@@ -77,7 +78,7 @@
 	return n
 }
 
-// recordBatch is n rows of a result, numbered from a first one on.
+// recordBatch returns a batch of n rows of a result. The row numbers begin with from.
 func recordBatch(node string, h hints, from, n int) arrow.RecordBatch {
 	b := array.NewRecordBuilder(memory.DefaultAllocator, schemaOf(h))
 	defer b.Release()
--- a/simulated/flighttransaction.go
+++ b/simulated/flighttransaction.go
@@ -10,24 +10,25 @@
 	"google.golang.org/grpc/status"
 )
 
-// BeginTransaction implements the Flight SQL action.
+// BeginTransaction implements the Flight SQL action. It returns an ID that is unique over the node's incarnations.
 func (s *flightServer) BeginTransaction(ctx context.Context, _ arrowsql.ActionBeginTransactionRequest) ([]byte, error) {
 	if err := s.node.failByFault(ctx); err != nil {
 		return nil, err
 	}
 	id := ""
 	s.node.change(func() {
-		st := &s.node.sessions
-		st.serial++
+		sessions := &s.node.sessions
+		sessions.serial++
 		s.node.tally.Begun++
-		id = fmt.Sprintf("%s-%d-%d", s.node.Name, s.process.started.UnixNano(), st.serial)
-		st.transactions[id] = &transaction{session: sessionOf(ctx), idle: idleOf(ctx), lastUsed: time.Now(), savepoints: map[string]int{}}
-		st.bySession[sessionOf(ctx)] = id
+		id = fmt.Sprintf("%s-%d-%d", s.node.Name, s.process.started.UnixNano(), sessions.serial)
+		sessions.transactions[id] = &transaction{session: sessionOf(ctx), idle: idleOf(ctx), lastUsed: time.Now(),
+			savepoints: map[string]int{}}
+		sessions.bySession[sessionOf(ctx)] = id
 	})
 	return []byte(id), s.node.loseAnswer(ctx)
 }
 
-// EndTransaction implements the Flight SQL action.
+// EndTransaction implements the Flight SQL action. Faults apply to a commit alone.
 func (s *flightServer) EndTransaction(ctx context.Context, r arrowsql.ActionEndTransactionRequest) error {
 	commit := r.GetAction() == arrowsql.EndTransactionCommit
 	name := "ROLLBACK"
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// BeginSavepoint implements the Flight SQL action.
+// BeginSavepoint implements the Flight SQL action. The savepoint's ID is made up of the transaction's ID and the savepoint's name.
 func (s *flightServer) BeginSavepoint(_ context.Context, r arrowsql.ActionBeginSavepointRequest) ([]byte, error) {
 	if err := s.node.useTransaction(r.GetTransactionId(), "SAVEPOINT"); err != nil {
 		return nil, err
@@ -60,7 +61,7 @@
 	return []byte(id), nil
 }
 
-// EndSavepoint implements the Flight SQL action.
+// EndSavepoint implements the Flight SQL action. A rollback removes the transaction's writes after the savepoint.
 func (s *flightServer) EndSavepoint(_ context.Context, r arrowsql.ActionEndSavepointRequest) error {
 	err := status.Errorf(codes.NotFound, "no savepoint %q here", r.GetSavepointId())
 	s.node.change(func() {
--- a/simulated/freezablelistener.go
+++ b/simulated/freezablelistener.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// freezableListener is a listener whose connections can be frozen: their reads and writes block, and nothing is reset, as with a
-// machine that is unresponsive.
+// freezableListener is a listener whose connections can be frozen: their reads and writes block, and no connection is reset, as on an
+// unresponsive machine.
 type freezableListener struct {
 	net.Listener
 	mu     sync.Mutex
-	thawed chan struct{} // closed when thawed; nil: not frozen
-	dead   bool          // reads and writes fail
+	thawed chan struct{} // closed by kill; nil: not frozen
+	killed bool          // reads and writes fail
 }
 
 func newFreezableListener(l net.Listener) *freezableListener { return &freezableListener{Listener: l} }
@@ -25,18 +25,18 @@
 	}
 }
 
-// kill fails all reads and writes, blocked ones too.
+// kill makes all reads and writes fail, including blocked ones.
 func (f *freezableListener) kill() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.dead = true
+	f.killed = true
 	if f.thawed != nil {
 		close(f.thawed)
 		f.thawed = nil
 	}
 }
 
-// waitThawed blocks while frozen; its error is net.ErrClosed after kill.
+// waitThawed blocks while the listener is frozen, and returns net.ErrClosed after kill.
 func (f *freezableListener) waitThawed() error {
 	f.mu.Lock()
 	c := f.thawed
@@ -46,7 +46,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.dead {
+	if f.killed {
 		return net.ErrClosed
 	}
 	return nil
@@ -69,15 +69,15 @@
 
 func (c *freezableConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if dead := c.listener.waitThawed(); dead != nil {
-		return 0, dead
+	if killed := c.listener.waitThawed(); killed != nil {
+		return 0, killed
 	}
 	return n, err
 }
 
 func (c *freezableConn) Write(b []byte) (int, error) {
-	if dead := c.listener.waitThawed(); dead != nil {
-		return 0, dead
+	if killed := c.listener.waitThawed(); killed != nil {
+		return 0, killed
 	}
 	return c.Conn.Write(b)
 }
