--- a/simulated/flight.go
+++ b/simulated/flight.go
@@ -75,7 +75,7 @@
 	}
 	h := parseHints(text)
 	attempt := s.node.recordAttempt(ctx, text, false)
-	if err := s.node.work(ctx, s.process, attempt, h, nil); err != nil {
+	if err := s.node.runStatement(ctx, s.process, attempt, h, nil); err != nil {
 		return nil, nil, err
 	}
 	out := make(chan flight.StreamChunk)
@@ -94,7 +94,7 @@
 		return 0, err
 	}
 	h, attempt := parseHints(text), s.node.recordAttempt(ctx, text, true)
-	err := s.node.work(ctx, s.process, attempt, h, nil)
+	err := s.node.runStatement(ctx, s.process, attempt, h, nil)
 	if attempt.Ran {
 		s.node.recordWrite(tx, text)
 	}
--- a/simulated/flighttransaction.go
+++ b/simulated/flighttransaction.go
@@ -19,9 +19,9 @@
 	s.node.change(func() {
 		sessions := &s.node.sessions
 		sessions.serial++
-		s.node.tally.Begun++
+		s.node.sessionRecord.Begun++
 		id = fmt.Sprintf("%s-%d-%d", s.node.Name, s.process.started.UnixNano(), sessions.serial)
-		sessions.transactions[id] = &transaction{session: sessionOf(ctx), idle: idleOf(ctx), lastUsed: time.Now(),
+		sessions.transactions[id] = &transaction{session: sessionOf(ctx), idleLimit: idleLimitOf(ctx), lastUsed: time.Now(),
 			savepoints: map[string]int{}}
 		sessions.bySession[sessionOf(ctx)] = id
 	})
--- a/simulated/machine.go
+++ b/simulated/machine.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Model is how a node's machine behaves. Zero values mean the defaults.
+// Model holds the parameters of the cost model of a node's machine. A field that is zero has its default.
 type Model struct {
 	Cores    int           // default 8
 	MemoryMB float64       // default 16384
-	ColdFor  time.Duration // time to warm up; default 5 s
-	ColdFrom float64       // share of capacity at the start; default 0.34
-	Knee     float64       // threads a core beyond which total work falls; default 2
-	Spill    float64       // work is multiplied by 1 plus this, times the share of memory that is missing; default 2
+	ColdFor  time.Duration // how long a cold machine takes to warm up; default 5 s
+	ColdFrom float64       // share of its capacity that a cold machine starts with; default 0.34
+	Knee     float64       // threads per core above which the total throughput falls; default 2
+	Spill    float64       // a query's work is multiplied by 1 + Spill × the share of the memory it needs but is not granted; default 2
 }
 
-// defaults sets fields that are zero.
+// defaults sets each field that is zero to its default.
 func (m *Model) defaults() {
 	if m.Cores == 0 {
 		m.Cores = 8
@@ -32,40 +32,40 @@
 	}
 }
 
-// job is one query on the machine.
+// job is a query that runs on the machine.
 type job struct {
-	id        string  // of the query, for changes of priority
-	totalWork float64 // in core seconds, in all
-	remaining float64 // in core seconds
+	id        string  // query ID, to find the job for a change of its priority
+	totalWork float64 // in core seconds, of the whole job
+	remaining float64 // in core seconds, as of machine.advancedTo
 	threads   float64
 	priority  int
 	granted   float64       // memory in MB
-	rate      float64       // core seconds a second
+	rate      float64       // core seconds done per second
 	done      chan struct{} // closed when all work is done
 }
 
-// machine shares cores between jobs, by priority 1 : 4 : 8 : 16.
+// machine models a machine that shares its cores between jobs. Per thread, the priorities 0 to 3 have the weights 1 : 4 : 8 : 16.
 type machine struct {
 	model Model
 
 	mu         sync.Mutex
 	jobs       []*job
-	advancedTo time.Time // the jobs' remaining work is that of this time
+	advancedTo time.Time // the time that the jobs' remaining work was computed for
 	started    time.Time
 	cold       bool
-	speed      float64 // factor on the speed of each core; 1: none
+	speed      float64 // factor on the speed of each core; 1: full speed
 	paused     bool
 	timer      *time.Timer
 }
 
-// newMachine returns an idle machine; a cold one warms up from now on.
+// newMachine returns an idle machine. A cold machine warms up from now on.
 func newMachine(m Model, cold bool) *machine {
 	m.defaults()
 	now := time.Now()
 	return &machine{model: m, advancedTo: now, started: now, cold: cold, speed: 1}
 }
 
-// capacity is the number of core seconds done a second.
+// capacity returns how many core seconds the machine can do per second. The caller holds mu.
 func (m *machine) capacity(now time.Time) float64 {
 	if m.paused {
 		return 0
@@ -78,25 +78,26 @@
 	for _, j := range m.jobs {
 		threads += j.threads
 	}
-	if over := threads / float64(m.model.Cores) / m.model.Knee; over > 1 {
-		c /= math.Sqrt(over)
+	if overload := threads / float64(m.model.Cores) / m.model.Knee; overload > 1 {
+		c /= math.Sqrt(overload)
 	}
 	return c
 }
 
-// advance applies the time since the last call and sets the rates anew. mu is held.
+// advance subtracts the work done since the last call, ends the jobs that are done, recomputes the rates and sets the timer for the
+// next call. The caller holds mu.
 func (m *machine) advance(now time.Time) {
-	span := now.Sub(m.advancedTo).Seconds()
+	elapsed := now.Sub(m.advancedTo).Seconds()
 	m.advancedTo = now
 	m.jobs = slices.DeleteFunc(m.jobs, func(j *job) bool {
-		if j.remaining -= j.rate * span; j.remaining > 1e-6 {
+		if j.remaining -= j.rate * elapsed; j.remaining > 1e-6 {
 			return false
 		}
 		close(j.done)
 		return true
 	})
 	m.share(now)
-	next := 50 * time.Millisecond // the capacity of a cold machine grows in between
+	next := 50 * time.Millisecond // at the latest, as the capacity of a cold machine grows
 	for _, j := range m.jobs {
 		if j.rate > 0 {
 			next = min(next, time.Duration(j.remaining/j.rate*1e9)+50*time.Microsecond)
@@ -110,26 +111,27 @@
 	}
 }
 
-// share divides the capacity by priority and threads; no job gets more than its threads can use.
+// share sets the jobs' rates: it divides the capacity in proportion to threads times priority weight. No job gets more than its threads
+// can use; the rest goes to the other jobs. The caller holds mu.
 func (m *machine) share(now time.Time) {
-	unallocated, open := m.capacity(now), slices.Clone(m.jobs)
-	for len(open) > 0 {
+	unallocated, unsaturated := m.capacity(now), slices.Clone(m.jobs)
+	for len(unsaturated) > 0 {
 		weights := 0.0
-		for _, j := range open {
+		for _, j := range unsaturated {
 			weights += j.threads * priorityWeight(j.priority)
 		}
-		saturated := false
-		for _, j := range open {
+		anySaturated := false
+		for _, j := range unsaturated {
 			if part := unallocated * j.threads * priorityWeight(j.priority) / weights; part >= j.threads*m.speed {
-				j.rate, saturated = j.threads*m.speed, true
+				j.rate, anySaturated = j.threads*m.speed, true
 			} else {
 				j.rate = part
 			}
 		}
-		if !saturated {
+		if !anySaturated {
 			return
 		}
-		open = slices.DeleteFunc(open, func(j *job) bool {
+		unsaturated = slices.DeleteFunc(unsaturated, func(j *job) bool {
 			full := j.rate >= j.threads*m.speed
 			if full {
 				unallocated -= j.rate
@@ -139,10 +141,10 @@
 	}
 }
 
-// priorityWeight is a priority's weight in share.
+// priorityWeight returns the weight of a priority in share. Priorities outside 0 to 3 count as the nearest of them.
 func priorityWeight(priority int) float64 { return [...]float64{1, 4, 8, 16}[min(max(priority, 0), 3)] }
 
-// update brings the machine up to now, and applies a change unless it is nil.
+// update advances the machine to now, and applies change unless it is nil.
 func (m *machine) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,8 +155,9 @@
 	}
 }
 
-// run adds a job; work is in core seconds, need and grant in MB. remove removes it before its end.
-func (m *machine) run(id string, work, threads, need, grant float64, priority int) (j *job, remove func()) {
+// addJob adds a job and returns it with a function that removes it before its end. work is in core seconds, need and grant are in MB. A
+// grant of 0 means need. The job is granted no more memory than is free.
+func (m *machine) addJob(id string, work, threads, need, grant float64, priority int) (j *job, remove func()) {
 	j = &job{id: id, remaining: work, threads: max(threads, 1), priority: priority, done: make(chan struct{})}
 	m.update(func() {
 		free := m.model.MemoryMB
@@ -176,14 +179,14 @@
 	}
 }
 
-// progress is the share of a job's work that is done.
+// progress returns the share of a job's work that is done, from 0 to 1.
 func (m *machine) progress(j *job) (share float64) {
 	m.update(func() { share = 1 - j.remaining/max(j.totalWork, 1e-9) })
 	return share
 }
 
-// load is the busy share of the cores, the number of jobs, and the granted share of memory.
-func (m *machine) load() (util, inflight, memory float64) {
+// load returns the busy share of the cores (jobs' threads per core, at most 1), the number of jobs, and the granted share of memory.
+func (m *machine) load() (utilization, inFlight, memory float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	threads, granted := 0.0, 0.0
--- a/simulated/nameservice.go
+++ b/simulated/nameservice.go
@@ -11,23 +11,23 @@
 	"embershunt/nodelist"
 )
 
-// NameService is a simulated name service of the platform: it answers queries for the endpoint list over UDP.
+// NameService is a simulated name service of the platform. It answers DNS queries with the endpoint list over UDP.
 type NameService struct {
 	conn  *net.UDPConn
 	names nodelist.Names
 	done  sync.WaitGroup
 
 	mu      sync.Mutex
-	number  uint32
+	number  uint32 // serial number of the list
 	nodes   []nodelist.Node
-	corrupt func(question, answer []byte) []byte // applied to each answer; nil: none
-	delay   time.Duration                        // of every answer
+	corrupt func(question, answer []byte) []byte // applied to each answer; nil: answers are sent as they are
+	delay   time.Duration                        // how much later each answer is sent
 	queries int
-	clients map[netip.AddrPort]bool // clients that have sent a query
-	muted   map[netip.AddrPort]bool // clients that get no answer any more
+	clients map[netip.AddrPort]bool // clients that have sent a query since the last Mute
+	muted   map[netip.AddrPort]bool // clients that get no answer
 }
 
-// NewNameService listens on loopback.
+// NewNameService returns a name service that listens on any free port on loopback. Its list is empty until Set.
 func NewNameService(names nodelist.Names) (*NameService, error) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -39,21 +39,21 @@
 	return s, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the service listens on, as host:port.
 func (s *NameService) Address() string { return s.conn.LocalAddr().String() }
 
-// Set changes the list and its serial number.
+// Set replaces the list and its serial number.
 func (s *NameService) Set(number uint32, nodes []nodelist.Node) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.number, s.nodes = number, nodes
 }
 
-// Corrupt has a function change every answer; an empty one is not sent.
-func (s *NameService) Corrupt(spoil func(question, answer []byte) []byte) {
+// Corrupt sets a function that changes every answer. An answer that it returns empty is not sent.
+func (s *NameService) Corrupt(corrupt func(question, answer []byte) []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.corrupt = spoil
+	s.corrupt = corrupt
 }
 
 // SetDelay sets how much later every answer is sent.
@@ -63,35 +63,35 @@
 	s.delay = d
 }
 
-// Mute stops answers to all clients that have sent a query so far.
+// Mute stops answers to the clients that have sent a query since the last call. The clients of the last call get answers again.
 func (s *NameService) Mute() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted, s.clients = s.clients, map[netip.AddrPort]bool{}
 }
 
-// Queries counts the queries received.
+// Queries returns how many queries were received, including those of muted clients.
 func (s *NameService) Queries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queries
 }
 
-// Close stops it; delayed answers are lost.
+// Close stops the service. Delayed answers are lost.
 func (s *NameService) Close() {
 	_ = s.conn.Close() // the serve loop ends either way
 	s.done.Wait()
 }
 
-// send sends an answer; one that fails is like a datagram lost.
+// send sends an answer. A failure has the effect of a lost datagram.
 func (s *NameService) send(answer []byte, to netip.AddrPort) {
-	_, _ = s.conn.WriteToUDPAddrPort(answer, to) // UDP gives no promise
+	_, _ = s.conn.WriteToUDPAddrPort(answer, to) // UDP does not guarantee delivery either
 }
 
 // serve answers queries until the socket is closed.
 func (s *NameService) serve() {
 	defer s.done.Done()
-	buf := make([]byte, 512)
+	buf := make([]byte, 512) // the limit of DNS over UDP without EDNS
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		if err != nil {
@@ -104,14 +104,14 @@
 		s.mu.Lock()
 		s.queries++
 		s.clients[from] = true
-		mute := s.muted[from]
-		answer, spoil, delay := ListAnswer(q.ID, s.number, s.nodes, s.names), s.corrupt, s.delay
+		muted := s.muted[from]
+		answer, corrupt, delay := ListAnswer(q.ID, s.number, s.nodes, s.names), s.corrupt, s.delay
 		s.mu.Unlock()
-		if spoil != nil {
-			answer = spoil(buf[:n], answer)
+		if corrupt != nil {
+			answer = corrupt(buf[:n], answer)
 		}
 		switch {
-		case len(answer) == 0 || mute:
+		case len(answer) == 0 || muted:
 		case delay > 0:
 			time.AfterFunc(delay, func() { s.send(answer, from) })
 		default:
--- a/simulated/native.go
+++ b/simulated/native.go
@@ -17,8 +17,8 @@
 	"embershunt/internal/native"
 )
 
-// serveNative accepts connections of the ClickHouse native protocol. Blocks are encoded by ch-go, so that the dispatcher's parser is
-// tested against an independent implementation.
+// serveNative accepts connections of the ClickHouse native protocol until the listener is closed. ch-go encodes the blocks, so that the
+// dispatcher's parser is tested against an independent implementation.
 func (n *Node) serveNative(ctx context.Context, p *process) {
 	for {
 		conn, err := p.nativeListener.Accept()
@@ -28,7 +28,7 @@
 		p.run(func() {
 			stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // the process ends
 			defer stop()
-			defer func() { _ = conn.Close() }() // all that is to be sent was flushed
+			defer func() { _ = conn.Close() }() // everything to send was flushed
 			n.change(func() { n.nativeConns++ })
 			defer n.change(func() { n.nativeConns-- })
 			s := &nativeServer{node: n, process: p, conn: conn, w: bufio.NewWriterSize(conn, 64<<10)}
@@ -44,9 +44,9 @@
 	process     *process
 	conn        net.Conn
 	w           *bufio.Writer
-	revision    int
+	revision    int              // of the protocol, as negotiated
 	compression *compress.Writer // of the current query; nil: blocks are not compressed
-	tables      map[string]bool  // temporary tables, which end with the connection
+	tables      map[string]bool  // temporary tables, which are dropped with the connection
 }
 
 // write buffers bytes until the next flush.
@@ -54,10 +54,10 @@
 	_, _ = s.w.Write(b) // the writer keeps its first error until Flush
 }
 
-// flush sends what is buffered; false where the connection has failed.
+// flush sends the buffered bytes, and returns false if the connection has failed.
 func (s *nativeServer) flush() bool { return s.w.Flush() == nil }
 
-// serve answers queries until the connection is to be closed.
+// serve performs the handshake and answers queries until the connection must be closed.
 func (s *nativeServer) serve(ctx context.Context) {
 	r := native.NewReader(s.conn, 64<<20)
 	hello, err := r.ReadHello()
@@ -92,14 +92,14 @@
 	}
 }
 
-// clientPacket is a packet from the client; code says which of its fields is set.
+// clientPacket is a packet from the client. query is set for the code ClientQuery, block for ClientData.
 type clientPacket struct {
 	code  uint64
 	query native.Query
 	block native.Block
 }
 
-// readPackets hands the client's packets over until one cannot be read, or done is closed.
+// readPackets sends the client's packets to the channel until reading fails or done is closed, and closes the channel.
 func (s *nativeServer) readPackets(r *native.Reader, packets chan<- clientPacket, done <-chan struct{}) {
 	defer close(packets)
 	for {
@@ -129,9 +129,9 @@
 // externalTablePrefix begins the names of settings that readQuery adds for external tables.
 const externalTablePrefix = "standin_table_"
 
-var errNoTableData = errors.New("a query is followed by a packet other than Data")
+var errNoTableData = errors.New("expected a Data packet after the Query packet")
 
-// readQuery reads a query and its external tables, which are added as settings: their names and rows.
+// readQuery reads a query and its external tables. It adds a setting with the number of rows for each external table.
 func (s *nativeServer) readQuery(r *native.Reader) (native.Query, error) {
 	q, err := r.ReadQuery(s.revision)
 	if err != nil {
@@ -154,7 +154,7 @@
 	}
 }
 
-// query runs a statement; false where the connection must be closed.
+// query runs a statement and answers it. It returns false if the connection must be closed.
 func (s *nativeServer) query(ctx context.Context, packets <-chan clientPacket, q native.Query) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -172,14 +172,14 @@
 	select {
 	case ok := <-answered:
 		return ok
-	case <-packets: // a cancel, or the end of the connection
+	case <-packets: // the client cancelled or disconnected
 		cancel()
 		<-answered
 		return false
 	}
 }
 
-// compressionOf is the compression of a query's answer; nil for none.
+// compressionOf returns a writer for the compression that a query asks for; nil: none.
 func compressionOf(q native.Query) *compress.Writer {
 	if !q.Compression {
 		return nil
@@ -194,7 +194,8 @@
 	return compress.NewWriter(0, method)
 }
 
-// receiveInsert sends an INSERT's columns and counts the rows that the client sends; false where the connection must be closed.
+// receiveInsert sends the columns of an INSERT and counts the rows that the client sends. ok is false if the connection must be
+// closed.
 func (s *nativeServer) receiveInsert(packets <-chan clientPacket) (rows int, ok bool) {
 	if s.node.faults().Hang {
 		for range packets { // no answer until the client disconnects
@@ -216,7 +217,7 @@
 	}
 }
 
-// setting is the value of a query's setting; "" where it is not set.
+// setting returns the value of a query's setting; "" if it is not set.
 func setting(q native.Query, name string) string {
 	for _, s := range q.Settings {
 		if s.Name == name {
@@ -226,7 +227,8 @@
 	return ""
 }
 
-// recordAttempt records an attempt with its query ID and settings.
+// recordAttempt records an attempt with its query ID and settings. The returned context has the query ID, attempt number, priority and
+// memory grant as call headers, as with Flight SQL.
 func (s *nativeServer) recordAttempt(ctx context.Context, q native.Query) (context.Context, *AttemptRecord) {
 	id, number := q.ID, "0"
 	if i := strings.LastIndexByte(id, '-'); i > 0 {
@@ -252,7 +254,7 @@
 	return ctx, attempt
 }
 
-// temporaryTable matches the name of a temporary table, known only to the connection that created it.
+// temporaryTable matches the name of a temporary table, which only the connection that created the table knows.
 var temporaryTable = regexp.MustCompile(`\btmp_[a-z0-9_]+`)
 
 // trackTables records the temporary tables that a statement creates or drops.
--- a/simulated/nativeresult.go
+++ b/simulated/nativeresult.go
@@ -12,39 +12,39 @@
 	"embershunt/internal/native"
 )
 
-// scannedRows is how many rows each query's progress packets add up to.
+// scannedRows is the total number of scanned rows that the Progress packets of each query report.
 const scannedRows = 1000
 
-// Codes of the engine's exceptions.
+// Codes of ClickHouse exceptions.
 const (
-	codeUnknownTable     = 60
-	codeSyntaxError      = 62
-	codeTooManyQueries   = 202
-	codeMemoryLimit      = 241
-	codeUnknownException = 1001
+	codeUnknownTable   = 60
+	codeSyntaxError    = 62
+	codeTooManyQueries = 202
+	codeMemoryLimit    = 241
+	codeStdException   = 1001
 )
 
-// answer runs a statement and writes its answer; false where the connection must be closed.
+// answer runs a statement and writes its answer. It returns false if the connection must be closed.
 func (s *nativeServer) answer(ctx context.Context, q native.Query, attempt *AttemptRecord, insertedRows int) bool {
 	h := parseHints(q.Text)
 	if name := temporaryTable.FindString(q.Text); name != "" && !s.tables[name] && !strings.Contains(q.Text, "CREATE TEMPORARY") {
-		s.node.change(func() { s.node.tally.Misplaced = append(s.node.tally.Misplaced, q.Text) })
+		s.node.change(func() { s.node.sessionRecord.Misplaced = append(s.node.sessionRecord.Misplaced, q.Text) })
 		s.writeException(codeUnknownTable, "Table "+name+" does not exist")
 		return true
 	}
-	reported := 0
-	err := s.node.work(ctx, s.process, attempt, h, func(share float64) {
+	reportedRows := 0
+	err := s.node.runStatement(ctx, s.process, attempt, h, func(share float64) {
 		scanned := int(share * scannedRows)
-		if scanned <= reported {
+		if scanned <= reportedRows {
 			return
 		}
 		total := 0
-		if reported == 0 {
+		if reportedRows == 0 {
 			total = scannedRows
 		}
-		s.writeProgress(scanned-reported, total)
-		s.flush() // a failure shows at the flush after the answer
-		reported = scanned
+		s.writeProgress(scanned-reportedRows, total)
+		s.flush() // a failure shows again at the flush after the answer
+		reportedRows = scanned
 	})
 	if ctx.Err() != nil && err != nil {
 		return false
@@ -54,7 +54,7 @@
 		return true
 	}
 	s.trackTables(q.Text)
-	s.writeProgress(scannedRows-reported, 0)
+	s.writeProgress(scannedRows-reportedRows, 0)
 	s.writeProfileEvents(h)
 	if isUpdate(q.Text) {
 		s.node.change(func() { attempt.Rows = insertedRows })
@@ -64,7 +64,7 @@
 	return s.writeResult(ctx, h, attempt)
 }
 
-// exceptionCode is the engine's code for an error of work.
+// exceptionCode returns the ClickHouse exception code for an error returned by runStatement.
 func exceptionCode(err error) int32 {
 	switch status.Code(err) {
 	case codes.InvalidArgument:
@@ -72,7 +72,7 @@
 	case codes.ResourceExhausted:
 		return codeTooManyQueries
 	}
-	return codeUnknownException
+	return codeStdException
 }
 
 // writeException writes an Exception packet.
@@ -80,7 +80,8 @@
 	s.write((&native.Exception{Code: code, Name: "DB::Exception", Message: "DB::Exception: " + message}).Encode())
 }
 
-// writeResult writes a query's rows, subject to the faults that strike among them; false where the connection must be closed.
+// writeResult writes a query's rows and applies the StallRow, CutRow and Broken faults between blocks. It returns false if the
+// connection must be closed.
 func (s *nativeServer) writeResult(ctx context.Context, h hints, attempt *AttemptRecord) bool {
 	if s.writeRows(0, 0, h) != nil {
 		return false
@@ -111,7 +112,7 @@
 	return true
 }
 
-// nativeBlockRows is how many rows the next block has: it ends where a fault strikes.
+// nativeBlockRows returns the number of rows of the next block, which ends at the row of a StallRow or CutRow fault.
 func nativeBlockRows(h hints, f Faults, sent int) int {
 	n := min(batchRows, h.rows-sent)
 	if h.rowBytes > 0 {
@@ -123,7 +124,8 @@
 	return n
 }
 
-// writeProgress writes a Progress packet: rows read since the last one, and what they add to the expected total.
+// writeProgress writes a Progress packet: the rows read since the last packet, and by how many rows the expected total grows. All other
+// counters are 0.
 func (s *nativeServer) writeProgress(rows, total int) {
 	s.write(native.PutUvarint([]byte{native.ServerProgress}, uint64(rows)))
 	s.write(native.PutUvarint([]byte{0}, uint64(total)))
@@ -133,7 +135,7 @@
 	}
 }
 
-// writeProfileEvents writes a ProfileEvents packet: the query's CPU time and peak memory.
+// writeProfileEvents writes a ProfileEvents packet with the query's CPU time and peak memory, as its hints state them.
 func (s *nativeServer) writeProfileEvents(h hints) {
 	var host proto.ColStr
 	var at proto.ColDateTime
@@ -161,7 +163,7 @@
 	}
 }
 
-// writeRows writes a Data packet of n rows, numbered from a first one on.
+// writeRows writes a Data packet of n rows. The row numbers begin with from.
 func (s *nativeServer) writeRows(from, n int, h hints) error {
 	names := new(proto.ColStr)
 	var numbers proto.ColInt64
@@ -178,7 +180,7 @@
 	return s.writeBlock(input, n)
 }
 
-// writeBlock writes a Data packet, compressed where the client asked for that.
+// writeBlock writes a Data packet, with its block compressed if the client asked for compression.
 func (s *nativeServer) writeBlock(input proto.Input, rows int) error {
 	var b proto.Buffer
 	if err := (proto.Block{Rows: rows, Columns: len(input), Info: proto.BlockInfo{BucketNum: -1}}).EncodeBlock(&b, s.revision, input); err != nil {
--- a/simulated/node.go
+++ b/simulated/node.go
@@ -1,6 +1,6 @@
-// Package simulated has simulated peers of a dispatcher: query nodes that speak Flight SQL, the ClickHouse native protocol or the
-// platform's line protocol, a name service, a control service, and a TCP relay that fails on demand. They are written from the
-// public specifications; their costs are a model, not a measurement of any engine.
+// Package simulated provides simulated peers of a dispatcher for tests and demonstrations: query nodes that speak Flight SQL, the
+// ClickHouse native protocol or the platform's line protocol, a name service, a control service, and a TCP relay that fails on demand.
+// They are written from the public specifications; the costs of queries are a model, not a measurement of any engine.
 package simulated
 
 import (
@@ -9,35 +9,36 @@
 	"time"
 )
 
-// Node is a simulated query node of Flight SQL and the ClickHouse native protocol.
+// Node is a simulated query node that serves Flight SQL and the ClickHouse native protocol.
 type Node struct {
 	Name    string
-	Address string // set by Start
-	Native  string // address of the native protocol, set by Start
-	// Revision is the newest of the native protocol that it speaks; 0: the newest there is.
+	Address string // host:port of Flight SQL, set by Start
+	Native  string // host:port of the native protocol, set by Start; if set before, Start listens there
+	// Revision is the newest revision of the native protocol that the node speaks; 0: native.NewestRevision.
 	Revision int
 
 	model Model
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	rng             *rand.Rand
-	process         *process
+	process         *process // nil while the node is down
 	currentFaults   Faults
 	attempts        []*AttemptRecord
-	changed         chan struct{} // closed and replaced at each change
-	tokens          *Tokens       // to deduplicate updates by; nil: none
-	nativeConns     int           // of the native protocol
-	sessions        sessionState  // of the current process
-	temporaryTables int           // tables on native connections
-	tally           SessionRecord
+	changed         chan struct{} // closed and replaced at each call of change
+	tokens          *Tokens       // deduplication tokens of updates; nil: updates are not deduplicated
+	nativeConns     int           // open connections of the native protocol
+	sessions        sessionState  // lost with the process
+	temporaryTables int           // on open native connections
+	sessionRecord   SessionRecord
 }
 
-// NewNode returns a node that is not started.
+// NewNode returns a node that is not started. seed is for the random choice of queries that the Fail fault strikes.
 func NewNode(name string, m Model, seed uint64) *Node {
-	return &Node{Name: name, model: m, changed: make(chan struct{}), tally: SessionRecord{Commits: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
+	return &Node{Name: name, model: m, changed: make(chan struct{}),
+		sessionRecord: SessionRecord{Commits: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// Started is when the current process started; zero while the node is down.
+// Started returns when the current process started; zero while the node is down.
 func (n *Node) Started() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,21 +48,21 @@
 	return n.process.started
 }
 
-// NativeConns is the number of open connections of the native protocol.
+// NativeConns returns the number of open connections of the native protocol.
 func (n *Node) NativeConns() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nativeConns
 }
 
-// Temporary is the number of temporary tables on native connections.
+// Temporary returns the number of temporary tables on open native connections.
 func (n *Node) Temporary() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.temporaryTables
 }
 
-// Freeze makes the node unresponsive: no reset, no answer, until it dies or restarts.
+// Freeze makes the node unresponsive until Crash: its connections stay open, but nothing is read or written.
 func (n *Node) Freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/simulated/platformnode.go
+++ b/simulated/platformnode.go
@@ -10,14 +10,14 @@
 	"sync"
 )
 
-// PlatformCommand is one command that a PlatformNode received.
+// PlatformCommand is a command that a PlatformNode received.
 type PlatformCommand struct {
 	Verb, ID, Fields, Text string
-	N                      int // of PAGE and RANK
+	N                      int // page number of PAGE, priority of RANK
 }
 
-// PlatformNode is a query node of the platform's line protocol that a test scripts: a function is called with every command, and
-// writes answers to the connection.
+// PlatformNode is a query node of the platform's line protocol that a test scripts: it calls a function with every command, and the
+// function writes the answers to the connection.
 type PlatformNode struct {
 	listener net.Listener
 	handle   func(c net.Conn, cmd PlatformCommand)
@@ -29,7 +29,8 @@
 	accepted int
 }
 
-// NewPlatformNode listens at an address, "" for any free port on loopback. handle may be nil: commands are only recorded.
+// NewPlatformNode returns a node that listens on an address; "" is any free port on loopback. If handle is nil, commands are only
+// recorded.
 func NewPlatformNode(address string, handle func(c net.Conn, cmd PlatformCommand)) (*PlatformNode, error) {
 	if address == "" {
 		address = "127.0.0.1:0"
@@ -44,7 +45,7 @@
 	return n, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the node listens on, as host:port.
 func (n *PlatformNode) Address() string { return n.listener.Addr().String() }
 
 // Commands returns the commands received so far.
@@ -54,21 +55,21 @@
 	return append([]PlatformCommand(nil), n.commands...)
 }
 
-// Forget clears the commands received so far.
+// Forget clears the record of commands received so far.
 func (n *PlatformNode) Forget() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.commands = nil
 }
 
-// Accepted counts the connections accepted.
+// Accepted returns how many connections the node has accepted.
 func (n *PlatformNode) Accepted() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.accepted
 }
 
-// Close ends it as a process that dies: its connections break.
+// Close stops the node like a process that crashes: its connections are reset.
 func (n *PlatformNode) Close() {
 	_ = n.listener.Close() // the accept loop ends either way
 	n.mu.Lock()
@@ -103,7 +104,7 @@
 		n.mu.Lock()
 		delete(n.conns, c)
 		n.mu.Unlock()
-		_ = c.Close() // it may have been reset already
+		_ = c.Close() // it may be closed already
 	}()
 	r := bufio.NewReader(c)
 	for {
@@ -120,7 +121,8 @@
 	}
 }
 
-// readCommand reads one command, with the text of a GET. It panics on one that is too short: the tests' dispatcher sends none.
+// readCommand reads one command, with the text of a GET. It panics if the command has too few words, which the dispatcher under test
+// never sends.
 func readCommand(r *bufio.Reader) (PlatformCommand, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -143,12 +145,12 @@
 		}
 		cmd.Fields, cmd.Text = words[2], string(text[:length])
 	case "PAGE", "RANK":
-		cmd.N, _ = strconv.Atoi(words[2]) // zero where it is no number
+		cmd.N, _ = strconv.Atoi(words[2]) // 0 if it is not a number
 	}
 	return cmd, nil
 }
 
-// PlatformAnswer is one answer of the platform's line protocol; "" for fields is none.
+// PlatformAnswer returns an answer of the platform's line protocol. fields may be "" for none.
 func PlatformAnswer(id, outcome, fields, body string) string {
 	if fields == "" {
 		fields = "-"
@@ -156,10 +158,10 @@
 	return fmt.Sprintf("%s %s %s %d\r\n%s\r\n", id, outcome, fields, len(body), body)
 }
 
-// ResetConn closes a connection so that the other side gets a TCP reset.
+// ResetConn closes a connection so that the peer receives a TCP reset.
 func ResetConn(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
-		_ = t.SetLinger(0) // fails on a closed connection only
+		_ = t.SetLinger(0) // fails only on a closed connection
 	}
 	_ = c.Close() // nothing more is sent on it
 }
--- a/simulated/process.go
+++ b/simulated/process.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// process is one incarnation of a node, from Start to Die.
+// process is one incarnation of a node, from Start to Crash.
 type process struct {
 	machine        *machine
 	server         *grpc.Server
@@ -27,7 +27,8 @@
 	done           sync.WaitGroup
 }
 
-// Start brings the node up, at the address it had before if it had one; a cold one starts at part of its speed.
+// Start starts the node. It listens on the address of its previous incarnation, or else on the given one. A cold node starts at a part
+// of its capacity, see Model.
 func (n *Node) Start(address string, cold bool) error {
 	flightListener, nativeListener, err := n.listen(address)
 	if err != nil {
@@ -42,13 +43,13 @@
 	n.sessions = sessionState{transactions: map[string]*transaction{}, bySession: map[string]string{}}
 	n.mu.Unlock()
 	n.applyFaults(p)
-	p.run(func() { _ = p.server.Serve(p.flightListener) }) // Die ends it
+	p.run(func() { _ = p.server.Serve(p.flightListener) }) // Crash ends it
 	p.run(func() { n.serveNative(ctx, p) })
 	p.run(func() { n.injectPauses(ctx, p) })
 	return nil
 }
 
-// run runs a function in a goroutine that Die waits for.
+// run runs a function in a goroutine that Crash waits for.
 func (p *process) run(f func()) {
 	p.done.Add(1)
 	go func() {
@@ -57,7 +58,7 @@
 	}()
 }
 
-// listen opens both listeners, and sets Address and Native to where they listen.
+// listen opens both listeners, and sets Address and Native to their addresses.
 func (n *Node) listen(address string) (flightListener, nativeListener net.Listener, err error) {
 	if n.Address != "" {
 		address = n.Address
@@ -73,24 +74,25 @@
 	}
 	nativeListener, err = net.Listen("tcp", nativeAddress)
 	if err != nil {
-		_ = flightListener.Close() // nobody has connected yet
+		_ = flightListener.Close() // no client has connected yet
 		return nil, nil, err
 	}
 	n.Native = nativeListener.Addr().String()
 	return flightListener, nativeListener, nil
 }
 
+// Limits of gRPC messages.
 const (
 	maxReceivedBytes = 16 << 20
 	maxSentBytes     = 64 << 20
 )
 
-// newFlightServer is the node's gRPC server: Flight SQL and health, with a load report in each call's trailers.
+// newFlightServer returns the node's gRPC server for Flight SQL and health checks. Each call's trailers have a load report.
 func (n *Node) newFlightServer(ctx context.Context, p *process) *grpc.Server {
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxReceivedBytes), grpc.MaxSendMsgSize(maxSentBytes),
 		grpc.ChainUnaryInterceptor(func(ctx context.Context, req any, _ *grpc.UnaryServerInfo, h grpc.UnaryHandler) (any, error) {
 			answer, err := h(ctx, req)
-			_ = grpc.SetTrailer(ctx, p.report()) // fails outside a call only
+			_ = grpc.SetTrailer(ctx, p.report()) // fails only outside of a call
 			return answer, err
 		}),
 		grpc.ChainStreamInterceptor(func(srv any, s grpc.ServerStream, _ *grpc.StreamServerInfo, h grpc.StreamHandler) error {
@@ -104,7 +106,7 @@
 	return server
 }
 
-// Crash ends the process at once: connections break, and its sessions are lost.
+// Crash ends the process immediately: its connections are closed and its sessions are lost. It does nothing if the node is down.
 func (n *Node) Crash() {
 	n.mu.Lock()
 	p := n.process
@@ -122,11 +124,11 @@
 	n.change(func() { n.sessions = sessionState{} })
 }
 
-// report is an ORCA load report as trailers (gRFC A51).
+// report returns an ORCA load report as gRPC trailers (gRFC A51).
 func (p *process) report() metadata.MD {
-	util, inflight, memory := p.machine.load()
-	b, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: util, Utilization: map[string]float64{"memory": memory},
-		NamedMetrics: map[string]float64{"inflight": inflight}})
+	utilization, inFlight, memory := p.machine.load()
+	b, err := proto.Marshal(&orcav3.OrcaLoadReport{CpuUtilization: utilization, Utilization: map[string]float64{"memory": memory},
+		NamedMetrics: map[string]float64{"inflight": inFlight}})
 	if err != nil {
 		return nil
 	}
--- a/simulated/relay.go
+++ b/simulated/relay.go
@@ -7,47 +7,48 @@
 	"sync"
 )
 
-// Relay forwards TCP connections to an address, and can hold, cut or redirect them at a byte: a network that fails on demand.
+// Relay forwards TCP connections to an address. It can hold or cut them after a number of bytes and redirect them, to simulate network
+// failures.
 type Relay struct {
 	listener net.Listener
 	done     sync.WaitGroup
 
 	mu           sync.Mutex
 	target       string
-	remaining    int // bytes towards the client until atLimit is called; -1: no limit
+	remaining    int // bytes to clients until atLimit is called; -1: no limit
 	atLimit      func(client, server net.Conn)
 	conns        map[net.Conn]bool
 	released     chan struct{} // closed by Release
 	limitReached chan struct{} // closed when remaining reaches zero
 }
 
-// NewRelay listens on loopback.
-func NewRelay(to string) (*Relay, error) {
+// NewRelay returns a relay to an address. It listens on any free port on loopback.
+func NewRelay(target string) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: to, remaining: -1, conns: map[net.Conn]bool{}}
+	r := &Relay{listener: l, target: target, remaining: -1, conns: map[net.Conn]bool{}}
 	r.done.Add(1)
 	go r.accept()
 	return r, nil
 }
 
-// Address is where clients connect.
+// Address returns the address that clients connect to, as host:port.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Redirect forwards new connections to another address, and closes those that are open.
-func (r *Relay) Redirect(to string) {
+// Redirect forwards new connections to another address, and closes all open connections.
+func (r *Relay) Redirect(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.target = to
+	r.target = target
 	for c := range r.conns {
 		_ = c.Close() // its copies end either way
 	}
 }
 
-// CutAfter closes a connection once n more bytes have passed towards clients; later connections are not cut. The channel is
-// closed when it happens.
+// CutAfter closes a connection once n more bytes, counted over all connections, have passed to clients. Later connections are not cut.
+// The returned channel is closed when the limit is reached.
 func (r *Relay) CutAfter(n int) <-chan struct{} {
 	return r.limit(n, func(client, server net.Conn) {
 		_ = client.Close() // its copies end either way
@@ -55,7 +56,8 @@
 	})
 }
 
-// HoldAfter lets n more bytes pass towards clients and holds the rest until Release. The channel is closed when it begins.
+// HoldAfter lets n more bytes, counted over all connections, pass to clients, and then holds the connection that passed the last of
+// them until Release. Other connections are not held. The returned channel is closed when the limit is reached.
 func (r *Relay) HoldAfter(n int) <-chan struct{} {
 	r.mu.Lock()
 	released := make(chan struct{})
@@ -64,7 +66,7 @@
 	return r.limit(n, func(net.Conn, net.Conn) { <-released })
 }
 
-// Release lets pass what HoldAfter holds.
+// Release forwards the bytes that HoldAfter holds back.
 func (r *Relay) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// limit sets after how many bytes towards clients a function is called, once; the channel is closed then.
+// limit sets a function to call once, after n more bytes to clients over all connections. The returned channel is closed then.
 func (r *Relay) limit(n int, atLimit func(client, server net.Conn)) <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,7 +104,7 @@
 		server, err := net.Dial("tcp", r.target)
 		if err != nil {
 			r.mu.Unlock()
-			_ = client.Close() // nothing was read from it
+			_ = client.Close() // no data was read from it
 			continue
 		}
 		r.conns[client], r.conns[server] = true, true
@@ -110,18 +112,18 @@
 		r.done.Add(2)
 		go func() {
 			defer r.done.Done()
-			_, _ = io.Copy(server, client) // the end of either side ends both
+			_, _ = io.Copy(server, client) // the end of either direction ends both
 			r.closeConns(client, server)
 		}()
 		go func() {
 			defer r.done.Done()
-			_ = r.copyToClient(client, server) // the end of either side ends both
+			_ = r.copyToClient(client, server) // the end of either direction ends both
 			r.closeConns(client, server)
 		}()
 	}
 }
 
-// closeConns closes connections and forgets them.
+// closeConns closes connections and removes them from conns.
 func (r *Relay) closeConns(conns ...net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -131,31 +133,31 @@
 	}
 }
 
-// copyToClient forwards what the server sends, and calls atLimit where the limit is reached.
+// copyToClient forwards the server's bytes until either connection fails, and calls atLimit when the limit is reached.
 func (r *Relay) copyToClient(client, server net.Conn) error {
 	b := make([]byte, 32<<10)
 	for {
 		n, err := server.Read(b)
 		r.mu.Lock()
-		pass, after := n, r.atLimit
+		pass, onLimit := n, r.atLimit
 		if r.remaining >= 0 && n >= r.remaining {
 			pass, r.remaining = r.remaining, -1
 			close(r.limitReached)
 		} else {
-			after = nil
+			onLimit = nil
 			if r.remaining >= 0 {
 				r.remaining -= n
 			}
 		}
 		r.mu.Unlock()
-		_, failed := client.Write(b[:pass])
-		if after != nil {
-			after(client, server)
-			if _, more := client.Write(b[pass:n]); more != nil {
-				failed = more
+		_, writeErr := client.Write(b[:pass])
+		if onLimit != nil {
+			onLimit(client, server)
+			if _, restErr := client.Write(b[pass:n]); restErr != nil {
+				writeErr = restErr
 			}
 		}
-		if err = errors.Join(err, failed); err != nil {
+		if err = errors.Join(err, writeErr); err != nil {
 			return err
 		}
 	}
--- a/simulated/tokens.go
+++ b/simulated/tokens.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Tokens are the deduplication tokens that a group of nodes shares.
+// Tokens is the set of deduplication tokens that a group of nodes shares.
 type Tokens struct {
 	mu      sync.Mutex
-	window  time.Duration
-	claimed map[string]time.Time // when each was claimed last
+	window  time.Duration        // dedup window
+	claimed map[string]time.Time // when each token was last claimed with success
 }
 
-// NewTokens returns a set that remembers each token for a window of time.
+// NewTokens returns an empty set that remembers each token for a dedup window.
 func NewTokens(window time.Duration) *Tokens {
 	return &Tokens{window: window, claimed: map[string]time.Time{}}
 }
 
-// claim records a token; false where it was claimed within the window.
+// claim records a token and returns true, or returns false if the token was claimed within the window.
 func (t *Tokens) claim(token string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,7 +30,7 @@
 	return true
 }
 
-// Share has the node deduplicate by these tokens, with the other nodes that share them.
+// Share makes the node deduplicate updates by these tokens, together with the other nodes that share them.
 func (n *Node) Share(t *Tokens) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/simulated/transaction.go
+++ b/simulated/transaction.go
@@ -12,46 +12,46 @@
 	"google.golang.org/grpc/status"
 )
 
-// sessionState is the state of sessions in a node's current process.
+// sessionState is the state of the sessions in a node's process.
 type sessionState struct {
-	serial       int
+	serial       int                     // of the last transaction begun
 	transactions map[string]*transaction // by transaction ID
 	bySession    map[string]string       // open transaction by session ID
 }
 
 // transaction is an open transaction; its writes become visible when it is committed.
 type transaction struct {
-	session    string
-	idle       time.Duration // rolled back after so long without a statement; 0: never
+	session    string        // session ID; "": none
+	idleLimit  time.Duration // how long it may be without a statement before it is rolled back; 0: without limit
 	lastUsed   time.Time
-	writes     []string
+	writes     []string       // statements of updates, in order
 	savepoints map[string]int // by savepoint ID: the number of writes before it
 }
 
-// SessionRecord is what sessions did at a node, over all its incarnations.
+// SessionRecord is the record of transactions and misplaced statements at a node, over all its incarnations.
 type SessionRecord struct {
-	Begun     int            // transactions
-	Committed []string       // statements that became visible, in order
-	Commits   map[string]int // by session: how often one was committed
-	Misplaced []string       // statements that came where their state was not
+	Begun     int            // number of transactions begun
+	Committed []string       // statements of committed transactions, in order of commit
+	Commits   map[string]int // number of commits by session ID
+	Misplaced []string       // statements that reached the node without their transaction or temporary table being there
 }
 
-// Transactions is the number of open transactions.
+// Transactions returns the number of open transactions.
 func (n *Node) Transactions() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.sessions.transactions)
 }
 
-// Tally returns what sessions did here.
+// Tally returns a copy of the node's session record.
 func (n *Node) Tally() SessionRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return SessionRecord{Begun: n.tally.Begun, Committed: slices.Clone(n.tally.Committed), Commits: maps.Clone(n.tally.Commits),
-		Misplaced: slices.Clone(n.tally.Misplaced)}
+	return SessionRecord{Begun: n.sessionRecord.Begun, Committed: slices.Clone(n.sessionRecord.Committed),
+		Commits: maps.Clone(n.sessionRecord.Commits), Misplaced: slices.Clone(n.sessionRecord.Misplaced)}
 }
 
-// sessionOf is the session ID in a call's headers; "" for none.
+// sessionOf returns the session ID in a call's headers; "" for none.
 func sessionOf(ctx context.Context) string {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get("embershunt-session"); len(v) > 0 {
@@ -60,29 +60,29 @@
 	return ""
 }
 
-// idleOf is how long a transaction may be idle, by the header of its BEGIN; 0: without limit.
-func idleOf(ctx context.Context) time.Duration {
+// idleLimitOf returns how long a transaction may be idle, as the headers of its BeginTransaction call state it; 0: without limit.
+func idleLimitOf(ctx context.Context) time.Duration {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get("embershunt-session-idle-ms"); len(v) > 0 {
-		ms, _ := strconv.ParseInt(v[0], 10, 64) // zero where it is no number
+		ms, _ := strconv.ParseInt(v[0], 10, 64) // 0 if it is not a number
 		return time.Duration(ms) * time.Millisecond
 	}
 	return 0
 }
 
-// rollBackIdle rolls back transactions that were idle for too long: their dispatcher may have crashed.
+// rollBackIdle rolls back transactions that have been idle for too long, as their dispatcher may have crashed.
 func (n *Node) rollBackIdle() {
 	n.change(func() {
 		for id, tx := range n.sessions.transactions {
-			if tx.idle > 0 && time.Since(tx.lastUsed) > tx.idle {
+			if tx.idleLimit > 0 && time.Since(tx.lastUsed) > tx.idleLimit {
 				n.endTransaction(id, false)
 			}
 		}
 	})
 }
 
-// useTransaction marks a statement's transaction as used; a statement whose transaction is not open here is recorded as misplaced.
-// An empty ID is no transaction.
+// useTransaction marks a statement's transaction as used. If the transaction is not open at this node, it returns an error and records
+// the statement as misplaced. An empty ID means no transaction.
 func (n *Node) useTransaction(id []byte, statement string) error {
 	if len(id) == 0 {
 		return nil
@@ -93,13 +93,13 @@
 		tx.lastUsed = time.Now()
 		return nil
 	}
-	if statement != "ROLLBACK" { // a second rollback does no harm
-		n.tally.Misplaced = append(n.tally.Misplaced, statement)
+	if statement != "ROLLBACK" { // a second rollback has no effect
+		n.sessionRecord.Misplaced = append(n.sessionRecord.Misplaced, statement)
 	}
 	return status.Errorf(codes.NotFound, "no transaction %q here", id)
 }
 
-// recordWrite adds a statement to its transaction.
+// recordWrite adds a statement to the writes of its transaction, if it has one.
 func (n *Node) recordWrite(id []byte, statement string) {
 	n.change(func() {
 		if tx := n.sessions.transactions[string(id)]; tx != nil {
@@ -108,7 +108,7 @@
 	})
 }
 
-// endTransaction commits or rolls back a transaction, if it is open. n.mu is held.
+// endTransaction commits or rolls back a transaction, if it is open. The caller holds n.mu.
 func (n *Node) endTransaction(id string, commit bool) {
 	tx := n.sessions.transactions[id]
 	if tx == nil {
@@ -118,12 +118,12 @@
 		delete(n.sessions.bySession, tx.session)
 	}
 	if commit {
-		n.tally.Commits[tx.session]++
-		n.tally.Committed = append(n.tally.Committed, tx.writes...)
+		n.sessionRecord.Commits[tx.session]++
+		n.sessionRecord.Committed = append(n.sessionRecord.Committed, tx.writes...)
 	}
 }
 
-// releaseSession rolls back the transaction that a session has open.
-func (n *Node) releaseSession(name string) {
-	n.change(func() { n.endTransaction(n.sessions.bySession[name], false) })
+// releaseSession rolls back the open transaction of a session, if it has one.
+func (n *Node) releaseSession(id string) {
+	n.change(func() { n.endTransaction(n.sessions.bySession[id], false) })
 }
--- a/simulated/work.go
+++ b/simulated/work.go
@@ -14,9 +14,9 @@
 // progressInterval is how often a running statement reports its progress.
 const progressInterval = 50 * time.Millisecond
 
-// work runs a statement on the machine, subject to the faults; onProgress, unless nil, is given the share of the work done now
-// and then.
-func (n *Node) work(ctx context.Context, p *process, attempt *AttemptRecord, h hints, onProgress func(share float64)) error {
+// runStatement runs a statement on the machine and applies the faults. Unless onProgress is nil, it is called every progressInterval
+// with the share of the work that is done. An update whose token was claimed before is recorded as deduplicated.
+func (n *Node) runStatement(ctx context.Context, p *process, attempt *AttemptRecord, h hints, onProgress func(share float64)) error {
 	defer func() { n.change(func() { attempt.End = time.Now() }) }()
 	if err := n.failBeforeWork(ctx, attempt); err != nil {
 		return err
@@ -30,22 +30,22 @@
 	n.mu.Lock()
 	tokens := n.tokens
 	n.mu.Unlock()
-	first := tokens == nil || attempt.Token == "" || tokens.claim(attempt.Token)
-	n.change(func() { attempt.Ran, attempt.Deduplicated = first, !first })
+	applied := tokens == nil || attempt.Token == "" || tokens.claim(attempt.Token)
+	n.change(func() { attempt.Ran, attempt.Deduplicated = applied, !applied })
 	return n.loseAnswer(ctx)
 }
 
-// failBeforeWork is what faults do to a statement before it runs.
+// failBeforeWork applies the Full, Fail and Hang faults to a statement before it runs.
 func (n *Node) failBeforeWork(ctx context.Context, attempt *AttemptRecord) error {
 	f := n.faults()
 	n.mu.Lock()
-	chance := n.rng.Float64()
+	draw := n.rng.Float64()
 	n.mu.Unlock()
 	switch {
 	case f.Full:
 		_ = grpc.SetTrailer(ctx, metadata.Pairs("embershunt-ran", "no")) // the native protocol has no trailers
 		return status.Error(codes.ResourceExhausted, "too many sessions")
-	case chance < f.Fail:
+	case draw < f.Fail:
 		return status.Error(codes.Internal, "failed at once")
 	case f.Hang:
 		<-ctx.Done()
@@ -55,11 +55,11 @@
 	return nil
 }
 
-// runJob runs a statement's job to its end, or until ctx ends.
+// runJob runs a statement's job until it is done or ctx ends, with the memory grant and priority from the call headers.
 func (n *Node) runJob(ctx context.Context, p *process, attempt *AttemptRecord, h hints, onProgress func(share float64)) error {
 	grantedMB := numberHeader(ctx, "embershunt-memory-mb", 0)
 	priority := int(numberHeader(ctx, "embershunt-priority", 1))
-	j, remove := p.machine.run(attempt.Query, h.work.Seconds(), h.threads, h.memoryMB, grantedMB, priority)
+	j, remove := p.machine.addJob(attempt.Query, h.work.Seconds(), h.threads, h.memoryMB, grantedMB, priority)
 	var tick <-chan time.Time
 	if onProgress != nil {
 		t := time.NewTicker(progressInterval)
@@ -80,18 +80,18 @@
 	}
 }
 
-// numberHeader is a call header as a number; otherwise where it is missing or none.
-func numberHeader(ctx context.Context, name string, otherwise float64) float64 {
+// numberHeader returns the number in a call header, or fallback if the header is missing or not a number.
+func numberHeader(ctx context.Context, name string, fallback float64) float64 {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if values := md.Get(name); len(values) > 0 {
 		if x, err := strconv.ParseFloat(values[0], 64); err == nil {
 			return x
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-// Priority is that of a running query, from 0 (low) to 3; -1 where it does not run.
+// Priority returns the priority of a running query, from 0 (low) to 3; -1 if it is not running.
 func (n *Node) Priority(query string) int {
 	n.mu.Lock()
 	p := n.process
