--- a/dispatch/learned_state_golden_test.go
+++ b/dispatch/learned_state_golden_test.go
@@ -33,7 +33,8 @@
 	if learned.Version != policy.LearnedVersion || len(learned.Classes) != 6 || len(learned.Endpoints) != 4 {
 		t.Fatalf("version %d, %d classes, %d nodes", learned.Version, len(learned.Classes), len(learned.Endpoints))
 	}
-	if lookup := learned.Classes[0]; lookup.Name != "lookup" || lookup.UsualWork != (policy.Running{Value: 0.021161601402126105, Count: 178}) ||
+	if lookup := learned.Classes[0]; lookup.Name != "lookup" ||
+		lookup.UnshrunkWork != (policy.StoredEstimate{Value: 0.021161601402126105, Count: 178}) ||
 		lookup.Dispersion != 0.1278793493089433 || lookup.Received != 178 || lookup.Fit[0] != 156 {
 		t.Errorf("class lookup: %+v", lookup)
 	}
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -17,7 +17,7 @@
 	q.weight = g.priorityWeight(q)
 	q.objectiveAt = g.now + c.LatencyObjective + toMicros(c.ObjectiveStretch*q.work/c.threads)
 	g.healthChecks.earn(g.fleet.threadsPerCore)
-	g.keyOrders.join(q)
+	g.keyOrders.enqueue(q)
 	if q.StickyTo != "" && g.cannotEarnWeight(q) {
 		g.shedOrFail(q)
 		return
@@ -77,7 +77,7 @@
 // request, and a request worth less than its place in an admission queue that is nearly full.
 func (g *Gateway) fitsFreeCores(q *request, e *endpoint) bool {
 	delay := q.class.queueWait[q.level] + q.class.serviceTime(q.work)
-	if delay > seconds(q.Deadline-g.now) || q.work > veryLongFactor*q.class.typicalWork() ||
+	if delay > seconds(q.Deadline-g.now) || q.work > veryLongWorkFactor*q.class.typicalWork() ||
 		q.weight < g.queue.price*delay {
 		return false
 	}
@@ -106,7 +106,8 @@
 			return true
 		}
 	}
-	if len(q.attempts) >= g.settings.MaxAttempts || q.class.Effect == NonIdempotent && q.firstRan != nil {
+	if len(q.attempts) >= g.settings.MaxAttempts ||
+		q.class.Effect == NonIdempotent && q.firstMayHaveRun != nil {
 		return true
 	}
 	end := q.Deadline - g.deadlineGuard()
@@ -120,7 +121,7 @@
 // Retry-After is the time in which a similar request ends and may free capacity, at most MaxRetryAfter.
 func (g *Gateway) shedOrFail(q *request) {
 	c := q.class
-	if c.Effect == Idempotent || q.firstRan == nil && q.openAttempts == 0 ||
+	if c.Effect == Idempotent || q.firstMayHaveRun == nil && q.openAttempts == 0 ||
 		c.Effect == IdempotentByKey && c.DedupScope == DedupFleet {
 		wait := max(c.queueWait[q.level], c.serviceTime(q.work))
 		g.emit(Shed{ID: q.ID, RetryAfter: min(toMicros(wait), g.settings.MaxRetryAfter)})
--- a/policy/admission_queue_test.go
+++ b/policy/admission_queue_test.go
@@ -13,7 +13,7 @@
 		limit int
 		sheds bool
 	}{{"far from the limit", 1000, false}, {"near the limit", 40, true}, {"no limit", 0, false}} {
-		s := loadSettings()
+		s := tableLoadSettings()
 		s.MaxInFlight = c.limit
 		b := newHarness(t, s, 1)
 		for range 200 { // each answered query earns a weight of 1 in 0.1 s
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -48,8 +48,8 @@
 		g.emit(Resources{ID: q.ID, MemoryMB: a.grantMB, Priority: priorityLevels - 1 - q.level})
 	}
 	s := Send{ID: q.ID, Endpoint: e.ID, Timeout: max(q.Deadline-g.deadlineGuard()-g.now, 1)}
-	if c.Effect == IdempotentByKey && q.firstRan != nil {
-		s.StartBefore = q.firstRan.sentAt + c.DedupWindow
+	if c.Effect == IdempotentByKey && q.firstMayHaveRun != nil {
+		s.StartBefore = q.firstMayHaveRun.sentAt + c.DedupWindow
 	}
 	g.emit(s)
 }
@@ -88,8 +88,8 @@
 	}
 	e.grantedMB -= a.grantMB
 	g.threads[a.level] -= q.class.threads
-	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.firstRan == nil {
-		q.firstRan = a
+	if code != Rejected && code != ConnectionRefused && code != NeverSent && q.firstMayHaveRun == nil {
+		q.firstMayHaveRun = a
 	}
 	if q.ordered() {
 		order := g.keyOrders[q.OrderKey]
@@ -137,13 +137,13 @@
 		g.recordLoad(e, *r.Load, g.now)
 	}
 	g.learnFromResult(a, r)
-	if r.Final && !q.done {
+	if r.Final && !q.closed {
 		g.endRequest(q)
 	}
 	if q.ended() {
 		delete(g.ledger.requests, q.ID)
 	}
-	if q.done || q.openAttempts > 0 {
+	if q.closed || q.openAttempts > 0 {
 		return
 	}
 	q.restarting = false
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -17,7 +17,7 @@
 const (
 	lightCapacityFactor = 1.3  // factor for a query of less work than the mean: it ends soon
 	longCapacityFactor  = 0.6  // factor for a very long query: it would keep out many others
-	veryLongFactor      = 4.0  // multiple of the class's typical work above which a query is very long
+	veryLongWorkFactor  = 4.0  // multiple of the class's typical work above which a query is very long
 	staleReportReserve  = 0.3  // maximum share of the capacity reserved for what an old report does not show
 	claimExponent       = 3.0  // exponent by which claims grow as the fleet falls below one thread a core
 	maxMemoryShare      = 0.95 // maximum share of an endpoint's memory in use or granted after a send
@@ -101,7 +101,7 @@
 func (g *Gateway) capacityFor(q *request, e *endpoint) float64 {
 	capacity := g.congestion.capacity * e.cores * g.relativeSpeed(e)
 	switch {
-	case q.work > veryLongFactor*q.class.typicalWork():
+	case q.work > veryLongWorkFactor*q.class.typicalWork():
 		capacity *= longCapacityFactor
 	case q.work < g.queries.work.value:
 		capacity *= lightCapacityFactor
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Shrunk estimates understate a class's mean work, so its usual work is learned without shrinking.
-func TestUsualWorkIsNotShrunk(t *testing.T) {
+// Shrunk estimates understate a class's mean work, so the unshrunk estimates are averaged too.
+func TestUnshrunkWorkIsMeanOfEstimates(t *testing.T) {
 	b := newSparseHarness(t, 2, nil)
 	sum := 0.0
 	for i := range 100 {
@@ -52,7 +52,7 @@
 		sum += float64(q.Cost) / microsPerSecond
 		b.step(q)
 	}
-	if c := &b.g.classes[0]; c.usualWork.value < 0.9*sum/100 {
-		t.Fatalf("usual work is %.2f s, the mean of the estimates is %.2f s", c.usualWork.value, sum/100)
+	if c := &b.g.classes[0]; c.unshrunkWork.value < 0.9*sum/100 {
+		t.Fatalf("unshrunk work is %.2f s, the mean of the estimates is %.2f s", c.unshrunkWork.value, sum/100)
 	}
 }
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -12,7 +12,7 @@
 	everReported         bool                // an endpoint has had a valid report at any time
 	occupancyExcess      float64             // own attempts in flight over those expected, at least 1
 	responseAge          float64             // mean seconds since a response, each at most reportLifetime
-	trustedEndpoints     int                 // endpoints that are not ejected
+	usableEndpoints      int                 // healthy endpoints that are not ejected
 	medianFaultShare     float64             // median of the endpoints' fault shares
 	peerCoverage         float64             // share of the peers whose own attempts are known by gossip
 }
@@ -32,7 +32,7 @@
 		f.cores += e.cores
 		responseAge += min(g.secondsSince(e.lastResponse), reportLifetime)
 		if !e.ejected {
-			f.trustedEndpoints++
+			f.usableEndpoints++
 		}
 		faultShares = append(faultShares, e.faultShare)
 		if g.reportConfidence(e) > 0 {
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -144,7 +144,7 @@
 			q.streamed = true
 		}
 	case ClientDisconnected:
-		if q := g.ledger.requests[ev.ID]; q != nil && !q.done {
+		if q := g.ledger.requests[ev.ID]; q != nil && !q.closed {
 			g.endRequest(q)
 		}
 	}
--- a/policy/key_order.go
+++ b/policy/key_order.go
@@ -20,8 +20,8 @@
 		(now >= o.pausedUntil || len(q.attempts) > 0)
 }
 
-// join appends a request to its key's queue, if it is ordered.
-func (k keyOrders) join(q *request) {
+// enqueue appends a request to its key's queue, if it is ordered.
+func (k keyOrders) enqueue(q *request) {
 	if !q.ordered() {
 		return
 	}
@@ -32,8 +32,8 @@
 	o.queue = append(o.queue, q)
 }
 
-// leave removes a request from its key's queue, if it is ordered.
-func (k keyOrders) leave(q *request) {
+// remove removes a request from its key's queue, if it is ordered.
+func (k keyOrders) remove(q *request) {
 	if q.ordered() {
 		o := k[q.OrderKey]
 		o.queue = slices.DeleteFunc(o.queue, func(other *request) bool { return other == q })
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -15,8 +15,8 @@
 	Endpoints []LearnedEndpoint `json:"Engines"` // in the order of the endpoint list
 }
 
-// Running is the stored form of a running mean or median: its value and the number of values recorded.
-type Running struct {
+// StoredEstimate is the stored form of a running mean or median: its value and the number of values recorded.
+type StoredEstimate struct {
 	Value float64 `json:"V"`
 	Count float64 `json:"N"`
 }
@@ -24,11 +24,11 @@
 // LearnedClass is the learned state of one class; class and levelPrices describe its fields.
 type LearnedClass struct {
 	Name            string                  `json:"Name"`
-	MeanWork        Running                 `json:"Mean"`
-	UsualWork       Running                 `json:"Heft"`
-	EstimateMedian  Running                 `json:"Asked"`
-	LatencyRatio    Running                 `json:"Ratio"`
-	MemoryMedian    Running                 `json:"Memory"`
+	MeanWork        StoredEstimate          `json:"Mean"`
+	UnshrunkWork    StoredEstimate          `json:"Heft"`
+	EstimateMedian  StoredEstimate          `json:"Asked"`
+	LatencyRatio    StoredEstimate          `json:"Ratio"`
+	MemoryMedian    StoredEstimate          `json:"Memory"`
 	Received        float64                 `json:"Taken"`
 	Dispersion      float64                 `json:"Stray"`
 	DispersionCount float64                 `json:"StrayN"`
@@ -41,17 +41,17 @@
 // LearnedFleet is the learned state of all endpoints together and of this gateway's queries and traffic;
 // cacheEffect, queryMeans, traffic and congestion describe its fields.
 type LearnedFleet struct {
-	CacheInflation [2]float64 `json:"Stretch"`
-	QueryThreads   float64    `json:"Threads"`
-	Rate           float64    `json:"Rate"`
-	MeanRate       float64    `json:"MeanRate"`
-	GrantMB        float64    `json:"MB"`
-	SentThreads    Running    `json:"Sent"`
-	Latency        Running    `json:"Took"`
-	Work           Running    `json:"Cost"`
-	Inflation      Running    `json:"Crowd"`
-	Capacity       float64    `json:"Room"`
-	InFlight       float64    `json:"Open"`
+	CacheInflation [2]float64     `json:"Stretch"`
+	QueryThreads   float64        `json:"Threads"`
+	Rate           float64        `json:"Rate"`
+	MeanRate       float64        `json:"MeanRate"`
+	GrantMB        float64        `json:"MB"`
+	SentThreads    StoredEstimate `json:"Sent"`
+	Latency        StoredEstimate `json:"Took"`
+	Work           StoredEstimate `json:"Cost"`
+	Inflation      StoredEstimate `json:"Crowd"`
+	Capacity       float64        `json:"Room"`
+	InFlight       float64        `json:"Open"`
 }
 
 // LearnedEndpoint is the learned state of one endpoint since its last start.
@@ -63,12 +63,12 @@
 }
 
 // Conversions of running estimates to their stored form and back.
-func (m runningMean) stored() Running   { return Running{m.value, m.count} }
-func (m runningMedian) stored() Running { return Running{m.value, m.count} }
-func (r Running) mean() runningMean     { return runningMean{r.Value, r.Count} }
-func (r Running) median() runningMedian { return runningMedian{r.Value, r.Count} }
-func (f *powerFit) stored() [5]float64  { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
-func restoredFit(v [5]float64) powerFit { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
+func (m runningMean) stored() StoredEstimate   { return StoredEstimate{m.value, m.count} }
+func (m runningMedian) stored() StoredEstimate { return StoredEstimate{m.value, m.count} }
+func (r StoredEstimate) mean() runningMean     { return runningMean{r.Value, r.Count} }
+func (r StoredEstimate) median() runningMedian { return runningMedian{r.Value, r.Count} }
+func (f *powerFit) stored() [5]float64         { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
+func restoredFit(v [5]float64) powerFit        { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
 
 // Learned returns the gateway's learned state.
 func (g *Gateway) Learned() Learned {
@@ -99,7 +99,7 @@
 	return LearnedClass{
 		Name:            c.Name,
 		MeanWork:        c.meanWork.stored(),
-		UsualWork:       c.usualWork.stored(),
+		UnshrunkWork:    c.unshrunkWork.stored(),
 		EstimateMedian:  c.estimateMedian.stored(),
 		LatencyRatio:    c.latencyRatio.stored(),
 		MemoryMedian:    c.memoryMedian.stored(),
@@ -116,7 +116,7 @@
 // restore sets a class's learned state; prices and queue waits only where fresh says that they still hold.
 func (c *class) restore(l LearnedClass, fresh bool) {
 	c.meanWork = l.MeanWork.mean()
-	c.usualWork = l.UsualWork.mean()
+	c.unshrunkWork = l.UnshrunkWork.mean()
 	c.estimateMedian = l.EstimateMedian.median()
 	c.latencyRatio = l.LatencyRatio.median()
 	c.memoryMedian = l.MemoryMedian.median()
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -36,7 +36,7 @@
 // alone.
 func (g *Gateway) checkOpenRequests() {
 	for _, q := range g.ledger.active {
-		if q.done || q.streamed {
+		if q.closed || q.streamed {
 			continue
 		}
 		if g.now >= q.Deadline-g.deadlineGuard() || g.belowQueuePrice(q) {
@@ -44,7 +44,7 @@
 			continue
 		}
 		for _, a := range q.attempts {
-			if !a.closed && !a.cancelled && !q.done {
+			if !a.closed && !a.cancelled && !q.closed {
 				g.checkOverdue(a)
 			}
 		}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -49,7 +49,7 @@
 // only trial requests, which are first attempts of light queries that may be repeated, unless more than half
 // of the endpoints are ejected or not healthy.
 func (g *Gateway) outlierAllows(q *request, e *endpoint) bool {
-	if !e.ejected || g.fleet.trustedEndpoints*2 < len(g.endpoints.list) {
+	if !e.ejected || g.fleet.usableEndpoints*2 < len(g.endpoints.list) {
 		return true
 	}
 	return g.now >= e.nextTrialAt && len(q.attempts) == 0 && q.class.Effect != NonIdempotent &&
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -11,22 +11,22 @@
 // request is a request that is open at this gateway or has an open attempt.
 type request struct {
 	Request
-	class        *class
-	receivedAt   Micros
-	objectiveAt  Micros  // end of its latency objective: an answer until then has the full weight
-	work         float64 // estimated work, seconds
-	weight       float64 // priority weight: value of an answer within the objective
-	level        int     // priority level, 0 (served first) to priorityLevels-1
-	attempts     []*attempt
-	openAttempts int
-	firstRan     *attempt    // first attempt that may have run
-	done         bool        // the final answer was given, or the client is gone
-	queued       bool        // in the admission queue
-	streamed     bool        // its answer has begun
-	admitted     bool        // admit has decided to serve it
-	candidates   []*endpoint // drawn for it; their health checks decide between them
-	restarting   bool        // an overdue attempt was cancelled to be sent again
-	observedTime float64     // seconds it is expected to take at least, by an attempt that was cancelled
+	class           *class
+	receivedAt      Micros
+	objectiveAt     Micros  // end of its latency objective: an answer until then has the full weight
+	work            float64 // estimated work, seconds
+	weight          float64 // priority weight: value of an answer within the objective
+	level           int     // priority level, 0 (served first) to priorityLevels-1
+	attempts        []*attempt
+	openAttempts    int
+	firstMayHaveRun *attempt    // first attempt that may have run
+	closed          bool        // the final answer was given, or the client is gone
+	queued          bool        // in the admission queue
+	streamed        bool        // its answer has begun
+	admitted        bool        // admit has decided to serve it
+	candidates      []*endpoint // drawn for it; their health checks decide between them
+	restarting      bool        // an overdue attempt was cancelled to be sent again
+	observedTime    float64     // seconds it is expected to take at least, by an attempt that was cancelled
 }
 
 // class holds the settings of one class and the estimates learned of it.
@@ -36,7 +36,7 @@
 	threads         float64       // threads of one query, at least 1
 	received        float64       // number of requests received
 	meanWork        runningMean   // estimated work, seconds
-	usualWork       runningMean   // the same, never below the estimate that the fit has not shrunk
+	unshrunkWork    runningMean   // the same, never below the estimate that the fit has not shrunk
 	estimateMedian  runningMedian // of log(estimate)
 	workFit         powerFit      // fit of work without contention to estimated cost
 	latencyRatio    runningMedian // of log(latency · threads ÷ estimated work)
@@ -55,31 +55,31 @@
 		g.retryBudget.receivedAt = append(g.retryBudget.receivedAt, g.now)
 	}
 	c.received++
-	g.traffic.count(r.Tenant)
+	g.traffic.countRequest(r.Tenant)
 	return q
 }
 
 // endRequest closes a request and cancels its attempts in flight. The request stays in the ledger until
 // these have ended.
 func (g *Gateway) endRequest(q *request) {
-	q.done = true
+	q.closed = true
 	g.queue.remove(q)
 	for _, a := range q.attempts {
 		g.cancelAttempt(a)
 	}
-	g.keyOrders.leave(q)
+	g.keyOrders.remove(q)
 	if q.openAttempts == 0 {
 		delete(g.ledger.requests, q.ID)
 	}
 }
 
 // ended reports whether a request is closed and has no open attempt.
-func (q *request) ended() bool { return q.done && q.openAttempts == 0 }
+func (q *request) ended() bool { return q.closed && q.openAttempts == 0 }
 
 // unanswered returns the number of requests without a final answer.
 func (l *ledger) unanswered() (n int) {
 	for _, q := range l.active {
-		if !q.done {
+		if !q.closed {
 			n++
 		}
 	}
@@ -104,7 +104,7 @@
 	// Slow start needs the estimate that is not shrunk: the fit moves heavy queries towards the class's
 	// median, and an endpoint that has just started would get too much work.
 	unshrunk := c.workFit.predict(estimate, c.estimateMedian.value, 1, 1)
-	c.usualWork.add(max(q.work, unshrunk), meanSmoothing)
+	c.unshrunkWork.add(max(q.work, unshrunk), meanSmoothing)
 }
 
 // typicalWork returns the class's mean estimated work in seconds. Before the first request it is a quarter
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -54,7 +54,7 @@
 // the key order, hedging, the class's effect and the retry budget.
 func (g *Gateway) mayStartAttempt(q *request) bool {
 	c := q.class
-	if q.done || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
+	if q.closed || q.streamed || len(q.attempts) >= g.settings.MaxAttempts {
 		return false
 	}
 	if q.ordered() && !g.keyOrders[q.OrderKey].isNext(q, g.now) {
@@ -64,8 +64,9 @@
 		return true
 	}
 	if q.openAttempts > 0 && !g.settings.AllowHedging ||
-		c.Effect == NonIdempotent && (q.openAttempts > 0 || q.firstRan != nil) ||
-		c.Effect == IdempotentByKey && q.firstRan != nil && g.now >= q.firstRan.sentAt+c.DedupWindow {
+		c.Effect == NonIdempotent && (q.openAttempts > 0 || q.firstMayHaveRun != nil) ||
+		c.Effect == IdempotentByKey && q.firstMayHaveRun != nil &&
+			g.now >= q.firstMayHaveRun.sentAt+c.DedupWindow {
 		return false
 	}
 	return g.withinRetryBudget()
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -57,10 +57,10 @@
 		c.Kinds != nil && !slices.Contains(c.Kinds, e.Kind) {
 		return false
 	}
-	if c.Effect != IdempotentByKey || q.firstRan == nil {
+	if c.Effect != IdempotentByKey || q.firstMayHaveRun == nil {
 		return true
 	}
-	return c.DedupScope.contains(q.firstRan.endpoint, e)
+	return c.DedupScope.contains(q.firstMayHaveRun.endpoint, e)
 }
 
 // contains reports whether two endpoints share the deduplication of idempotency keys.
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -64,14 +64,14 @@
 // the query takes, as in Chernoff's bound.
 func (g *Gateway) slowStartCharge(c *class, rate float64) float64 {
 	window := rate * max(float64(g.settings.OverloadDuration), 1) / microsPerSecond
-	return window / chernoffTilt * math.Expm1(chernoffTilt*max(c.usualWork.value, c.typicalWork())/window)
+	return window / chernoffTilt * math.Expm1(chernoffTilt*max(c.unshrunkWork.value, c.typicalWork())/window)
 }
 
 // demandShare returns a class's share of the work that this gateway's clients have requested.
 func (g *Gateway) demandShare(c *class) float64 {
 	total := 0.0
 	for i := range g.classes {
-		total += g.classes[i].received * g.classes[i].usualWork.value
+		total += g.classes[i].received * g.classes[i].unshrunkWork.value
 	}
-	return c.received * c.usualWork.value / max(total, 1e-9)
+	return c.received * c.unshrunkWork.value / max(total, 1e-9)
 }
--- a/policy/table_affinity_test.go
+++ b/policy/table_affinity_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// loadSettings returns testSettings with a class of loads, which lock their table group; the light class
+// tableLoadSettings returns testSettings with a class of loads, which lock their table group; the light class
 // waits for the lock.
-func loadSettings() Settings {
+func tableLoadSettings() Settings {
 	s := testSettings()
 	s.Classes[0].WaitsForTables = true
 	s.Classes = append(s.Classes, Class{Name: "load", PriorityWeight: 5, LateWeight: 0.6, LatencyObjective: 3 * sec, ObjectiveStretch: 3, Deadline: 25 * sec,
@@ -16,7 +16,7 @@
 // Lookups of the group were blocked until their deadlines, on endpoints with a tenth of their cores in use.
 func TestLoadsLeaveEndpointsToWaitingQueries(t *testing.T) {
 	const tables = 7
-	b := newHarness(t, loadSettings(), 6)
+	b := newHarness(t, tableLoadSettings(), 6)
 	maxLocked, blocked, lookups := 0, 0, 0
 	type openLoad struct {
 		s      Send
@@ -70,7 +70,7 @@
 // Gateways agree without gossip on the endpoints for the loads of a group, and not all groups have the same
 // endpoints.
 func TestAffinitySubsetsAreTheSameEverywhere(t *testing.T) {
-	a, b := newHarness(t, loadSettings(), 6), newHarness(t, loadSettings(), 6)
+	a, b := newHarness(t, tableLoadSettings(), 6), newHarness(t, tableLoadSettings(), 6)
 	differ := false
 	for tables := range int64(20) {
 		for i, e := range a.g.endpoints.list {
@@ -87,7 +87,7 @@
 
 // The only endpoint runs the loads of every group.
 func TestLoadGoesToTheOnlyEndpoint(t *testing.T) {
-	b := newHarness(t, loadSettings(), 1)
+	b := newHarness(t, tableLoadSettings(), 1)
 	if len(actionsOf[Send](b.step(b.request(2)))) != 1 {
 		t.Error("load not sent to the only endpoint")
 	}
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -37,8 +37,8 @@
 	earned       runningMean // weight earned by an answer
 }
 
-// count counts a request of a tenant; an index out of range stands for an unknown tenant.
-func (t *traffic) count(tenant int) {
+// countRequest counts a request of a tenant; an index out of range stands for an unknown tenant.
+func (t *traffic) countRequest(tenant int) {
 	t.received++
 	if tenant >= 0 && tenant < len(t.tenants) {
 		t.tenants[tenant].received++
