--- a/backend/attempt.go
+++ b/backend/attempt.go
@@ -66,7 +66,7 @@
 
 // newProtocolAttempt returns the implementation for the protocol of the attempt's query.
 func (t *attempt) newProtocolAttempt() protocolAttempt {
-	switch call := t.spec.Query.Work.(type) {
+	switch call := t.spec.Query.Payload.(type) {
 	case *flightwire.Call:
 		return &flightAttempt{attempt: t, call: call}
 	case *native.Call:
@@ -74,7 +74,7 @@
 	case *lineproto.Request:
 		return &platformAttempt{attempt: t, call: call, changed: make(chan struct{}, 1)}
 	}
-	panic(fmt.Sprintf("backend: work of an unknown kind %T", t.spec.Query.Work))
+	panic(fmt.Sprintf("backend: work of an unknown kind %T", t.spec.Query.Payload))
 }
 
 // Send implements dispatch.Fleet.
--- a/backend/fleet_test.go
+++ b/backend/fleet_test.go
@@ -60,7 +60,7 @@
 // send starts attempt n of the query "q-"+id with a timeout.
 func (f *platformFleet) send(id string, n int, node string, timeout time.Duration) {
 	now := f.clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Work: &lineproto.Request{ID: id, Class: "lookup",
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q-" + id, Deadline: now + 1e7, Payload: &lineproto.Request{ID: id, Class: "lookup",
 		Text: "SELECT 1", Priority: -1}}, Number: n, Node: node, Deadline: now + timeout.Microseconds(), StartBefore: f.startBefore})
 }
 
--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -38,7 +38,8 @@
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
 	call.Tables = native.EndOfData()
 	now := clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Deadline: now + 1e7}, Node: "n", Deadline: now + timeout.Microseconds()})
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Payload: &call, Deadline: now + 1e7},
+		Node: "n", Deadline: now + timeout.Microseconds()})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	for {
--- a/backend/native_late_answer_test.go
+++ b/backend/native_late_answer_test.go
@@ -108,7 +108,8 @@
 	call := native.Call{Query: native.Query{Text: "SELECT 1", ID: "q", Info: []byte{0}, Stage: 2}, Revision: native.NewestRevision, Sink: &discardSink{},
 		Tables: native.EndOfData()}
 	now := f.clock.Now()
-	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Work: &call, Deadline: now + 1e7}, Number: number, Node: "n", Deadline: now + 3e6})
+	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Payload: &call, Deadline: now + 1e7},
+		Number: number, Node: "n", Deadline: now + 3e6})
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	for {
--- a/backend/permission_audit.go
+++ b/backend/permission_audit.go
@@ -9,7 +9,7 @@
 // checkSendPermitted decides whether an attempt may start on a node, at the moment when it would start. It counts an attempt that may
 // not.
 func (t *attempt) checkSendPermitted(ctx context.Context, n *node) permit.Reason {
-	return t.fleet.audit.Check(permit.Sending{
+	return t.fleet.audit.CountWithheld(permit.Sending{
 		Now: t.fleet.clock.Now(), Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore,
 		ClientDisconnected: ctx.Err() != nil,
 		DrainNotifiedAt:    n.drainNotifiedAt.Load(),
@@ -24,7 +24,7 @@
 	at := t.fleet.clock.Now()
 	sent := permit.Sent{At: at, Deadline: t.spec.Deadline, StartBefore: t.spec.StartBefore, DisconnectedAt: t.cancelledAt.Load(),
 		DrainNotifiedAt: n.drainNotifiedAt.Load(), Grace: t.fleet.options.DrainGrace.Microseconds()}
-	if rule := sent.Violation(); t.fleet.audit.Violate(rule) {
+	if rule := sent.Violation(); t.fleet.audit.CountViolation(rule) {
 		t.fleet.log.Error("rule violated", "rule", rule.String(), "query", t.spec.Query.ID, "attempt", t.spec.Number, "node", t.spec.Node,
 			"notified_ms_ago", (at-sent.DrainNotifiedAt)/1000)
 	}
--- a/dispatch/actions.go
+++ b/dispatch/actions.go
@@ -28,7 +28,7 @@
 		}
 	case policy.Fail:
 		if e := c.entry(a.ID); e != nil {
-			c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonAttempt})
+			c.answer(now, e, Outcome{Kind: Failed, Reason: ReasonAttemptFailed})
 		}
 	case policy.HealthCheck:
 		c.fleet.HealthCheck(a.Endpoint)
@@ -52,7 +52,7 @@
 func (c *Core) entry(id string) *entry {
 	e := c.ledger.entries[id]
 	if _, closed := c.ledger.closedInStep[id]; e == nil && !closed {
-		c.ledger.recordFault(FaultUnknown, id, nil)
+		c.ledger.recordFault(FaultUnknownQuery, id, nil)
 	}
 	return e
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -59,8 +59,8 @@
 func (r *callRecorder) Sent(Attempt)                              {}
 func (r *callRecorder) AttemptEnded(*Query, string, AttemptEnded) {}
 func (r *callRecorder) Fault(f Fault)                             { r.faults = append(r.faults, f.Kind) }
-func (r *callRecorder) Changed(uint64, policy.Settings)           {}
-func (r *callRecorder) Paused(Micros)                             {}
+func (r *callRecorder) SettingsChanged(uint64, policy.Settings)   {}
+func (r *callRecorder) SettingsChangeDuration(Micros)             {}
 func (r *callRecorder) LogLine(string)                            {}
 func (r *callRecorder) StepCompleted(int, int, int)               {}
 func (r *callRecorder) client(id string) recordingClient          { return recordingClient{r, id} }
@@ -146,7 +146,7 @@
 	// Query d follows the change whose step panics, and has no entry in the ledger yet: it must be answered too.
 	calls, s = &callRecorder{}, &scriptedGateway{decide: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
 	core = newTestCore(s, calls)
-	if err := core.Step(0, []Event{QueryReceived{calls.query("c", 9*ms)}, Change{Serial: 1, Done: func(error) {}},
+	if err := core.Step(0, []Event{QueryReceived{calls.query("c", 9*ms)}, SettingsChange{Version: 1, Done: func(error) {}},
 		QueryReceived{calls.query("d", 9*ms)}}); !errors.As(err, &p) {
 		t.Errorf("error %v", err)
 	}
--- a/dispatch/event.go
+++ b/dispatch/event.go
@@ -33,10 +33,10 @@
 	}
 	// PolicyEvent passes an event that does not concern the ledger to the gateway, such as policy.EndpointUpdate.
 	PolicyEvent struct{ Event policy.Event }
-	// Change replaces the settings between two steps of the gateway, completely or not at all. Done is called once with the
+	// SettingsChange replaces the settings between two steps of the gateway, completely or not at all. Done is called once with the
 	// result, but never if the gateway panics first or the loop has ended.
-	Change struct {
-		Serial   uint64
+	SettingsChange struct {
+		Version  uint64
 		Settings policy.Settings
 		Done     func(error)
 	}
@@ -50,5 +50,5 @@
 func (ResponseReady) isEvent()      {}
 func (AttemptEnded) isEvent()       {}
 func (PolicyEvent) isEvent()        {}
-func (Change) isEvent()             {}
+func (SettingsChange) isEvent()     {}
 func (Inspect) isEvent()            {}
--- a/dispatch/fault.go
+++ b/dispatch/fault.go
@@ -13,16 +13,16 @@
 
 // The faults.
 const (
-	FaultLateOutcome  FaultKind = "late_outcome"  // a response or an end of an unknown attempt, or a response after its end
-	FaultDoubleEnd    FaultKind = "double_end"    // a second end of the same attempt
-	FaultDoubleAnswer FaultKind = "double_answer" // a second final answer, withheld
-	FaultForgotten    FaultKind = "forgotten"     // the deadline passed without an answer of the gateway or a response being forwarded
-	FaultLateSend     FaultKind = "late_send"     // a send after the deadline, the final answer or a forwarded response, withheld
-	FaultForbidden    FaultKind = "forbidden"     // a send that could repeat an effect, or overlap another without hedging, withheld
-	FaultUnknown      FaultKind = "unknown_query" // an action for a query that is not in the ledger
-	FaultDoubleID     FaultKind = "double_id"     // a query with the id of another one in the ledger; the new query is failed
+	FaultUnknownAttempt FaultKind = "late_outcome"  // a response or an end of an unknown attempt, or a response after its end
+	FaultDoubleEnd      FaultKind = "double_end"    // a second end of the same attempt
+	FaultDoubleAnswer   FaultKind = "double_answer" // a second final answer, withheld
+	FaultForgotten      FaultKind = "forgotten"     // the deadline passed without an answer of the gateway or a response being forwarded
+	FaultLateSend       FaultKind = "late_send"     // a send after the deadline, the final answer or a forwarded response, withheld
+	FaultForbidden      FaultKind = "forbidden"     // a send that could repeat an effect, or overlap another without hedging, withheld
+	FaultUnknownQuery   FaultKind = "unknown_query" // an action for a query that is not in the ledger
+	FaultDoubleID       FaultKind = "double_id"     // a query with the id of another one in the ledger; the new query is failed
 )
 
 // FaultKinds lists all kinds of faults, so that their counters can be exported as 0 from the start.
-var FaultKinds = []FaultKind{FaultLateOutcome, FaultDoubleEnd, FaultDoubleAnswer, FaultForgotten, FaultLateSend,
-	FaultForbidden, FaultUnknown, FaultDoubleID}
+var FaultKinds = []FaultKind{FaultUnknownAttempt, FaultDoubleEnd, FaultDoubleAnswer, FaultForgotten, FaultLateSend,
+	FaultForbidden, FaultUnknownQuery, FaultDoubleID}
--- a/dispatch/learned_state.go
+++ b/dispatch/learned_state.go
@@ -56,7 +56,7 @@
 // learningGateway is a gateway that can export and restore its learned state.
 type learningGateway interface {
 	Learned() policy.Learned
-	Restore(l policy.Learned, fleet bool) error
+	Restore(l policy.Learned, fresh bool) error
 }
 
 var _ learningGateway = (*policy.Gateway)(nil)
@@ -74,17 +74,17 @@
 }
 
 // Restore passes a learned state, with start times of nodes in wall time, to the gateway. Call it before Record and before the
-// first Step. fleet tells whether the part about the fleet is restored too. epoch is the wall time at which the Clock was 0.
-func (c *Core) Restore(l policy.Learned, fleet bool, epoch time.Time) error {
+// first Step. fresh tells whether the part about the fleet is restored too. epoch is the wall time at which the Clock was 0.
+func (c *Core) Restore(l policy.Learned, fresh bool, epoch time.Time) error {
 	m, ok := c.gateway.(learningGateway)
 	if !ok {
 		return errNoLearnedState
 	}
 	l = shiftStartTimes(l, -epoch.UnixMicro())
-	if err := m.Restore(l, fleet); err != nil {
+	if err := m.Restore(l, fresh); err != nil {
 		return err
 	}
-	c.restored, c.fleetRestored = &l, fleet
+	c.restored, c.fleetRestored = &l, fresh
 	return nil
 }
 
--- a/dispatch/ledger.go
+++ b/dispatch/ledger.go
@@ -108,7 +108,7 @@
 func (l *ledger) endAttempt(now Micros, ev AttemptEnded) *entry {
 	e := l.entries[ev.ID]
 	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) {
-		l.recordFault(FaultLateOutcome, ev.ID, e)
+		l.recordFault(FaultUnknownAttempt, ev.ID, e)
 		return nil
 	}
 	a := &e.attempts[ev.Number]
--- a/dispatch/ledger_test.go
+++ b/dispatch/ledger_test.go
@@ -36,7 +36,7 @@
 			"send q/0 n1; answer q served ", nil},
 		{"second answer to a closed query is withheld", []scriptedStep{
 			{0, nil, []policy.Action{send}}, {5, []Event{ended(0, policy.OK)}, []policy.Action{policy.Shed{ID: "q"}}}},
-			"send q/0 n1; answer q served ", []FaultKind{FaultUnknown}},
+			"send q/0 n1; answer q served ", []FaultKind{FaultUnknownQuery}},
 		{"second answer while an attempt is in flight is withheld", []scriptedStep{
 			{0, nil, []policy.Action{send, policy.Fail{ID: "q"}, policy.Shed{ID: "q"}}}},
 			"send q/0 n1; answer q failed ATTEMPT_FAILED; cancel q/0", []FaultKind{FaultDoubleAnswer}},
@@ -50,7 +50,7 @@
 		{"attempt ends twice", []scriptedStep{{0, nil, []policy.Action{send}},
 			{5, []Event{ended(0, policy.Failed), ended(0, policy.Failed)}, nil}},
 			"send q/0 n1", []FaultKind{FaultDoubleEnd}},
-		{"end of an unknown attempt", []scriptedStep{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultLateOutcome}},
+		{"end of an unknown attempt", []scriptedStep{{5, []Event{ended(3, policy.OK)}, nil}}, "", []FaultKind{FaultUnknownAttempt}},
 		{"query id already in use", []scriptedStep{
 			{5, []Event{QueryReceived{&Query{ID: "q", Client: recordingClient{&callRecorder{}, "q"}}}}, nil}},
 			"", []FaultKind{FaultDoubleID}},
--- a/dispatch/loop.go
+++ b/dispatch/loop.go
@@ -113,7 +113,7 @@
 			return err
 		}
 		if slices.ContainsFunc(events, isChange) {
-			l.core.observer.Paused(l.clock.Now() - begin)
+			l.core.observer.SettingsChangeDuration(l.clock.Now() - begin)
 		}
 		clear(events)
 		l.spare = events[:0]
@@ -124,7 +124,7 @@
 }
 
 func isChange(ev Event) bool {
-	_, ok := ev.(Change)
+	_, ok := ev.(SettingsChange)
 	return ok
 }
 
--- a/dispatch/observer.go
+++ b/dispatch/observer.go
@@ -12,9 +12,9 @@
 	Sent(a Attempt)
 	AttemptEnded(q *Query, node string, ev AttemptEnded)
 	Fault(f Fault)
-	Changed(version uint64, s policy.Settings)
-	// Paused reports the duration of a step that contained a change of settings.
-	Paused(d Micros)
+	SettingsChanged(version uint64, s policy.Settings)
+	// SettingsChangeDuration reports the duration of a step that contained a change of settings.
+	SettingsChangeDuration(d Micros)
 	LogLine(text string)
 	// StepCompleted reports the numbers of events and actions of a step, and of queries pending after the step.
 	StepCompleted(events, actions, pending int)
@@ -24,10 +24,10 @@
 // keep.
 type Recorder interface {
 	// Started reports the inputs that the gateway was created from. l is the learned state that it started with, nil for none;
-	// fleet tells whether the part of l about the fleet was restored too.
-	Started(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fleet bool)
+	// fresh tells whether the part of l about the fleet was restored too, see policy.Gateway.Restore.
+	Started(now Micros, seed uint64, s policy.Settings, l *policy.Learned, fresh bool)
 	// StepCompleted reports one call of the gateway's Step.
 	StepCompleted(now Micros, events []policy.Event, actions []policy.Action)
-	// Changed reports a change of settings; classes and tenants hold, for each new index, the old one or -1.
-	Changed(now Micros, s policy.Settings, classes, tenants []int)
+	// SettingsChanged reports a change of settings; classes and tenants hold, for each new index, the old one or -1.
+	SettingsChanged(now Micros, s policy.Settings, classes, tenants []int)
 }
--- a/dispatch/outcome.go
+++ b/dispatch/outcome.go
@@ -35,8 +35,8 @@
 	ReasonFull               Reason = "DISPATCHER_FULL"    // a limit of the dispatcher, such as that of pending queries, is reached
 	ReasonClassRemoved       Reason = "CLASS_GONE"         // the query's class was removed, or it was classified with too old settings
 	ReasonDraining           Reason = "DISPATCHER_STOPS"   // the dispatcher is draining or has stopped
-	ReasonAttempt            Reason = "ATTEMPT_FAILED"     // an attempt may have run and no further attempt is allowed
-	ReasonBroken             Reason = "ANSWER_BROKEN"      // the response broke off after forwarding to the client had begun
+	ReasonAttemptFailed      Reason = "ATTEMPT_FAILED"     // an attempt may have run and no further attempt is allowed
+	ReasonResponseBroken     Reason = "ANSWER_BROKEN"      // the response broke off after forwarding to the client had begun
 	ReasonDeadline           Reason = "DEADLINE"           // the query's deadline passed
 	ReasonStatement          Reason = "STATEMENT"          // the node reported an error of the statement
 	ReasonInternal           Reason = "DISPATCHER_FAULT"   // the dispatcher itself failed: a panic, or a query id already in use
--- a/dispatch/query_events.go
+++ b/dispatch/query_events.go
@@ -22,7 +22,7 @@
 		c.responseReady(now, ev)
 	case AttemptEnded:
 		c.attemptEnded(now, ev)
-	case Change: // the gateway handles the earlier events of this step with the old settings
+	case SettingsChange: // the gateway handles the earlier events of this step with the old settings
 		c.stepPolicy(now)
 		ev.Done(c.changeSettings(now, ev))
 	case Inspect:
@@ -83,7 +83,7 @@
 func (c *Core) responseReady(now Micros, ev ResponseReady) {
 	e := c.ledger.entries[ev.ID]
 	if e == nil || ev.Number < 0 || ev.Number >= len(e.attempts) || e.attempts[ev.Number].ended {
-		c.ledger.recordFault(FaultLateOutcome, ev.ID, e)
+		c.ledger.recordFault(FaultUnknownAttempt, ev.ID, e)
 		return
 	}
 	if e.outcome != 0 || e.forwarded >= 0 || e.attempts[ev.Number].cancelled {
@@ -145,7 +145,7 @@
 	case ev.StatementRejected:
 		outcome.Kind, outcome.Reason = Failed, ReasonStatement
 	case broken:
-		outcome.Kind, outcome.Reason = Failed, ReasonBroken
+		outcome.Kind, outcome.Reason = Failed, ReasonResponseBroken
 	}
 	return outcome
 }
--- a/dispatch/settings_change.go
+++ b/dispatch/settings_change.go
@@ -54,10 +54,10 @@
 // renumber translates a query's indexes to the current version. It returns false if the query's class does not exist in it, or
 // if the version that classified the query is not kept any more.
 func (n *settingsVersions) renumber(q *Query) bool {
-	if q.SettingsSerial == n.current {
+	if q.SettingsVersion == n.current {
 		return true
 	}
-	old, ok := n.namesByVersion[q.SettingsSerial]
+	old, ok := n.namesByVersion[q.SettingsVersion]
 	current := n.namesByVersion[n.current]
 	if !ok || q.Class < 0 || q.Class >= len(old.classes) {
 		return false
@@ -66,7 +66,7 @@
 	if class < 0 {
 		return false
 	}
-	q.Class, q.SettingsSerial = class, n.current
+	q.Class, q.SettingsVersion = class, n.current
 	if q.Tenant >= 0 && q.Tenant < len(old.tenants) { // -1 if the tenant was removed: no quota applies
 		q.Tenant = slices.Index(current.tenants, old.tenants[q.Tenant])
 	}
@@ -83,9 +83,9 @@
 }
 
 // changeSettings applies new settings. On an error, the old settings remain unchanged.
-func (c *Core) changeSettings(now Micros, ch Change) error {
-	if _, ok := c.settingsVersions.namesByVersion[ch.Serial]; ok {
-		return fmt.Errorf("dispatch: settings version %d was used before; each change needs a new version", ch.Serial)
+func (c *Core) changeSettings(now Micros, ch SettingsChange) error {
+	if _, ok := c.settingsVersions.namesByVersion[ch.Version]; ok {
+		return fmt.Errorf("dispatch: settings version %d was used before; each change needs a new version", ch.Version)
 	}
 	old, current := c.settingsVersions.namesByVersion[c.settingsVersions.current], namesOf(ch.Settings)
 	classes, tenants := oldIndexes(current.classes, old.classes), oldIndexes(current.tenants, old.tenants)
@@ -93,16 +93,16 @@
 		return err
 	}
 	if c.recorder != nil {
-		c.recorder.Changed(now, ch.Settings, classes, tenants)
+		c.recorder.SettingsChanged(now, ch.Settings, classes, tenants)
 	}
 	for _, e := range c.ledger.entries { // in any order, since each query is changed independently
 		if e.outcome == 0 {
 			renumberPending(e.query, current, old)
 		}
 	}
-	c.settingsVersions.add(ch.Serial, ch.Settings)
+	c.settingsVersions.add(ch.Version, ch.Settings)
 	c.maxInFlight, c.classes, c.hedging = ch.Settings.MaxInFlight, ch.Settings.Classes, ch.Settings.AllowHedging
-	c.observer.Changed(ch.Serial, ch.Settings)
+	c.observer.SettingsChanged(ch.Version, ch.Settings)
 	return nil
 }
 
@@ -117,8 +117,8 @@
 	}
 }
 
-// InFlight returns the number of pending queries by class name, for the review of a change of settings.
-func (c *Core) InFlight() map[string]int {
+// PendingByClass returns the number of pending queries by class name, for the review of a change of settings.
+func (c *Core) PendingByClass() map[string]int {
 	out := map[string]int{}
 	classes := c.settingsVersions.namesByVersion[c.settingsVersions.current].classes
 	for _, e := range c.ledger.unanswered {
@@ -134,5 +134,5 @@
 	return c.gateway.Outstanding()
 }
 
-// SettingsSerial returns the version of the current settings.
-func (c *Core) SettingsSerial() uint64 { return c.settingsVersions.current }
+// SettingsVersion returns the version of the current settings.
+func (c *Core) SettingsVersion() uint64 { return c.settingsVersions.current }
--- a/dispatch/settings_change_test.go
+++ b/dispatch/settings_change_test.go
@@ -26,11 +26,11 @@
 	}
 	var errs []error
 	change := func(v uint64, s policy.Settings) Event {
-		return Change{v, s, func(err error) { errs = append(errs, err) }}
+		return SettingsChange{v, s, func(err error) { errs = append(errs, err) }}
 	}
 	query := func(id string, version uint64, class int) Event {
 		q := calls.query(id, 2000*ms)
-		q.SettingsSerial, q.Class, q.Cost = version, class, ms
+		q.SettingsVersion, q.Class, q.Cost = version, class, ms
 		return QueryReceived{q}
 	}
 	now := Micros(1e9)
@@ -48,7 +48,7 @@
 	}
 	step(PolicyEvent{policy.EndpointUpdate{Complete: true, Endpoints: []policy.Endpoint{{ID: "n"}}}}, query("a", 0, 1))
 	step(change(1, settings("report", "load")), query("b", 0, 0), query("c", 0, 1), query("d", 1, 1))
-	if got := core.InFlight(); got["report"] != 2 || got["load"] != 1 {
+	if got := core.PendingByClass(); got["report"] != 2 || got["load"] != 1 {
 		t.Errorf("in flight: %v", got)
 	}
 	step(change(2, settings("load")), change(1, settings("load")))
@@ -89,7 +89,7 @@
 			for b.Loop() {
 				version++
 				s.Classes[0], s.Classes[1] = s.Classes[1], s.Classes[0]
-				if err := core.changeSettings(0, Change{Serial: version, Settings: s}); err != nil {
+				if err := core.changeSettings(0, SettingsChange{Version: version, Settings: s}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/frontend/cache.go
+++ b/frontend/cache.go
@@ -8,10 +8,10 @@
 	"github.com/zeebo/blake3"
 )
 
-// Cache holds what nodes answer about statements, such as their schemas. It evicts the least recently used entry when it is full,
+// AnswerCache holds what nodes answer about statements, such as their schemas. It evicts the least recently used entry when it is full,
 // and every entry expires after the same lifetime. Keys are stored as hashes, so that a statement of megabytes takes no more memory
 // than a short one. It is safe for concurrent use.
-type Cache struct {
+type AnswerCache struct {
 	maxEntries int
 	lifetime   time.Duration
 
@@ -30,12 +30,12 @@
 const maxCachedBytes = 64 << 10
 
 // NewCache returns an empty cache.
-func NewCache(maxEntries int, lifetime time.Duration) *Cache {
-	return &Cache{maxEntries: maxEntries, lifetime: lifetime, order: list.New(), entries: map[[32]byte]*list.Element{}}
+func NewCache(maxEntries int, lifetime time.Duration) *AnswerCache {
+	return &AnswerCache{maxEntries: maxEntries, lifetime: lifetime, order: list.New(), entries: map[[32]byte]*list.Element{}}
 }
 
 // Get returns the cached answer of a key, and whether there is one. The caller must not change the answer.
-func (c *Cache) Get(key string, now time.Time) ([]byte, bool) {
+func (c *AnswerCache) Get(key string, now time.Time) ([]byte, bool) {
 	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // Put caches an answer, unless it has more than maxCachedBytes. It replaces an earlier answer of the same key.
-func (c *Cache) Put(key string, value []byte, now time.Time) {
+func (c *AnswerCache) Put(key string, value []byte, now time.Time) {
 	if len(value) > maxCachedBytes {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // Delete removes the cached answer of a key.
-func (c *Cache) Delete(key string) {
+func (c *AnswerCache) Delete(key string) {
 	hash := blake3.Sum256([]byte(key))
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/clickhouse/answer_test.go
+++ b/frontend/clickhouse/answer_test.go
@@ -19,7 +19,7 @@
 	c.writer = bufio.NewWriter(&written)
 	sink := func(id string) native.Sink {
 		c.beginAnswer()
-		return c.newCall(request{query: native.Query{ID: id, Text: "SELECT 1"}}).Work.(*native.Call).Sink
+		return c.newCall(request{query: native.Query{ID: id, Text: "SELECT 1"}}).Payload.(*native.Call).Sink
 	}
 	cancelled := sink("a")
 	if err := cancelled.Pass([]byte("a"), false); err != nil {
--- a/frontend/clickhouse/front.go
+++ b/frontend/clickhouse/front.go
@@ -64,7 +64,7 @@
 	options  Options
 	intake   *frontend.Intake
 	payloads payloadAccount
-	samples  *frontend.Cache // columns of INSERT statements, as the packets that a node sent
+	samples  *frontend.AnswerCache // columns of INSERT statements, as the packets that a node sent
 
 	mu         sync.Mutex
 	conns      map[net.Conn]bool
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -23,11 +23,11 @@
 		return c.finish(dispatch.Outcome{}, completed, err)
 	}
 	deadline := time.Now().Add(remaining)
-	work := call.Work.(*native.Call)
-	key := sampleKey(work, c.hello.User) + c.session.stickyID()
+	nativeCall := call.Payload.(*native.Call)
+	key := sampleKey(nativeCall, c.hello.User) + c.session.stickyID()
 	sample, ok := c.front.samples.Get(key, time.Now())
 	if !ok {
-		v, end, err := c.executeSample(ctx, call, *work)
+		v, end, err := c.executeSample(ctx, call, *nativeCall)
 		if end != completed || err != nil || v.Kind != dispatch.Served {
 			return c.finish(v, end, err)
 		}
@@ -37,7 +37,7 @@
 	if err := c.write(sample); err != nil {
 		return err
 	}
-	end, err := c.readRows(ctx, work, deadline)
+	end, err := c.readRows(ctx, nativeCall, deadline)
 	if end != completed {
 		return c.finish(dispatch.Outcome{}, end, err)
 	}
@@ -50,16 +50,16 @@
 }
 
 // executeSample requests the columns of an INSERT from a node. Nothing is inserted.
-func (c *connection) executeSample(ctx context.Context, call frontend.Call, work native.Call) (dispatch.Outcome, ending, error) {
-	work.Sample = true
-	call.Work, call.Facts.DescribeOnly = &work, true
+func (c *connection) executeSample(ctx context.Context, call frontend.Call, nativeCall native.Call) (dispatch.Outcome, ending, error) {
+	nativeCall.Sample = true
+	call.Payload, call.Facts.DescribeOnly = &nativeCall, true
 	return c.execute(ctx, call)
 }
 
 var errClientStalled = errors.New("the rows of an INSERT did not arrive before its deadline")
 
-// readRows reads the client's rows into work, up to the empty block that ends them.
-func (c *connection) readRows(ctx context.Context, work *native.Call, deadline time.Time) (ending, error) {
+// readRows reads the client's rows into nativeCall, up to the empty block that ends them.
+func (c *connection) readRows(ctx context.Context, nativeCall *native.Call, deadline time.Time) (ending, error) {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	for {
@@ -71,7 +71,7 @@
 			c.reject(codeTimeoutExceeded, "refused (CLIENT_STALLED): the rows of the INSERT did not come before its deadline; nothing was sent, trying again does no harm")
 			return clientDisconnected, errClientStalled
 		case r := <-c.requests:
-			if done, end, err := c.handleWhileReadingRows(r, work); done {
+			if done, end, err := c.handleWhileReadingRows(r, nativeCall); done {
 				return end, err
 			}
 		}
@@ -79,11 +79,11 @@
 }
 
 // handleWhileReadingRows handles a packet of a client whose INSERT waits for rows. done means that no more packets are needed.
-func (c *connection) handleWhileReadingRows(r request, work *native.Call) (done bool, end ending, err error) {
+func (c *connection) handleWhileReadingRows(r request, nativeCall *native.Call) (done bool, end ending, err error) {
 	c.readingAhead = false
 	switch actions[awaitingRows][r.event()] {
 	case bufferRows:
-		work.Data = append(work.Data, r.data)
+		nativeCall.Data = append(nativeCall.Data, r.data)
 		return r.block.End(), completed, nil
 	case answerPing:
 		if err := c.write([]byte{native.ServerPong}); err != nil {
@@ -91,7 +91,7 @@
 		}
 		return false, completed, nil
 	case cancelQuery:
-		work.Data = nil
+		nativeCall.Data = nil
 		return true, cancelled, nil
 	case rejectUnreadable:
 		c.rejectUnreadable(r.err)
--- a/frontend/clickhouse/query.go
+++ b/frontend/clickhouse/query.go
@@ -37,7 +37,7 @@
 	}
 	return frontend.Call{
 		Protocol: nodelist.ClickHouse,
-		Work: &native.Call{Query: q, Revision: c.revision, Database: c.hello.Database,
+		Payload: &native.Call{Query: q, Revision: c.revision, Database: c.hello.Database,
 			Tables: r.tables, Sink: c.answer},
 		Facts: classify.Facts{User: c.hello.User, Statement: q.Text, Command: "native.Query", Token: settings["insert_deduplication_token"],
 			Header: func(string) string { return "" }, Option: func(name string) string { return settings[name] }},
--- a/frontend/clickhouse/session_statement.go
+++ b/frontend/clickhouse/session_statement.go
@@ -44,7 +44,7 @@
 	if c.front.options.Sessions == nil {
 		return v, completed, errors.New("temporary tables are not served here")
 	}
-	call.Work.(*native.Call).Session = statement.ID
+	call.Payload.(*native.Call).Session = statement.ID
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type answer struct {
--- a/frontend/flightsql/authentication.go
+++ b/frontend/flightsql/authentication.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	token := base64.RawURLEncoding.EncodeToString(f.options.Seal.Seal(seal.Bearer, time.Now().Add(f.intake.Tables().BearerLife),
+	token := base64.RawURLEncoding.EncodeToString(f.options.Seal.Seal(seal.Bearer, time.Now().Add(f.intake.Settings().BearerTTL),
 		[]byte(user)))
 	md := metadata.Pairs(authorization, "Bearer "+token)
 	if err := stream.SetHeader(md); err != nil {
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/front.go
@@ -56,7 +56,7 @@
 type Front struct {
 	options     Options
 	intake      *frontend.Intake
-	answerCache *frontend.Cache // schemas and prepared statements, see cachedAnswer
+	answerCache *frontend.AnswerCache // schemas and prepared statements, see cachedAnswer
 	running     runningQueries
 }
 
@@ -70,10 +70,10 @@
 // bounded: the bound leaves room for the longest statement and its parameters. The transport rejects headers of more than
 // 64 KiB.
 func (f *Front) ServerOptions() []grpc.ServerOption {
-	tables := f.intake.Tables()
+	settings := f.intake.Settings()
 	return []grpc.ServerOption{grpc.ForceServerCodecV2(flightwire.Codec{}),
-		grpc.MaxRecvMsgSize(tables.MaxStatement + tables.MaxParams + maxEnvelopeBytes), grpc.MaxHeaderListSize(maxHeaderBytes),
-		grpc.MaxConcurrentStreams(maxConcurrentStreams)}
+		grpc.MaxRecvMsgSize(settings.MaxStatementBytes + settings.MaxParameterBytes + maxEnvelopeBytes),
+		grpc.MaxHeaderListSize(maxHeaderBytes), grpc.MaxConcurrentStreams(maxConcurrentStreams)}
 }
 
 // Register adds the service to a gRPC server. Every method, unary ones included, is registered as a stream of raw messages: on the
--- a/frontend/flightsql/prepared.go
+++ b/frontend/flightsql/prepared.go
@@ -46,7 +46,7 @@
 
 // sealPrepared returns the handle of a prepared statement.
 func (f *Front) sealPrepared(s sealedStatement) []byte {
-	return f.options.Seal.Seal(seal.Prepared, time.Now().Add(f.intake.Tables().PreparedLife), s.encode())
+	return f.options.Seal.Seal(seal.Prepared, time.Now().Add(f.intake.Settings().PreparedTTL), s.encode())
 }
 
 // closePrepared only checks the handle: the dispatcher keeps no state of a prepared statement that could be closed.
--- a/frontend/flightsql/query.go
+++ b/frontend/flightsql/query.go
@@ -66,7 +66,7 @@
 // execute submits a query and waits for its outcome. The error is a gRPC status, for a query without an outcome: its statement is too
 // long, its hints are invalid, or its session rejected it or ended.
 func (f *Front) execute(c *caller, q *query) (dispatch.Outcome, error) {
-	if maxBytes := f.intake.Tables().MaxStatement; len(q.statement) > maxBytes {
+	if maxBytes := f.intake.Settings().MaxStatementBytes; len(q.statement) > maxBytes {
 		return dispatch.Outcome{}, errStatementSize(len(q.statement), maxBytes)
 	}
 	call := f.intakeCall(c, q)
@@ -99,7 +99,7 @@
 // intakeCall returns a query as a call for the intake, and adds the caller's forwarded headers to the query.
 func (f *Front) intakeCall(c *caller, q *query) frontend.Call {
 	f.loadOptions(c)
-	call := frontend.Call{Protocol: nodelist.FlightSQL, Work: q.call, Facts: classify.Facts{User: c.user, Header: c.header,
+	call := frontend.Call{Protocol: nodelist.FlightSQL, Payload: q.call, Facts: classify.Facts{User: c.user, Header: c.header,
 		Option: c.option, Statement: q.statement, Command: q.command}}
 	if deadline, ok := c.stream.Context().Deadline(); ok {
 		call.Remaining = max(time.Until(deadline), 1)
--- a/frontend/flightsql/session.go
+++ b/frontend/flightsql/session.go
@@ -84,7 +84,7 @@
 		return nil, status.Errorf(codes.InvalidArgument, "session options of %d bytes, allowed are %d", len(payload),
 			maxSessionBytes)
 	}
-	token := f.options.Seal.Seal(seal.Session, time.Now().Add(f.intake.Tables().PreparedLife), payload)
+	token := f.options.Seal.Seal(seal.Session, time.Now().Add(f.intake.Settings().PreparedTTL), payload)
 	cookie := http.Cookie{Name: cookieName, Value: base64.RawURLEncoding.EncodeToString(token), HttpOnly: true}
 	if err := c.stream.SetHeader(metadata.Pairs("set-cookie", cookie.String())); err != nil {
 		return nil, err
--- a/frontend/flightsql/statement.go
+++ b/frontend/flightsql/statement.go
@@ -50,7 +50,7 @@
 // flightInfo returns a FlightInfo whose ticket holds s with a new serial number.
 func (f *Front) flightInfo(descriptor []byte, s sealedStatement) []byte {
 	s.serial = newSerial()
-	expires := time.Now().Add(f.intake.Tables().TicketLife)
+	expires := time.Now().Add(f.intake.Settings().TicketTTL)
 	ticket := f.options.Seal.Seal(seal.Ticket, expires, s.encode())
 	return flightwire.FlightInfo(nil, descriptor, flightwire.StatementCommand("TicketStatementQuery", ticket),
 		expires.Unix())
@@ -73,7 +73,7 @@
 // empty.
 func (f *Front) parseStatement(cmd flightwire.Command, handle bool) (flightwire.Statement, error) {
 	s, err := flightwire.ParseStatement(cmd.Body, handle)
-	maxBytes := f.intake.Tables().MaxStatement
+	maxBytes := f.intake.Settings().MaxStatementBytes
 	switch {
 	case err != nil:
 		return s, malformed(err)
--- a/frontend/flightsql/update.go
+++ b/frontend/flightsql/update.go
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		hasHeader = hasHeader || header
-		maxBytes := f.intake.Tables().MaxParams // read for each message: the settings may change while the client sends
+		maxBytes := f.intake.Settings().MaxParameterBytes // read for each message: the settings may change while the client sends
 		if size += len(param); size > maxBytes {
 			return nil, status.Errorf(codes.InvalidArgument, "parameters of more than %d bytes", maxBytes)
 		}
--- a/frontend/intake.go
+++ b/frontend/intake.go
@@ -34,22 +34,22 @@
 	clock        dispatch.Clock
 	prefix       string        // of query ids, drawn at random for each process
 	serial       atomic.Uint64 // of the last query
-	tables       atomic.Pointer[Tables]
+	settings     atomic.Pointer[Settings]
 	unclassified atomic.Int64 // see Unclassified
 }
 
-// NewIntake returns an intake that starts with the tables t.
-func NewIntake(p Poster, clock dispatch.Clock, t Tables) *Intake {
+// NewIntake returns an intake that starts with the settings s.
+func NewIntake(p Poster, clock dispatch.Clock, s Settings) *Intake {
 	i := &Intake{poster: p, clock: clock, prefix: fmt.Sprintf("%08x", rand.Uint32())}
-	i.SetTables(t)
+	i.SetSettings(s)
 	return i
 }
 
-// SetTables replaces the tables for later calls.
-func (i *Intake) SetTables(t Tables) { i.tables.Store(&t) }
+// SetSettings replaces the settings for later calls.
+func (i *Intake) SetSettings(s Settings) { i.settings.Store(&s) }
 
-// Tables returns the tables in force; the caller must not change them.
-func (i *Intake) Tables() *Tables { return i.tables.Load() }
+// Settings returns the settings in force; the caller must not change them.
+func (i *Intake) Settings() *Settings { return i.settings.Load() }
 
 // Unclassified returns how many queries got the default class because no rule and no hint gave them a class.
 func (i *Intake) Unclassified() int64 { return i.unclassified.Load() }
@@ -61,25 +61,25 @@
 type Call struct {
 	Facts      classify.Facts
 	Traits     *classify.Traits // given by the protocol itself; nil: derived from rules and hints
-	Protocol   uint8            // a bit of nodelist.Speaks
+	Protocol   uint8            // a bit of nodelist.Node.Protocols
 	Remaining  time.Duration    // until the client's deadline; 0: the deadline of its class applies
-	Work       any              // what the fleet sends to the node, such as a *flightwire.Call
+	Payload    any              // what the fleet sends to the node, such as a *flightwire.Call
 	StickyTo   string           // the node that holds the state of its session; "": any node
 	MemoryMB   float64          // from the protocol; used where rules and hints give none; 0: unknown
 	OnReceived func(id string)  // called with the query's id before the loop receives the query; may be nil
 }
 
 // deadline returns the time from now to the call's deadline: the client's, or that of its class.
-func (c *Call) deadline(t *Tables, traits classify.Traits) time.Duration {
+func (c *Call) deadline(s *Settings, traits classify.Traits) time.Duration {
 	if c.Remaining > 0 {
 		return c.Remaining
 	}
-	return t.Deadlines[traits.Class]
+	return s.Deadlines[traits.Class]
 }
 
 // Tenant returns the name of a call's tenant; "" where its hints are invalid or the tenant has no name.
 func (i *Intake) Tenant(c Call) string {
-	t := i.Tables().Classes
+	t := i.Settings().Classes
 	traits, err := t.Classify(c.Facts)
 	if err != nil || traits.Tenant >= len(t.Tenants) {
 		return ""
@@ -89,12 +89,12 @@
 
 // Deadline returns the time from now to a call's deadline. The error is a *classify.BadHintError.
 func (i *Intake) Deadline(c Call) (time.Duration, error) {
-	tables := i.Tables()
-	traits, err := tables.Classes.Classify(c.Facts)
+	settings := i.Settings()
+	traits, err := settings.Classes.Classify(c.Facts)
 	if err != nil {
 		return 0, err
 	}
-	return c.deadline(tables, traits), nil
+	return c.deadline(settings, traits), nil
 }
 
 // PendingQuery is a query that waits for its final answer.
@@ -112,30 +112,30 @@
 
 // Submit classifies a call and posts it to the loop as a query. The error is a *classify.BadHintError: the call's hints are invalid.
 func (i *Intake) Submit(c Call) (*PendingQuery, error) {
-	tables := i.Tables()
-	traits, err := i.traits(c, tables)
+	settings := i.Settings()
+	traits, err := i.traits(c, settings)
 	if err != nil {
 		return nil, err
 	}
-	now, remaining := i.clock.Now(), c.deadline(tables, traits)
-	remaining -= min(tables.ResponseMargin, remaining/10)
+	now, remaining := i.clock.Now(), c.deadline(settings, traits)
+	remaining -= min(settings.ResponseMargin, remaining/10)
 	q := &PendingQuery{Done: make(chan dispatch.Outcome, 1), intake: i, id: fmt.Sprintf("%s-%d", i.prefix, i.serial.Add(1))}
 	query := &dispatch.Query{
-		ID:             q.id,
-		SettingsSerial: tables.SettingsSerial,
-		Class:          traits.Class,
-		Tenant:         traits.Tenant,
-		Cost:           traits.Cost.Microseconds(),
-		MemoryMB:       traits.MemoryMB,
-		TableGroup:     traits.Tables,
-		OrderKey:       traits.Key,
-		HasOrderKey:    traits.HasKey,
-		ClientRetry:    traits.Retry,
-		Protocol:       c.Protocol,
-		StickyTo:       c.StickyTo,
-		Deadline:       now + remaining.Microseconds(),
-		Work:           c.Work,
-		Client:         q,
+		ID:              q.id,
+		SettingsVersion: settings.SettingsVersion,
+		Class:           traits.Class,
+		Tenant:          traits.Tenant,
+		Cost:            traits.Cost.Microseconds(),
+		MemoryMB:        traits.MemoryMB,
+		TableGroup:      traits.Tables,
+		OrderKey:        traits.Key,
+		HasOrderKey:     traits.HasKey,
+		ClientRetry:     traits.Retry,
+		Protocol:        c.Protocol,
+		StickyTo:        c.StickyTo,
+		Deadline:        now + remaining.Microseconds(),
+		Payload:         c.Payload,
+		Client:          q,
 	}
 	if c.OnReceived != nil {
 		c.OnReceived(q.id)
@@ -146,10 +146,10 @@
 
 // traits returns the traits that the protocol gives, or else classifies the call. It counts the calls without a class from a rule or
 // hint.
-func (i *Intake) traits(c Call, tables *Tables) (traits classify.Traits, err error) {
+func (i *Intake) traits(c Call, settings *Settings) (traits classify.Traits, err error) {
 	if c.Traits != nil {
 		traits = *c.Traits
-	} else if traits, err = tables.Classes.Classify(c.Facts); err != nil {
+	} else if traits, err = settings.Classes.Classify(c.Facts); err != nil {
 		return traits, err
 	}
 	if c.Traits == nil && !traits.Hinted && traits.Rule == "" {
--- a/frontend/postgres/answer.go
+++ b/frontend/postgres/answer.go
@@ -63,7 +63,7 @@
 		return codeCancelled
 	case dispatch.ReasonStopped:
 		return codeStopped
-	case dispatch.ReasonBroken:
+	case dispatch.ReasonResponseBroken:
 		return codeResponseBroken
 	case dispatch.ReasonInternal:
 		return codeInternal
--- a/frontend/postgres/answer_test.go
+++ b/frontend/postgres/answer_test.go
@@ -18,7 +18,7 @@
 		"shed":       {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonOverload, RetryAfter: 250700}, "E(53000)(pause 250)Z"},
 		"shed, full": {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonFull}, "E(53000)Z"},
 		"draining":   {dispatch.Outcome{Kind: dispatch.Shed, Reason: dispatch.ReasonDraining}, "E(57P03)Z"},
-		"failed":     {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonAttempt, RetryAfter: 5000}, "E(58000)Z"},
+		"failed":     {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonAttemptFailed, RetryAfter: 5000}, "E(58000)Z"},
 		"deadline":   {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonDeadline}, "E(57014)Z"},
 		"stopped":    {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonStopped}, "E(57P01)Z"},
 		"fault":      {dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonInternal}, "E(XX000)Z"},
--- a/frontend/postgres/server_test.go
+++ b/frontend/postgres/server_test.go
@@ -52,7 +52,7 @@
 		d.mu.Unlock()
 		if q != nil {
 			q.Client.Answer(dispatch.Outcome{Kind: dispatch.Failed, Reason: dispatch.ReasonClientDisconnected})
-			d.disconnected <- q.Work.(*lineproto.Request).ID
+			d.disconnected <- q.Payload.(*lineproto.Request).ID
 		}
 	}
 }
@@ -150,7 +150,7 @@
 	t.Helper()
 	d := &testDispatcher{answer: answer, open: map[string]*dispatch.Query{}, disconnected: make(chan string, 100)}
 	o.Settings = testSettings()
-	s := &testServer{t: t, dispatcher: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Tables{}))}
+	s := &testServer{t: t, dispatcher: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Settings{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -16,7 +16,7 @@
 // A query may follow the start-up message without waiting for its answer, and both may arrive in pieces. An empty query has its own answer.
 func TestQueriesInPieces(t *testing.T) {
 	s := startServer(t, Options{}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
-		if q.Work.(*lineproto.Request).Text != "SELECT 'ü'" || q.TableGroup != 0 || q.Deadline <= 0 {
+		if q.Payload.(*lineproto.Request).Text != "SELECT 'ü'" || q.TableGroup != 0 || q.Deadline <= 0 {
 			return dispatch.Outcome{Kind: dispatch.Failed}, true
 		}
 		return servedRows(1), true
@@ -54,7 +54,7 @@
 func TestInvalidMessages(t *testing.T) {
 	const begin = 200 * time.Millisecond
 	s := startServer(t, Options{BeginTimeout: begin, MaxStatement: 4096}, func(q *dispatch.Query) (dispatch.Outcome, bool) {
-		return servedRows(1), q.Work.(*lineproto.Request).Text != "SELECT held"
+		return servedRows(1), q.Payload.(*lineproto.Request).Text != "SELECT held"
 	})
 	usual := s.session()
 	send(usual, queryWithFields(77, "SELECT held"))
@@ -101,7 +101,7 @@
 	}
 	s.dispatcher.mu.Lock()
 	for _, q := range s.dispatcher.open {
-		if q.Work.(*lineproto.Request).ID == fmt.Sprintf("%016x", 77) {
+		if q.Payload.(*lineproto.Request).ID == fmt.Sprintf("%016x", 77) {
 			q.Client.Answer(servedRows(1))
 		}
 	}
--- a/frontend/postgres/session_worker.go
+++ b/frontend/postgres/session_worker.go
@@ -86,7 +86,7 @@
 	if class.Effect == policy.IdempotentByKey {
 		work.Key = q.idempotencyKey
 	}
-	pending, err := s.submit(frontend.Call{Traits: q.traits(), Protocol: nodelist.Platform, Remaining: remaining, Work: work})
+	pending, err := s.submit(frontend.Call{Traits: q.traits(), Protocol: nodelist.Platform, Remaining: remaining, Payload: work})
 	if err != nil {
 		return dispatch.Outcome{}, err
 	}
--- a/frontend/sessions.go
+++ b/frontend/sessions.go
@@ -130,7 +130,7 @@
 // pruneHandles drops the handles of sessions that ended without an Unstick. It runs only once the handles outnumber twice the
 // sessions with state by more than 100, since it reads all of them. The caller holds mu.
 func (s *Sessions) pruneHandles() {
-	if len(s.handles) <= 2*s.machine.WithState()+100 {
+	if len(s.handles) <= 2*s.machine.Reserved()+100 {
 		return
 	}
 	for id := range s.handles {
--- a/permit/audit.go
+++ b/permit/audit.go
@@ -9,18 +9,18 @@
 	violated [reasonCount]atomic.Int64
 }
 
-// Check counts an act that is withheld because it is not permitted, and returns the reason unchanged.
+// CountWithheld counts an act that is withheld because it is not permitted, and returns the reason unchanged.
 // Permitted is not counted.
-func (a *Audit) Check(r Reason) Reason {
+func (a *Audit) CountWithheld(r Reason) Reason {
 	if r != Permitted {
 		a.withheld[r].Add(1)
 	}
 	return r
 }
 
-// Violate counts an act that has violated a rule, and reports whether there was a violation: false for
+// CountViolation counts an act that has violated a rule, and reports whether there was a violation: false for
 // Permitted.
-func (a *Audit) Violate(r Reason) bool {
+func (a *Audit) CountViolation(r Reason) bool {
 	if r == Permitted {
 		return false
 	}
@@ -28,8 +28,8 @@
 	return true
 }
 
-// All returns all reasons except Permitted.
-func All() (out []Reason) {
+// Reasons returns all reasons except Permitted.
+func Reasons() (out []Reason) {
 	for r := Permitted + 1; r < reasonCount; r++ {
 		out = append(out, r)
 	}
@@ -48,9 +48,9 @@
 	Withheld, Violated int64
 }
 
-// Counts returns the counts of the reasons that have occurred, in the order of All.
+// Counts returns the counts of the reasons that have occurred, in the order of Reasons.
 func (a *Audit) Counts() (out []Count) {
-	for _, r := range All() {
+	for _, r := range Reasons() {
 		c := Count{r, a.withheld[r].Load(), a.violated[r].Load()}
 		if c.Withheld+c.Violated > 0 {
 			out = append(out, c)
--- a/permit/permit_test.go
+++ b/permit/permit_test.go
@@ -95,12 +95,12 @@
 
 func TestAudit(t *testing.T) {
 	var a Audit
-	if a.Check(Permitted) != Permitted || a.Violate(Permitted) || len(a.Counts()) != 0 {
+	if a.CountWithheld(Permitted) != Permitted || a.CountViolation(Permitted) || len(a.Counts()) != 0 {
 		t.Error("Permitted is counted")
 	}
-	a.Check(Draining)
-	a.Violate(Draining)
-	a.Violate(DedupWindow)
+	a.CountWithheld(Draining)
+	a.CountViolation(Draining)
+	a.CountViolation(DedupWindow)
 	got := a.Counts()
 	if len(got) != 2 || got[0] != (Count{Draining, 1, 1}) || got[1] != (Count{DedupWindow, 0, 1}) {
 		t.Errorf("%+v", got)
--- a/server/controller.go
+++ b/server/controller.go
@@ -28,15 +28,15 @@
 // controller runs the control module and executes its actions with the stream, the store and the loop. One goroutine owns the module.
 // All decisions are the module's.
 type controller struct {
-	dispatcher *Dispatcher
-	log        *slog.Logger
-	local      config.File // configuration file; streamed settings replace parts of it
-	module     *control.Module
-	stream     *stream.Stream
-	store      *store.Store // nil: versions are lost when the process ends
-	steps      chan func(*control.Module) []control.Action
-	group      *errgroup.Group
-	serial     uint64 // of the latest change of settings that was passed to the loop
+	dispatcher      *Dispatcher
+	log             *slog.Logger
+	local           config.File // configuration file; streamed settings replace parts of it
+	module          *control.Module
+	stream          *stream.Stream
+	store           *store.Store // nil: versions are lost when the process ends
+	steps           chan func(*control.Module) []control.Action
+	group           *errgroup.Group
+	settingsVersion uint64 // of the latest change of settings that was passed to the loop
 
 	status  atomic.Pointer[control.Status]
 	mu      sync.Mutex
@@ -213,7 +213,7 @@
 		})
 	case control.DeleteSet:
 		if c.store != nil {
-			if err := c.store.Forget(a.Number); err != nil {
+			if err := c.store.DeleteNewest(a.Number); err != nil {
 				c.log.Error("cannot delete from the store a version that could not be applied", "set", a.Number, "error", err)
 			}
 		}
@@ -234,15 +234,15 @@
 
 // applySettings puts a set in force between two steps of the loop; then the frontends classify later calls by it.
 func (c *controller) applySettings(ctx context.Context, a control.Apply) {
-	c.serial++
-	serial := c.serial
+	c.settingsVersion++
+	version := c.settingsVersion
 	done := make(chan error, 1)
-	c.dispatcher.loop.Post(dispatch.Change{Serial: serial, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
+	c.dispatcher.loop.Post(dispatch.SettingsChange{Version: version, Settings: a.Config.Settings, Done: func(err error) { done <- err }})
 	c.group.Go(func() error {
 		select {
 		case err := <-done:
 			if err == nil {
-				c.dispatcher.intake.SetTables(frontendTables(a.Config, serial))
+				c.dispatcher.intake.SetSettings(frontendSettings(a.Config, version))
 			}
 			c.post(ctx, control.Applied{Number: a.Set.Number, Err: err})
 		case <-ctx.Done(): // the loop may have ended before the change
@@ -274,7 +274,7 @@
 func (d *Dispatcher) liveState(ctx context.Context) (control.LiveState, error) {
 	result := make(chan control.LiveState, 1)
 	d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
-		live := control.LiveState{InFlight: core.InFlight()}
+		live := control.LiveState{InFlight: core.PendingByClass()}
 		live.Retries, live.Received, live.OrderKeyResting = core.Outstanding()
 		result <- live
 	}})
--- a/server/observer.go
+++ b/server/observer.go
@@ -153,7 +153,7 @@
 
 // registerAudit registers, by reason, the counts of attempts that were withheld and of those that began against a rule.
 func (o *observer) registerAudit(a *permit.Audit) {
-	for _, reason := range permit.All() {
+	for _, reason := range permit.Reasons() {
 		labels := prometheus.Labels{"reason": reason.String()}
 		o.counterFunc("attempts_withheld_total", "Attempts that were not permitted when they would have begun.", labels,
 			func() float64 { return float64(a.Withheld(reason)) })
@@ -246,15 +246,15 @@
 	o.log.Error("fault", "kind", f.Kind, "query", f.ID, "history", f.History)
 }
 
-// Changed implements dispatch.Observer.
-func (o *observer) Changed(version uint64, s policy.Settings) {
+// SettingsChanged implements dispatch.Observer.
+func (o *observer) SettingsChanged(version uint64, s policy.Settings) {
 	o.setClasses(s)
 	o.version.Set(float64(version))
 	o.limit.Set(float64(s.MaxInFlight))
 }
 
-// Paused implements dispatch.Observer.
-func (o *observer) Paused(d dispatch.Micros) { o.pause.Observe(float64(d) / 1e6) }
+// SettingsChangeDuration implements dispatch.Observer.
+func (o *observer) SettingsChangeDuration(d dispatch.Micros) { o.pause.Observe(float64(d) / 1e6) }
 
 // LogLine implements dispatch.Observer.
 func (o *observer) LogLine(text string) { o.log.Info(text, "from", "module") }
--- a/server/parts.go
+++ b/server/parts.go
@@ -62,7 +62,7 @@
 
 // buildSessions creates the intake and the sessions, and lets the sessions follow the node list.
 func (d *Dispatcher) buildSessions() {
-	d.intake = frontend.NewIntake(d.loop, d.clock, frontendTables(d.cfg, 0))
+	d.intake = frontend.NewIntake(d.loop, d.clock, frontendSettings(d.cfg, 0))
 	d.sessions = frontend.NewSessions(d.intake, d.clock, sessionLimits(&d.cfg.File), d.fleet)
 	d.fleet.OnNodes(d.sessions.SetNodes)
 }
@@ -130,22 +130,22 @@
 	return server
 }
 
-// frontendTables returns the part of a configuration that the frontends use; serial is that of its settings in the loop.
-func frontendTables(cfg *config.Config, serial uint64) frontend.Tables {
+// frontendSettings returns the part of a configuration that the frontends use; version is that of its settings in the loop.
+func frontendSettings(cfg *config.Config, version uint64) frontend.Settings {
 	f := &cfg.File.Front
-	t := frontend.Tables{
-		SettingsSerial: serial,
-		Classes:        &cfg.Classes,
-		Deadlines:      make([]time.Duration, len(cfg.Settings.Classes)),
-		ResponseMargin: f.ResponseMargin.D(),
-		TicketLife:     f.TicketLife.D(),
-		PreparedLife:   f.PreparedLife.D(),
-		BearerLife:     f.BearerLife.D(),
-		MaxStatement:   f.MaxStatement,
-		MaxParams:      f.MaxParams,
+	s := frontend.Settings{
+		SettingsVersion:   version,
+		Classes:           &cfg.Classes,
+		Deadlines:         make([]time.Duration, len(cfg.Settings.Classes)),
+		ResponseMargin:    f.ResponseMargin.D(),
+		TicketTTL:         f.TicketLife.D(),
+		PreparedTTL:       f.PreparedLife.D(),
+		BearerTTL:         f.BearerLife.D(),
+		MaxStatementBytes: f.MaxStatement,
+		MaxParameterBytes: f.MaxParams,
 	}
 	for i, c := range cfg.Settings.Classes {
-		t.Deadlines[i] = time.Duration(c.Deadline) * time.Microsecond
+		s.Deadlines[i] = time.Duration(c.Deadline) * time.Microsecond
 	}
-	return t
+	return s
 }
--- a/server/platform.go
+++ b/server/platform.go
@@ -87,7 +87,7 @@
 	p.fleet.Bind(p.loop)
 	p.frontend = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings,
 		MaxSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, IdleTimeout: duration(cfg.SocketLimits.ConnIdle)},
-		frontend.NewIntake(p.loop, p.clock, frontend.Tables{}))
+		frontend.NewIntake(p.loop, p.clock, frontend.Settings{}))
 	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial,
 		Interval: pollInterval(cfg), Apply: p.setNodes})
 	if cfg.Settings.CanGossip {
--- a/server/platform_metrics.go
+++ b/server/platform_metrics.go
@@ -30,8 +30,9 @@
 }
 
 // loggedReasons are the reasons of shed and failed queries, in the order in which they are logged.
-var loggedReasons = [...]dispatch.Reason{dispatch.ReasonOverload, dispatch.ReasonFull, dispatch.ReasonDraining, dispatch.ReasonAttempt,
-	dispatch.ReasonBroken, dispatch.ReasonDeadline, dispatch.ReasonInternal, dispatch.ReasonClientDisconnected, dispatch.ReasonStopped}
+var loggedReasons = [...]dispatch.Reason{dispatch.ReasonOverload, dispatch.ReasonFull, dispatch.ReasonDraining,
+	dispatch.ReasonAttemptFailed, dispatch.ReasonResponseBroken, dispatch.ReasonDeadline, dispatch.ReasonInternal,
+	dispatch.ReasonClientDisconnected, dispatch.ReasonStopped}
 
 func newPlatformMetrics(log *slog.Logger) *platformMetrics { return &platformMetrics{log: log} }
 
@@ -43,7 +44,7 @@
 
 // traceID returns the id that the client gave its query, or "" where its protocol has none.
 func traceID(q *dispatch.Query) string {
-	if r, ok := q.Work.(*lineproto.Request); ok {
+	if r, ok := q.Payload.(*lineproto.Request); ok {
 		return r.ID
 	}
 	return ""
@@ -81,11 +82,11 @@
 	m.log.Error("fault", "kind", f.Kind, "query", f.ID, "history", f.History)
 }
 
-// Changed implements dispatch.Observer.
-func (m *platformMetrics) Changed(uint64, policy.Settings) {}
+// SettingsChanged implements dispatch.Observer.
+func (m *platformMetrics) SettingsChanged(uint64, policy.Settings) {}
 
-// Paused implements dispatch.Observer.
-func (m *platformMetrics) Paused(dispatch.Micros) {}
+// SettingsChangeDuration implements dispatch.Observer.
+func (m *platformMetrics) SettingsChangeDuration(dispatch.Micros) {}
 
 // LogLine implements dispatch.Observer.
 func (m *platformMetrics) LogLine(text string) { m.log.Info(text, "from", "module") }
--- a/session/machine.go
+++ b/session/machine.go
@@ -88,11 +88,11 @@
 // Next returns when TimerFired is due; ok is false if no timer is set.
 func (m *Machine) Next() (at Micros, ok bool) { return m.timers.next() }
 
-// WithState returns the number of sessions counted in the limits: those with state, and those whose running first statement may
+// Reserved returns the number of sessions counted in the limits: those with state, and those whose running first statement may
 // create it.
-func (m *Machine) WithState() int { return m.reserved }
+func (m *Machine) Reserved() int { return m.reserved }
 
-// Status returns the number of known sessions, the number that WithState returns, and the number of sessions with state on each
+// Status returns the number of known sessions, the number that Reserved returns, and the number of sessions with state on each
 // node.
 func (m *Machine) Status() (known, withState int, byNode map[string]int) {
 	byNode = map[string]int{}
--- a/session/memory_test.go
+++ b/session/memory_test.go
@@ -35,7 +35,7 @@
 		begin := time.Now()
 		actions := m.Step(sec, NodeListUpdated{Nodes: all.Nodes[1:]})
 		b.ReportMetric(float64(time.Since(begin).Microseconds()), "us/lost-node")
-		if n := m.WithState(); n != sessions-(sessions+nodes-1)/nodes {
+		if n := m.Reserved(); n != sessions-(sessions+nodes-1)/nodes {
 			b.Fatalf("%d sessions with state, %d actions", n, len(actions))
 		}
 		runtime.KeepAlive(m)
--- a/store/record.go
+++ b/store/record.go
@@ -39,7 +39,7 @@
 	return append(record, body...), nil
 }
 
-// decode returns the set in a record. Its errors say how the record is damaged, without naming it: Damaged adds the entry.
+// decode returns the set in a record. Its errors say how the record is damaged, without naming it: DamagedVersionError adds the entry.
 func decode(record []byte) (control.Set, error) {
 	if len(record) < bodyOffset {
 		return control.Set{}, fmt.Errorf("truncated record: %d bytes, minimum is %d", len(record), bodyOffset)
--- a/store/store.go
+++ b/store/store.go
@@ -30,17 +30,19 @@
 // ErrNotFound means that the store has no intact version or, from Get, none with the given number.
 var ErrNotFound = errors.New("store: no intact version")
 
-// Damaged is the error for a stored version that cannot be decoded.
-type Damaged struct {
+// DamagedVersionError is the error for a stored version that cannot be decoded.
+type DamagedVersionError struct {
 	Entry uint64 // sequence number of the version in the file, from 1
 	Err   error  // how the record is damaged
 }
 
 // Error names the entry and says how it is damaged.
-func (d Damaged) Error() string { return fmt.Sprintf("store: entry %d: %v", d.Entry, d.Err) }
+func (e DamagedVersionError) Error() string {
+	return fmt.Sprintf("store: entry %d: %v", e.Entry, e.Err)
+}
 
 // Unwrap returns Err.
-func (d Damaged) Unwrap() error { return d.Err }
+func (e DamagedVersionError) Unwrap() error { return e.Err }
 
 // versionsBucket maps the sequence number of a version (8 bytes, big endian) to its record.
 var versionsBucket = []byte("versions")
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// Forget deletes the newest version if its set has the given number or if it is damaged.
-func (s *Store) Forget(number uint64) error {
+// DeleteNewest deletes the newest version if its set has the given number or if it is damaged.
+func (s *Store) DeleteNewest(number uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(versionsBucket).Cursor()
 		k, v := c.Last()
@@ -119,8 +121,8 @@
 
 // Last returns the newest intact version and the damaged versions that are newer. If no version is intact, the error is
 // ErrNotFound.
-func (s *Store) Last() (control.Set, []Damaged, error) {
-	var damaged []Damaged
+func (s *Store) Last() (control.Set, []DamagedVersionError, error) {
+	var damaged []DamagedVersionError
 	var found *control.Set
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(versionsBucket).Cursor()
@@ -130,7 +132,7 @@
 				found = &set
 				return nil
 			}
-			damaged = append(damaged, Damaged{binary.BigEndian.Uint64(k), err})
+			damaged = append(damaged, DamagedVersionError{binary.BigEndian.Uint64(k), err})
 		}
 		return nil
 	})
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -72,12 +72,12 @@
 		t.Errorf("Get of a version over the limit: error %v, want ErrNotFound", err)
 	}
 	for _, n := range []uint64{4, 5} { // set 4 stays, because it is not the newest
-		if err := s.Forget(n); err != nil {
+		if err := s.DeleteNewest(n); err != nil {
 			t.Error(err)
 		}
 	}
 	if got, _, _ := s.Last(); got.Number != 4 {
-		t.Errorf("after Forget: set %d, want 4", got.Number)
+		t.Errorf("after DeleteNewest: set %d, want 4", got.Number)
 	}
 }
 
--- a/trace/recorder.go
+++ b/trace/recorder.go
@@ -79,8 +79,8 @@
 	r.enqueue(stepEntry{now, slices.Clone(events), slices.Clone(actions)})
 }
 
-// Changed implements dispatch.Recorder. It copies the slices.
-func (r *Recorder) Changed(now policy.Micros, s policy.Settings, classes, tenants []int) {
+// SettingsChanged implements dispatch.Recorder. It copies the slices.
+func (r *Recorder) SettingsChanged(now policy.Micros, s policy.Settings, classes, tenants []int) {
 	r.enqueue(changeEntry{now, s, slices.Clone(classes), slices.Clone(tenants)})
 }
 
--- a/trace/trace_test.go
+++ b/trace/trace_test.go
@@ -46,7 +46,7 @@
 			if err := g.Change(s, []int{0, 1}, nil); err != nil {
 				t.Fatal(err)
 			}
-			r.Changed(now, s, []int{0, 1}, nil)
+			r.SettingsChanged(now, s, []int{0, 1}, nil)
 		}
 		acts := step(policy.Request{ID: fmt.Sprint("q", i), Class: i % 2, Cost: 50000, MemoryMB: 10, Deadline: now + 4e6},
 			policy.TimerFired{})
