--- a/backend/dial.go
+++ b/backend/dial.go
@@ -27,13 +27,13 @@
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// expired is a time in the past: as a deadline it makes blocked reads and writes of a connection return at once.
-var expired = time.Unix(1, 0)
+// pastDeadline is a time in the past: as a deadline it makes blocked reads and writes of a connection return at once.
+var pastDeadline = time.Unix(1, 0)
 
 // interruptOnDone makes blocked reads and writes of a connection return when ctx ends. stop cancels this; it returns false if ctx has
 // already ended, in which case the connection's deadlines are, or soon will be, in the past.
 func interruptOnDone(ctx context.Context, c net.Conn) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
-		_ = c.SetDeadline(expired) // fails only on a closed connection, on which nothing blocks
+		_ = c.SetDeadline(pastDeadline) // fails only on a closed connection, on which nothing blocks
 	})
 }
--- a/backend/fleet_test.go
+++ b/backend/fleet_test.go
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { closeFleet(t, f.Fleet) })
 	var nodes []nodelist.Node
 	for i, a := range addresses {
-		nodes = append(nodes, nodelist.Node{ID: fmt.Sprintf("n%d", i), Platform: a})
+		nodes = append(nodes, nodelist.Node{ID: fmt.Sprintf("n%d", i), PlatformAddress: a})
 	}
 	f.setNodes(nodes)
 	return f
--- a/backend/list.go
+++ b/backend/list.go
@@ -73,7 +73,8 @@
 	} else {
 		startedAt = f.startTime(row)
 	}
-	if n != nil && n.flightAddress == row.Address && n.nativeAddress == row.Native && n.platform.address == row.Platform {
+	if n != nil && n.flightAddress == row.FlightSQLAddress && n.nativeAddress == row.NativeAddress &&
+		n.platform.address == row.PlatformAddress {
 		n.removed, n.listedStart, n.startedAt = false, row.Started, startedAt
 		n.recordState(f.clock.Now(), row.State == policy.Healthy)
 		return startedAt
@@ -85,8 +86,9 @@
 			n.close()
 		}
 	}
-	n = &node{id: row.ID, flightAddress: row.Address, nativeAddress: row.Native, listedStart: row.Started, startedAt: startedAt,
-		platform: platformPool{address: row.Platform}}
+	n = &node{id: row.ID, flightAddress: row.FlightSQLAddress, nativeAddress: row.NativeAddress,
+		listedStart: row.Started, startedAt: startedAt,
+		platform: platformPool{address: row.PlatformAddress}}
 	n.recordState(f.clock.Now(), row.State == policy.Healthy)
 	f.nodes[row.ID] = n
 	return startedAt
--- a/backend/list_test.go
+++ b/backend/list_test.go
@@ -19,7 +19,7 @@
 	started := time.Now().Add(-time.Minute)
 	seen := map[policy.Micros]bool{}
 	for range 50 {
-		if err := f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started}}); err != nil {
+		if err := f.SetNodes([]nodelist.Node{{ID: "n", FlightSQLAddress: "127.0.0.1:1", Started: started}}); err != nil {
 			t.Fatal(err)
 		}
 		seen[(<-recorder.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started] = true
@@ -27,7 +27,7 @@
 	if len(seen) != 1 {
 		t.Errorf("one start time was reported as %d different ones", len(seen))
 	}
-	if err := f.SetNodes([]nodelist.Node{{ID: "n", Address: "127.0.0.1:1", Started: started.Add(time.Second)}}); err != nil {
+	if err := f.SetNodes([]nodelist.Node{{ID: "n", FlightSQLAddress: "127.0.0.1:1", Started: started.Add(time.Second)}}); err != nil {
 		t.Fatal(err)
 	}
 	if at := (<-recorder.events).(dispatch.PolicyEvent).Event.(policy.EndpointUpdate).Endpoints[0].Started; seen[at] {
@@ -39,9 +39,10 @@
 func TestStartsAreBoundedByThePreviousList(t *testing.T) {
 	f := newPlatformFleet(t, Options{}, "127.0.0.1:1")
 	listed := f.clock.Now()
-	rows := []nodelist.Node{{ID: "n0", Platform: "127.0.0.1:1"}, {ID: "old", Platform: "127.0.0.1:2", Started: time.Now().Add(-time.Hour)},
-		{ID: "future", Platform: "127.0.0.1:3", Started: time.Now().Add(time.Hour)},
-		{ID: "recent", Platform: "127.0.0.1:4", Started: time.Now().Add(-time.Second)}}
+	rows := []nodelist.Node{{ID: "n0", PlatformAddress: "127.0.0.1:1"},
+		{ID: "old", PlatformAddress: "127.0.0.1:2", Started: time.Now().Add(-time.Hour)},
+		{ID: "future", PlatformAddress: "127.0.0.1:3", Started: time.Now().Add(time.Hour)},
+		{ID: "recent", PlatformAddress: "127.0.0.1:4", Started: time.Now().Add(-time.Second)}}
 	if err := f.SetNodes(rows); err != nil {
 		t.Fatal(err)
 	}
--- a/backend/native_attempt.go
+++ b/backend/native_attempt.go
@@ -179,7 +179,7 @@
 	reusable, result, err = t.forwardAnswer(ctx, c)
 	// SetWriteDeadline fails only on a closed connection, on which the writes fail as well.
 	if !reusable || err != nil { // the answer has failed: the rows that are not written yet are of no use
-		_ = c.conn.SetWriteDeadline(expired)
+		_ = c.conn.SetWriteDeadline(pastDeadline)
 	}
 	if uploadErr := upload.Wait(); uploadErr != nil {
 		reusable = false
--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -31,7 +31,7 @@
 	recorder := eventRecorder{make(chan dispatch.Event, 10000)}
 	f.Bind(recorder)
 	defer closeFleet(t, f)
-	if err := f.SetNodes([]nodelist.Node{{ID: "n", Native: address}}); err != nil {
+	if err := f.SetNodes([]nodelist.Node{{ID: "n", NativeAddress: address}}); err != nil {
 		t.Fatal(err)
 	}
 	call.Revision, call.Sink = native.NewestRevision, &discardSink{}
--- a/backend/native_late_answer_test.go
+++ b/backend/native_late_answer_test.go
@@ -90,7 +90,7 @@
 			recorder := eventRecorder{make(chan dispatch.Event, 100)}
 			f.Bind(recorder)
 			defer closeFleet(t, f)
-			if err := f.SetNodes([]nodelist.Node{{ID: "n", Native: l.Addr().String()}}); err != nil {
+			if err := f.SetNodes([]nodelist.Node{{ID: "n", NativeAddress: l.Addr().String()}}); err != nil {
 				t.Fatal(err)
 			}
 			for number := range 2 {
--- a/backend/permission_audit_test.go
+++ b/backend/permission_audit_test.go
@@ -29,7 +29,7 @@
 	if end := f.end(); end.Code != policy.OK || len(f.Audit().Counts()) != 0 {
 		t.Fatalf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
 	}
-	f.setNodes([]nodelist.Node{{ID: "n0", Platform: node.Address(), State: policy.Draining}})
+	f.setNodes([]nodelist.Node{{ID: "n0", PlatformAddress: node.Address(), State: policy.Draining}})
 	f.send("two", 0, "n0", time.Second)
 	if end := f.end(); end.Code != policy.NeverSent || f.Audit().Withheld(permit.Draining) != 1 || f.Audit().Violated(permit.Draining) != 0 {
 		t.Errorf("code %d (%v), counts %v", end.Code, end.Err, f.Audit().Counts())
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -198,7 +198,7 @@
 					timeout = 50 * time.Millisecond
 				}
 				release := block(f, node, timeout)
-				change(f, []nodelist.Node{{ID: "n0", Platform: node.Address()}})
+				change(f, []nodelist.Node{{ID: "n0", PlatformAddress: node.Address()}})
 				release()
 				checkNeverSent(t, f, node)
 			})
--- a/backend/platform_connection.go
+++ b/backend/platform_connection.go
@@ -201,7 +201,7 @@
 	c.setWriteDeadline(time.Now().Add(requestWriteTimeout))
 	interrupted := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
-		c.setWriteDeadline(expired)
+		c.setWriteDeadline(pastDeadline)
 		close(interrupted)
 	})
 	written, err = c.conn.Write(b)
--- a/backend/platform_pool_test.go
+++ b/backend/platform_pool_test.go
@@ -165,7 +165,7 @@
 	if fmt.Sprint(f.progress) != fmt.Sprint(want) {
 		t.Errorf("progress %v, want %v", f.progress, want)
 	}
-	f.setNodes([]nodelist.Node{{ID: "n1", Platform: node.Address()}})
+	f.setNodes([]nodelist.Node{{ID: "n1", PlatformAddress: node.Address()}})
 	f.send("b", 0, "n1", time.Second)
 	if f.end(); node.Accepted() != 2 {
 		t.Errorf("%d connections, want one for each node", node.Accepted())
--- a/classify/classify.go
+++ b/classify/classify.go
@@ -23,16 +23,16 @@
 
 // Traits holds the properties of a query that the policy decides by.
 type Traits struct {
-	Class    int           // index into Table.Classes, or a derived class from Table.Updates or Table.Keyed
-	Tenant   int           // index into Table.Tenants; 0 if no rule or hint gives a tenant
-	Cost     time.Duration // work summed over all threads; 0: unknown
-	MemoryMB float64       // 0: unknown
-	Tables   int64         // hash of the table group; 0: none
-	Key      int64         // hash of the order key, if HasKey
-	HasKey   bool
-	Retry    bool   // the client marked the query as a retry
-	Rule     string // name of the rule that set the class; "" if none did
-	Hinted   bool   // a hint comment or header set the class
+	Class       int           // index into Table.Classes, or a derived class from Table.Updates or Table.Keyed
+	Tenant      int           // index into Table.Tenants; 0 if no rule or hint gives a tenant
+	Cost        time.Duration // work summed over all threads; 0: unknown
+	MemoryMB    float64       // 0: unknown
+	Tables      int64         // hash of the table group; 0: none
+	Key         int64         // hash of the order key, if HasKey
+	HasKey      bool
+	ClientRetry bool   // the client marked the query as a retry
+	Rule        string // name of the rule that set the class; "" if none did
+	Hinted      bool   // a hint comment or header set the class
 }
 
 // Rule sets traits of queries that match all of its conditions. An empty condition matches every query.
--- a/classify/connection.go
+++ b/classify/connection.go
@@ -7,20 +7,20 @@
 
 // The effects. The change by an Unsupported statement cannot be repeated on another connection, nor undone separately.
 const (
-	LeavesNothing ConnectionEffect = iota
-	SetsOptions                    // SET name = value, ...
-	SetsDatabase                   // USE name
-	CreatesTable                   // CREATE TEMPORARY TABLE name
-	DropsTable                     // DROP TABLE name: temporary or not
-	Unsupported                    // SET ROLE, transactions, temporary objects other than tables
+	NoConnectionEffect ConnectionEffect = iota
+	SetsOptions                         // SET name = value, ...
+	SetsDatabase                        // USE name
+	CreatesTable                        // CREATE TEMPORARY TABLE name
+	DropsTable                          // DROP TABLE name: temporary or not
+	Unsupported                         // SET ROLE, transactions, temporary objects other than tables
 )
 
 // Option holds one assignment of a SET statement. Quotes around the value are removed.
 type Option struct{ Name, Value string }
 
-// OnConnection returns the effect of a statement in the ClickHouse dialect on its connection, the name of the database or
+// ConnectionEffectOf returns the effect of a statement in the ClickHouse dialect on its connection, the name of the database or
 // table that is set, created or dropped, and the options of a SET.
-func OnConnection(statement string) (effect ConnectionEffect, name string, options []Option) {
+func ConnectionEffectOf(statement string) (effect ConnectionEffect, name string, options []Option) {
 	s := scanner{text: statement}
 	switch s.keyword() {
 	case "SET":
@@ -39,7 +39,7 @@
 		effect, name = s.drop()
 		return effect, name, nil
 	}
-	return LeavesNothing, "", nil
+	return NoConnectionEffect, "", nil
 }
 
 // create scans the rest of a statement after CREATE.
@@ -50,7 +50,7 @@
 		keyword = s.keyword()
 	}
 	if keyword != "TEMPORARY" {
-		return LeavesNothing, ""
+		return NoConnectionEffect, ""
 	}
 	if s.keyword() != "TABLE" {
 		return Unsupported, ""
@@ -71,7 +71,7 @@
 		keyword = s.keyword()
 	}
 	if keyword != "TABLE" {
-		return LeavesNothing, ""
+		return NoConnectionEffect, ""
 	}
 	name := s.keyword()
 	if name == "IF" { // EXISTS
--- a/classify/connection_test.go
+++ b/classify/connection_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestOnConnection(t *testing.T) {
+func TestConnectionEffectOf(t *testing.T) {
 	for statement, want := range map[string]string{
 		"SELECT 1":                           "0  []",
 		"set max_threads = 8":                "1  [{max_threads 8}]",
@@ -23,7 +23,7 @@
 		"DROP DATABASE d":                                         "0  []",
 		"BEGIN TRANSACTION":                                       "5  []",
 	} {
-		effect, name, options := OnConnection(statement)
+		effect, name, options := ConnectionEffectOf(statement)
 		if got := fmt.Sprint(int(effect), " ", name, " ", options); got != want {
 			t.Errorf("%s: %q, want %q", statement, got, want)
 		}
--- a/classify/hints.go
+++ b/classify/hints.go
@@ -101,7 +101,7 @@
 			out.Tables = hashName(value)
 		}
 	case "retry":
-		out.Retry = value == "1" || value == "true"
+		out.ClientRetry = value == "1" || value == "true"
 	}
 	return nil
 }
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -153,7 +153,7 @@
 		if err == nil && base == "nodes" {
 			err = s.readNodes(f, text)
 		} else if n, parseErr := strconv.ParseUint(base, 10, 64); err == nil && parseErr == nil && n > 0 && !s.hasSet(n) {
-			if high := s.rollout.Highest(); n <= high {
+			if high := s.rollout.HighestNumber(); n <= high {
 				err = fmt.Errorf("%s: found number %d, allowed are numbers above %d, the highest in use", f, n, high)
 			} else if err = s.readSettings(f, n, text); err == nil {
 				newest = max(newest, n)
@@ -263,7 +263,7 @@
 		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0) // writing to a strings.Builder never fails
 		_, _ = fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
 		for _, status := range s.rollout.Statuses() {
-			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", status.Dispatcher, status.Number, status.Refused, status.Reason)
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%s\n", status.Dispatcher, status.Number, status.Rejected, status.Reason)
 		}
 		_ = w.Flush()
 	})
--- a/config/classes.go
+++ b/config/classes.go
@@ -51,7 +51,7 @@
 		c.Classes.Updates = append(c.Classes.Updates, len(f.Classes)+i)
 		c.Classes.Keyed = append(c.Classes.Keyed, -1)
 	}
-	c.Classes.Default = max(v.indexOf("default_class", f.Default, c.Classes.Classes), 0)
+	c.Classes.Default = max(v.indexOf("default_class", f.DefaultClass, c.Classes.Classes), 0)
 	c.Classes.Hints = !f.NoHints
 	return true
 }
--- a/config/defaults.go
+++ b/config/defaults.go
@@ -20,14 +20,14 @@
 	setDefault(&f.Peers, 1)
 	setDefault(&f.Listen.FlightSQL, "127.0.0.1:32010")
 	if len(f.Classes) > 0 {
-		setDefault(&f.Default, f.Classes[0].Name)
+		setDefault(&f.DefaultClass, f.Classes[0].Name)
 	}
 	for i := range f.Classes {
 		f.Classes[i].setDefaults()
 	}
 	f.Limits.setDefaults()
-	f.Sending.setDefaults()
-	f.Front.setDefaults()
+	f.NodeOptions.setDefaults()
+	f.Frontend.setDefaults()
 	f.Sessions.setDefaults()
 	if f.Control != nil {
 		f.Control.setDefaults()
@@ -44,7 +44,7 @@
 }
 
 func (l *Limits) setDefaults() {
-	setDefault(&l.Attempts, 3)
+	setDefault(&l.MaxAttempts, 3)
 	setDefault(&l.MaxInFlight, 20000)
 	setDefault(&l.MaxRetryAfter, Duration(2*time.Second))
 	setDefault(&l.DrainGrace, Duration(2*time.Second))
@@ -56,30 +56,30 @@
 	setDefault(&l.OverQuotaWeight, 0.05)
 }
 
-func (s *Sending) setDefaults() {
+func (s *NodeOptions) setDefaults() {
 	setDefault(&s.GrantShare, 0.4)
 	setDefault(&s.Shortage, "trim")
-	setDefault(&s.Connect, Duration(250*time.Millisecond))
-	setDefault(&s.MaxFrame, 16<<20)
+	setDefault(&s.ConnectTimeout, Duration(250*time.Millisecond))
+	setDefault(&s.MaxFrameBytes, 16<<20)
 }
 
-func (f *Front) setDefaults() {
+func (f *Frontend) setDefaults() {
 	setDefault(&f.ResponseMargin, Duration(10*time.Millisecond))
-	setDefault(&f.TicketLife, Duration(10*time.Minute))
-	setDefault(&f.PreparedLife, Duration(24*time.Hour))
-	setDefault(&f.BearerLife, Duration(time.Hour))
-	setDefault(&f.SchemaLife, Duration(5*time.Minute))
-	setDefault(&f.MaxSchemas, 4096)
-	setDefault(&f.MaxStatement, 2<<20)
-	setDefault(&f.MaxParams, 256<<10)
+	setDefault(&f.TicketTTL, Duration(10*time.Minute))
+	setDefault(&f.PreparedTTL, Duration(24*time.Hour))
+	setDefault(&f.BearerTTL, Duration(time.Hour))
+	setDefault(&f.SchemaTTL, Duration(5*time.Minute))
+	setDefault(&f.MaxCachedAnswers, 4096)
+	setDefault(&f.MaxStatementBytes, 2<<20)
+	setDefault(&f.MaxParameterBytes, 256<<10)
 	setDefault(&f.MaxInsertBytes, 64<<20)
 	setDefault(&f.MaxBufferedInsertBytes, 512<<20)
 }
 
 func (s *Sessions) setDefaults() {
 	setDefault(&s.Max, 100000)
-	setDefault(&s.Idle, Duration(5*time.Minute))
-	setDefault(&s.Age, Duration(time.Hour))
+	setDefault(&s.IdleTimeout, Duration(5*time.Minute))
+	setDefault(&s.MaxAge, Duration(time.Hour))
 	setDefault(&s.RetrySpread, Duration(5*time.Second))
 	setDefault(&s.Retention, Duration(time.Minute))
 }
@@ -89,7 +89,7 @@
 	setDefault(&k.Floor, 0.5)
 	setDefault(&k.FloorCount, 1)
 	setDefault(&k.RelistAfter, Duration(time.Minute))
-	setDefault(&k.Reconnect, Duration(30*time.Second))
+	setDefault(&k.MaxReconnectBackoff, Duration(30*time.Second))
 }
 
 func (l *Log) setDefaults() {
--- a/config/file.go
+++ b/config/file.go
@@ -2,28 +2,28 @@
 
 // File holds the fields of a configuration file. docs/operators.md describes each field.
 type File struct {
-	Name     string   `json:"name"`
-	Zones    []string `json:"halls"`
-	Zone     string   `json:"hall"`
-	Peers    int      `json:"dispatchers"` // number of dispatchers that share the fleet, including this one
-	Number   int      `json:"number"`      // index of this dispatcher among them, from 0
-	Listen   Listen   `json:"listen"`
-	Keys     []string `json:"keys"` // sealing keys in hex, 32 bytes each; the first seals tokens, all of them open tokens
-	AnyUser  bool     `json:"any_user"`
-	Users    []User   `json:"users"`
-	Nodes    Nodes    `json:"nodes"`
-	Kinds    []Kind   `json:"kinds"`
-	Classes  []Class  `json:"classes"`
-	Default  string   `json:"default_class"`
-	Tenants  []Tenant `json:"tenants"`
-	Limits   Limits   `json:"limits"`
-	Rules    []Rule   `json:"rules"`
-	NoHints  bool     `json:"no_hints"` // hint comments and hint headers are ignored
-	Sending  Sending  `json:"sending"`
-	Front    Front    `json:"front"`
-	Sessions Sessions `json:"sessions"`
-	Log      Log      `json:"log"`
-	Control  *Control `json:"control"` // streams the node list and the settings; replaces Nodes
+	Name         string      `json:"name"`
+	Zones        []string    `json:"halls"`
+	Zone         string      `json:"hall"`
+	Peers        int         `json:"dispatchers"` // number of dispatchers that share the fleet, including this one
+	PeerIndex    int         `json:"number"`      // index of this dispatcher among them, from 0
+	Listen       Listen      `json:"listen"`
+	Keys         []string    `json:"keys"` // sealing keys in hex, 32 bytes each; the first seals tokens, all of them open tokens
+	AnyUser      bool        `json:"any_user"`
+	Users        []User      `json:"users"`
+	Nodes        Nodes       `json:"nodes"`
+	Kinds        []Kind      `json:"kinds"`
+	Classes      []Class     `json:"classes"`
+	DefaultClass string      `json:"default_class"`
+	Tenants      []Tenant    `json:"tenants"`
+	Limits       Limits      `json:"limits"`
+	Rules        []Rule      `json:"rules"`
+	NoHints      bool        `json:"no_hints"` // hint comments and hint headers are ignored
+	NodeOptions  NodeOptions `json:"sending"`
+	Frontend     Frontend    `json:"front"`
+	Sessions     Sessions    `json:"sessions"`
+	Log          Log         `json:"log"`
+	Control      *Control    `json:"control"` // streams the node list and the settings; replaces Nodes
 }
 
 // Listen holds the addresses that the dispatcher listens on.
@@ -55,17 +55,17 @@
 
 // Control is a control service that streams the node list and the settings: classes, tenants, limits, rules.
 type Control struct {
-	Address      string   `json:"address"`
-	Cluster      string   `json:"cluster"`        // name of the node list
-	Delta        bool     `json:"delta"`          // uses the incremental variant of xDS
-	Store        string   `json:"store"`          // file that keeps the accepted versions; empty: they do not survive a restart
-	KeepVersions int      `json:"keep"`           // number of versions kept
-	Floor        float64  `json:"floor"`          // minimum share of the healthy nodes that one node list must keep
-	FloorCount   int      `json:"floor_count"`    // minimum number of healthy nodes that one node list must keep
-	RelistAfter  Duration `json:"relist_after"`   // a withdrawn node listed as healthy without a new start is accepted after this
-	Shorter      bool     `json:"allow_shorter"`  // drain grace, ordering gap and retry budget may shrink even while in use
-	Reconnect    Duration `json:"reconnect_most"` // longest backoff between connection attempts
-	OperatorKey  string   `json:"operator_key"`   // Ed25519 public key in hex; its private key signs overrides; empty: no overrides
+	Address             string   `json:"address"`
+	Cluster             string   `json:"cluster"`        // name of the node list
+	Delta               bool     `json:"delta"`          // uses the incremental variant of xDS
+	Store               string   `json:"store"`          // file that keeps the accepted versions; empty: they do not survive a restart
+	KeepVersions        int      `json:"keep"`           // number of versions kept
+	Floor               float64  `json:"floor"`          // minimum share of the healthy nodes that one node list must keep
+	FloorCount          int      `json:"floor_count"`    // minimum number of healthy nodes that one node list must keep
+	RelistAfter         Duration `json:"relist_after"`   // a withdrawn node listed as healthy without a new start is accepted after this
+	AllowShorter        bool     `json:"allow_shorter"`  // drain grace, ordering gap and retry budget may shrink even while in use
+	MaxReconnectBackoff Duration `json:"reconnect_most"` // longest backoff between connection attempts
+	OperatorKey         string   `json:"operator_key"`   // Ed25519 public key in hex; its private key signs overrides; empty: no overrides
 }
 
 // Node is a row of a node list in a file.
@@ -117,7 +117,7 @@
 
 // Limits holds the limits of the dispatcher. A zero value means the default, which configcheck prints.
 type Limits struct {
-	Attempts          int      `json:"attempts"`
+	MaxAttempts       int      `json:"attempts"`
 	MaxInFlight       int      `json:"held"`
 	MaxRetryAfter     Duration `json:"come_back"`
 	Hedging           bool     `json:"second_copies"`
@@ -133,30 +133,30 @@
 	OverQuotaWeight   float64  `json:"over_share_worth"`
 }
 
-// Sending holds the settings of connections to nodes, and which features nodes support.
-type Sending struct {
-	Grants       bool     `json:"grants"`
-	GrantShare   float64  `json:"grant_share"`
-	Priorities   bool     `json:"priorities"`
-	HealthChecks bool     `json:"probes"`
-	Shortage     string   `json:"shortage"` // what a node does when grants exceed its memory: queue, trim or swap
-	Connect      Duration `json:"connect_timeout"`
-	MaxFrame     int      `json:"max_frame_bytes"`
-	PassHeaders  []string `json:"pass_headers"`
-	NativeUser   string   `json:"native_user"` // user of the dispatcher at nodes, in the native protocol
-	NativePass   string   `json:"native_password"`
+// NodeOptions holds the settings of connections to nodes, and which features nodes support.
+type NodeOptions struct {
+	Grants         bool     `json:"grants"`
+	GrantShare     float64  `json:"grant_share"`
+	Priorities     bool     `json:"priorities"`
+	HealthChecks   bool     `json:"probes"`
+	Shortage       string   `json:"shortage"` // what a node does when grants exceed its memory: queue, trim or swap
+	ConnectTimeout Duration `json:"connect_timeout"`
+	MaxFrameBytes  int      `json:"max_frame_bytes"`
+	PassHeaders    []string `json:"pass_headers"`
+	NativeUser     string   `json:"native_user"` // user of the dispatcher at nodes, in the native protocol
+	NativePassword string   `json:"native_password"`
 }
 
-// Front holds the limits of the frontends.
-type Front struct {
+// Frontend holds the limits of the frontends.
+type Frontend struct {
 	ResponseMargin         Duration `json:"way_back"` // taken off the deadline, at most a tenth of it, for the way back to the client
-	TicketLife             Duration `json:"ticket_life"`
-	PreparedLife           Duration `json:"prepared_life"`
-	BearerLife             Duration `json:"bearer_life"`
-	SchemaLife             Duration `json:"schema_life"`
-	MaxSchemas             int      `json:"schema_most"`
-	MaxStatement           int      `json:"max_statement_bytes"`
-	MaxParams              int      `json:"max_parameter_bytes"`
+	TicketTTL              Duration `json:"ticket_life"`
+	PreparedTTL            Duration `json:"prepared_life"`
+	BearerTTL              Duration `json:"bearer_life"`
+	SchemaTTL              Duration `json:"schema_life"`
+	MaxCachedAnswers       int      `json:"schema_most"`
+	MaxStatementBytes      int      `json:"max_statement_bytes"`
+	MaxParameterBytes      int      `json:"max_parameter_bytes"`
 	MaxInsertBytes         int      `json:"max_insert_bytes"`  // of the rows and external tables of one native query
 	MaxBufferedInsertBytes int      `json:"held_insert_bytes"` // of all native queries together, until they are answered
 }
@@ -166,8 +166,8 @@
 	Max         int      `json:"most"`
 	PerTenant   int      `json:"per_tenant"` // 0: no limit per tenant
 	PerNode     int      `json:"per_node"`   // counts sessions of this dispatcher; 0: no limit per node
-	Idle        Duration `json:"idle"`       // a session is rolled back after this time without a statement
-	Age         Duration `json:"age"`        // a session is rolled back when its state is this old; its token is valid for as long
+	IdleTimeout Duration `json:"idle"`       // a session is rolled back after this time without a statement
+	MaxAge      Duration `json:"age"`        // a session is rolled back when its state is this old; its token is valid for as long
 	RetrySpread Duration `json:"spread"`     // clients of a lost node are told to retry at different times within this
 	Retention   Duration `json:"keep"`       // how long an ended session is remembered, to tell its client the reason
 }
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -24,7 +24,8 @@
 
 // listNode converts a row of a file into a node of the node list. The error names the first invalid field.
 func (c *Config) listNode(n *Node) (nodelist.Node, error) {
-	out := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native, PlacementGroup: n.PlacementGroup, Weight: n.Weight}
+	out := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.Native,
+		PlacementGroup: n.PlacementGroup, Weight: n.Weight}
 	state, ok := nodeStates[n.State]
 	if !ok {
 		return out, fmt.Errorf("node %q has the unknown state %q, allowed are healthy, draining, gone", n.Name, n.State)
--- a/config/platform.go
+++ b/config/platform.go
@@ -24,7 +24,7 @@
 	PeerListen   string
 	Peers        []string
 	Resolver     string
-	Initial      nodelist.Versioned
+	Initial      nodelist.VersionedList
 	Names        nodelist.Names
 	Settings     policy.Settings
 	SocketLimits wire.SocketLimits
--- a/config/settings.go
+++ b/config/settings.go
@@ -6,7 +6,7 @@
 	"embershunt/policy"
 )
 
-// shortages maps the values of Sending.Shortage.
+// shortages maps the values of NodeOptions.Shortage.
 var shortages = map[string]policy.Shortage{"queue": policy.ShortageQueues, "trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 
 // micros returns the duration in microseconds, the unit of the policy.
@@ -14,13 +14,13 @@
 
 // policySettings returns the settings of the policy, except for kinds, tenants and classes.
 func (c *Config) policySettings(zone int) policy.Settings {
-	f, l, s := &c.File, &c.File.Limits, &c.File.Sending
+	f, l, s := &c.File, &c.File.Limits, &c.File.NodeOptions
 	return policy.Settings{
 		Zone:      zone,
-		PeerIndex: f.Number,
+		PeerIndex: f.PeerIndex,
 		Peers:     f.Peers,
 
-		MaxAttempts:     l.Attempts,
+		MaxAttempts:     l.MaxAttempts,
 		MaxInFlight:     l.MaxInFlight,
 		MaxRetryAfter:   l.MaxRetryAfter.micros(),
 		OverQuotaWeight: l.OverQuotaWeight,
--- a/config/validate.go
+++ b/config/validate.go
@@ -51,7 +51,7 @@
 	v.unique("halls", f.Zones)
 	zone = v.indexOf("hall", f.Zone, f.Zones)
 	v.count("dispatchers", f.Peers, 1, maxDispatchers)
-	v.count("number", f.Number, 0, max(f.Peers, 1)-1)
+	v.count("number", f.PeerIndex, 0, max(f.Peers, 1)-1)
 	v.address("listen.flightsql", f.Listen.FlightSQL)
 	v.optionalAddress("listen.metrics", f.Listen.Metrics)
 	v.optionalAddress("listen.native", f.Listen.Native)
@@ -120,24 +120,24 @@
 	if _, ok := hexKey(k.OperatorKey); !ok && k.OperatorKey != "" {
 		v.addViolation("control.operator_key", fmt.Sprintf("%d characters", len(k.OperatorKey)), "64 hex digits (32 bytes), or empty")
 	}
-	if k.RelistAfter < 0 || k.Reconnect < 0 {
+	if k.RelistAfter < 0 || k.MaxReconnectBackoff < 0 {
 		v.addViolation("control", "a negative duration", "relist_after and reconnect_most of 0 or more")
 	}
 }
 
 func (c *Config) validateSending(v validator) {
-	s := &c.File.Sending
+	s := &c.File.NodeOptions
 	if _, ok := shortages[s.Shortage]; !ok {
 		v.addViolation("sending.shortage", quoted(s.Shortage), "queue, trim, swap")
 	}
 	v.inRange("sending.grant_share", s.GrantShare, 0.01, 1)
-	v.count("sending.max_frame_bytes", s.MaxFrame, 64<<10, 1<<30)
-	v.duration("sending.connect_timeout", s.Connect, time.Millisecond, time.Minute)
+	v.count("sending.max_frame_bytes", s.MaxFrameBytes, 64<<10, 1<<30)
+	v.duration("sending.connect_timeout", s.ConnectTimeout, time.Millisecond, time.Minute)
 }
 
 func (c *Config) validateLimits(v validator) {
 	l := &c.File.Limits
-	v.count("limits.attempts", l.Attempts, 1, 16)
+	v.count("limits.attempts", l.MaxAttempts, 1, 16)
 	v.count("limits.held", l.MaxInFlight, 1, 1_000_000)
 	v.inRange("limits.over_share_worth", l.OverQuotaWeight, 0, 1)
 	v.inRange("limits.budget_free", l.RetryBudgetFloor, 0, 1e6)
@@ -156,17 +156,17 @@
 const maxTokenLife = 30 * 24 * time.Hour
 
 func (c *Config) validateFront(v validator) {
-	f := &c.File.Front
+	f := &c.File.Frontend
 	v.duration("front.way_back", f.ResponseMargin, 0, 10*time.Second)
-	v.duration("front.ticket_life", f.TicketLife, time.Second, maxTokenLife)
-	v.duration("front.prepared_life", f.PreparedLife, time.Second, maxTokenLife)
-	v.duration("front.bearer_life", f.BearerLife, time.Second, maxTokenLife)
-	v.duration("front.schema_life", f.SchemaLife, time.Second, maxTokenLife)
-	v.count("front.max_statement_bytes", f.MaxStatement, 1<<10, 64<<20)
-	v.count("front.max_parameter_bytes", f.MaxParams, 1<<10, 64<<20)
+	v.duration("front.ticket_life", f.TicketTTL, time.Second, maxTokenLife)
+	v.duration("front.prepared_life", f.PreparedTTL, time.Second, maxTokenLife)
+	v.duration("front.bearer_life", f.BearerTTL, time.Second, maxTokenLife)
+	v.duration("front.schema_life", f.SchemaTTL, time.Second, maxTokenLife)
+	v.count("front.max_statement_bytes", f.MaxStatementBytes, 1<<10, 64<<20)
+	v.count("front.max_parameter_bytes", f.MaxParameterBytes, 1<<10, 64<<20)
 	v.count("front.max_insert_bytes", f.MaxInsertBytes, 1<<10, 1<<40)
 	v.count("front.held_insert_bytes", f.MaxBufferedInsertBytes, f.MaxInsertBytes, 1<<40)
-	v.count("front.schema_most", f.MaxSchemas, 1, 1_000_000)
+	v.count("front.schema_most", f.MaxCachedAnswers, 1, 1_000_000)
 }
 
 func (c *Config) validateSessions(v validator) {
@@ -174,8 +174,8 @@
 	v.count("sessions.most", s.Max, 1, maxSessions)
 	v.count("sessions.per_tenant", s.PerTenant, 0, maxSessions)
 	v.count("sessions.per_node", s.PerNode, 0, maxSessions)
-	v.duration("sessions.idle", s.Idle, 10*time.Millisecond, maxDuration)
-	v.duration("sessions.age", s.Age, 10*time.Millisecond, maxDuration)
+	v.duration("sessions.idle", s.IdleTimeout, 10*time.Millisecond, maxDuration)
+	v.duration("sessions.age", s.MaxAge, 10*time.Millisecond, maxDuration)
 	v.duration("sessions.spread", s.RetrySpread, 0, time.Hour)
 	v.duration("sessions.keep", s.Retention, 0, time.Hour)
 }
--- a/control/events.go
+++ b/control/events.go
@@ -9,10 +9,10 @@
 
 // LiveState is the part of the dispatcher's current state that the safety checks compare a set with.
 type LiveState struct {
-	InFlight        map[string]int // queries without a final answer, by class
-	Retries         int            // retries sent within the window of the retry budget
-	Received        int            // queries received within the same window
-	OrderKeyResting bool           // an order key has an attempt in flight or is in its ordering gap
+	InFlight       map[string]int // queries without a final answer, by class
+	Retries        int            // retries sent within the window of the retry budget
+	Received       int            // queries received within the same window
+	OrderKeyPaused bool           // an order key has an attempt in flight or is in its ordering gap
 }
 
 // Event is an input of Module.Step.
@@ -92,9 +92,9 @@
 	ApplyNodeList struct{ Nodes []nodelist.Node }
 	// NodeListRejected reports a rejected node list to the decision module (package policy).
 	NodeListRejected struct{ Reasons []string }
-	// Renew replaces the stream by a new one: a set that was rejected may be accepted now, and a service sends each
+	// RenewStream replaces the stream by a new one: a set that was rejected may be accepted now, and a service sends each
 	// version only once on a stream.
-	Renew struct{}
+	RenewStream struct{}
 	// Log is a log line for operators.
 	Log struct{ Text string }
 )
@@ -106,5 +106,5 @@
 func (DeleteSet) isAction()        {}
 func (ApplyNodeList) isAction()    {}
 func (NodeListRejected) isAction() {}
-func (Renew) isAction()            {}
+func (RenewStream) isAction()      {}
 func (Log) isAction()              {}
--- a/control/fileparts.go
+++ b/control/fileparts.go
@@ -16,16 +16,16 @@
 	Kinds       []config.Kind   `json:"kinds"`
 	Rules       []config.Rule   `json:"rules"`
 	NoHints     bool            `json:"no_hints"`
-	Front       config.Front    `json:"front"` // all but schema_life, schema_most, max_insert_bytes and held_insert_bytes
+	Front       config.Frontend `json:"front"` // all but schema_life, schema_most, max_insert_bytes and held_insert_bytes
 }
 
 // Set returns the parts as the set with number n. It is the inverse of Merge.
 func (f FileParts) Set(n uint64) Set {
 	s := Set{Number: n, Classes: f.classes(n), Tenants: &configv1.Tenants{Set: n}, Limits: f.limits(n),
 		Classification: f.classification(n),
-		Fronts: &configv1.Fronts{Set: n, WayBackUs: micros(f.Front.ResponseMargin), TicketLifeUs: micros(f.Front.TicketLife),
-			PreparedLifeUs: micros(f.Front.PreparedLife), BearerLifeUs: micros(f.Front.BearerLife),
-			MaxStatementBytes: int32(f.Front.MaxStatement), MaxParameterBytes: int32(f.Front.MaxParams)}}
+		Fronts: &configv1.Fronts{Set: n, WayBackUs: micros(f.Front.ResponseMargin), TicketLifeUs: micros(f.Front.TicketTTL),
+			PreparedLifeUs: micros(f.Front.PreparedTTL), BearerLifeUs: micros(f.Front.BearerTTL),
+			MaxStatementBytes: int32(f.Front.MaxStatementBytes), MaxParameterBytes: int32(f.Front.MaxParameterBytes)}}
 	for _, t := range f.Tenants {
 		s.Tenants.Tenants = append(s.Tenants.Tenants, &configv1.Tenant{Name: t.Name, PerSecond: t.Quota})
 	}
@@ -45,7 +45,7 @@
 
 func (f FileParts) limits(n uint64) *configv1.Limits {
 	l := f.Limits
-	out := &configv1.Limits{Set: n, Attempts: int32(l.Attempts), Held: int32(l.MaxInFlight), ComeBackUs: micros(l.MaxRetryAfter),
+	out := &configv1.Limits{Set: n, Attempts: int32(l.MaxAttempts), Held: int32(l.MaxInFlight), ComeBackUs: micros(l.MaxRetryAfter),
 		SecondCopies: l.Hedging, DrainGraceUs: micros(l.DrainGrace), TurnRestUs: micros(l.OrderingGap), BudgetFree: l.RetryBudgetFloor,
 		BudgetShare: l.RetryBudgetRatio, BudgetSpanUs: micros(l.RetryBudgetWindow), ColdFrom: l.SlowStartFloor,
 		ColdForUs: micros(l.SlowStartDuration), ColdMultiple: l.OverloadMultiple, ColdSpanUs: micros(l.OverloadDuration),
--- a/control/fileparts_test.go
+++ b/control/fileparts_test.go
@@ -12,8 +12,8 @@
 	f := testFile()
 	f.Classes[0].Zones, f.Classes[0].Ordered, f.Tenants = []string{"hall"}, true, []config.Tenant{{Name: "a", Quota: 3}}
 	f.Rules = []config.Rule{{Name: "r", User: "x", Class: "report", Cost: config.Duration(time.Second), Key: "user"}}
-	parts := FileParts{Classes: f.Classes, Default: f.Default, Tenants: f.Tenants, Limits: f.Limits, Kinds: f.Kinds, Rules: f.Rules,
-		Front: f.Front}
+	parts := FileParts{Classes: f.Classes, Default: f.DefaultClass, Tenants: f.Tenants, Limits: f.Limits, Kinds: f.Kinds, Rules: f.Rules,
+		Front: f.Frontend}
 	got := merge(f, parts.Set(3))
 	a, _ := (&config.Config{File: f}).Effective()
 	b, _ := (&config.Config{File: got}).Effective()
--- a/control/merge.go
+++ b/control/merge.go
@@ -19,7 +19,7 @@
 		f.Tenants = append(f.Tenants, config.Tenant{Name: t.GetName(), Quota: t.GetPerSecond()})
 	}
 	mergeLimits(&f, s.Limits)
-	mergeFronts(&f.Front, s.Fronts)
+	mergeFronts(&f.Frontend, s.Fronts)
 	f.Rules, f.NoHints = nil, s.Classification.GetNoHints()
 	for _, r := range s.Classification.GetRules() {
 		f.Rules = append(f.Rules, ruleFromProto(r))
@@ -28,7 +28,7 @@
 }
 
 func mergeClasses(f *config.File, classes *configv1.Classes) {
-	f.Classes, f.Default = nil, classes.GetDefaultClass()
+	f.Classes, f.DefaultClass = nil, classes.GetDefaultClass()
 	for _, c := range classes.GetClasses() {
 		f.Classes = append(f.Classes, config.Class{Name: c.GetName(), PriorityWeight: c.GetWorth(), LateWeight: c.GetLateWorth(),
 			LatencyObjective: durationFromMicros(c.GetAimUs()), ObjectiveStretch: c.GetAimStretch(),
@@ -42,7 +42,7 @@
 // mergeLimits replaces the limits. The number of dispatchers and the kinds of machine keep the file's values where the set
 // leaves them out; this dispatcher's own number is lowered to fit a smaller number of dispatchers.
 func mergeLimits(f *config.File, l *configv1.Limits) {
-	f.Limits = config.Limits{Attempts: int(l.GetAttempts()), MaxInFlight: int(l.GetHeld()),
+	f.Limits = config.Limits{MaxAttempts: int(l.GetAttempts()), MaxInFlight: int(l.GetHeld()),
 		MaxRetryAfter: durationFromMicros(l.GetComeBackUs()), Hedging: l.GetSecondCopies(),
 		DrainGrace: durationFromMicros(l.GetDrainGraceUs()), OrderingGap: durationFromMicros(l.GetTurnRestUs()),
 		RetryBudgetFloor: l.GetBudgetFree(), RetryBudgetRatio: l.GetBudgetShare(),
@@ -51,7 +51,7 @@
 		OverloadDuration: durationFromMicros(l.GetColdSpanUs()), OverQuotaWeight: l.GetOverShareWorth()}
 	if n := int(l.GetDispatchers()); n > 0 {
 		f.Peers = n
-		f.Number = min(f.Number, n-1)
+		f.PeerIndex = min(f.PeerIndex, n-1)
 	}
 	if len(l.GetKinds()) > 0 {
 		f.Kinds = nil
@@ -62,13 +62,13 @@
 }
 
 // mergeFronts replaces the frontend settings; those that the set leaves out keep the file's values.
-func mergeFronts(f *config.Front, r *configv1.Fronts) {
+func mergeFronts(f *config.Frontend, r *configv1.Fronts) {
 	setNonZero(&f.ResponseMargin, durationFromMicros(r.GetWayBackUs()))
-	setNonZero(&f.TicketLife, durationFromMicros(r.GetTicketLifeUs()))
-	setNonZero(&f.PreparedLife, durationFromMicros(r.GetPreparedLifeUs()))
-	setNonZero(&f.BearerLife, durationFromMicros(r.GetBearerLifeUs()))
-	setNonZero(&f.MaxStatement, int(r.GetMaxStatementBytes()))
-	setNonZero(&f.MaxParams, int(r.GetMaxParameterBytes()))
+	setNonZero(&f.TicketTTL, durationFromMicros(r.GetTicketLifeUs()))
+	setNonZero(&f.PreparedTTL, durationFromMicros(r.GetPreparedLifeUs()))
+	setNonZero(&f.BearerTTL, durationFromMicros(r.GetBearerLifeUs()))
+	setNonZero(&f.MaxStatementBytes, int(r.GetMaxStatementBytes()))
+	setNonZero(&f.MaxParameterBytes, int(r.GetMaxParameterBytes()))
 }
 
 // setNonZero sets *p to v unless v is the zero value, which means that the field was left out.
--- a/control/nodecheck.go
+++ b/control/nodecheck.go
@@ -64,10 +64,10 @@
 		case known != nil && m.recentlyWithdrawn(known, row):
 			reasons = append(reasons, fmt.Sprintf("relisted: node %q was drained or removed %v ago and is listed as healthy "+
 				"without a later start time", row.ID, time.Duration(m.now-known.withdrawnAt)*time.Microsecond))
-		case known == nil && byAddress[row.Address] != nil:
-			if old := byAddress[row.Address]; m.recentlyWithdrawn(old, row) {
+		case known == nil && byAddress[row.FlightSQLAddress] != nil:
+			if old := byAddress[row.FlightSQLAddress]; m.recentlyWithdrawn(old, row) {
 				reasons = append(reasons, fmt.Sprintf("renamed: node %q is listed at %s, the address of %q, which was drained or removed, "+
-					"without a later start time", row.ID, row.Address, old.row.ID))
+					"without a later start time", row.ID, row.FlightSQLAddress, old.row.ID))
 			}
 		}
 	}
--- a/control/nodecheck_test.go
+++ b/control/nodecheck_test.go
@@ -15,7 +15,7 @@
 func TestUnsafeNodeListsAreRejected(t *testing.T) {
 	started, restarted := time.Unix(1000, 0), time.Unix(2000, 0)
 	row := func(id, address string, state policy.EndpointState, started time.Time) nodelist.Node {
-		return nodelist.Node{ID: id, Address: address, State: state, Started: started}
+		return nodelist.Node{ID: id, FlightSQLAddress: address, State: state, Started: started}
 	}
 	healthy, draining := policy.Healthy, policy.Draining
 	initial := []nodelist.Node{row("a", "a:1", healthy, started), row("b", "b:1", healthy, started),
--- a/control/nodes.go
+++ b/control/nodes.go
@@ -52,8 +52,8 @@
 func (t *nodeTable) withdrawnByAddress() map[string]*nodeRecord {
 	byAddress := map[string]*nodeRecord{}
 	for _, id := range slices.Sorted(maps.Keys(t.records)) {
-		if r := t.records[id]; r.withdrawnAt > 0 && r.row.Address != "" {
-			byAddress[r.row.Address] = r
+		if r := t.records[id]; r.withdrawnAt > 0 && r.row.FlightSQLAddress != "" {
+			byAddress[r.row.FlightSQLAddress] = r
 		}
 	}
 	return byAddress
--- a/control/rollout.go
+++ b/control/rollout.go
@@ -16,9 +16,9 @@
 // halted and all dispatchers are offered the previous set again. Rollout runs in the control service and, like the rest of
 // the package, performs no I/O and reads no clock. It is not safe for concurrent use.
 type Rollout struct {
-	Stages          []float64 // shares of the dispatchers, ascending; the last one is 1
-	MinStageTime    Micros    // minimum time in a stage after all its dispatchers have replied
-	MaxRefusedShare float64   // share of a stage's dispatchers that halts the rollout if it rejects the target
+	Stages           []float64 // shares of the dispatchers, ascending; the last one is 1
+	MinStageTime     Micros    // minimum time in a stage after all its dispatchers have replied
+	MaxRejectedShare float64   // share of a stage's dispatchers that halts the rollout if it rejects the target
 
 	MaxServiceDrop float64 // halts the rollout if the share served is lower by more than this than with the previous set; 0: never
 	MinQueries     int     // with each of the two sets; service is not compared below it; 0: 200
@@ -45,17 +45,17 @@
 type DispatcherStatus struct {
 	Dispatcher string
 	Number     uint64 // last acknowledged; 0: none yet
-	Refused    uint64 // number rejected since then; 0: none
+	Rejected   uint64 // number rejected since then; 0: none
 	Reason     string // of the rejection; "": none
 }
 
 // NewRollout returns a rollout that offers the set with this number to all dispatchers until Begin. A last stage with all
 // dispatchers is added if stages do not end with one.
-func NewRollout(number uint64, stages []float64, minStageTime Micros, maxRefusedShare float64) *Rollout {
+func NewRollout(number uint64, stages []float64, minStageTime Micros, maxRejectedShare float64) *Rollout {
 	if len(stages) == 0 || stages[len(stages)-1] < 1 {
 		stages = append(slices.Clone(stages), 1)
 	}
-	return &Rollout{Stages: stages, MinStageTime: minStageTime, MaxRefusedShare: maxRefusedShare, previous: number, target: number,
+	return &Rollout{Stages: stages, MinStageTime: minStageTime, MaxRejectedShare: maxRejectedShare, previous: number, target: number,
 		stage: len(stages) - 1, dispatchers: map[string]*DispatcherStatus{}, service: map[string]*serviceCounters{}}
 }
 
@@ -138,8 +138,8 @@
 	return r.restoreNumber, r.previous
 }
 
-// Highest returns the highest number in use. The next set must have a higher one.
-func (r *Rollout) Highest() uint64 { return max(r.target, r.restoreNumber) }
+// HighestNumber returns the highest number in use. The next set must have a higher one.
+func (r *Rollout) HighestNumber() uint64 { return max(r.target, r.restoreNumber) }
 
 // halt stops the rollout and reserves a new number for the content of the previous set, as dispatchers reject a number
 // lower than the active one.
@@ -159,9 +159,9 @@
 	r.Offer(dispatcher)
 	d := r.dispatchers[dispatcher]
 	if reason == "" {
-		d.Number, d.Refused, d.Reason = number, 0, ""
+		d.Number, d.Rejected, d.Reason = number, 0, ""
 	} else {
-		d.Refused, d.Reason = number, reason
+		d.Rejected, d.Reason = number, reason
 	}
 	r.Advance(now)
 }
@@ -180,7 +180,7 @@
 		}
 		s.members++
 		switch {
-		case d.Refused == r.target:
+		case d.Rejected == r.target:
 			s.rejected++
 			s.reason = name + ": " + d.Reason
 		case d.Number == r.target:
@@ -198,7 +198,7 @@
 	}
 	s := r.countStageReplies()
 	switch {
-	case s.members > 0 && s.rejected > 0 && float64(s.rejected) >= r.MaxRefusedShare*float64(s.members):
+	case s.members > 0 && s.rejected > 0 && float64(s.rejected) >= r.MaxRejectedShare*float64(s.members):
 		r.halt(fmt.Sprintf("%d of %d dispatchers rejected set %d: %s", s.rejected, s.members, r.target, s.reason))
 		return true
 	case s.accepted+s.rejected < s.members:
@@ -230,7 +230,7 @@
 		return false
 	}
 	for _, d := range r.dispatchers {
-		if d.Number != r.target && d.Refused != r.target {
+		if d.Number != r.target && d.Rejected != r.target {
 			return false
 		}
 	}
--- a/control/rollout_test.go
+++ b/control/rollout_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// Rejections by one in 15 dispatchers of the stage, which is more than MaxRefusedShare (5%), halt the rollout: no
+// Rejections by one in 15 dispatchers of the stage, which is more than MaxRejectedShare (5%), halt the rollout: no
 // dispatcher is offered the target any more.
 func TestRolloutHaltsOnRejections(t *testing.T) {
 	r := beginRollout()
@@ -89,7 +89,8 @@
 	accepted := offeredTarget(r)[0]
 	r.RecordReply(second, accepted, 2, "")
 	r.Halt("service fell to 0.7")
-	if number, of := r.Restored(); number != 3 || of != 1 || r.Offer(accepted) != 3 || len(offeredTarget(r)) != 0 || r.Highest() != 3 {
+	if number, of := r.Restored(); number != 3 || of != 1 || r.Offer(accepted) != 3 || len(offeredTarget(r)) != 0 ||
+		r.HighestNumber() != 3 {
 		t.Errorf("halted: set %d has the content of set %d; where the target was accepted, set %d is offered", number, of,
 			r.Offer(accepted))
 	}
--- a/control/stream/stream.go
+++ b/control/stream/stream.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// Again ends a backoff at once, or the next one if there is none now. It does not block.
-func (s *Stream) Again() { signal(s.retry) }
+// RetryNow ends a backoff at once, or the next one if there is none now. It does not block.
+func (s *Stream) RetryNow() { signal(s.retry) }
 
 // Renew ends the current stream and opens another one at once, on which the service sends all resources again. It does not
 // block.
@@ -141,7 +141,7 @@
 	return grpc.NewClient("passthrough:///"+s.options.Address, options...)
 }
 
-// backOff waits a random time up to limit, or until Again or the end of ctx.
+// backOff waits a random time up to limit, or until RetryNow or the end of ctx.
 func (s *Stream) backOff(ctx context.Context, limit time.Duration) {
 	t := time.NewTimer(time.Duration(s.options.Random() * float64(limit)))
 	defer t.Stop()
--- a/control/update.go
+++ b/control/update.go
@@ -169,7 +169,7 @@
 	m.log("override: set or node list %d is exempt from the safety checks", ev.Number)
 	m.evaluate()
 	if m.update.phase == Idle && ev.Number != m.active.Number {
-		m.emit(Renew{})
+		m.emit(RenewStream{})
 	}
 }
 
@@ -179,7 +179,7 @@
 	m.log("pinned: %v, at set %d", ev.On, m.active.Number)
 	m.evaluate()
 	if unpinned && m.update.phase == Idle {
-		m.emit(Renew{})
+		m.emit(RenewStream{})
 	}
 }
 
--- a/control/update_test.go
+++ b/control/update_test.go
@@ -46,7 +46,7 @@
 	return out
 }
 
-// summarize describes the actions in their order; it leaves out Renew and Log.
+// summarize describes the actions in their order; it leaves out RenewStream and Log.
 func summarize(actions []Action) string {
 	var out []string
 	for _, a := range actions {
@@ -165,7 +165,7 @@
 			LiveState{InFlight: map[string]int{"report (updates)": 1}}, 0, `class_ends`, true},
 		{"a drain grace shortened while in use", func(s *Set) { s.Limits.DrainGraceUs = 5e5 }, LiveState{}, second,
 			"grace: drain_grace would fall", true},
-		{"an ordering gap shortened while in use", func(s *Set) { s.Limits.TurnRestUs = 1e5 }, LiveState{OrderKeyResting: true}, 0,
+		{"an ordering gap shortened while in use", func(s *Set) { s.Limits.TurnRestUs = 1e5 }, LiveState{OrderKeyPaused: true}, 0,
 			"grace: turn_rest", true},
 		{"a retry budget already exceeded", func(s *Set) { s.Limits.BudgetFree = 1 }, LiveState{Retries: 4, Received: 10}, 0,
 			"budget: 4 retries", true},
@@ -176,7 +176,7 @@
 			activate(t, m, 0, testSet(1, nil))
 			now := 10 * second
 			if c.drain > 0 {
-				rows := []nodelist.Node{{ID: "a", Address: "a:1"}, {ID: "b", Address: "b:1"}}
+				rows := []nodelist.Node{{ID: "a", FlightSQLAddress: "a:1"}, {ID: "b", FlightSQLAddress: "b:1"}}
 				m.Step(now-c.drain, Offered{Kind: Nodes, Nodes: rows})
 				rows[0].State = policy.Draining
 				m.Step(now-c.drain, Offered{Kind: Nodes, Nodes: rows})
--- a/control/validate.go
+++ b/control/validate.go
@@ -11,15 +11,15 @@
 
 // Bounds holds the limits of the safety checks.
 type Bounds struct {
-	Floor       float64 // share of the healthy nodes that must stay healthy from one list to the next; default 0.5
-	FloorCount  int     // number of nodes that must stay healthy, where more than Floor asks for; default 1
-	RelistAfter Micros  // time after which a withdrawn node may be listed as healthy without a later start time; default 60 s
-	NoShorter   bool    // no drain grace, ordering gap or retry budget may become smaller than what is in use; default true
+	Floor         float64 // share of the healthy nodes that must stay healthy from one list to the next; default 0.5
+	FloorCount    int     // number of nodes that must stay healthy, where more than Floor asks for; default 1
+	RelistAfter   Micros  // time after which a withdrawn node may be listed as healthy without a later start time; default 60 s
+	ForbidShorter bool    // no drain grace, ordering gap or retry budget may become smaller than what is in use; default true
 }
 
 // DefaultBounds returns the limits that apply where the configuration sets none.
 func DefaultBounds() Bounds {
-	return Bounds{Floor: 0.5, FloorCount: 1, RelistAfter: 60e6, NoShorter: true}
+	return Bounds{Floor: 0.5, FloorCount: 1, RelistAfter: 60e6, ForbidShorter: true}
 }
 
 // validate checks a complete set. It checks form and references by the rules of a configuration file, then the settings
@@ -63,8 +63,8 @@
 		field       string
 		local, next int // bytes
 	}{
-		{"max_statement_bytes", m.local.Front.MaxStatement, cfg.File.Front.MaxStatement},
-		{"max_parameter_bytes", m.local.Front.MaxParams, cfg.File.Front.MaxParams},
+		{"max_statement_bytes", m.local.Frontend.MaxStatementBytes, cfg.File.Frontend.MaxStatementBytes},
+		{"max_parameter_bytes", m.local.Frontend.MaxParameterBytes, cfg.File.Frontend.MaxParameterBytes},
 	} {
 		if l.next > l.local { // the transport's message limit was derived from the file's value at the start
 			reasons = append(reasons, fmt.Sprintf("fixed: %s is %d, the file allows at most %d", l.field, l.next, l.local))
@@ -75,13 +75,13 @@
 
 // checkSafety returns a reason for each change that is valid by itself but would do harm in the live state.
 func (m *Module) checkSafety(cfg *config.Config, live LiveState) (reasons []string) {
-	// NoShorter does not disable this check: the decision module does not remove such a class.
+	// ForbidShorter does not disable this check: the decision module does not remove such a class.
 	for _, name := range classNames(m.activeFile) {
 		if n := live.InFlight[name]; n > 0 && !slices.Contains(settingsClassNames(cfg), name) {
 			reasons = append(reasons, fmt.Sprintf("class_ends: class %q would be removed with %d queries in flight", name, n))
 		}
 	}
-	if !m.bounds.NoShorter {
+	if !m.bounds.ForbidShorter {
 		return reasons
 	}
 	before, next := m.activeFile.Limits, cfg.File.Limits
@@ -89,7 +89,7 @@
 		reasons = append(reasons, fmt.Sprintf("grace: drain_grace would fall from %v to %v while a node is within its grace, "+
 			"withdrawn %v ago", before.DrainGrace.D(), next.DrainGrace.D(), time.Duration(age)*time.Microsecond))
 	}
-	if live.OrderKeyResting && next.OrderingGap < before.OrderingGap {
+	if live.OrderKeyPaused && next.OrderingGap < before.OrderingGap {
 		reasons = append(reasons, fmt.Sprintf("grace: turn_rest would fall from %v to %v while an order key may be in its ordering gap",
 			before.OrderingGap.D(), next.OrderingGap.D()))
 	}
--- a/frontend/clickhouse/session.go
+++ b/frontend/clickhouse/session.go
@@ -66,7 +66,7 @@
 
 // statement returns a call as a statement of the session. It returns nil if there is no session and the call doesn't create one.
 func (s *sessionState) statement(call frontend.Call) *frontend.Statement {
-	effect, name, _ := classify.OnConnection(call.Facts.Statement)
+	effect, name, _ := classify.ConnectionEffectOf(call.Facts.Statement)
 	statement := &frontend.Statement{Kind: session.Plain, ID: s.id, OutlivesState: true,
 		ReadOnly: classify.IsRead(call.Facts.Statement) || call.Facts.DescribeOnly}
 	switch {
--- a/frontend/clickhouse/session_statement.go
+++ b/frontend/clickhouse/session_statement.go
@@ -15,7 +15,7 @@
 // answerLocally answers statements that no node has to run: SET, USE, and those whose effect on the connection is not supported.
 // done is false for all other statements.
 func (c *connection) answerLocally(text string) (done bool, err error) {
-	effect, name, options := classify.OnConnection(text)
+	effect, name, options := classify.ConnectionEffectOf(text)
 	switch effect {
 	case classify.SetsOptions:
 		for _, o := range options {
--- a/frontend/intake.go
+++ b/frontend/intake.go
@@ -130,7 +130,7 @@
 		TableGroup:      traits.Tables,
 		OrderKey:        traits.Key,
 		HasOrderKey:     traits.HasKey,
-		ClientRetry:     traits.Retry,
+		ClientRetry:     traits.ClientRetry,
 		Protocol:        c.Protocol,
 		StickyTo:        c.StickyTo,
 		Deadline:        now + remaining.Microseconds(),
--- a/membership/view.go
+++ b/membership/view.go
@@ -32,7 +32,7 @@
 // Response is a valid response of the name service.
 type Response struct {
 	Query uint64 // serial of the query; a second response to the same query confirms nothing
-	nodelist.Versioned
+	nodelist.VersionedList
 }
 
 // Update reports the effect of a response.
@@ -81,7 +81,7 @@
 }
 
 // New returns a view with an initial list in force.
-func New(initial nodelist.Versioned) *View {
+func New(initial nodelist.VersionedList) *View {
 	return &View{number: initial.Number, nodes: slices.Clone(initial.Nodes),
 		unconfirmed: map[string]confirmation{}, missing: map[string]absence{},
 		removed: map[string]nodelist.Node{}}
@@ -218,7 +218,7 @@
 	}
 	current := v.nodes[i]
 	givesWork := row.State == policy.Healthy &&
-		(current.State != policy.Healthy || row.Platform != current.Platform)
+		(current.State != policy.Healthy || row.PlatformAddress != current.PlatformAddress)
 	switch {
 	case !givesWork || v.confirm(query, row):
 		delete(v.unconfirmed, row.ID)
@@ -302,11 +302,11 @@
 	owner := map[string]string{}
 	for _, n := range v.nodes {
 		if n.State == policy.Healthy {
-			owner[n.Platform] = n.ID
+			owner[n.PlatformAddress] = n.ID
 		}
 	}
 	v.nodes = slices.DeleteFunc(v.nodes, func(n nodelist.Node) bool {
-		id, owned := owner[n.Platform]
+		id, owned := owner[n.PlatformAddress]
 		replaced := owned && id != n.ID
 		if replaced {
 			v.remove(n)
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -16,8 +16,8 @@
 
 // parseList parses a list of node IDs: "a" is a healthy node, "a!" a draining one, "a+" one that has started
 // later, "?a" an unusable row of a, and "?a!" an unusable row that drains a.
-func parseList(number int64, text string) nodelist.Versioned {
-	out := nodelist.Versioned{Number: number}
+func parseList(number int64, text string) nodelist.VersionedList {
+	out := nodelist.VersionedList{Number: number}
 	for id := range strings.FieldsSeq(text) {
 		id, drains := strings.CutSuffix(id, "!")
 		if id, skipped := strings.CutPrefix(id, "?"); skipped {
@@ -25,7 +25,7 @@
 			continue
 		}
 		id, later := strings.CutSuffix(id, "+")
-		n := nodelist.Node{ID: id, Platform: "127.0.0.1:" + id}
+		n := nodelist.Node{ID: id, PlatformAddress: "127.0.0.1:" + id}
 		if later {
 			n.Started = time.UnixMilli(1700000000000)
 		}
@@ -128,7 +128,7 @@
 func TestAddressPassesToAnotherNode(t *testing.T) {
 	v := New(parseList(1, "a b"))
 	next := parseList(2, "b c")
-	next.Nodes[1].Platform = "127.0.0.1:a"
+	next.Nodes[1].PlatformAddress = "127.0.0.1:a"
 	for q := range uint64(2) {
 		v.Observe(Response{q, next})
 		if err := nodelist.Check(v.Nodes()); err != nil {
@@ -139,14 +139,14 @@
 		t.Errorf("in force: %s", formatNodes(v))
 	}
 	moved := parseList(3, "b c")
-	moved.Nodes[0].Platform = "127.0.0.1:elsewhere"
+	moved.Nodes[0].PlatformAddress = "127.0.0.1:elsewhere"
 	v.Observe(Response{7, moved})
 	if formatNodes(v) != "b! c!" { // c drains as well: in this list it is back at its own address
 		t.Errorf("in force: %s", formatNodes(v))
 	}
 	v.Observe(Response{8, moved})
-	if formatNodes(v) != "b c" || v.Nodes()[0].Platform != "127.0.0.1:elsewhere" {
-		t.Errorf("in force: %s at %s", formatNodes(v), v.Nodes()[0].Platform)
+	if formatNodes(v) != "b c" || v.Nodes()[0].PlatformAddress != "127.0.0.1:elsewhere" {
+		t.Errorf("in force: %s at %s", formatNodes(v), v.Nodes()[0].PlatformAddress)
 	}
 }
 
@@ -164,7 +164,7 @@
 		}
 		v := New(parseList(rapid.Int64Range(1, 9).Draw(t, "initial number"), draw("initial rows")))
 		query := uint64(0)
-		observe := func(l nodelist.Versioned) {
+		observe := func(l nodelist.VersionedList) {
 			query++
 			v.Observe(Response{query, l})
 			if err := nodelist.Check(v.Nodes()); err != nil {
@@ -202,10 +202,11 @@
 }
 
 // largestList returns a list with the maximum number of nodes.
-func largestList() nodelist.Versioned {
-	l := nodelist.Versioned{Number: 1}
+func largestList() nodelist.VersionedList {
+	l := nodelist.VersionedList{Number: 1}
 	for i := range 3200 {
-		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i), Platform: fmt.Sprint("127.0.0.1:", i)})
+		l.Nodes = append(l.Nodes, nodelist.Node{ID: fmt.Sprint("s-", i),
+			PlatformAddress: fmt.Sprint("127.0.0.1:", i)})
 	}
 	return l
 }
--- a/nodelist/eds.go
+++ b/nodelist/eds.go
@@ -40,17 +40,17 @@
 // fromEndpoint converts one endpoint in a zone. Without a name in the metadata, the address is the ID.
 func fromEndpoint(p *endpointv3.LbEndpoint, zone int, names Names) (Node, error) {
 	a := p.GetEndpoint().GetAddress().GetSocketAddress()
-	n := Node{Zone: zone, Address: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
+	n := Node{Zone: zone, FlightSQLAddress: net.JoinHostPort(a.GetAddress(), strconv.Itoa(int(a.GetPortValue()))),
 		Weight: float64(p.GetLoadBalancingWeight().GetValue())}
 	if a == nil {
 		return n, fmt.Errorf("endpoint in zone %q has no socket address", names.Zones[zone])
 	}
-	n.ID = n.Address
+	n.ID = n.FlightSQLAddress
 	fields := p.GetMetadata().GetFilterMetadata()[MetadataKey].GetFields()
 	if v := fields["name"].GetStringValue(); v != "" {
 		n.ID = v
 	}
-	n.Native = fields["native"].GetStringValue()
+	n.NativeAddress = fields["native"].GetStringValue()
 	var err error
 	if n.Kind, err = names.Kind(fields["kind"].GetStringValue()); err != nil {
 		return n, fmt.Errorf("node %q: %w", n.ID, err)
--- a/nodelist/initial.go
+++ b/nodelist/initial.go
@@ -34,15 +34,15 @@
 
 // ParseInitial applies the events in their order and returns the resulting list, without removed nodes. Its number is the
 // highest position in the document.
-func ParseInitial(raw json.RawMessage, names Names) (Versioned, error) {
+func ParseInitial(raw json.RawMessage, names Names) (VersionedList, error) {
 	var initial struct {
 		Pos     int64          `json:"pos"`
 		Entries []initialEvent `json:"entries"`
 	}
 	if err := json.Unmarshal(raw, &initial); err != nil {
-		return Versioned{}, err
+		return VersionedList{}, err
 	}
-	out := Versioned{Number: initial.Pos}
+	out := VersionedList{Number: initial.Pos}
 	index := map[string]int{} // of nodes in out, by ID
 	for i, ev := range initial.Entries {
 		if ev.Hosts.All {
@@ -52,7 +52,7 @@
 		for j, t := range ev.Hosts.Targets {
 			n, err := t.node(fmt.Sprintf("entries[%d].hosts.targets[%d]", i, j), names)
 			if err != nil {
-				return Versioned{}, err
+				return VersionedList{}, err
 			}
 			if k, listed := index[n.ID]; listed {
 				out.Nodes[k] = n
@@ -69,7 +69,7 @@
 
 // node converts the target; path is its place in the document, for error messages.
 func (t initialTarget) node(path string, names Names) (Node, error) {
-	n := Node{ID: t.UID, Platform: t.Endpoint, PlacementGroup: t.PodGroup, Weight: t.Capacity}
+	n := Node{ID: t.UID, PlatformAddress: t.Endpoint, PlacementGroup: t.PodGroup, Weight: t.Capacity}
 	var ok bool
 	var err error
 	if n.State, ok = initialStates[t.State]; !ok {
--- a/nodelist/initial_test.go
+++ b/nodelist/initial_test.go
@@ -26,7 +26,8 @@
 	if err != nil || got.Number != 9 || len(got.Nodes) != 2 {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	want := nodelist.Node{ID: "a", Platform: "127.0.0.1:1", Zone: 1, Kind: 1, PlacementGroup: 2, State: policy.Draining, Weight: 4, Started: time.UnixMilli(1700000000000)}
+	want := nodelist.Node{ID: "a", PlatformAddress: "127.0.0.1:1", Zone: 1, Kind: 1, PlacementGroup: 2, State: policy.Draining,
+		Weight: 4, Started: time.UnixMilli(1700000000000)}
 	if got.Nodes[0] != want || got.Nodes[1].ID != "c" {
 		t.Errorf("%+v", got.Nodes)
 	}
--- a/nodelist/nodelist.go
+++ b/nodelist/nodelist.go
@@ -13,17 +13,17 @@
 
 // Node is one row of a node list.
 type Node struct {
-	ID             string // unique name, the same after a restart
-	Address        string // host:port of Flight SQL; empty if the node does not serve it
-	Native         string // host:port of the ClickHouse native protocol; empty likewise
-	Platform       string // host:port of the platform's protocol; empty likewise
-	Zone           int    // index into Names.Zones
-	Kind           int    // index into Names.Kinds
-	PlacementGroup int
-	State          policy.EndpointState
-	Weight         float64   // 0 counts as 1
-	Started        time.Time // last start; zero: unknown, taken as long ago
-	DrainAt        time.Time // when an announced drain begins; zero: none is announced
+	ID               string // unique name, the same after a restart
+	FlightSQLAddress string // host:port of Flight SQL; empty if the node does not serve it
+	NativeAddress    string // host:port of the ClickHouse native protocol; empty likewise
+	PlatformAddress  string // host:port of the platform's protocol; empty likewise
+	Zone             int    // index into Names.Zones
+	Kind             int    // index into Names.Kinds
+	PlacementGroup   int
+	State            policy.EndpointState
+	Weight           float64   // 0 counts as 1
+	Started          time.Time // last start; zero: unknown, taken as long ago
+	DrainAt          time.Time // when an announced drain begins; zero: none is announced
 }
 
 // Bits for the protocols that a node may serve.
@@ -35,13 +35,13 @@
 
 // Protocols returns the bits of the protocols that the node has an address for.
 func (n Node) Protocols() (bits uint8) {
-	if n.Address != "" {
+	if n.FlightSQLAddress != "" {
 		bits |= FlightSQL
 	}
-	if n.Native != "" {
+	if n.NativeAddress != "" {
 		bits |= ClickHouse
 	}
-	if n.Platform != "" {
+	if n.PlatformAddress != "" {
 		bits |= Platform
 	}
 	return bits
@@ -75,17 +75,17 @@
 	for _, n := range nodes {
 		switch {
 		case n.ID == "":
-			return fmt.Errorf("a node at %q has no name", n.Address)
+			return fmt.Errorf("a node at %q has no name", n.FlightSQLAddress)
 		case ids[n.ID]:
 			return fmt.Errorf("node %q is listed twice", n.ID)
 		case n.Protocols() == 0 && n.State != policy.Removed:
 			return fmt.Errorf("node %q has no address", n.ID)
-		case n.Address != "" && addresses[n.Address] != "":
-			return fmt.Errorf("nodes %q and %q have the same address %s", addresses[n.Address], n.ID, n.Address)
-		case n.Platform != "" && addresses[n.Platform] != "":
-			return fmt.Errorf("nodes %q and %q have the same address %s", addresses[n.Platform], n.ID, n.Platform)
+		case n.FlightSQLAddress != "" && addresses[n.FlightSQLAddress] != "":
+			return fmt.Errorf("nodes %q and %q have the same address %s", addresses[n.FlightSQLAddress], n.ID, n.FlightSQLAddress)
+		case n.PlatformAddress != "" && addresses[n.PlatformAddress] != "":
+			return fmt.Errorf("nodes %q and %q have the same address %s", addresses[n.PlatformAddress], n.ID, n.PlatformAddress)
 		}
-		ids[n.ID], addresses[n.Address], addresses[n.Platform] = true, n.ID, n.ID
+		ids[n.ID], addresses[n.FlightSQLAddress], addresses[n.PlatformAddress] = true, n.ID, n.ID
 	}
 	return nil
 }
--- a/nodelist/platform.go
+++ b/nodelist/platform.go
@@ -15,8 +15,8 @@
 	"embershunt/policy"
 )
 
-// Service is the DNS name of the SRV records with which the platform's name service lists the query nodes.
-const Service = "_api._tcp.svc.local."
+// ServiceName is the DNS name of the SRV records with which the platform's name service lists the query nodes.
+const ServiceName = "_api._tcp.svc.local."
 
 // hostsSuffix ends the target name of every node, which is NODE.ZONE.hosts.
 const hostsSuffix = ".hosts."
@@ -24,8 +24,8 @@
 // MaxResponseBytes is the maximum length of a response from the name service.
 const MaxResponseBytes = 8000
 
-// Versioned is a complete node list with its version number.
-type Versioned struct {
+// VersionedList is a complete node list with its version number.
+type VersionedList struct {
 	Number int64
 	Nodes  []Node
 	// Skipped holds the unusable rows. They do not invalidate the other rows, since a drain among those must not be missed.
@@ -62,7 +62,7 @@
 	if err := b.StartQuestions(); err != nil {
 		return nil, err
 	}
-	name, err := dnsmessage.NewName(Service)
+	name, err := dnsmessage.NewName(ServiceName)
 	if err != nil {
 		return nil, err
 	}
@@ -74,20 +74,20 @@
 
 // ParseResponse parses a response to Query; pending reports whether an ID is that of a pending query. Unusable rows are
 // returned in Skipped. A response that has only unusable rows is an error; an empty list is not.
-func ParseResponse(message []byte, pending func(id uint16) bool, names Names) (Versioned, error) {
+func ParseResponse(message []byte, pending func(id uint16) bool, names Names) (VersionedList, error) {
 	var m dnsmessage.Message
 	if err := m.Unpack(message); err != nil {
-		return Versioned{}, err
+		return VersionedList{}, err
 	}
 	if err := checkResponse(&m, pending); err != nil {
-		return Versioned{}, err
+		return VersionedList{}, err
 	}
 	number, err := serialNumber(m.Authorities)
 	if err != nil {
-		return Versioned{}, err
+		return VersionedList{}, err
 	}
 	p := newRowParser(&m, names)
-	out := Versioned{Number: number}
+	out := VersionedList{Number: number}
 	for _, r := range m.Answers {
 		srv, ok := r.Body.(*dnsmessage.SRVResource)
 		if !ok {
@@ -102,7 +102,7 @@
 		out.Nodes = append(out.Nodes, n)
 	}
 	if len(out.Nodes) == 0 && len(out.Skipped) > 0 {
-		return Versioned{}, out.Skipped[0].Err
+		return VersionedList{}, out.Skipped[0].Err
 	}
 	return out, nil
 }
@@ -116,7 +116,7 @@
 		return fmt.Errorf("%w: %v", errServerFailure, m.RCode)
 	case m.Truncated:
 		return errTruncated
-	case len(m.Questions) != 1 || !strings.EqualFold(m.Questions[0].Name.String(), Service) ||
+	case len(m.Questions) != 1 || !strings.EqualFold(m.Questions[0].Name.String(), ServiceName) ||
 		m.Questions[0].Type != dnsmessage.TypeSRV || m.Questions[0].Class != dnsmessage.ClassINET:
 		return errOtherQuery
 	}
@@ -172,16 +172,16 @@
 		return n, err
 	}
 	address, ok := p.addresses[target]
-	n.Platform = net.JoinHostPort(address.String(), strconv.Itoa(int(srv.Port)))
+	n.PlatformAddress = net.JoinHostPort(address.String(), strconv.Itoa(int(srv.Port)))
 	switch {
 	case !ok:
 		return n, errNoAddress
 	case p.ids[n.ID]:
 		return n, errDuplicateNode
-	case p.owners[n.Platform] != "":
-		return n, fmt.Errorf("node %q has the same address %s", p.owners[n.Platform], n.Platform)
+	case p.owners[n.PlatformAddress] != "":
+		return n, fmt.Errorf("node %q has the same address %s", p.owners[n.PlatformAddress], n.PlatformAddress)
 	}
-	p.ids[n.ID], p.owners[n.Platform] = true, n.ID
+	p.ids[n.ID], p.owners[n.PlatformAddress] = true, n.ID
 	return n, nil
 }
 
--- a/nodelist/platform_test.go
+++ b/nodelist/platform_test.go
@@ -14,8 +14,9 @@
 
 func listed() []nodelist.Node {
 	return []nodelist.Node{
-		{ID: "s-1", Platform: "127.0.0.1:7001", Zone: 1, Kind: 1, PlacementGroup: 3, Weight: 4.5, Started: time.UnixMilli(1700000000000)},
-		{ID: "s-2", Platform: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
+		{ID: "s-1", PlatformAddress: "127.0.0.1:7001", Zone: 1, Kind: 1, PlacementGroup: 3,
+			Weight: 4.5, Started: time.UnixMilli(1700000000000)},
+		{ID: "s-2", PlatformAddress: "127.0.0.2:7002", State: policy.Draining, Weight: 1}}
 }
 
 // anyID reports every query as pending.
@@ -64,7 +65,7 @@
 
 // An unusable row does not invalidate the other rows, and its drain is still reported.
 func TestResponsesWithAnUnusableRow(t *testing.T) {
-	three := append(listed(), nodelist.Node{ID: "s-3", Platform: "127.0.0.2:7002", Weight: 1})
+	three := append(listed(), nodelist.Node{ID: "s-3", PlatformAddress: "127.0.0.2:7002", Weight: 1})
 	for name, c := range map[string]struct {
 		msg     []byte
 		skipped string
--- a/nodelist/resolver/resolver.go
+++ b/nodelist/resolver/resolver.go
@@ -23,10 +23,10 @@
 	Log         *slog.Logger
 	Address     string // host:port of the name service
 	Names       nodelist.Names
-	Initial     nodelist.Versioned    // list in force at the start
-	Interval    time.Duration         // from one regular query to the next
-	Apply       func([]nodelist.Node) // activates a list; called in the goroutine of Run
-	MinInterval time.Duration         // least time before an extra query; 0: 40 ms, or Interval if that is shorter
+	Initial     nodelist.VersionedList // list in force at the start
+	Interval    time.Duration          // from one regular query to the next
+	Apply       func([]nodelist.Node)  // activates a list; called in the goroutine of Run
+	MinInterval time.Duration          // least time before an extra query; 0: 40 ms, or Interval if that is shorter
 }
 
 // Resolver polls one name service, whose address may change.
@@ -153,9 +153,9 @@
 }
 
 // parse parses a response to a pending query.
-func (r *Resolver) parse(message []byte) (query, nodelist.Versioned, error) {
+func (r *Resolver) parse(message []byte) (query, nodelist.VersionedList, error) {
 	if len(message) > nodelist.MaxResponseBytes {
-		return query{}, nodelist.Versioned{}, errTooLong
+		return query{}, nodelist.VersionedList{}, errTooLong
 	}
 	var q query
 	pending := func(id uint16) (ok bool) { q, ok = r.pending.byID[id]; return ok }
@@ -185,12 +185,12 @@
 }
 
 // observe passes a list to the view, and activates the view's list if it has changed.
-func (r *Resolver) observe(q query, list nodelist.Versioned) {
+func (r *Resolver) observe(q query, list nodelist.VersionedList) {
 	before := r.view.Number()
 	if list.Number < before {
 		r.stats.lower.Add(1)
 	}
-	u := r.view.Observe(membership.Response{Query: q.serial, Versioned: list})
+	u := r.view.Observe(membership.Response{Query: q.serial, VersionedList: list})
 	r.schedule.unconfirmed = u.Unconfirmed
 	if u.Reverted {
 		r.stats.reverted.Add(1)
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -24,7 +24,7 @@
 
 func nodes(ids ...string) (out []nodelist.Node) {
 	for i, id := range ids {
-		out = append(out, nodelist.Node{ID: id, Platform: "127.0.0.1:" + string(rune('1'+i)), Weight: 1})
+		out = append(out, nodelist.Node{ID: id, PlatformAddress: "127.0.0.1:" + string(rune('1'+i)), Weight: 1})
 	}
 	return out
 }
@@ -104,7 +104,8 @@
 	a, b := newService(t), newService(t)
 	applied := make(chan string, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: a.Address(), Names: names,
-		Initial: nodelist.Versioned{Number: 5, Nodes: nodes("initial")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial:  nodelist.VersionedList{Number: 5, Nodes: nodes("initial")},
+		Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			if len(n) == 1 && n[0].State == policy.Healthy { // skips the lists in which the old node drains until its removal is confirmed
 				applied <- n[0].ID
 			}
@@ -176,7 +177,7 @@
 			var once sync.Once
 			row := nodes("a")
 			r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-				Initial: nodelist.Versioned{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
+				Initial: nodelist.VersionedList{Number: 1, Nodes: row}, Interval: interval, Apply: func(n []nodelist.Node) {
 					if len(n) == 1 && n[0].State == policy.Draining {
 						once.Do(func() { close(drained) })
 					}
@@ -200,7 +201,7 @@
 	var state atomic.Value
 	state.Store("")
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
+		Initial: nodelist.VersionedList{Number: 1, Nodes: nodes("a", "b")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) {
 			text := ""
 			for _, row := range n {
 				text += fmt.Sprintf("%s:%d ", row.ID, row.State)
@@ -227,7 +228,8 @@
 	s := newService(t)
 	applied := make(chan int, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond, Apply: func(n []nodelist.Node) { applied <- len(n) }})
+		Initial: nodelist.VersionedList{Number: 1, Nodes: nodes("a")}, Interval: 5 * time.Millisecond,
+		Apply: func(n []nodelist.Node) { applied <- len(n) }})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
@@ -254,7 +256,8 @@
 	s := newService(t)
 	applied := make(chan time.Time, 100)
 	r := resolver.New(resolver.Options{Log: slog.New(slog.DiscardHandler), Address: s.Address(), Names: names,
-		Initial: nodelist.Versioned{Number: 1, Nodes: nodes("a")}, Interval: interval, Apply: func([]nodelist.Node) { applied <- time.Now() }})
+		Initial: nodelist.VersionedList{Number: 1, Nodes: nodes("a")}, Interval: interval,
+		Apply: func([]nodelist.Node) { applied <- time.Now() }})
 	run(t, r)
 	s.Set(1, nodes("a"))
 	s.SetDelay(50 * interval)
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -106,12 +106,12 @@
 // the control service at the address.
 func (s *Script) config(i int, controlAddress string) (*config.Config, error) {
 	f := s.Config
-	f.Name, f.Peers, f.Number = fmt.Sprintf("dispatcher-%d", i), s.Dispatchers, i
+	f.Name, f.Peers, f.PeerIndex = fmt.Sprintf("dispatcher-%d", i), s.Dispatchers, i
 	f.Listen = config.Listen{FlightSQL: "127.0.0.1:0", Native: "127.0.0.1:0"}
 	f.Nodes = config.Nodes{EDS: &config.EDS{Address: controlAddress, Cluster: cluster}}
 	if len(s.Versions) > 0 {
 		f.Nodes, f.Control = config.Nodes{}, &config.Control{Address: controlAddress, Cluster: cluster, Delta: i%2 == 1,
-			Reconnect: config.Duration(time.Second)}
+			MaxReconnectBackoff: config.Duration(time.Second)}
 	}
 	f.Zone = ""
 	if len(f.Zones) > 0 {
@@ -124,7 +124,7 @@
 func (s *Script) resources(v *Version) ([]*anypb.Any, error) {
 	p := v.Settings
 	if p.Classes == nil {
-		p.Classes, p.Default = s.Config.Classes, s.Config.Default
+		p.Classes, p.Default = s.Config.Classes, s.Config.DefaultClass
 	}
 	if p.Kinds == nil {
 		p.Kinds = s.Config.Kinds
--- a/scenario/transactions.go
+++ b/scenario/transactions.go
@@ -207,7 +207,7 @@
 	if len(e.transactions) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*e.dispatchers[0].config.File.Sessions.Idle.D()+5*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, 2*e.dispatchers[0].config.File.Sessions.IdleTimeout.D()+5*time.Second)
 	defer cancel()
 	for _, n := range e.nodes {
 		_ = n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Transactions() == 0 })
--- a/server/controller.go
+++ b/server/controller.go
@@ -54,7 +54,7 @@
 		c.module = control.New(bounds, c.local, control.Set{})
 		return c, cfg, nil
 	}
-	bounds.Floor, bounds.FloorCount, bounds.NoShorter = settings.Floor, settings.FloorCount, !settings.Shorter
+	bounds.Floor, bounds.FloorCount, bounds.ForbidShorter = settings.Floor, settings.FloorCount, !settings.AllowShorter
 	bounds.RelistAfter = settings.RelistAfter.D().Microseconds()
 	inForce, set := cfg, control.Set{}
 	if settings.Store != "" {
@@ -98,7 +98,7 @@
 // startController starts the controller and its stream to the control service in the group; both run until ctx ends.
 func (d *Dispatcher) startController(ctx context.Context, group *errgroup.Group) {
 	d.controller.stream = stream.New(streamOptions(d.cfg), streamHandler{d.controller, ctx})
-	d.fleet.OnFetch(d.controller.stream.Again)
+	d.fleet.OnFetch(d.controller.stream.RetryNow)
 	group.Go(func() error { return d.controller.run(ctx) })
 }
 
@@ -107,7 +107,7 @@
 	o := stream.Options{Node: f.Name, Names: cfg.Names(), MaxBackoff: maxReconnectBackoff}
 	if f.Control != nil {
 		o.Address, o.Cluster, o.Settings, o.Delta = f.Control.Address, f.Control.Cluster, true, f.Control.Delta
-		o.MaxBackoff = f.Control.Reconnect.D()
+		o.MaxBackoff = f.Control.MaxReconnectBackoff.D()
 	} else {
 		o.Address, o.Cluster = f.Nodes.EDS.Address, f.Nodes.EDS.Cluster
 	}
@@ -225,7 +225,7 @@
 		}
 	case control.NodeListRejected:
 		c.dispatcher.fleet.ListFailed(errors.New(strings.Join(a.Reasons, "; ")))
-	case control.Renew:
+	case control.RenewStream:
 		c.stream.Renew()
 	case control.Log:
 		c.log.Info(a.Text, "from", "control")
@@ -275,7 +275,7 @@
 	result := make(chan control.LiveState, 1)
 	d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
 		live := control.LiveState{InFlight: core.PendingByClass()}
-		live.Retries, live.Received, live.OrderKeyResting = core.Outstanding()
+		live.Retries, live.Received, live.OrderKeyPaused = core.Outstanding()
 		result <- live
 	}})
 	select {
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -109,7 +109,7 @@
 	}
 	d.buildSessions()
 	d.buildFrontends(sealer)
-	observer.registerParts(d.intake, d.fleet, d.nativeFrontend, d.cfg.File.Front.MaxBufferedInsertBytes)
+	observer.registerParts(d.intake, d.fleet, d.nativeFrontend, d.cfg.File.Frontend.MaxBufferedInsertBytes)
 	observer.registerSessions(d.sessions, d.cfg.File.Sessions.Max)
 	d.grpcServer = newGRPCServer(d.flightFrontend, d.health)
 	d.listeners, err = listen(d.cfg.File.Listen)
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -383,9 +383,10 @@
 		query()
 	}
 	setNodes := func(withDraining bool) {
-		rows := []nodelist.Node{{ID: "node-1", Address: r.nodes[1].Address, Native: r.nodes[1].Native}}
+		rows := []nodelist.Node{{ID: "node-1", FlightSQLAddress: r.nodes[1].Address, NativeAddress: r.nodes[1].Native}}
 		if withDraining {
-			rows = append(rows, nodelist.Node{ID: "node-0", Address: r.nodes[0].Address, Native: r.nodes[0].Native, State: policy.Draining})
+			rows = append(rows, nodelist.Node{ID: "node-0", FlightSQLAddress: r.nodes[0].Address,
+				NativeAddress: r.nodes[0].Native, State: policy.Draining})
 		}
 		if err := r.d.Fleet().SetNodes(rows); err != nil {
 			t.Fatal(err)
--- a/server/parts.go
+++ b/server/parts.go
@@ -32,15 +32,15 @@
 )
 
 func newFleet(cfg *config.Config, log *slog.Logger, clock dispatch.Clock) *backend.Fleet {
-	sending := &cfg.File.Sending
+	nodeOptions := &cfg.File.NodeOptions
 	return backend.New(backend.Options{
 		Log:            log,
 		Clock:          clock,
-		ConnectTimeout: sending.Connect.D(),
+		ConnectTimeout: nodeOptions.ConnectTimeout.D(),
 		DrainGrace:     time.Duration(cfg.Settings.DrainGrace) * time.Microsecond,
-		MaxFrame:       sending.MaxFrame,
-		NativeUser:     sending.NativeUser,
-		NativePassword: sending.NativePass,
+		MaxFrame:       nodeOptions.MaxFrameBytes,
+		NativeUser:     nodeOptions.NativeUser,
+		NativePassword: nodeOptions.NativePassword,
 	})
 }
 
@@ -73,8 +73,8 @@
 		MaxSessions:  s.Max,
 		MaxPerTenant: s.PerTenant,
 		MaxPerNode:   s.PerNode,
-		IdleTimeout:  s.Idle.D().Microseconds(),
-		MaxAge:       s.Age.D().Microseconds(),
+		IdleTimeout:  s.IdleTimeout.D().Microseconds(),
+		MaxAge:       s.MaxAge.D().Microseconds(),
 		RetrySpread:  s.RetrySpread.D().Microseconds(),
 		Retention:    s.Retention.D().Microseconds(),
 		DrainGrace:   max(f.Limits.DrainGrace.D()-sessionDrainMargin, 0).Microseconds(),
@@ -87,25 +87,25 @@
 	auth := newAuthenticator(f)
 	d.flightFrontend = flightsql.New(flightsql.Options{
 		Sessions:               d.sessions,
-		TransactionIdleTimeout: f.Sessions.Idle.D(),
-		TransactionMaxAge:      f.Sessions.Age.D(),
+		TransactionIdleTimeout: f.Sessions.IdleTimeout.D(),
+		TransactionMaxAge:      f.Sessions.MaxAge.D(),
 		Log:                    d.log,
 		Auth:                   auth,
 		Seal:                   sealer,
-		SchemaTTL:              f.Front.SchemaLife.D(),
-		MaxSchemas:             f.Front.MaxSchemas,
-		PassHeaders:            f.Sending.PassHeaders,
+		SchemaTTL:              f.Frontend.SchemaTTL.D(),
+		MaxSchemas:             f.Frontend.MaxCachedAnswers,
+		PassHeaders:            f.NodeOptions.PassHeaders,
 	}, d.intake)
 	d.nativeFrontend = clickhouse.New(clickhouse.Options{
 		Log:                    d.log,
 		Auth:                   auth,
-		MaxPacketBytes:         f.Sending.MaxFrame,
+		MaxPacketBytes:         f.NodeOptions.MaxFrameBytes,
 		Revision:               d.fleet.NativeRevision,
 		Sessions:               d.sessions,
-		MaxInsertBytes:         f.Front.MaxInsertBytes,
-		MaxBufferedInsertBytes: f.Front.MaxBufferedInsertBytes,
-		SampleTTL:              f.Front.SchemaLife.D(),
-		MaxSamples:             f.Front.MaxSchemas,
+		MaxInsertBytes:         f.Frontend.MaxInsertBytes,
+		MaxBufferedInsertBytes: f.Frontend.MaxBufferedInsertBytes,
+		SampleTTL:              f.Frontend.SchemaTTL.D(),
+		MaxSamples:             f.Frontend.MaxCachedAnswers,
 	}, d.intake)
 }
 
@@ -132,17 +132,17 @@
 
 // frontendSettings returns the part of a configuration that the frontends use; version is that of its settings in the loop.
 func frontendSettings(cfg *config.Config, version uint64) frontend.Settings {
-	f := &cfg.File.Front
+	f := &cfg.File.Frontend
 	s := frontend.Settings{
 		SettingsVersion:   version,
 		Classes:           &cfg.Classes,
 		Deadlines:         make([]time.Duration, len(cfg.Settings.Classes)),
 		ResponseMargin:    f.ResponseMargin.D(),
-		TicketTTL:         f.TicketLife.D(),
-		PreparedTTL:       f.PreparedLife.D(),
-		BearerTTL:         f.BearerLife.D(),
-		MaxStatementBytes: f.MaxStatement,
-		MaxParameterBytes: f.MaxParams,
+		TicketTTL:         f.TicketTTL.D(),
+		PreparedTTL:       f.PreparedTTL.D(),
+		BearerTTL:         f.BearerTTL.D(),
+		MaxStatementBytes: f.MaxStatementBytes,
+		MaxParameterBytes: f.MaxParameterBytes,
 	}
 	for i, c := range cfg.Settings.Classes {
 		s.Deadlines[i] = time.Duration(c.Deadline) * time.Microsecond
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -59,7 +59,7 @@
 	nameService.Set(1, nodes)
 	var targets []map[string]any
 	for _, n := range nodes {
-		targets = append(targets, map[string]any{"uid": n.ID, "endpoint": n.Platform, "az": "west", "model": "std", "pod_group": 0,
+		targets = append(targets, map[string]any{"uid": n.ID, "endpoint": n.PlatformAddress, "az": "west", "model": "std", "pod_group": 0,
 			"state": "active", "capacity_hint": 1, "boot_ms": 0})
 	}
 	p := &platformRig{t: t, nameService: nameService, file: filepath.Join(t.TempDir(), "config.json"), ended: make(chan error, 1)}
@@ -185,7 +185,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(node.Close)
-	return node, nodelist.Node{ID: id, Platform: node.Address(), Weight: 1}
+	return node, nodelist.Node{ID: id, PlatformAddress: node.Address(), Weight: 1}
 }
 
 // A query's id, class, statement and, for an update, deduplication token reach the node, the statement unchanged. The rows of all pages
@@ -296,7 +296,7 @@
 		t.Fatal(err)
 	}
 	defer node.Close()
-	p := newPlatformRig(t, nodelist.Node{ID: "s-1", Platform: node.Address(), Weight: 1})
+	p := newPlatformRig(t, nodelist.Node{ID: "s-1", PlatformAddress: node.Address(), Weight: 1})
 	slow, err := p.connect()
 	if err != nil {
 		t.Fatal(err)
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -137,7 +137,7 @@
 func (r *rig) listAllNodes(change func(i int, n *nodelist.Node)) {
 	rows := make([]nodelist.Node, len(r.nodes))
 	for i, n := range r.nodes {
-		rows[i] = nodelist.Node{ID: n.Name, Address: n.Address}
+		rows[i] = nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address}
 		if change != nil {
 			change(i, &rows[i])
 		}
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -106,7 +106,7 @@
 		{"the node drains", `, "limits": {"drain_grace": "150ms"}`, func(r *rig, node int) {
 			var rows []nodelist.Node
 			for i, n := range r.nodes {
-				row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
+				row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.Native}
 				if i == node {
 					row.State = policy.Draining
 				}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -415,7 +415,7 @@
 	r.t.Helper()
 	var rows []nodelist.Node
 	for i, n := range r.nodes {
-		row := nodelist.Node{ID: n.Name, Address: n.Address, Native: n.Native}
+		row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.Native}
 		if change(i, &row) {
 			rows = append(rows, row)
 		}
--- a/simulated/listanswer.go
+++ b/simulated/listanswer.go
@@ -17,13 +17,13 @@
 func ListAnswer(id uint16, number uint32, nodes []nodelist.Node, names nodelist.Names) []byte {
 	m := dnsMessage{offsets: map[string]int{}}
 	m.writeUint16s(id, flagsAuthoritativeAnswer, 1, uint16(len(nodes)), 1, uint16(2*len(nodes)))
-	m.writeName(nodelist.Service)
+	m.writeName(nodelist.ServiceName)
 	m.writeUint16s(uint16(dnsmessage.TypeSRV), uint16(dnsmessage.ClassINET))
 	target := func(n nodelist.Node) string { return n.ID + "." + names.Zones[n.Zone] + ".hosts." }
 	for _, n := range nodes {
 		m.writeService(n, target(n))
 	}
-	m.writeRecord(nodelist.Service, dnsmessage.TypeSOA, func() {
+	m.writeRecord(nodelist.ServiceName, dnsmessage.TypeSOA, func() {
 		m.writeName("ns.hosts.")
 		m.writeName("mail.hosts.")
 		m.writeUint32s(number, 1, 1, 1, 1)
@@ -45,11 +45,11 @@
 
 // writeService writes a node's SRV record. Priority 1 marks a draining node, 0 any other.
 func (m *dnsMessage) writeService(n nodelist.Node, target string) {
-	priority, port := uint16(0), netip.MustParseAddrPort(n.Platform).Port()
+	priority, port := uint16(0), netip.MustParseAddrPort(n.PlatformAddress).Port()
 	if n.State == policy.Draining {
 		priority = 1
 	}
-	m.writeRecord(nodelist.Service, dnsmessage.TypeSRV, func() {
+	m.writeRecord(nodelist.ServiceName, dnsmessage.TypeSRV, func() {
 		m.writeUint16s(priority, uint16(n.Weight*10), port)
 		m.writeName(target)
 	})
@@ -61,7 +61,9 @@
 	if !n.Started.IsZero() {
 		started = n.Started.UnixMilli()
 	}
-	m.writeRecord(name, dnsmessage.TypeA, func() { m.bytes = append(m.bytes, netip.MustParseAddrPort(n.Platform).Addr().AsSlice()...) })
+	m.writeRecord(name, dnsmessage.TypeA, func() {
+		m.bytes = append(m.bytes, netip.MustParseAddrPort(n.PlatformAddress).Addr().AsSlice()...)
+	})
 	m.writeRecord(name, dnsmessage.TypeTXT, func() {
 		for _, text := range []string{"kind=" + names.Kinds[n.Kind], "cell=" + strconv.Itoa(n.PlacementGroup), "started=" + strconv.FormatInt(started, 10)} {
 			m.bytes = append(append(m.bytes, byte(len(text))), text...)
--- a/soak/nameservice.go
+++ b/soak/nameservice.go
@@ -270,7 +270,7 @@
 
 // An endpoint that no dispatcher can use, because its zone is not in the settings, and the names that encode it.
 var (
-	unusableNode  = nodelist.Node{ID: "s-odd", Zone: 1, Platform: "127.0.0.1:9", Weight: 1}
+	unusableNode  = nodelist.Node{ID: "s-odd", Zone: 1, PlatformAddress: "127.0.0.1:9", Weight: 1}
 	unusableNames = nodelist.Names{Zones: []string{"west", "nowhere"}, Kinds: nodeNames.Kinds}
 )
 
--- a/soak/server.go
+++ b/soak/server.go
@@ -58,7 +58,7 @@
 
 // Node returns the server's row in the endpoint list.
 func (s *Server) Node() nodelist.Node {
-	return nodelist.Node{ID: s.id, Platform: s.listener.Addr().String(), Weight: 4}
+	return nodelist.Node{ID: s.id, PlatformAddress: s.listener.Addr().String(), Weight: 4}
 }
 
 // SetFaults replaces the server's faults, also for open connections.
--- a/soak/settings.go
+++ b/soak/settings.go
@@ -64,7 +64,7 @@
 	var targets []object
 	states := map[policy.EndpointState]string{policy.Healthy: "active", policy.Draining: "leaving"}
 	for _, n := range c.nodes {
-		targets = append(targets, object{"uid": n.ID, "endpoint": n.Platform, "az": "west", "model": "std", "pod_group": 0,
+		targets = append(targets, object{"uid": n.ID, "endpoint": n.PlatformAddress, "az": "west", "model": "std", "pod_group": 0,
 			"state": states[n.State], "capacity_hint": n.Weight, "boot_ms": 0})
 	}
 	var list []object
