--- a/backend/flight_attempt.go
+++ b/backend/flight_attempt.go
@@ -55,7 +55,7 @@
 		return nil, t.query(ctx, command)
 	case flightwire.Update:
 		return t.update(ctx, command, params)
-	case flightwire.Do:
+	case flightwire.DoAction:
 		return t.action(ctx)
 	case flightwire.Prepare:
 		return t.prepare(ctx)
@@ -161,7 +161,7 @@
 // prepare creates a prepared statement on the node and returns the body of its ActionCreatePreparedStatementResult. cleanUp closes
 // the statement when the attempt has ended.
 func (t *flightAttempt) prepare(ctx context.Context) ([]byte, error) {
-	request := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, t.call.Text), 2, t.call.Tx)
+	request := flightwire.AppendBytes(flightwire.AppendBytes(nil, 1, t.call.Text), 2, t.call.TransactionHandle)
 	create := flightwire.Action{Type: "CreatePreparedStatement",
 		Body: flightwire.NewCommand("ActionCreatePreparedStatementRequest", request)}
 	s, err := t.stream(ctx, flightwire.MethodDoAction, create.Encode())
--- a/backend/flight_call.go
+++ b/backend/flight_call.go
@@ -72,7 +72,7 @@
 	if l := flightLoad(trailer); l != nil {
 		t.load = l
 	}
-	if v := trailer.Get(flightwire.HeaderRan); len(v) == 1 && v[0] == "no" {
+	if v := trailer.Get(flightwire.TrailerRan); len(v) == 1 && v[0] == "no" {
 		t.notRun = true
 	}
 }
--- a/backend/native_attempt.go
+++ b/backend/native_attempt.go
@@ -161,9 +161,9 @@
 	if t.call.Session == "" {
 		return false, raw, nil
 	}
-	end := native.EndOfData()
+	end := native.EmptyDataPacket()
 	if c.r.Compressed {
-		end = native.EndOfDataCompressed()
+		end = native.CompressedEmptyDataPacket()
 	}
 	if err := c.send(end); err != nil {
 		return false, nil, err
@@ -230,7 +230,7 @@
 			}
 			p.Raw, buffered = buffered, nil
 		}
-		if err := t.call.Sink.Pass(p.Raw, more); err != nil {
+		if err := t.call.Sink.Forward(p.Raw, more); err != nil {
 			return false, nil, err
 		}
 	}
--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -20,8 +20,8 @@
 // discardSink discards an answer.
 type discardSink struct{}
 
-// Pass implements native.Sink.
-func (s *discardSink) Pass([]byte, bool) error { return nil }
+// Forward implements native.Sink.
+func (s *discardSink) Forward([]byte, bool) error { return nil }
 
 // runNativeAttempt sends one attempt to a node, and returns its progress reports and its end.
 func runNativeAttempt(t *testing.T, address string, call native.Call, timeout time.Duration) (progress []policy.Progress, end dispatch.AttemptEnded) {
@@ -36,7 +36,7 @@
 	}
 	call.Revision, call.Sink = native.NewestRevision, &discardSink{}
 	call.Query.ID, call.Query.Info, call.Query.Stage = "q", []byte{0}, 2
-	call.Tables = native.EndOfData()
+	call.Tables = native.EmptyDataPacket()
 	now := clock.Now()
 	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Payload: &call, Deadline: now + 1e7},
 		Node: "n", Deadline: now + timeout.Microseconds()})
@@ -65,7 +65,7 @@
 // a wrong outcome would let a retry repeat its effect.
 func TestNativeAttemptOutcomes(t *testing.T) {
 	const insert = "INSERT INTO events (id, name) VALUES"
-	rows := [][]byte{native.EndOfData()}
+	rows := [][]byte{native.EmptyDataPacket()}
 	cases := []struct {
 		name     string
 		fault    simulated.Faults
@@ -166,11 +166,11 @@
 	for _, step := range []func() error{
 		func() error { _, err := r.ReadHello(); return err },
 		func() error {
-			_, err := conn.Write(native.Server{Name: "n", Revision: native.NewestRevision}.Encode())
+			_, err := conn.Write(native.ServerInfo{Name: "n", Revision: native.NewestRevision}.Encode())
 			return err
 		},
 		func() error { return r.ReadAddendum(native.NewestRevision) },
-		func() error { _, err := r.ReadClient(); return err },
+		func() error { _, err := r.ReadClientPacketCode(); return err },
 		func() error { _, err := r.ReadQuery(native.NewestRevision); return err },
 		func() error { _, err := conn.Write(noColumns); return err },
 		func() error { _, err := io.CopyN(io.Discard, conn, bytes); return err },
--- a/backend/native_connection.go
+++ b/backend/native_connection.go
@@ -67,7 +67,7 @@
 		return nil
 	}
 	const quotaKey = ""
-	return c.send(native.PutText(nil, quotaKey))
+	return c.send(native.AppendString(nil, quotaKey))
 }
 
 // send writes packets and flushes them.
@@ -97,7 +97,7 @@
 // readAnswer reads the next packet of the present query's answer. It returns errStaleAnswer if a packet of the previous one arrives
 // instead of the pong.
 func (c *nativeConn) readAnswer(revision int) (native.Packet, error) {
-	p, err := c.r.ReadServer(revision)
+	p, err := c.r.ReadServerPacket(revision)
 	if err != nil || !c.pongPending {
 		return p, err
 	}
@@ -105,7 +105,7 @@
 		return p, errStaleAnswer
 	}
 	c.pongPending = false
-	return c.r.ReadServer(revision)
+	return c.r.ReadServerPacket(revision)
 }
 
 // reusable reports whether the connection is still up and nothing has arrived on it since the last answer.
@@ -122,8 +122,8 @@
 // cancelAndClose sends a cancel packet, if it can be written within cancelTimeout, and closes the connection: packets of the old answer
 // that are still to arrive would be taken for the next answer.
 func (c *nativeConn) cancelAndClose() {
-	_ = c.conn.SetDeadline(time.Now().Add(cancelTimeout))            // fails only on a closed connection, where the write fails as well
-	_, _ = c.conn.Write(native.PutUvarint(nil, native.ClientCancel)) // if this fails, the close ends the query later
+	_ = c.conn.SetDeadline(time.Now().Add(cancelTimeout))               // fails only on a closed connection, where the write fails as well
+	_, _ = c.conn.Write(native.AppendUvarint(nil, native.ClientCancel)) // if this fails, the close ends the query later
 	c.close()
 }
 
--- a/backend/native_health_check.go
+++ b/backend/native_health_check.go
@@ -21,7 +21,7 @@
 	err = c.send([]byte{native.ClientPing})
 	var p native.Packet
 	if err == nil {
-		p, err = c.r.ReadServer(key.revision)
+		p, err = c.r.ReadServerPacket(key.revision)
 	}
 	if stop() && err == nil && p.Code == native.ServerPong {
 		n.releaseNativeConn(c)
--- a/backend/native_late_answer_test.go
+++ b/backend/native_late_answer_test.go
@@ -38,7 +38,7 @@
 	if _, err := r.ReadHello(); err != nil {
 		return
 	}
-	_, _ = conn.Write(native.Server{Name: "n", Revision: native.NewestRevision}.Encode())
+	_, _ = conn.Write(native.ServerInfo{Name: "n", Revision: native.NewestRevision}.Encode())
 	if r.ReadAddendum(native.NewestRevision) != nil {
 		return
 	}
@@ -47,7 +47,7 @@
 		answer = append(answer, native.ServerEndOfStream)
 	}
 	for queries := 0; ; {
-		code, err := r.ReadClient()
+		code, err := r.ReadClientPacketCode()
 		if err != nil {
 			return
 		}
@@ -106,7 +106,7 @@
 func sendNative(t *testing.T, f *Fleet, recorder eventRecorder, number int) dispatch.AttemptEnded {
 	t.Helper()
 	call := native.Call{Query: native.Query{Text: "SELECT 1", ID: "q", Info: []byte{0}, Stage: 2}, Revision: native.NewestRevision, Sink: &discardSink{},
-		Tables: native.EndOfData()}
+		Tables: native.EmptyDataPacket()}
 	now := f.clock.Now()
 	f.Send(dispatch.Attempt{Query: &dispatch.Query{ID: "q", Payload: &call, Deadline: now + 1e7},
 		Number: number, Node: "n", Deadline: now + 3e6})
--- a/backend/native_load_report.go
+++ b/backend/native_load_report.go
@@ -39,6 +39,6 @@
 	if err != nil {
 		return
 	}
-	t.workMicros += p.WorkMicros
-	t.neededMB = max(t.neededMB, float64(p.Peak)/1e6)
+	t.workMicros += p.CPUMicros
+	t.neededMB = max(t.neededMB, float64(p.PeakMemoryBytes)/1e6)
 }
--- a/cmd/dispatcher/platform.go
+++ b/cmd/dispatcher/platform.go
@@ -30,7 +30,7 @@
 		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		return 2
 	}
-	server.Limit(cfg)
+	server.SetRuntimeLimits(cfg)
 	log, flush, err := logs.New(cli.Log, "json")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "dispatcher: log:", err)
--- a/cmd/dispatcherctl/main.go
+++ b/cmd/dispatcherctl/main.go
@@ -203,7 +203,7 @@
 	if err := call("GET", "/config", nil, &s); err != nil {
 		return err
 	}
-	sig := ed25519.Sign(ed25519.NewKeyFromSeed(seed), server.OverrideMessage(s.Dispatcher, c.Number))
+	sig := ed25519.Sign(ed25519.NewKeyFromSeed(seed), server.OverrideSigningMessage(s.Dispatcher, c.Number))
 	return postState("POST", "/config/override", url.Values{"number": {fmt.Sprint(c.Number)}, "signature": {hex.EncodeToString(sig)}})
 }
 
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -45,7 +45,7 @@
 func processBatch(b *wire.Batch, gateways map[string]*policy.Gateway, w *wire.Writer) error {
 	var order []string // instances in the order of their items in the batch
 	events := map[string][]policy.Event{}
-	for _, item := range b.Items {
+	for _, item := range b.Events {
 		switch {
 		case item.Start != nil:
 			g, err := policy.New(item.Seed, *item.Start)
@@ -81,6 +81,6 @@
 		}
 	}()
 	for _, a := range g.Step(now, evs) {
-		w.Put(instance, a)
+		w.WriteAction(instance, a)
 	}
 }
--- a/config/platform.go
+++ b/config/platform.go
@@ -27,7 +27,7 @@
 	Initial      nodelist.VersionedList
 	Names        nodelist.Names
 	Settings     policy.Settings
-	SocketLimits wire.SocketLimits
+	SocketLimits wire.ConnectionSettings
 }
 
 // platformFile is the JSON form of the platform's file. Unknown keys are ignored.
@@ -97,7 +97,7 @@
 	case p.Sockets < MinSockets:
 		return nil, fmt.Errorf("limits.sockets: found %d; allowed: %d and more", p.Sockets, MinSockets)
 	}
-	s, sockets, err := wire.Settings(f.Settings)
+	s, sockets, err := wire.DecodeSettings(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/config/validate.go
+++ b/config/validate.go
@@ -25,9 +25,9 @@
 	c.validateUsers(v)
 	c.validateNodeSource(v)
 	c.Settings = c.policySettings(zone)
-	c.validateSending(v)
+	c.validateNodeOptions(v)
 	c.validateLimits(v)
-	c.validateFront(v)
+	c.validateFrontend(v)
 	c.validateSessions(v)
 	c.validateLog(v)
 	kinds := c.buildKinds(v)
@@ -125,7 +125,7 @@
 	}
 }
 
-func (c *Config) validateSending(v validator) {
+func (c *Config) validateNodeOptions(v validator) {
 	s := &c.File.NodeOptions
 	if _, ok := shortages[s.Shortage]; !ok {
 		v.addViolation("sending.shortage", quoted(s.Shortage), "queue, trim, swap")
@@ -155,7 +155,7 @@
 // maxTokenLife is the longest validity allowed of tickets, prepared statement handles, bearer tokens and cached schemas.
 const maxTokenLife = 30 * 24 * time.Hour
 
-func (c *Config) validateFront(v validator) {
+func (c *Config) validateFrontend(v validator) {
 	f := &c.File.Frontend
 	v.duration("front.way_back", f.ResponseMargin, 0, 10*time.Second)
 	v.duration("front.ticket_life", f.TicketTTL, time.Second, maxTokenLife)
--- a/frontend/clickhouse/answer.go
+++ b/frontend/clickhouse/answer.go
@@ -133,8 +133,8 @@
 	c.mu.Unlock()
 }
 
-// Pass implements native.Sink.
-func (a *answerSink) Pass(packets []byte, more bool) error {
+// Forward implements native.Sink.
+func (a *answerSink) Forward(packets []byte, more bool) error {
 	c := a.connection
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/frontend/clickhouse/connection.go
+++ b/frontend/clickhouse/connection.go
@@ -25,7 +25,7 @@
 // connection is a client's connection. One goroutine serves it, a second one may read the next packet in the background, and the
 // backend passes the packets of an answer to the connection's answerSink.
 type connection struct {
-	front          *Front
+	frontend       *Frontend
 	conn           net.Conn
 	reader         *native.Reader
 	revision       int // negotiated in the handshake
@@ -44,8 +44,8 @@
 	partial bool        // a packet of the current answer was written only in part
 }
 
-func newConnection(f *Front, conn net.Conn) *connection {
-	return &connection{front: f, conn: conn, reader: native.NewReaderSize(conn, f.options.MaxPacketBytes, bufferBytes),
+func newConnection(f *Frontend, conn net.Conn) *connection {
+	return &connection{frontend: f, conn: conn, reader: native.NewReaderSize(conn, f.options.MaxPacketBytes, bufferBytes),
 		writer: bufio.NewWriterSize(conn, bufferBytes)}
 }
 
@@ -58,7 +58,7 @@
 	}
 	c.requests = make(chan request, 1)
 	err := c.run(ctx)
-	c.session.close(c.front.options.Sessions)
+	c.session.close(c.frontend.options.Sessions)
 	c.interruptReads()
 	_ = c.group.Wait() // always nil: the background read reports its error in the request
 	if c.exceptionSent {
@@ -90,18 +90,19 @@
 // handshake reads the client's Hello, authenticates the client, answers with the server's Hello and reads the client's addendum.
 func (c *connection) handshake() (err error) {
 	// SetReadDeadline fails only on a closed connection, where the read fails as well.
-	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.options.HelloTimeout))
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.frontend.options.HelloTimeout))
 	if c.hello, err = c.reader.ReadHello(); err != nil {
 		c.reject(codeUnexpectedPacket, err.Error())
 		return err
 	}
-	if !c.front.options.Auth.Check(c.hello.User, c.hello.Password) {
+	if !c.frontend.options.Auth.Check(c.hello.User, c.hello.Password) {
 		c.reject(codeAuthenticationFailed, c.hello.User+": Authentication failed: name or password is wrong")
 		return errors.New("name or password is wrong")
 	}
-	newest := c.front.newestRevision()
+	newest := c.frontend.newestRevision()
 	c.revision = min(c.hello.Revision, newest)
-	if err = c.write(native.Server{Name: "embershunt", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: "embershunt"}.Encode()); err != nil {
+	if err = c.write(native.ServerInfo{Name: "embershunt", Major: 1, Revision: newest,
+		Timezone: "UTC", DisplayName: "embershunt"}.Encode()); err != nil {
 		return err
 	}
 	if err = c.reader.ReadAddendum(c.revision); err != nil {
@@ -112,7 +113,7 @@
 
 // newestRevision returns the newest protocol revision that this frontend and all nodes speak. It returns native.NewestRevision
 // while the nodes' revision is unknown.
-func (f *Front) newestRevision() int {
+func (f *Frontend) newestRevision() int {
 	if f.options.Revision != nil {
 		if r := f.options.Revision(); r >= native.OldestRevision {
 			return min(native.NewestRevision, r)
@@ -125,7 +126,7 @@
 
 // run handles the client's packets, one query at a time, until the client closes the connection or an error ends it.
 func (c *connection) run(ctx context.Context) error {
-	defer c.front.payloads.release(&c.payload)
+	defer c.frontend.payloads.release(&c.payload)
 	for {
 		r := c.next()
 		switch actions[awaitingQuery][r.event()] {
@@ -145,7 +146,7 @@
 			return errUnexpectedRows
 		case startQuery:
 			err := c.runQuery(ctx, r)
-			c.front.payloads.release(&c.payload)
+			c.frontend.payloads.release(&c.payload)
 			if err != nil {
 				return err
 			}
--- a/frontend/clickhouse/front.go
+++ b/frontend/clickhouse/frontend.go
@@ -59,8 +59,8 @@
 	o.MaxSamples = cmp.Or(o.MaxSamples, defaultMaxSamples)
 }
 
-// Front serves the protocol on a listener.
-type Front struct {
+// Frontend serves the protocol on a listener.
+type Frontend struct {
 	options  Options
 	intake   *frontend.Intake
 	payloads payloadAccount
@@ -72,14 +72,14 @@
 }
 
 // New returns a frontend that submits its queries to the given intake.
-func New(o Options, intake *frontend.Intake) *Front {
+func New(o Options, intake *frontend.Intake) *Frontend {
 	o.setDefaults()
-	return &Front{options: o, intake: intake, conns: map[net.Conn]bool{}, connClosed: make(chan struct{}),
+	return &Frontend{options: o, intake: intake, conns: map[net.Conn]bool{}, connClosed: make(chan struct{}),
 		samples: frontend.NewCache(o.MaxSamples, o.SampleTTL), payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
 }
 
 // Serve accepts connections until ctx ends or the listener fails, and returns when all connections are closed.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
+func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		<-ctx.Done()
@@ -90,7 +90,7 @@
 }
 
 // accept starts a goroutine of the group for each connection. A failed connection doesn't fail the group.
-func (f *Front) accept(ctx context.Context, l net.Listener, group *errgroup.Group) error {
+func (f *Frontend) accept(ctx context.Context, l net.Listener, group *errgroup.Group) error {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -114,7 +114,7 @@
 }
 
 // addConn registers a connection. It returns false if MaxConns connections are open already.
-func (f *Front) addConn(conn net.Conn) bool {
+func (f *Frontend) addConn(conn net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.conns) >= f.options.MaxConns {
@@ -125,7 +125,7 @@
 }
 
 // closeConn closes a connection and notifies AwaitConns.
-func (f *Front) closeConn(conn net.Conn) {
+func (f *Frontend) closeConn(conn net.Conn) {
 	_ = conn.Close() // every write has been flushed or has failed already
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +135,7 @@
 }
 
 // AwaitConns waits until at most maxConns connections are open, or returns the context's error.
-func (f *Front) AwaitConns(ctx context.Context, maxConns int) error {
+func (f *Frontend) AwaitConns(ctx context.Context, maxConns int) error {
 	for {
 		f.mu.Lock()
 		n, connClosed := len(f.conns), f.connClosed
@@ -152,7 +152,7 @@
 }
 
 // Conns returns the number of open connections.
-func (f *Front) Conns() int {
+func (f *Frontend) Conns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
@@ -161,4 +161,4 @@
 // BufferedInserts returns the buffered bytes of clients' rows and external tables, the number of queries that were rejected
 // because they exceeded MaxInsertBytes (large), and of those that were rejected because too many bytes of all queries were
 // buffered (full).
-func (f *Front) BufferedInserts() (bytes int64, large, full uint64) { return f.payloads.usage() }
+func (f *Frontend) BufferedInserts() (bytes int64, large, full uint64) { return f.payloads.usage() }
--- a/frontend/clickhouse/insert.go
+++ b/frontend/clickhouse/insert.go
@@ -18,21 +18,21 @@
 // node, then it buffers the client's rows until they are complete, and only then it submits the query. So a stalled client keeps
 // no node waiting, and a retry has the rows.
 func (c *connection) insert(ctx context.Context, call frontend.Call) error {
-	remaining, err := c.front.intake.Deadline(call)
+	remaining, err := c.frontend.intake.Deadline(call)
 	if err != nil {
 		return c.finish(dispatch.Outcome{}, completed, err)
 	}
 	deadline := time.Now().Add(remaining)
 	nativeCall := call.Payload.(*native.Call)
 	key := sampleKey(nativeCall, c.hello.User) + c.session.stickyID()
-	sample, ok := c.front.samples.Get(key, time.Now())
+	sample, ok := c.frontend.samples.Get(key, time.Now())
 	if !ok {
 		v, end, err := c.executeSample(ctx, call, *nativeCall)
 		if end != completed || err != nil || v.Kind != dispatch.Served {
 			return c.finish(v, end, err)
 		}
 		sample = v.Result.([]byte)
-		c.front.samples.Put(key, sample, time.Now())
+		c.frontend.samples.Put(key, sample, time.Now())
 	}
 	if err := c.write(sample); err != nil {
 		return err
@@ -44,7 +44,7 @@
 	call.Remaining = max(time.Until(deadline), time.Millisecond)
 	v, end, err := c.execute(ctx, call)
 	if v.Reason == dispatch.ReasonStatement { // the cached columns may be outdated
-		c.front.samples.Delete(key)
+		c.frontend.samples.Delete(key)
 	}
 	return c.finish(v, end, err)
 }
@@ -84,7 +84,7 @@
 	switch actions[awaitingRows][r.event()] {
 	case bufferRows:
 		nativeCall.Data = append(nativeCall.Data, r.data)
-		return r.block.End(), completed, nil
+		return r.block.IsEnd(), completed, nil
 	case answerPing:
 		if err := c.write([]byte{native.ServerPong}); err != nil {
 			return true, clientDisconnected, err
--- a/frontend/clickhouse/query.go
+++ b/frontend/clickhouse/query.go
@@ -76,7 +76,7 @@
 	if statement := c.session.statement(call); statement != nil {
 		return c.executeSticky(ctx, call, statement)
 	}
-	pending, err := c.front.intake.Submit(call)
+	pending, err := c.frontend.intake.Submit(call)
 	if err != nil {
 		return v, completed, err
 	}
--- a/frontend/clickhouse/request.go
+++ b/frontend/clickhouse/request.go
@@ -43,7 +43,7 @@
 
 // read reads one packet, a Query with its external tables, and reserves the payload bytes that it buffers.
 func (c *connection) read() (r request) {
-	if r.code, r.err = c.reader.ReadClient(); r.err != nil {
+	if r.code, r.err = c.reader.ReadClientPacketCode(); r.err != nil {
 		return r
 	}
 	switch r.code {
@@ -66,13 +66,13 @@
 }
 
 // reservePayload reserves n bytes of buffered payload. They are released when the query has ended.
-func (c *connection) reservePayload(n int) error { return c.front.payloads.grow(&c.payload, n) }
+func (c *connection) reservePayload(n int) error { return c.frontend.payloads.grow(&c.payload, n) }
 
 // readTables reads the external tables that follow a Query packet, up to the empty block that ends them.
 func (c *connection) readTables() ([]byte, error) {
 	var tables []byte
 	for {
-		code, err := c.reader.ReadClient()
+		code, err := c.reader.ReadClientPacketCode()
 		if err != nil {
 			return nil, err
 		}
@@ -83,12 +83,12 @@
 		if err != nil {
 			return nil, err
 		}
-		if !block.End() || len(tables) > 0 { // an empty block without tables before it is not charged
+		if !block.IsEnd() || len(tables) > 0 { // an empty block without tables before it is not charged
 			if err := c.reservePayload(len(c.reader.Raw())); err != nil {
 				return nil, err
 			}
 		}
-		if tables = append(tables, c.reader.Raw()...); block.End() {
+		if tables = append(tables, c.reader.Raw()...); block.IsEnd() {
 			return tables, nil
 		}
 	}
--- a/frontend/clickhouse/session_statement.go
+++ b/frontend/clickhouse/session_statement.go
@@ -41,7 +41,7 @@
 
 // executeSticky does the same as execute for a statement of a session.
 func (c *connection) executeSticky(ctx context.Context, call frontend.Call, statement *frontend.Statement) (v dispatch.Outcome, end ending, err error) {
-	if c.front.options.Sessions == nil {
+	if c.frontend.options.Sessions == nil {
 		return v, completed, errors.New("temporary tables are not served here")
 	}
 	call.Payload.(*native.Call).Session = statement.ID
@@ -55,7 +55,7 @@
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }() // always nil: the goroutine reports its error in done
 	group.Go(func() error {
-		v, _, err := c.front.options.Sessions.Execute(ctx, call, *statement)
+		v, _, err := c.frontend.options.Sessions.Execute(ctx, call, *statement)
 		done <- answer{v, err}
 		return nil
 	})
--- a/frontend/flightsql/action.go
+++ b/frontend/flightsql/action.go
@@ -14,23 +14,24 @@
 // the body of the single Result; nil: no Result is sent.
 var actions = []struct {
 	name, description string
-	run               func(f *Front, c *caller, body []byte) ([]byte, error)
+	run               func(f *Frontend, c *caller, body []byte) ([]byte, error)
 }{
-	{"CreatePreparedStatement", "Prepares a statement; the handle is valid at every dispatcher with the same key.", (*Front).createPrepared},
-	{"ClosePreparedStatement", "Lets go of a handle; nothing is kept for it here.", (*Front).closePrepared},
-	{"CancelFlightInfo", "Calls off what runs for a FlightInfo at this dispatcher.", (*Front).cancelFlightInfo},
-	{"CancelQuery", "The older form of CancelFlightInfo.", (*Front).cancelQuery},
-	{"SetSessionOptions", "Sets session options; they are kept in the session cookie.", (*Front).setOptions},
-	{"GetSessionOptions", "Tells the session options.", (*Front).getOptions},
-	{"BeginTransaction", "Begins a transaction; it stays with one node.", (*Front).beginTransaction},
-	{"EndTransaction", "Commits or rolls back.", (*Front).endTransaction},
-	{"BeginSavepoint", "Sets a savepoint within a transaction.", (*Front).beginSavepoint},
-	{"EndSavepoint", "Releases it, or rolls back to it.", (*Front).endSavepoint},
-	{"CloseSession", "Ends the session: its cookie is taken back.", (*Front).closeSession},
+	{"CreatePreparedStatement", "Prepares a statement; the handle is valid at every dispatcher with the same key.",
+		(*Frontend).createPrepared},
+	{"ClosePreparedStatement", "Lets go of a handle; nothing is kept for it here.", (*Frontend).closePrepared},
+	{"CancelFlightInfo", "Calls off what runs for a FlightInfo at this dispatcher.", (*Frontend).cancelFlightInfo},
+	{"CancelQuery", "The older form of CancelFlightInfo.", (*Frontend).cancelQuery},
+	{"SetSessionOptions", "Sets session options; they are kept in the session cookie.", (*Frontend).setOptions},
+	{"GetSessionOptions", "Tells the session options.", (*Frontend).getOptions},
+	{"BeginTransaction", "Begins a transaction; it stays with one node.", (*Frontend).beginTransaction},
+	{"EndTransaction", "Commits or rolls back.", (*Frontend).endTransaction},
+	{"BeginSavepoint", "Sets a savepoint within a transaction.", (*Frontend).beginSavepoint},
+	{"EndSavepoint", "Releases it, or rolls back to it.", (*Frontend).endSavepoint},
+	{"CloseSession", "Ends the session: its cookie is taken back.", (*Frontend).closeSession},
 }
 
 // listActions sends the supported actions.
-func (f *Front) listActions(stream grpc.ServerStream) error {
+func (f *Frontend) listActions(stream grpc.ServerStream) error {
 	if _, err := f.authenticate(stream); err != nil {
 		return err
 	}
@@ -43,7 +44,7 @@
 }
 
 // doAction runs an action.
-func (f *Front) doAction(stream grpc.ServerStream) error {
+func (f *Frontend) doAction(stream grpc.ServerStream) error {
 	c, request, err := f.receiveFirst(stream)
 	if err != nil {
 		return err
--- a/frontend/flightsql/authentication.go
+++ b/frontend/flightsql/authentication.go
@@ -39,7 +39,7 @@
 
 // authenticate checks the bearer token or the credentials of a call and returns its caller. A call without either is accepted only
 // with AnyUser.
-func (f *Front) authenticate(stream grpc.ServerStream) (*caller, error) {
+func (f *Frontend) authenticate(stream grpc.ServerStream) (*caller, error) {
 	c := &caller{stream: stream}
 	c.headers, _ = metadata.FromIncomingContext(stream.Context()) // nil where there are none
 	scheme, credentials, _ := strings.Cut(c.header(authorization), " ")
@@ -71,7 +71,7 @@
 }
 
 // checkBasic checks Basic credentials (RFC 7617) and returns the user.
-func (f *Front) checkBasic(credentials string) (string, error) {
+func (f *Frontend) checkBasic(credentials string) (string, error) {
 	b, err := base64.StdEncoding.DecodeString(credentials)
 	if err != nil { // some clients omit the padding
 		if b, err = base64.RawStdEncoding.DecodeString(credentials); err != nil {
@@ -85,7 +85,7 @@
 	return user, f.checkPassword(user, password)
 }
 
-func (f *Front) checkPassword(user, password string) error {
+func (f *Frontend) checkPassword(user, password string) error {
 	if !f.options.Auth.Check(user, password) {
 		return status.Error(codes.Unauthenticated, "user name or password is wrong")
 	}
@@ -95,7 +95,7 @@
 // handshake checks a name and password and returns a bearer token. Clients send the credentials in the authorization header, and
 // get the token in the authorization header and trailer. Older clients send a BasicAuth message as payload, and get the token in
 // the authorization header and as payload.
-func (f *Front) handshake(stream grpc.ServerStream) error {
+func (f *Frontend) handshake(stream grpc.ServerStream) error {
 	headers, _ := metadata.FromIncomingContext(stream.Context()) // nil where there are none
 	values := headers.Get(authorization)
 	byHeader := len(values) > 0 && strings.HasPrefix(strings.ToLower(values[0]), "basic ")
@@ -123,7 +123,7 @@
 }
 
 // receiveBasicAuth receives a HandshakeRequest with a BasicAuth message as payload, checks its credentials and returns the user.
-func (f *Front) receiveBasicAuth(stream grpc.ServerStream) (string, error) {
+func (f *Frontend) receiveBasicAuth(stream grpc.ServerStream) (string, error) {
 	request, err := receive(stream)
 	if errors.Is(err, io.EOF) {
 		return "", errUnauthenticated
--- a/frontend/flightsql/cancel.go
+++ b/frontend/flightsql/cancel.go
@@ -12,7 +12,7 @@
 )
 
 // cancelFlightInfo cancels the queries that run at this dispatcher for the ticket in a CancelFlightInfoRequest.
-func (f *Front) cancelFlightInfo(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) cancelFlightInfo(c *caller, body []byte) ([]byte, error) {
 	info, err := flightwire.Field(body, 1)
 	if err != nil {
 		return nil, malformed(err)
@@ -45,7 +45,7 @@
 
 // cancelQuery answers CancelQuery, the predecessor of CancelFlightInfo: its body is an ActionCancelQueryRequest in an Any, of which
 // field 1 is a FlightInfo too.
-func (f *Front) cancelQuery(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) cancelQuery(c *caller, body []byte) ([]byte, error) {
 	cmd, err := flightwire.ParseCommand(body)
 	if err != nil {
 		return nil, malformed(err)
--- a/frontend/flightsql/front.go
+++ b/frontend/flightsql/frontend.go
@@ -30,13 +30,13 @@
 	maxConcurrentStreams = 10000    // of one connection
 )
 
-// Options are the frontend's settings. A zero SchemaTTL or MaxSchemas means the default.
+// Options are the frontend's settings. A zero AnswerTTL or MaxCachedAnswers means the default.
 type Options struct {
 	Log                    *slog.Logger           // nil: nothing is logged
 	Auth                   frontend.Authenticator // checks names and passwords; with AnyUser, calls need no credentials
 	Seal                   *seal.Sealer           // seals tickets, handles, transaction ids, cookies and bearer tokens
-	SchemaTTL              time.Duration          // how long a node's answer about a statement is cached; default 5 min
-	MaxSchemas             int                    // maximum number of cached answers; default 4096
+	AnswerTTL              time.Duration          // how long a node's answer about a statement is cached; default 5 min
+	MaxCachedAnswers       int                    // maximum number of cached answers; default 4096
 	PassHeaders            []string               // names of call headers that are forwarded to nodes
 	Sessions               *frontend.Sessions     // nil: transactions are not supported
 	TransactionIdleTimeout time.Duration          // of a transaction without a statement; 0: nodes set no timeout
@@ -45,15 +45,15 @@
 
 // setDefaults replaces zero values by the defaults.
 func (o *Options) setDefaults() {
-	o.SchemaTTL = cmp.Or(o.SchemaTTL, defaultSchemaLife)
-	o.MaxSchemas = cmp.Or(o.MaxSchemas, defaultMaxSchemas)
+	o.AnswerTTL = cmp.Or(o.AnswerTTL, defaultSchemaLife)
+	o.MaxCachedAnswers = cmp.Or(o.MaxCachedAnswers, defaultMaxSchemas)
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 }
 
-// Front serves Flight SQL on a gRPC server that was created with ServerOptions.
-type Front struct {
+// Frontend serves Flight SQL on a gRPC server that was created with ServerOptions.
+type Frontend struct {
 	options     Options
 	intake      *frontend.Intake
 	answerCache *frontend.AnswerCache // schemas and prepared statements, see cachedAnswer
@@ -61,15 +61,16 @@
 }
 
 // New returns a frontend that submits its queries to an intake.
-func New(o Options, intake *frontend.Intake) *Front {
+func New(o Options, intake *frontend.Intake) *Frontend {
 	o.setDefaults()
-	return &Front{options: o, intake: intake, answerCache: frontend.NewCache(o.MaxSchemas, o.SchemaTTL), running: newRunningQueries()}
+	return &Frontend{options: o, intake: intake, answerCache: frontend.NewCache(o.MaxCachedAnswers, o.AnswerTTL),
+		running: newRunningQueries()}
 }
 
 // ServerOptions returns the options that a gRPC server needs for this frontend. Messages are read as a whole, so their size is
 // bounded: the bound leaves room for the longest statement and its parameters. The transport rejects headers of more than
 // 64 KiB.
-func (f *Front) ServerOptions() []grpc.ServerOption {
+func (f *Frontend) ServerOptions() []grpc.ServerOption {
 	settings := f.intake.Settings()
 	return []grpc.ServerOption{grpc.ForceServerCodecV2(flightwire.Codec{}),
 		grpc.MaxRecvMsgSize(settings.MaxStatementBytes + settings.MaxParameterBytes + maxEnvelopeBytes),
@@ -78,20 +79,20 @@
 
 // Register adds the service to a gRPC server. Every method, unary ones included, is registered as a stream of raw messages: on the
 // wire the two are the same.
-func (f *Front) Register(s *grpc.Server) {
-	method := func(name string, run func(*Front, grpc.ServerStream) error) grpc.StreamDesc {
+func (f *Frontend) Register(s *grpc.Server) {
+	method := func(name string, run func(*Frontend, grpc.ServerStream) error) grpc.StreamDesc {
 		return grpc.StreamDesc{StreamName: name, ServerStreams: true, ClientStreams: true,
-			Handler: func(srv any, stream grpc.ServerStream) error { return run(srv.(*Front), stream) }}
+			Handler: func(srv any, stream grpc.ServerStream) error { return run(srv.(*Frontend), stream) }}
 	}
 	s.RegisterService(&grpc.ServiceDesc{ServiceName: flightwire.Service, HandlerType: (*any)(nil),
 		Streams: []grpc.StreamDesc{
-			method("Handshake", (*Front).handshake),
-			method("GetFlightInfo", unary((*Front).getFlightInfo)),
-			method("GetSchema", unary((*Front).getSchema)),
-			method("DoGet", (*Front).doGet),
-			method("DoPut", (*Front).doPut),
-			method("DoAction", (*Front).doAction),
-			method("ListActions", (*Front).listActions),
+			method("Handshake", (*Frontend).handshake),
+			method("GetFlightInfo", unary((*Frontend).getFlightInfo)),
+			method("GetSchema", unary((*Frontend).getSchema)),
+			method("DoGet", (*Frontend).doGet),
+			method("DoPut", (*Frontend).doPut),
+			method("DoAction", (*Frontend).doAction),
+			method("ListActions", (*Frontend).listActions),
 			method("ListFlights", unsupported("ListFlights")),
 			method("PollFlightInfo", unsupported("PollFlightInfo")),
 			method("DoExchange", unsupported("DoExchange")),
@@ -99,15 +100,15 @@
 }
 
 // unsupported returns a handler that rejects every call of a method.
-func unsupported(name string) func(*Front, grpc.ServerStream) error {
-	return func(*Front, grpc.ServerStream) error {
+func unsupported(name string) func(*Frontend, grpc.ServerStream) error {
+	return func(*Frontend, grpc.ServerStream) error {
 		return status.Errorf(codes.Unimplemented, "method %s is not supported", name)
 	}
 }
 
 // unary adapts a function with one request and one answer to a stream handler.
-func unary(run func(*Front, *caller, []byte) ([]byte, error)) func(*Front, grpc.ServerStream) error {
-	return func(f *Front, s grpc.ServerStream) error {
+func unary(run func(*Frontend, *caller, []byte) ([]byte, error)) func(*Frontend, grpc.ServerStream) error {
+	return func(f *Frontend, s grpc.ServerStream) error {
 		c, request, err := f.receiveFirst(s)
 		if err != nil {
 			return err
@@ -121,7 +122,7 @@
 }
 
 // receiveFirst authenticates a call and receives its first message.
-func (f *Front) receiveFirst(s grpc.ServerStream) (*caller, []byte, error) {
+func (f *Frontend) receiveFirst(s grpc.ServerStream) (*caller, []byte, error) {
 	c, err := f.authenticate(s)
 	if err != nil {
 		return nil, nil, err
--- a/frontend/flightsql/prepared.go
+++ b/frontend/flightsql/prepared.go
@@ -12,7 +12,7 @@
 
 // createPrepared returns the schemas of a statement, which a node reports in a query or the cache holds, and a sealed handle that
 // is bound to no node.
-func (f *Front) createPrepared(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) createPrepared(c *caller, body []byte) ([]byte, error) {
 	cmd, err := parseAction(body, "ActionCreatePreparedStatementRequest")
 	if err != nil {
 		return nil, err
@@ -45,12 +45,12 @@
 }
 
 // sealPrepared returns the handle of a prepared statement.
-func (f *Front) sealPrepared(s sealedStatement) []byte {
+func (f *Frontend) sealPrepared(s sealedStatement) []byte {
 	return f.options.Seal.Seal(seal.Prepared, time.Now().Add(f.intake.Settings().PreparedTTL), s.encode())
 }
 
 // closePrepared only checks the handle: the dispatcher keeps no state of a prepared statement that could be closed.
-func (f *Front) closePrepared(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) closePrepared(c *caller, body []byte) ([]byte, error) {
 	cmd, err := flightwire.ParseCommand(body)
 	if err != nil {
 		return nil, malformed(err)
@@ -65,7 +65,7 @@
 
 // bindParams receives the parameters of a prepared query and answers with a new handle that holds them
 // (DoPutPreparedStatementResult).
-func (f *Front) bindParams(c *caller, cmd flightwire.Command, first []byte) error {
+func (f *Frontend) bindParams(c *caller, cmd flightwire.Command, first []byte) error {
 	prepared, err := f.parseHandle(c, cmd)
 	if err != nil {
 		return err
--- a/frontend/flightsql/query.go
+++ b/frontend/flightsql/query.go
@@ -65,7 +65,7 @@
 
 // execute submits a query and waits for its outcome. The error is a gRPC status, for a query without an outcome: its statement is too
 // long, its hints are invalid, or its session rejected it or ended.
-func (f *Front) execute(c *caller, q *query) (dispatch.Outcome, error) {
+func (f *Frontend) execute(c *caller, q *query) (dispatch.Outcome, error) {
 	if maxBytes := f.intake.Settings().MaxStatementBytes; len(q.statement) > maxBytes {
 		return dispatch.Outcome{}, errStatementSize(len(q.statement), maxBytes)
 	}
@@ -88,7 +88,7 @@
 }
 
 // executeServed executes a query and returns an error for every outcome that is not served.
-func (f *Front) executeServed(c *caller, q *query) (dispatch.Outcome, error) {
+func (f *Frontend) executeServed(c *caller, q *query) (dispatch.Outcome, error) {
 	outcome, err := f.execute(c, q)
 	if err == nil {
 		err = outcomeError(outcome)
@@ -97,7 +97,7 @@
 }
 
 // intakeCall returns a query as a call for the intake, and adds the caller's forwarded headers to the query.
-func (f *Front) intakeCall(c *caller, q *query) frontend.Call {
+func (f *Frontend) intakeCall(c *caller, q *query) frontend.Call {
 	f.loadOptions(c)
 	call := frontend.Call{Protocol: nodelist.FlightSQL, Payload: q.call, Facts: classify.Facts{User: c.user, Header: c.header,
 		Option: c.option, Statement: q.statement, Command: q.command}}
@@ -113,7 +113,7 @@
 }
 
 // submit submits a call, through Sessions where it belongs to a session, and waits for its outcome.
-func (f *Front) submit(c *caller, q *query, call frontend.Call) (outcome dispatch.Outcome, err error) {
+func (f *Frontend) submit(c *caller, q *query, call frontend.Call) (outcome dispatch.Outcome, err error) {
 	statement := q.sessionStatement()
 	if statement == nil {
 		return f.intake.Execute(c.stream.Context(), call)
--- a/frontend/flightsql/sealed.go
+++ b/frontend/flightsql/sealed.go
@@ -106,7 +106,7 @@
 
 // openToken returns the payload of a sealed token. The error is a status: NotFound for an expired token, InvalidArgument for any
 // other that cannot be opened.
-func (f *Front) openToken(p seal.Purpose, token []byte) ([]byte, error) {
+func (f *Frontend) openToken(p seal.Purpose, token []byte) ([]byte, error) {
 	b, err := f.options.Seal.Open(p, time.Now(), token)
 	if errors.Is(err, seal.ErrExpired) {
 		return nil, status.Errorf(codes.NotFound, "%v: ask for a new one", err)
@@ -118,7 +118,7 @@
 }
 
 // openStatement opens a ticket or prepared handle, which must have been made for the same user.
-func (f *Front) openStatement(p seal.Purpose, c *caller, token []byte) (sealedStatement, error) {
+func (f *Frontend) openStatement(p seal.Purpose, c *caller, token []byte) (sealedStatement, error) {
 	b, err := f.openToken(p, token)
 	if err != nil {
 		return sealedStatement{}, err
@@ -132,7 +132,7 @@
 
 // openTransaction opens a transaction's id, which must have been made for the same user. It returns nil for an empty id: the call
 // belongs to no transaction.
-func (f *Front) openTransaction(c *caller, token []byte) (*frontend.StickySession, error) {
+func (f *Frontend) openTransaction(c *caller, token []byte) (*frontend.StickySession, error) {
 	if len(token) == 0 {
 		return nil, nil
 	}
@@ -148,17 +148,17 @@
 }
 
 // joinTransaction makes a query run in the transaction with this id; an empty id changes nothing.
-func (f *Front) joinTransaction(c *caller, q *query, token []byte) error {
+func (f *Frontend) joinTransaction(c *caller, q *query, token []byte) error {
 	s, err := f.openTransaction(c, token)
 	if err != nil || s == nil {
 		return err
 	}
-	q.transaction, q.call.Tx = s, s.Handle
+	q.transaction, q.call.TransactionHandle = s, s.Handle
 	return nil
 }
 
 // openSavepoint opens a savepoint's id and returns its transaction and the node's handle of the savepoint.
-func (f *Front) openSavepoint(c *caller, token []byte) (transaction *frontend.StickySession, handle []byte, err error) {
+func (f *Frontend) openSavepoint(c *caller, token []byte) (transaction *frontend.StickySession, handle []byte, err error) {
 	b, err := f.openToken(seal.Savepoint, token)
 	if err != nil {
 		return nil, nil, err
--- a/frontend/flightsql/session.go
+++ b/frontend/flightsql/session.go
@@ -30,7 +30,7 @@
 
 // loadOptions returns the options in the session cookie, and keeps them in c. A cookie that cannot be read, or that belongs to
 // another user, counts as no cookie.
-func (f *Front) loadOptions(c *caller) map[string]string {
+func (f *Frontend) loadOptions(c *caller) map[string]string {
 	if c.options == nil {
 		c.options = decodeOptions(f.openCookie(c), c.user)
 	}
@@ -38,7 +38,7 @@
 }
 
 // openCookie returns the payload of the session cookie; nil if there is no cookie or it cannot be read.
-func (f *Front) openCookie(c *caller) []byte {
+func (f *Frontend) openCookie(c *caller) []byte {
 	r := http.Request{Header: http.Header{"Cookie": c.headers.Get("cookie")}}
 	cookie, err := r.Cookie(cookieName)
 	if err != nil {
@@ -59,7 +59,7 @@
 func (c *caller) option(name string) string { return c.options[name] }
 
 // setOptions merges the options of a SetSessionOptionsRequest into the session cookie. Values are stored as text.
-func (f *Front) setOptions(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) setOptions(c *caller, body []byte) ([]byte, error) {
 	fields, _, err := flightwire.Fields(body)
 	if err != nil {
 		return nil, malformed(err)
@@ -93,7 +93,7 @@
 }
 
 // getOptions answers GetSessionOptions with a GetSessionOptionsResult.
-func (f *Front) getOptions(c *caller, _ []byte) ([]byte, error) {
+func (f *Frontend) getOptions(c *caller, _ []byte) ([]byte, error) {
 	options, result := f.loadOptions(c), []byte{}
 	for _, name := range slices.Sorted(maps.Keys(options)) {
 		entry := flightwire.AppendBytes(nil, 1, name)
@@ -105,7 +105,7 @@
 
 // closeSession makes the client delete its session cookie. A copy of the cookie stays valid until it expires, since the dispatcher
 // keeps no list of sessions.
-func (f *Front) closeSession(c *caller, _ []byte) ([]byte, error) {
+func (f *Frontend) closeSession(c *caller, _ []byte) ([]byte, error) {
 	cookie := http.Cookie{Name: cookieName, Value: "", MaxAge: -1}
 	if err := c.stream.SetHeader(metadata.Pairs("set-cookie", cookie.String())); err != nil {
 		return nil, err
--- a/frontend/flightsql/statement.go
+++ b/frontend/flightsql/statement.go
@@ -13,7 +13,7 @@
 )
 
 // getFlightInfo answers without a query: the ticket holds the statement or command, and DoGet starts the query.
-func (f *Front) getFlightInfo(c *caller, request []byte) ([]byte, error) {
+func (f *Frontend) getFlightInfo(c *caller, request []byte) ([]byte, error) {
 	cmd, err := describedCommand(request)
 	if err != nil {
 		return nil, err
@@ -48,7 +48,7 @@
 }
 
 // flightInfo returns a FlightInfo whose ticket holds s with a new serial number.
-func (f *Front) flightInfo(descriptor []byte, s sealedStatement) []byte {
+func (f *Frontend) flightInfo(descriptor []byte, s sealedStatement) []byte {
 	s.serial = newSerial()
 	expires := time.Now().Add(f.intake.Settings().TicketTTL)
 	ticket := f.options.Seal.Seal(seal.Ticket, expires, s.encode())
@@ -71,7 +71,7 @@
 
 // parseStatement reads a command that holds a statement or, if handle is set, the handle of a prepared statement. Neither may be
 // empty.
-func (f *Front) parseStatement(cmd flightwire.Command, handle bool) (flightwire.Statement, error) {
+func (f *Frontend) parseStatement(cmd flightwire.Command, handle bool) (flightwire.Statement, error) {
 	s, err := flightwire.ParseStatement(cmd.Body, handle)
 	maxBytes := f.intake.Settings().MaxStatementBytes
 	switch {
@@ -86,7 +86,7 @@
 }
 
 // parseHandle opens the handle of a prepared statement in a command.
-func (f *Front) parseHandle(c *caller, cmd flightwire.Command) (sealedStatement, error) {
+func (f *Frontend) parseHandle(c *caller, cmd flightwire.Command) (sealedStatement, error) {
 	s, err := f.parseStatement(cmd, true)
 	if err != nil {
 		return sealedStatement{}, err
@@ -95,7 +95,7 @@
 }
 
 // doGet runs a query and streams its answer.
-func (f *Front) doGet(stream grpc.ServerStream) error {
+func (f *Frontend) doGet(stream grpc.ServerStream) error {
 	c, request, err := f.receiveFirst(stream)
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 }
 
 // setTicket sets the statement, parameters and transaction of a query from a ticket.
-func (f *Front) setTicket(c *caller, q *query, cmd flightwire.Command) error {
+func (f *Frontend) setTicket(c *caller, q *query, cmd flightwire.Command) error {
 	s, err := flightwire.ParseStatement(cmd.Body, true)
 	if err != nil {
 		return malformed(err)
@@ -144,7 +144,7 @@
 }
 
 // getSchema returns the schema of a statement's result, from a node or the cache.
-func (f *Front) getSchema(c *caller, request []byte) ([]byte, error) {
+func (f *Frontend) getSchema(c *caller, request []byte) ([]byte, error) {
 	cmd, err := describedCommand(request)
 	if err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 
 // cachedAnswer returns a node's answer about a statement, from the cache unless it has expired there. The key contains the user,
 // since the answer may depend on the user.
-func (f *Front) cachedAnswer(c *caller, key string, q query) ([]byte, error) {
+func (f *Frontend) cachedAnswer(c *caller, key string, q query) ([]byte, error) {
 	key = c.user + "\x00" + key + string(q.call.Command)
 	if b, ok := f.answerCache.Get(key, time.Now()); ok {
 		return b, nil
--- a/frontend/flightsql/transaction.go
+++ b/frontend/flightsql/transaction.go
@@ -15,7 +15,7 @@
 )
 
 // beginTransaction begins a transaction on a node that the dispatcher chooses. All later statements of the transaction go to that node.
-func (f *Front) beginTransaction(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) beginTransaction(c *caller, body []byte) ([]byte, error) {
 	if f.options.Sessions == nil {
 		return nil, status.Error(codes.Unimplemented, "transactions are not served here")
 	}
@@ -41,7 +41,7 @@
 
 // endTransaction commits a transaction or rolls it back. A commit is sent once. If its answer is lost, it is not known whether the
 // commit happened, and the error says so.
-func (f *Front) endTransaction(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) endTransaction(c *caller, body []byte) ([]byte, error) {
 	const name = "ActionEndTransactionRequest"
 	token, end, err := parseEnd(body, name)
 	if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // beginSavepoint sets a savepoint. The savepoint's id seals the transaction's id and the node's handle of the savepoint.
-func (f *Front) beginSavepoint(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) beginSavepoint(c *caller, body []byte) ([]byte, error) {
 	const name = "ActionBeginSavepointRequest"
 	cmd, err := parseAction(body, name)
 	if err != nil {
@@ -94,7 +94,7 @@
 }
 
 // endSavepoint releases a savepoint or rolls back to it.
-func (f *Front) endSavepoint(c *caller, body []byte) ([]byte, error) {
+func (f *Frontend) endSavepoint(c *caller, body []byte) ([]byte, error) {
 	const name = "ActionEndSavepointRequest"
 	token, end, err := parseEnd(body, name)
 	if err != nil {
@@ -113,7 +113,7 @@
 
 // actionQuery returns a query that runs an action on a node. name is the name of the action's message, request its encoded content.
 func actionQuery(action, name string, request []byte) *query {
-	return &query{command: name, call: &flightwire.Call{Kind: flightwire.Do,
+	return &query{command: name, call: &flightwire.Call{Kind: flightwire.DoAction,
 		Action: flightwire.Action{Type: action, Body: flightwire.NewCommand(name, request)}}}
 }
 
--- a/frontend/flightsql/update.go
+++ b/frontend/flightsql/update.go
@@ -12,7 +12,7 @@
 )
 
 // doPut runs an update, or binds the parameters of a prepared query.
-func (f *Front) doPut(stream grpc.ServerStream) error {
+func (f *Frontend) doPut(stream grpc.ServerStream) error {
 	c, first, err := f.receiveFirst(stream)
 	if err != nil {
 		return err
@@ -47,7 +47,7 @@
 }
 
 // setUpdate sets the statement and transaction of a query from a CommandStatementUpdate.
-func (f *Front) setUpdate(c *caller, q *query, cmd flightwire.Command) error {
+func (f *Frontend) setUpdate(c *caller, q *query, cmd flightwire.Command) error {
 	s, err := f.parseStatement(cmd, false)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 
 // setPreparedUpdate sets the statement and transaction of a query from a prepared update, and its parameters from the messages that
 // the client sends.
-func (f *Front) setPreparedUpdate(c *caller, q *query, cmd flightwire.Command, first []byte) error {
+func (f *Frontend) setPreparedUpdate(c *caller, q *query, cmd flightwire.Command, first []byte) error {
 	prepared, err := f.parseHandle(c, cmd)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 // receiveParams receives the parameters of a prepared statement: all FlightData messages of a DoPut, of which the first also has the
 // descriptor. It returns the messages without descriptors and leaves out empty ones; nil if no message has a header, which means that
 // there are no parameters.
-func (f *Front) receiveParams(stream grpc.ServerStream, first []byte) ([][]byte, error) {
+func (f *Frontend) receiveParams(stream grpc.ServerStream, first []byte) ([][]byte, error) {
 	var params [][]byte
 	size, hasHeader := 0, false
 	for message := first; ; {
--- a/frontend/postgres/accept_test.go
+++ b/frontend/postgres/accept_test.go
@@ -101,7 +101,7 @@
 	}
 	s.session()
 	s.stop()
-	names, counts := s.front.CloseCounts()
+	names, counts := s.frontend.CloseCounts()
 	total := int64(0)
 	for i, name := range names {
 		total += counts[i]
--- a/frontend/postgres/cancel_test.go
+++ b/frontend/postgres/cancel_test.go
@@ -54,7 +54,7 @@
 	for name, disconnect := range map[string]func(s *testServer, c *client){
 		"close":     func(_ *testServer, c *client) { closeConn(c.t, c) },
 		"terminate": func(_ *testServer, c *client) { send(c, message('X', "")) },
-		"cancel":    func(s *testServer, c *client) { s.front.cancel(c.key) },
+		"cancel":    func(s *testServer, c *client) { s.frontend.cancel(c.key) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, Options{}, nil)
@@ -62,13 +62,13 @@
 			send(c, append(queryWithFields(1, "SELECT 1"), append(queryWithFields(2, "SELECT 1"), queryWithFields(3, "SELECT 1")...)...))
 			s.waitForOpen(1)
 			for pipelined := 0; pipelined < 2; { // until both were read
-				s.front.mu.Lock()
-				for _, o := range s.front.sessions {
+				s.frontend.mu.Lock()
+				for _, o := range s.frontend.sessions {
 					o.mu.Lock()
 					pipelined = len(o.state.commands)
 					o.mu.Unlock()
 				}
-				s.front.mu.Unlock()
+				s.frontend.mu.Unlock()
 			}
 			disconnect(s, c)
 			if id := <-s.dispatcher.disconnected; id[14:] != "01" {
@@ -94,7 +94,7 @@
 	open := s.gate.close()
 	send(c, queryWithFields(1, "SELECT 1"))
 	<-s.gate.held
-	s.front.cancel(c.key)
+	s.frontend.cancel(c.key)
 	open()
 	if got := c.until('Z'); got != "E(57014)Z" {
 		t.Errorf("the cancelled query got %s", got)
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	evictedSession := newSession(s.front, conn, false)
+	evictedSession := newSession(s.frontend, conn, false)
 	if !evictedSession.beginClose(evicted) {
 		t.Fatal("the session does not close")
 	}
--- a/frontend/postgres/close_reason.go
+++ b/frontend/postgres/close_reason.go
@@ -27,13 +27,13 @@
 // recordClose counts and logs the reason for which the session ends. Only the first call has an effect.
 func (s *session) recordClose(reason closeReason) {
 	s.closeOnce.Do(func() {
-		s.front.closeCounts[reason].Add(1)
-		s.front.options.Log.Debug("session closed", "client", s.conn.RemoteAddr().String(), "reason", closeReasonNames[reason])
+		s.frontend.closeCounts[reason].Add(1)
+		s.frontend.options.Log.Debug("session closed", "client", s.conn.RemoteAddr().String(), "reason", closeReasonNames[reason])
 	})
 }
 
 // CloseCounts returns the names of the reasons for which sessions end, in a fixed order, and the number of sessions ended for each.
-func (f *Front) CloseCounts() (names []string, counts []int64) {
+func (f *Frontend) CloseCounts() (names []string, counts []int64) {
 	for i, name := range closeReasonNames {
 		names, counts = append(names, name), append(counts, f.closeCounts[i].Load())
 	}
--- a/frontend/postgres/eviction.go
+++ b/frontend/postgres/eviction.go
@@ -46,7 +46,7 @@
 
 // evict begins the close of one session: among those with the highest rank, the one with the oldest activity. It returns false if no
 // session may be evicted. With immediately set, it aborts a session that is closing already instead, if there is one.
-func (f *Front) evict(immediately bool) bool {
+func (f *Frontend) evict(immediately bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if immediately && f.abortClosing() {
@@ -68,7 +68,7 @@
 }
 
 // evictionVictim chooses the session to evict; it returns nil if no session may be evicted. f.mu is held.
-func (f *Front) evictionVictim() (victim *session, rank evictionRank) {
+func (f *Frontend) evictionVictim() (victim *session, rank evictionRank) {
 	var oldest time.Time
 	now := time.Now()
 	for _, s := range f.sessions {
@@ -85,7 +85,7 @@
 
 // abortClosing closes the connection of a session that is closing without pending answers, or is going to be rejected: among those with the
 // latest stage, the oldest session. It returns false if there is none. f.mu is held.
-func (f *Front) abortClosing() bool {
+func (f *Frontend) abortClosing() bool {
 	var oldest *session
 	latest := notClosing
 	for _, s := range f.sessions {
--- a/frontend/postgres/eviction_test.go
+++ b/frontend/postgres/eviction_test.go
@@ -28,7 +28,7 @@
 	if got := s.connect().until('Z'); got != "E(53300)." {
 		t.Errorf("the connection above the bound got %s", got)
 	}
-	if open, rejected, _ := s.front.Counts(); open != 4 || rejected != 1 {
+	if open, rejected, _ := s.frontend.Counts(); open != 4 || rejected != 1 {
 		t.Errorf("%d open, %d rejected", open, rejected)
 	}
 }
--- a/frontend/postgres/front.go
+++ b/frontend/postgres/frontend.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// Front accepts clients' connections and serves their sessions.
-type Front struct {
+// Frontend accepts clients' connections and serves their sessions.
+type Frontend struct {
 	options Options
 	intake  *frontend.Intake
 	group   errgroup.Group // every goroutine of the sessions
@@ -72,22 +72,22 @@
 }
 
 // New returns a frontend that hands its queries to intake. It accepts connections once Serve is called.
-func New(o Options, intake *frontend.Intake) *Front {
+func New(o Options, intake *frontend.Intake) *Frontend {
 	o.setDefaults()
-	return &Front{options: o, intake: intake, sessions: map[uint32]*session{}, traces: map[string]struct{}{},
+	return &Frontend{options: o, intake: intake, sessions: map[uint32]*session{}, traces: map[string]struct{}{},
 		closesBegun: make(chan struct{}), startedAt: time.Now()}
 }
 
 // Counts returns the number of sessions that are open and not closing, of connections rejected because there were too many, and of messages
 // that were malformed or could not be used.
-func (f *Front) Counts() (open int, rejected, protocolErrors int64) {
+func (f *Frontend) Counts() (open int, rejected, protocolErrors int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.openSessions(), f.rejected.Load(), f.protocolErrors.Load()
 }
 
 // openSessions counts the sessions that are neither closing nor to be rejected; f.mu is held.
-func (f *Front) openSessions() (open int) {
+func (f *Frontend) openSessions() (open int) {
 	for _, s := range f.sessions {
 		if phase, _, _ := s.snapshot(); phase != closing && !s.state.overCapacity {
 			open++
@@ -108,7 +108,7 @@
 // received has its answer, and new queries are rejected. After ctx has ended, Serve goes on accepting until nothing has come for DrainIdle,
 // or for maxDrainIdles times DrainIdle, so that no connection is left in the listener's backlog. Then it closes every session after its
 // pending answers, and returns.
-func (f *Front) Serve(ctx context.Context, l Listener) error {
+func (f *Frontend) Serve(ctx context.Context, l Listener) error {
 	interrupt := func() {
 		_ = l.SetDeadline(time.Now()) // fails only on a closed listener, whose Accept fails as well
 	}
@@ -131,7 +131,7 @@
 
 // acceptUntilDrained accepts connections until ctx has ended and no connection or query has come for DrainIdle, or until the listener is
 // closed.
-func (f *Front) acceptUntilDrained(ctx context.Context, l Listener) {
+func (f *Frontend) acceptUntilDrained(ctx context.Context, l Listener) {
 	var endedAt time.Time // when ctx was seen to have ended
 	for {
 		conn, err := l.Accept()
@@ -165,7 +165,7 @@
 }
 
 // recordActivity records that a client has connected or sent a query.
-func (f *Front) recordActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
+func (f *Frontend) recordActivity() { f.lastActivity.Store(int64(time.Since(f.startedAt))) }
 
 // acceptPause is the pause after an error of Accept such as a lack of file descriptors.
 const acceptPause = 5 * time.Millisecond
@@ -174,7 +174,7 @@
 // because the next Accept may succeed at once; after any other error accepting pauses. If this process has no file descriptor left
 // (EMFILE), a session is evicted to free one. If the whole system is short of a resource, sessions stay open: their clients did not cause
 // that.
-func (f *Front) handleAcceptError(ctx context.Context, err error) {
+func (f *Frontend) handleAcceptError(ctx context.Context, err error) {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) || errors.Is(err, syscall.EPROTO) {
 		return
 	}
@@ -194,7 +194,7 @@
 // accept starts a session for a connection. At the bound on sessions it evicts one first. If none can be evicted, the new session may only
 // cancel another session's query, and is rejected otherwise. If too many sessions are closing besides, one of them is aborted; if that is
 // not possible either, the new connection is closed at once.
-func (f *Front) accept(conn net.Conn) {
+func (f *Frontend) accept(conn net.Conn) {
 	f.mu.Lock()
 	atBound := len(f.sessions) >= f.options.MaxSessions && f.openSessions() >= f.options.MaxSessions
 	f.mu.Unlock()
@@ -213,7 +213,7 @@
 }
 
 // newKey returns a random key with a process number that no session has; f.mu is held.
-func (f *Front) newKey() pgwire.Key {
+func (f *Frontend) newKey() pgwire.Key {
 	for {
 		k := pgwire.Key{Process: rand.Uint32N(1<<31-1) + 1, Secret: rand.Uint32()}
 		if _, taken := f.sessions[k.Process]; !taken {
@@ -223,7 +223,7 @@
 }
 
 // cancel cancels the queries of the session with key k; it does nothing if no session has that key.
-func (f *Front) cancel(k pgwire.Key) {
+func (f *Frontend) cancel(k pgwire.Key) {
 	f.mu.Lock()
 	s := f.sessions[k.Process]
 	f.mu.Unlock()
@@ -233,7 +233,7 @@
 }
 
 // removeSession removes a session that has ended. It may have been removed already, and its process number assigned to another session.
-func (f *Front) removeSession(s *session) {
+func (f *Frontend) removeSession(s *session) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.sessions[s.key.Process] == s {
@@ -242,7 +242,7 @@
 }
 
 // registerTrace registers the id of an open query; it returns false if a query with that id is open already.
-func (f *Front) registerTrace(trace string) bool {
+func (f *Frontend) registerTrace(trace string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, open := f.traces[trace]
@@ -251,7 +251,7 @@
 }
 
 // releaseTrace removes the id of a query that is not open any more.
-func (f *Front) releaseTrace(trace string) {
+func (f *Frontend) releaseTrace(trace string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.traces, trace)
--- a/frontend/postgres/server_test.go
+++ b/frontend/postgres/server_test.go
@@ -74,7 +74,7 @@
 // testServer is a frontend that serves on a local address, with its dispatcher.
 type testServer struct {
 	t          *testing.T
-	front      *Front
+	frontend   *Frontend
 	dispatcher *testDispatcher
 	address    string
 	gate       *gatedListener
@@ -150,7 +150,7 @@
 	t.Helper()
 	d := &testDispatcher{answer: answer, open: map[string]*dispatch.Query{}, disconnected: make(chan string, 100)}
 	o.Settings = testSettings()
-	s := &testServer{t: t, dispatcher: d, front: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Settings{}))}
+	s := &testServer{t: t, dispatcher: d, frontend: New(o, frontend.NewIntake(d, dispatch.NewClock(), frontend.Settings{}))}
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +159,7 @@
 	listener := wrap(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- s.front.Serve(ctx, listener) }()
+	go func() { done <- s.frontend.Serve(ctx, listener) }()
 	s.beginEnd = cancel
 	var once sync.Once
 	s.stop = func() {
--- a/frontend/postgres/session.go
+++ b/frontend/postgres/session.go
@@ -17,9 +17,9 @@
 // answers are pending, executes queued commands and writes their answers one after the other. The sessionState decides which event is
 // accepted when.
 //
-// Locks are taken in the order Front.mu, session.mu; writeMu is never held together with another lock.
+// Locks are taken in the order Frontend.mu, session.mu; writeMu is never held together with another lock.
 type session struct {
-	front        *Front
+	frontend     *Frontend
 	conn         net.Conn
 	key          pgwire.Key
 	disconnected chan struct{} // closed by disconnect
@@ -36,9 +36,9 @@
 	closeOnce sync.Once // see recordClose
 }
 
-func newSession(f *Front, conn net.Conn, overCapacity bool) *session {
+func newSession(f *Frontend, conn net.Conn, overCapacity bool) *session {
 	now := time.Now()
-	s := &session{front: f, conn: conn, disconnected: make(chan struct{}), state: sessionState{overCapacity: overCapacity,
+	s := &session{frontend: f, conn: conn, disconnected: make(chan struct{}), state: sessionState{overCapacity: overCapacity,
 		startedAt: now, lastActivity: now, limits: waitLimits{begin: f.options.BeginTimeout, idle: f.options.IdleTimeout}}}
 	s.queueShrunk.L = &s.mu
 	return s
@@ -64,7 +64,7 @@
 
 // run reads messages until the session ends, and then closes the connection.
 func (s *session) run() {
-	defer s.front.removeSession(s)
+	defer s.frontend.removeSession(s)
 	defer s.closeConn()
 	defer s.disconnect()
 	defer s.recordClose(closedByClient)
@@ -90,7 +90,7 @@
 			s.closeGracefully(r)
 			return
 		}
-		kind, body, err := pgwire.ReadMessage(r, buf, s.front.options.MaxStatement)
+		kind, body, err := pgwire.ReadMessage(r, buf, s.frontend.options.MaxStatement)
 		if buf = body; cap(buf) > 4*readBufferBytes { // the buffer of a long statement is not reused
 			buf = nil
 		}
@@ -122,7 +122,7 @@
 	case pgwire.Terminate:
 		return false
 	}
-	s.front.protocolErrors.Add(1)
+	s.frontend.protocolErrors.Add(1)
 	s.fail(r, codeUnsupported, fmt.Sprintf("message type %q is not supported; allowed: simple queries", kind))
 	return false
 }
@@ -153,7 +153,7 @@
 		}
 		switch {
 		case m.Kind == pgwire.StartCancel:
-			s.front.cancel(m.Key)
+			s.frontend.cancel(m.Key)
 			return false
 		case m.Kind == pgwire.StartTLS:
 			s.write([]byte{'N'}) // a failed write is noticed by the next read
@@ -176,7 +176,7 @@
 
 // reject ends a session that was accepted beyond the bound on sessions.
 func (s *session) reject(r *bufio.Reader) {
-	s.front.rejected.Add(1)
+	s.frontend.rejected.Add(1)
 	s.recordClose(closedAtCapacity)
 	s.fail(r, codeTooManyConnections, "too many connections; nothing was read")
 }
@@ -212,14 +212,14 @@
 	if !s.state.apply(messageStarted, time.Now()) {
 		return false
 	}
-	s.setReadDeadline(from.Add(s.front.options.BeginTimeout))
+	s.setReadDeadline(from.Add(s.frontend.options.BeginTimeout))
 	return true
 }
 
 // enqueue adds a command to the queue and starts a worker if none runs; it returns false if the session is closing. It waits while too much
 // is pipelined. If the session is to close after its pending answers, it waits for that close.
 func (s *session) enqueue(c command) bool {
-	s.front.recordActivity()
+	s.frontend.recordActivity()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for s.state.mustWait(c) {
@@ -231,7 +231,7 @@
 	}
 	s.state.push(c)
 	if !workerRuns {
-		s.front.group.Go(func() error { s.answerCommands(); return nil })
+		s.frontend.group.Go(func() error { s.answerCommands(); return nil })
 	}
 	return true
 }
@@ -242,11 +242,11 @@
 	var format *pgwire.FormatError
 	switch {
 	case errors.As(err, &format):
-		s.front.protocolErrors.Add(1)
-		s.fail(r, codeProtocolViolation, format.What)
+		s.frontend.protocolErrors.Add(1)
+		s.fail(r, codeProtocolViolation, format.Detail)
 	case errors.Is(err, pgwire.ErrTooLong):
-		s.front.protocolErrors.Add(1)
-		s.fail(r, codeTooLong, fmt.Sprintf("message too long; allowed: %d bytes", s.front.options.MaxStatement))
+		s.frontend.protocolErrors.Add(1)
+		s.fail(r, codeTooLong, fmt.Sprintf("message too long; allowed: %d bytes", s.frontend.options.MaxStatement))
 	case isTimeout(err):
 		s.fail(r, codeProtocolViolation, "message not complete in time")
 	}
@@ -271,7 +271,7 @@
 		return true
 	}
 	s.finished = last
-	_ = s.conn.SetWriteDeadline(time.Now().Add(s.front.options.WriteTimeout)) // fails only on a closed connection, as the write does
+	_ = s.conn.SetWriteDeadline(time.Now().Add(s.frontend.options.WriteTimeout)) // fails only on a closed connection, as the write does
 	_, err := s.conn.Write(b)
 	return err == nil
 }
--- a/frontend/postgres/session_answers_test.go
+++ b/frontend/postgres/session_answers_test.go
@@ -67,9 +67,9 @@
 		default:
 		}
 	case "cancel":
-		m.server.front.cancel(m.client.key)
+		m.server.frontend.cancel(m.client.key)
 	case "evict":
-		m.closeCrossed = m.server.front.evict(false) || m.closeCrossed
+		m.closeCrossed = m.server.frontend.evict(false) || m.closeCrossed
 	case "end":
 		m.server.beginEnd()
 		m.closeCrossed = true
@@ -135,7 +135,7 @@
 	if !m.closed && (answers < m.taken || answers > m.sent || !m.closeCrossed && answers != m.sent) {
 		rt.Fatalf("%d queries sent, %d submitted, %d answers", m.sent, m.taken, answers)
 	}
-	d, f := m.server.dispatcher, m.server.front
+	d, f := m.server.dispatcher, m.server.frontend
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.open) > 0 || len(f.sessions) > 0 || len(f.traces) > 0 {
@@ -156,14 +156,14 @@
 			closeConn(t, c)
 		}
 	}
-	s.front.mu.Lock()
-	sessions, traces := len(s.front.sessions), len(s.front.traces)
-	s.front.mu.Unlock()
-	if sessions > s.front.options.MaxSessions+s.front.options.MaxClosing || traces > 0 {
+	s.frontend.mu.Lock()
+	sessions, traces := len(s.frontend.sessions), len(s.frontend.traces)
+	s.frontend.mu.Unlock()
+	if sessions > s.frontend.options.MaxSessions+s.frontend.options.MaxClosing || traces > 0 {
 		t.Errorf("%d sessions, %d ids", sessions, traces)
 	}
 	s.stop()
-	if len(s.front.sessions) > 0 {
-		t.Errorf("%d sessions after the end", len(s.front.sessions))
+	if len(s.frontend.sessions) > 0 {
+		t.Errorf("%d sessions after the end", len(s.frontend.sessions))
 	}
 }
--- a/frontend/postgres/session_close.go
+++ b/frontend/postgres/session_close.go
@@ -55,8 +55,8 @@
 			break
 		}
 		s.setReceiving(true)
-		s.setReadDeadline(time.Now().Add(s.front.options.BeginTimeout))
-		kind, _, err := pgwire.ReadMessage(r, nil, s.front.options.MaxStatement)
+		s.setReadDeadline(time.Now().Add(s.frontend.options.BeginTimeout))
+		kind, _, err := pgwire.ReadMessage(r, nil, s.frontend.options.MaxStatement)
 		if err != nil || kind != pgwire.Query {
 			break
 		}
--- a/frontend/postgres/session_close_test.go
+++ b/frontend/postgres/session_close_test.go
@@ -14,8 +14,8 @@
 // first: the query is rejected with the code for draining, and never submitted.
 func TestQueryReadAfterCloseBegan(t *testing.T) {
 	for name, beginClose := range map[string]func(s *testServer) bool{
-		"evicted":  func(s *testServer) bool { return s.front.evict(false) },
-		"shutdown": func(s *testServer) bool { s.beginEnd(); <-s.front.closesBegun; return true },
+		"evicted":  func(s *testServer) bool { return s.frontend.evict(false) },
+		"shutdown": func(s *testServer) bool { s.beginEnd(); <-s.frontend.closesBegun; return true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startServer(t, Options{DrainIdle: time.Millisecond},
@@ -24,12 +24,12 @@
 			send(c, queryWithFields(1, "SELECT 1"))
 			c.until('Z')
 			for isIdle := false; !isIdle; { // the client may read the answer before the worker has ended
-				s.front.mu.Lock()
-				for _, o := range s.front.sessions {
+				s.frontend.mu.Lock()
+				for _, o := range s.frontend.sessions {
 					phase, _, _ := o.snapshot()
 					isIdle = phase == idle
 				}
-				s.front.mu.Unlock()
+				s.frontend.mu.Unlock()
 			}
 			open := s.gate.close()
 			send(c, queryWithFields(2, "SELECT 1"))
@@ -52,7 +52,7 @@
 	c := s.session()
 	send(c, queryWithFields(1, "SELECT 1"))
 	s.waitForOpen(1)
-	if s.front.evict(false) {
+	if s.frontend.evict(false) {
 		t.Fatal("a session with an open query was evicted")
 	}
 	s.beginEnd()
@@ -99,13 +99,13 @@
 		group.Go(func() { // answers when another command is queued, or after 100 ms
 			for i, queued := 0, false; i < 100 && !queued; i++ {
 				time.Sleep(time.Millisecond)
-				s.front.mu.Lock()
-				for _, o := range s.front.sessions {
+				s.frontend.mu.Lock()
+				for _, o := range s.frontend.sessions {
 					o.mu.Lock()
 					queued = len(o.state.commands) > 0
 					o.mu.Unlock()
 				}
-				s.front.mu.Unlock()
+				s.frontend.mu.Unlock()
 			}
 			q.Client.Answer(servedRows(1))
 		})
--- a/frontend/postgres/session_test.go
+++ b/frontend/postgres/session_test.go
@@ -140,8 +140,8 @@
 	}
 	group.Wait()
 	s.stop()
-	if len(s.front.sessions)+len(s.front.traces) > 0 {
-		t.Errorf("%d sessions and %d ids are left", len(s.front.sessions), len(s.front.traces))
+	if len(s.frontend.sessions)+len(s.frontend.traces) > 0 {
+		t.Errorf("%d sessions and %d ids are left", len(s.frontend.sessions), len(s.frontend.traces))
 	}
 }
 
--- a/frontend/postgres/session_worker.go
+++ b/frontend/postgres/session_worker.go
@@ -56,7 +56,7 @@
 		s.recordQueryRecognized()
 		return s.write(pgwire.AppendReady(pgwire.AppendEmpty(nil)))
 	}
-	q, err := parseQuery(c.text, &s.front.options.Settings)
+	q, err := parseQuery(c.text, &s.frontend.options.Settings)
 	if err != nil {
 		return s.answerProtocolError(codeBadField, err.Error())
 	}
@@ -64,12 +64,12 @@
 	if c.receivedAt.IsZero() || remaining <= 0 { // cancelled, or timed out in the queue: nothing was sent
 		return s.writeError(codeOverload, "over before its turn; nothing was run")
 	}
-	if !s.front.registerTrace(q.trace) {
+	if !s.frontend.registerTrace(q.trace) {
 		return s.answerProtocolError(codeIDInUse,
 			fmt.Sprintf("trace %s: a query with this id is open already; allowed: a new id for each query", q.trace))
 	}
 	outcome, err := s.execute(q, remaining)
-	s.front.releaseTrace(q.trace) // before the client can read the answer and use the id again
+	s.frontend.releaseTrace(q.trace) // before the client can read the answer and use the id again
 	if err != nil {
 		return s.answerProtocolError(codeBadField, err.Error())
 	}
@@ -81,7 +81,7 @@
 
 // execute submits a query and waits for its outcome. An error means that the query's fields cannot be used.
 func (s *session) execute(q queryFields, remaining time.Duration) (dispatch.Outcome, error) {
-	class := &s.front.options.Settings.Classes[q.class]
+	class := &s.frontend.options.Settings.Classes[q.class]
 	work := &lineproto.Request{ID: q.trace, Class: class.Name, Text: q.text, Priority: -1}
 	if class.Effect == policy.IdempotentByKey {
 		work.Key = q.idempotencyKey
@@ -104,7 +104,7 @@
 	if !s.state.maySubmit(time.Now()) {
 		return nil, nil
 	}
-	q, err := s.front.intake.Submit(c)
+	q, err := s.frontend.intake.Submit(c)
 	if s.query = q; err == nil {
 		s.state.protocolErrorsInARow = 0
 	}
@@ -129,7 +129,7 @@
 // written. A client that sends such commands in a row waits ever longer for the next answer, so that it takes little time from clients that
 // can be served.
 func (s *session) answerProtocolError(code, message string) bool {
-	s.front.protocolErrors.Add(1)
+	s.frontend.protocolErrors.Add(1)
 	s.mu.Lock()
 	s.state.protocolErrorsInARow++
 	inARow := s.state.protocolErrorsInARow
--- a/internal/lineproto/lineproto.go
+++ b/internal/lineproto/lineproto.go
@@ -16,10 +16,10 @@
 )
 
 // FormatError means that a node sent a malformed answer; nothing after it on the connection can be read.
-type FormatError struct{ What string }
+type FormatError struct{ Detail string }
 
 // Error describes the malformed answer.
-func (e *FormatError) Error() string { return "lineproto: " + e.What }
+func (e *FormatError) Error() string { return "lineproto: " + e.Detail }
 
 func malformed(format string, args ...any) error { return &FormatError{fmt.Sprintf(format, args...)} }
 
--- a/internal/native/block.go
+++ b/internal/native/block.go
@@ -8,8 +8,8 @@
 // Block holds the numbers of columns and rows of a block.
 type Block struct{ Columns, Rows int }
 
-// End reports whether the block is the empty one that ends a sequence of Data packets.
-func (b Block) End() bool { return b.Columns == 0 && b.Rows == 0 }
+// IsEnd reports whether the block is the empty one that ends a sequence of Data packets.
+func (b Block) IsEnd() bool { return b.Columns == 0 && b.Rows == 0 }
 
 // block reads a block and returns its size.
 func (r *Reader) block(revision int) (b Block, err error) {
--- a/internal/native/call.go
+++ b/internal/native/call.go
@@ -1,10 +1,10 @@
 package native
 
 // Sink receives the packets of an answer and passes their bytes to the client. more means that more bytes from the node are
-// already buffered, so that the packets may be flushed together with the next one. Pass blocks while the client is slow to read;
+// already buffered, so that the packets may be flushed together with the next one. Forward blocks while the client is slow to read;
 // so a slow client slows the node down.
 type Sink interface {
-	Pass(packets []byte, more bool) error
+	Forward(packets []byte, more bool) error
 }
 
 // Call is a query with everything that the frontend hands to the fleet to run it.
--- a/internal/native/client.go
+++ b/internal/native/client.go
@@ -16,7 +16,7 @@
 	conn     net.Conn
 	r        *Reader
 	revision int
-	Server   Server
+	Server   ServerInfo
 }
 
 // Dial connects to a server and exchanges hellos. An Exception of the server is returned as *Exception.
@@ -33,7 +33,7 @@
 	if _, err = conn.Write(h.Encode()); err == nil {
 		if c.Server, err = c.r.ReadServerHello(); err == nil {
 			if c.revision = min(h.Revision, c.Server.Revision); c.revision >= AddendumFrom {
-				_, err = conn.Write(PutText(nil, "")) // quota key
+				_, err = conn.Write(AppendString(nil, "")) // quota key
 			}
 		}
 	}
@@ -61,11 +61,11 @@
 	for name, value := range settings {
 		q.Settings = append(q.Settings, Setting{Name: name, Value: value})
 	}
-	if _, err := c.conn.Write(append(q.Encode(c.revision), EndOfData()...)); err != nil {
+	if _, err := c.conn.Write(append(q.Encode(c.revision), EmptyDataPacket()...)); err != nil {
 		return err
 	}
 	for {
-		p, err := c.r.ReadServer(c.revision)
+		p, err := c.r.ReadServerPacket(c.revision)
 		if err != nil {
 			if ctx.Err() != nil {
 				return errors.Join(ctx.Err(), err)
--- a/internal/native/client_packet.go
+++ b/internal/native/client_packet.go
@@ -6,14 +6,14 @@
 	"github.com/go-faster/city"
 )
 
-// EndOfData returns the client's Data packet with the empty block, uncompressed.
-func EndOfData() []byte {
-	b := PutText(PutUvarint(nil, ClientData), "")
+// EmptyDataPacket returns the client's Data packet with the empty block, uncompressed.
+func EmptyDataPacket() []byte {
+	b := AppendString(AppendUvarint(nil, ClientData), "")
 	return append(b, emptyBlock...)
 }
 
-// EndOfDataCompressed returns EndOfData for a query with compressed blocks: its block is in a frame of the method "none".
-func EndOfDataCompressed() []byte {
+// CompressedEmptyDataPacket returns EmptyDataPacket for a query with compressed blocks: its block is in a frame of the method "none".
+func CompressedEmptyDataPacket() []byte {
 	frame := append(make([]byte, checksumBytes), methodNone)
 	frame = binary.LittleEndian.AppendUint32(frame, frameHeaderBytes+uint32(len(emptyBlock)))
 	frame = binary.LittleEndian.AppendUint32(frame, uint32(len(emptyBlock)))
@@ -21,14 +21,14 @@
 	sum := city.CH128(frame[checksumBytes:])
 	binary.LittleEndian.PutUint64(frame, sum.Low)
 	binary.LittleEndian.PutUint64(frame[8:], sum.High)
-	return append(PutText(PutUvarint(nil, ClientData), ""), frame...)
+	return append(AppendString(AppendUvarint(nil, ClientData), ""), frame...)
 }
 
 // emptyBlock is a block with the default block info (no overflow, bucket -1), no columns and no rows.
 var emptyBlock = []byte{1, 0, 2, 0xff, 0xff, 0xff, 0xff, 0, 0, 0}
 
-// ReadClient reads the code of a client's next packet. It returns io.EOF if the client closed the connection between two packets.
-func (r *Reader) ReadClient() (code uint64, err error) {
+// ReadClientPacketCode reads the code of a client's next packet. It returns io.EOF if the client closed the connection between two packets.
+func (r *Reader) ReadClientPacketCode() (code uint64, err error) {
 	r.begin("client's packet")
 	if code, err = r.uvarint("packet"); err != nil {
 		err = r.endBetweenPackets(err)
--- a/internal/native/compress_test.go
+++ b/internal/native/compress_test.go
@@ -51,7 +51,7 @@
 		in := NewReader(iotest.HalfReader(bytes.NewReader(append(stream, ServerEndOfStream))), maxPacketBytes)
 		in.Compressed = true
 		for range 2 {
-			p, err := in.ReadServer(NewestRevision)
+			p, err := in.ReadServerPacket(NewestRevision)
 			if err != nil || !bytes.Equal(p.Raw, packed) || p.Block.Rows != rows {
 				r.Fatalf("%d of %d bytes, %+v, %v", len(p.Raw), len(packed), p.Block, err)
 			}
@@ -59,13 +59,13 @@
 				r.Fatal("the content differs")
 			}
 		}
-		if p, err := in.ReadServer(NewestRevision); err != nil || p.Code != ServerEndOfStream {
+		if p, err := in.ReadServerPacket(NewestRevision); err != nil || p.Code != ServerEndOfStream {
 			r.Fatalf("after the block: %+v, %v", p, err)
 		}
 		read := func(b []byte) error {
 			in := NewReader(bytes.NewReader(b), maxPacketBytes)
 			in.Compressed = true
-			_, err := in.ReadServer(NewestRevision)
+			_, err := in.ReadServerPacket(NewestRevision)
 			return err
 		}
 		if err := read(packed[:rapid.IntRange(1, len(packed)-1).Draw(r, "cut")]); !errors.Is(err, io.ErrUnexpectedEOF) {
@@ -105,7 +105,7 @@
 	} {
 		in := NewReader(bytes.NewReader(c.bytes), maxPacketBytes)
 		in.Compressed = true
-		if _, err := in.ReadServer(NewestRevision); err == nil || !strings.Contains(err.Error(), c.says) {
+		if _, err := in.ReadServerPacket(NewestRevision); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", name, err, c.says)
 		}
 		if cap(in.raw) > 4*maxChunk || in.frames != nil && cap(in.frames.buffer) > 4*maxChunk {
@@ -173,7 +173,8 @@
 		if got, err := NewReader(bytes.NewReader(h.Encode()), maxPacketBytes).ReadHello(); err != nil || got != h {
 			r.Fatalf("%+v, %v", got, err)
 		}
-		s := Server{Name: word.Draw(r, "server"), Major: 1, Revision: NewestRevision, Timezone: "UTC", DisplayName: word.Draw(r, "display"), Patch: 9}
+		s := ServerInfo{Name: word.Draw(r, "server"), Major: 1, Revision: NewestRevision, Timezone: "UTC",
+			DisplayName: word.Draw(r, "display"), Patch: 9}
 		if got, err := NewReader(bytes.NewReader(s.Encode()), maxPacketBytes).ReadServerHello(); err != nil || got != s {
 			r.Fatalf("%+v, %v", got, err)
 		}
@@ -181,7 +182,7 @@
 		for range rapid.IntRange(1, 5).Draw(r, "depth") {
 			e = &Exception{Code: int32(number.Draw(r, "code")), Name: word.Draw(r, "kind"), Message: word.Draw(r, "message"), Nested: e}
 		}
-		p, err := NewReader(bytes.NewReader(e.Encode()), maxPacketBytes).ReadServer(revision)
+		p, err := NewReader(bytes.NewReader(e.Encode()), maxPacketBytes).ReadServerPacket(revision)
 		for a, b := e, p.Exception; err == nil && a != nil; a, b = a.Nested, b.Nested {
 			if b == nil || a.Code != b.Code || a.Message != b.Message || (a.Nested == nil) != (b.Nested == nil) {
 				r.Fatalf("%v, want %v", b, a)
@@ -195,7 +196,7 @@
 			q.Parameters = []Setting{{"p", 2, word.Draw(r, "parameter")}}
 		}
 		in := NewReader(bytes.NewReader(q.Encode(revision)), maxPacketBytes)
-		if _, err := in.ReadClient(); err != nil {
+		if _, err := in.ReadClientPacketCode(); err != nil {
 			r.Fatal(err)
 		}
 		got, err2 := in.ReadQuery(revision)
@@ -217,7 +218,7 @@
 		in := NewReader(bytes.NewReader(b), 1<<16)
 		in.Compressed = true
 		for {
-			if _, err := in.ReadServer(NewestRevision); err != nil {
+			if _, err := in.ReadServerPacket(NewestRevision); err != nil {
 				break
 			}
 		}
--- a/internal/native/exception.go
+++ b/internal/native/exception.go
@@ -18,10 +18,10 @@
 
 // Encode returns the packet's bytes.
 func (e *Exception) Encode() []byte {
-	b := PutUvarint(nil, ServerException)
+	b := AppendUvarint(nil, ServerException)
 	for ; e != nil; e = e.Nested {
 		b = binary.LittleEndian.AppendUint32(b, uint32(e.Code))
-		b = PutText(PutText(PutText(b, e.Name), e.Message), e.Stack)
+		b = AppendString(AppendString(AppendString(b, e.Name), e.Message), e.Stack)
 		nested := byte(0)
 		if e.Nested != nil {
 			nested = 1
--- a/internal/native/hello.go
+++ b/internal/native/hello.go
@@ -46,11 +46,11 @@
 
 // Encode returns the packet's bytes.
 func (h Hello) Encode() []byte {
-	b := PutText(PutUvarint(nil, ClientHello), h.Name)
+	b := AppendString(AppendUvarint(nil, ClientHello), h.Name)
 	for _, v := range []int{h.Major, h.Minor, h.Revision} {
-		b = PutUvarint(b, uint64(v))
+		b = AppendUvarint(b, uint64(v))
 	}
-	return PutText(PutText(PutText(b, h.Database), h.User), h.Password)
+	return AppendString(AppendString(AppendString(b, h.Database), h.User), h.Password)
 }
 
 // ReadAddendum reads the quota key that a client sends after the server's Hello. Revisions before AddendumFrom have none.
@@ -63,8 +63,8 @@
 	return err
 }
 
-// Server is the Hello of a server.
-type Server struct {
+// ServerInfo is the Hello of a server.
+type ServerInfo struct {
 	Name         string
 	Major, Minor int
 	Revision     int
@@ -74,16 +74,16 @@
 }
 
 // Encode returns the packet's bytes, which have the same fields at all supported revisions.
-func (s Server) Encode() []byte {
-	b := PutText(PutUvarint(nil, ServerHello), s.Name)
+func (s ServerInfo) Encode() []byte {
+	b := AppendString(AppendUvarint(nil, ServerHello), s.Name)
 	for _, v := range []int{s.Major, s.Minor, s.Revision} {
-		b = PutUvarint(b, uint64(v))
+		b = AppendUvarint(b, uint64(v))
 	}
-	return PutUvarint(PutText(PutText(b, s.Timezone), s.DisplayName), uint64(s.Patch))
+	return AppendUvarint(AppendString(AppendString(b, s.Timezone), s.DisplayName), uint64(s.Patch))
 }
 
 // ReadServerHello reads a server's response to a Hello. If that is an Exception, it is returned as *Exception.
-func (r *Reader) ReadServerHello() (s Server, err error) {
+func (r *Reader) ReadServerHello() (s ServerInfo, err error) {
 	r.begin("server's Hello")
 	code, err := r.uvarint("packet")
 	if err != nil {
--- a/internal/native/native_test.go
+++ b/internal/native/native_test.go
@@ -71,16 +71,16 @@
 		packet := dataPacket(t, revision, input, rows)
 		stream := append(append([]byte(nil), packet...), ServerEndOfStream)
 		in := NewReader(iotest.HalfReader(bytes.NewReader(stream)), maxPacketBytes)
-		p, err := in.ReadServer(revision)
+		p, err := in.ReadServerPacket(revision)
 		if err != nil || !bytes.Equal(p.Raw, packet) || p.Block.Rows != rows || p.Block.Columns != len(input) {
 			r.Fatalf("%d of %d bytes, %+v, %v", len(p.Raw), len(packet), p.Block, err)
 		}
-		if p, err = in.ReadServer(revision); err != nil || p.Code != ServerEndOfStream {
+		if p, err = in.ReadServerPacket(revision); err != nil || p.Code != ServerEndOfStream {
 			r.Fatalf("after the block: %+v, %v", p, err)
 		}
 		// A packet cut at any byte is reported as cut.
 		at := rapid.IntRange(1, len(packet)-1).Draw(r, "cut")
-		if _, err := NewReader(bytes.NewReader(packet[:at]), maxPacketBytes).ReadServer(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := NewReader(bytes.NewReader(packet[:at]), maxPacketBytes).ReadServerPacket(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
 			r.Fatalf("cut at %d: %v", at, err)
 		}
 	})
@@ -95,7 +95,7 @@
 				Query: proto.ClientQueryInitial, InitialUser: "u", ClientName: "c"}}
 		q.EncodeAware(&b, revision)
 		in := NewReader(bytes.NewReader(b.Buf), maxPacketBytes)
-		if code, err := in.ReadClient(); err != nil || code != ClientQuery {
+		if code, err := in.ReadClientPacketCode(); err != nil || code != ClientQuery {
 			t.Fatal(code, err)
 		}
 		got, err := in.ReadQuery(revision)
@@ -109,9 +109,9 @@
 }
 
 func TestInvalidPackets(t *testing.T) {
-	huge := append(PutUvarint(PutText(PutUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 6)
+	huge := append(AppendUvarint(AppendString(AppendUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 6)
 	huge = append(append(huge, "String"...), 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f)
-	unknownType := append(PutUvarint(PutText(PutUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 4)
+	unknownType := append(AppendUvarint(AppendString(AppendUvarint(nil, ServerData), ""), 0), 1, 1, 1, 'c', 4)
 	unknownType = append(append(unknownType, "JSON"...), 0)
 	cases := []struct {
 		name  string
@@ -126,7 +126,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			in := NewReader(bytes.NewReader(c.bytes), maxPacketBytes)
-			_, err := in.ReadServer(NewestRevision)
+			_, err := in.ReadServerPacket(NewestRevision)
 			var f *FormatError
 			if !errors.As(err, &f) || !strings.Contains(err.Error(), c.says) {
 				t.Errorf("%v, want %q", err, c.says)
@@ -162,7 +162,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, revision int) {
 		in := NewReader(bytes.NewReader(b), 1<<16)
 		for read := 0; ; {
-			p, err := in.ReadServer(revision)
+			p, err := in.ReadServerPacket(revision)
 			if err != nil {
 				return
 			}
@@ -180,7 +180,7 @@
 	f.Fuzz(func(t *testing.T, b []byte, revision int) {
 		_, _ = NewReader(bytes.NewReader(b), 1<<16).ReadHello() // nothing here may panic
 		in := NewReader(bytes.NewReader(b), 1<<16)
-		if code, err := in.ReadClient(); err == nil && code == ClientQuery {
+		if code, err := in.ReadClientPacketCode(); err == nil && code == ClientQuery {
 			if q, err := in.ReadQuery(revision); err == nil && len(q.Encode(revision)) > len(b)+16 {
 				t.Fatal("the encoded query is longer than the input")
 			}
--- a/internal/native/profile.go
+++ b/internal/native/profile.go
@@ -8,8 +8,8 @@
 
 // Profile is the cost of a query as one ProfileEvents packet reports it.
 type Profile struct {
-	WorkMicros int64 // processor time of all threads since the previous packet
-	Peak       int64 // peak memory in bytes; 0: not reported
+	CPUMicros       int64 // processor time of all threads since the previous packet
+	PeakMemoryBytes int64 // peak memory in bytes; 0: not reported
 }
 
 // Names of the events that ReadProfile evaluates, as in ProfileEvents.cpp and MemoryTracker of ClickHouse.
@@ -59,9 +59,9 @@
 		v := int64(binary.LittleEndian.Uint64(values[8*i:]))
 		switch {
 		case string(name) == eventCPUTime && kinds[i] == eventIncrement && v > 0:
-			p.WorkMicros += v
+			p.CPUMicros += v
 		case string(name) == eventPeakMemory:
-			p.Peak = max(p.Peak, v)
+			p.PeakMemoryBytes = max(p.PeakMemoryBytes, v)
 		}
 	}
 	return p, nil
--- a/internal/native/protocol.go
+++ b/internal/native/protocol.go
@@ -64,20 +64,20 @@
 // FormatError describes a part of a stream that is invalid or not supported.
 type FormatError struct {
 	Packet, Field string
-	At            int    // bytes from the start of the packet
+	Offset        int    // bytes from the start of the packet
 	Found         string // value of the field, or what is wrong with it
 	Allowed       string // values that are accepted
 }
 
 // Error returns the packet, the field, its position, and the found and allowed values.
 func (e *FormatError) Error() string {
-	return fmt.Sprintf("%s, %s at byte %d: found %s, allowed: %s", e.Packet, e.Field, e.At, e.Found, e.Allowed)
+	return fmt.Sprintf("%s, %s at byte %d: found %s, allowed: %s", e.Packet, e.Field, e.Offset, e.Found, e.Allowed)
 }
 
-// PutUvarint appends a number as a varint.
-func PutUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
+// AppendUvarint appends a number as a varint.
+func AppendUvarint(b []byte, v uint64) []byte { return binary.AppendUvarint(b, v) }
 
-// PutText appends the length of a text as a varint, then the text.
-func PutText[T ~string | ~[]byte](b []byte, s T) []byte {
+// AppendString appends the length of a text as a varint, then the text.
+func AppendString[T ~string | ~[]byte](b []byte, s T) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
--- a/internal/native/query.go
+++ b/internal/native/query.go
@@ -154,24 +154,24 @@
 
 // Encode returns the packet's bytes. Info must have the encoding of the same revision.
 func (q Query) Encode(revision int) []byte {
-	b := PutText(PutUvarint(nil, ClientQuery), q.ID)
+	b := AppendString(AppendUvarint(nil, ClientQuery), q.ID)
 	b = append(b, q.Info...)
 	put := func(list []Setting) {
 		for _, s := range list {
-			b = PutText(PutUvarint(PutText(b, s.Name), s.Flags), s.Value)
+			b = AppendString(AppendUvarint(AppendString(b, s.Name), s.Flags), s.Value)
 		}
-		b = PutText(b, "")
+		b = AppendString(b, "")
 	}
 	put(q.Settings)
 	if revision >= revInterserver {
-		b = PutText(b, q.Secret)
+		b = AppendString(b, q.Secret)
 	}
-	b = PutUvarint(b, q.Stage)
+	b = AppendUvarint(b, q.Stage)
 	compression := uint64(0)
 	if q.Compression {
 		compression = 1
 	}
-	b = PutText(PutUvarint(b, compression), q.Text)
+	b = AppendString(AppendUvarint(b, compression), q.Text)
 	if revision >= revParameters {
 		put(q.Parameters)
 	}
--- a/internal/native/server_packet.go
+++ b/internal/native/server_packet.go
@@ -19,8 +19,8 @@
 	Exception *Exception
 }
 
-// ReadServer reads the next packet of a server. It returns io.EOF if the connection was closed between two packets.
-func (r *Reader) ReadServer(revision int) (p Packet, err error) {
+// ReadServerPacket reads the next packet of a server. It returns io.EOF if the connection was closed between two packets.
+func (r *Reader) ReadServerPacket(revision int) (p Packet, err error) {
 	r.begin("server's packet")
 	if p.Code, err = r.uvarint("packet"); err != nil {
 		return p, r.endBetweenPackets(err)
--- a/internal/pgwire/pgwire.go
+++ b/internal/pgwire/pgwire.go
@@ -13,10 +13,10 @@
 )
 
 // FormatError means that a peer sent a malformed message; nothing after it on the connection can be read.
-type FormatError struct{ What string }
+type FormatError struct{ Detail string }
 
 // Error describes the malformed message.
-func (e *FormatError) Error() string { return "pgwire: " + e.What }
+func (e *FormatError) Error() string { return "pgwire: " + e.Detail }
 
 func malformed(format string, args ...any) error { return &FormatError{fmt.Sprintf(format, args...)} }
 
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -32,9 +32,9 @@
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Err }
 
-// Item is one event of a batch, addressed to an instance, or the start or
+// InstanceEvent is one event of a batch, addressed to an instance, or the start or
 // end of the instance; then Event is nil.
-type Item struct {
+type InstanceEvent struct {
 	Instance string // dispatcher ID
 	Event    policy.Event
 	Start    *policy.Settings // not nil: the instance starts with these settings
@@ -44,8 +44,8 @@
 
 // Batch holds the events of one moment, for any number of instances.
 type Batch struct {
-	Now   policy.Micros
-	Items []Item
+	Now    policy.Micros
+	Events []InstanceEvent
 }
 
 // Reader reads batches. It keeps the numbered endpoint lists, which later batches may refer to.
@@ -126,47 +126,47 @@
 		if name == "eofBatch" {
 			return b, nil
 		}
-		item, ok, err := r.decodeItem(name, body)
+		event, ok, err := r.decodeEvent(name, body)
 		if err != nil {
 			return nil, r.frameError(name, err)
 		}
 		if ok {
-			b.Items = append(b.Items, item)
+			b.Events = append(b.Events, event)
 		}
 	}
 }
 
-// decodeItem decodes one frame; ok is false if the frame has no event or an unknown name.
-func (r *Reader) decodeItem(name string, body json.RawMessage) (item Item, ok bool, err error) {
+// decodeEvent decodes one frame; ok is false if the frame has no event or an unknown name.
+func (r *Reader) decodeEvent(name string, body json.RawMessage) (event InstanceEvent, ok bool, err error) {
 	if name == "register" {
-		return item, false, r.registerList(body)
+		return event, false, r.registerList(body)
 	}
 	var f frame
 	if err := json.Unmarshal(body, &f); err != nil {
-		return item, false, err
+		return event, false, err
 	}
-	item.Instance = f.DispatcherID
+	event.Instance = f.DispatcherID
 	switch name {
 	case "enlist":
-		settings, _, err := Settings(f.Env)
+		settings, _, err := DecodeSettings(f.Env)
 		if err != nil {
-			return item, false, fmt.Errorf("env: %w", err)
+			return event, false, fmt.Errorf("env: %w", err)
 		}
-		item.Start, item.Seed = settings, f.seed()
+		event.Start, event.Seed = settings, f.seed()
 	case "crashNow":
-		item.Stop = true
+		event.Stop = true
 	case "view":
-		item.Event = r.endpointUpdate(&f)
+		event.Event = r.endpointUpdate(&f)
 	case "progress": // unknown kinds of report are skipped
-		item.Event, ok = f.progress()
-		return item, ok, nil
+		event.Event, ok = f.progress()
+		return event, ok, nil
 	default:
-		if item.Event = f.event(name); item.Event == nil {
-			return item, false, nil
+		if event.Event = f.event(name); event.Event == nil {
+			return event, false, nil
 		}
 	}
-	if item.Instance == "" {
-		return item, false, errors.New("dispatcherId: missing")
+	if event.Instance == "" {
+		return event, false, errors.New("dispatcherId: missing")
 	}
-	return item, true, nil
+	return event, true, nil
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -88,22 +88,22 @@
 		"trim": policy.ShortageTrims, "swap": policy.ShortageSwaps}
 )
 
-// SocketLimits holds the settings that package policy does not use: those of connections, and names.
-type SocketLimits struct {
+// ConnectionSettings holds the settings that package policy does not use: those of connections, and names.
+type ConnectionSettings struct {
 	Zones, Models  []string // names of zones and node kinds, by index
 	ConnectTimeout policy.Micros
 	ConnIdle       policy.Micros // idle time after which a connection is closed
 	StreamsPerConn int           // maximum number of concurrent attempts on a connection
 }
 
-// Settings decodes the settings object into the settings of the policy and those of connections.
-func Settings(raw json.RawMessage) (*policy.Settings, SocketLimits, error) {
+// DecodeSettings decodes the settings object into the settings of the policy and those of connections.
+func DecodeSettings(raw json.RawMessage) (*policy.Settings, ConnectionSettings, error) {
 	var e env
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, SocketLimits{}, err
+		return nil, ConnectionSettings{}, err
 	}
 	s, err := e.settings()
-	return s, SocketLimits{e.Zones, e.Models, e.Limits.ConnectTimeout, e.Limits.ConnIdleUs,
+	return s, ConnectionSettings{e.Zones, e.Models, e.Limits.ConnectTimeout, e.Limits.ConnIdleUs,
 		e.Limits.StreamsPerConn}, err
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -42,19 +42,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b.Now != 8412250 || len(b.Items) != 12 {
-		t.Fatalf("now %d, %d items", b.Now, len(b.Items))
+	if b.Now != 8412250 || len(b.Events) != 12 {
+		t.Fatalf("now %d, %d events", b.Now, len(b.Events))
 	}
-	if b.Items[0].Seed != 1<<64-1 {
-		t.Errorf("seed %d", b.Items[0].Seed)
+	if b.Events[0].Seed != 1<<64-1 {
+		t.Errorf("seed %d", b.Events[0].Seed)
 	}
-	checkBatchSettings(t, b.Items[0].Start)
-	if b.Items[0].Event != nil || !b.Items[11].Stop {
-		t.Errorf("first item %+v, wanted a start without an event; last item %+v, wanted a stop", b.Items[0], b.Items[11])
+	checkBatchSettings(t, b.Events[0].Start)
+	if b.Events[0].Event != nil || !b.Events[11].Stop {
+		t.Errorf("first event %+v, wanted a start without a policy event; last event %+v, wanted a stop", b.Events[0], b.Events[11])
 	}
 	for i, want := range batchEvents() {
-		if got := b.Items[i+1].Event; !reflect.DeepEqual(got, want) {
-			t.Errorf("event of item %d is %#v, wanted %#v", i+1, got, want)
+		if got := b.Events[i+1].Event; !reflect.DeepEqual(got, want) {
+			t.Errorf("policy event %d is %#v, wanted %#v", i+1, got, want)
 		}
 	}
 	if _, err := r.Next(); !errors.Is(err, io.EOF) {
@@ -113,7 +113,7 @@
 		policy.Cancel{ID: "q", Attempt: 1}, policy.Shed{ID: "q", RetryAfter: 5}, policy.Fail{ID: "q"},
 		policy.HealthCheck{Endpoint: "node.a"}, policy.SetTimer{After: 7}, policy.SendGossip{To: 3, Data: []byte("hi 7")},
 		policy.WatchEndpoints{}, policy.FetchEndpoints{}, policy.LogLine{Text: "a \"b\""}} {
-		w.Put("dispatcher-3", a)
+		w.WriteAction("dispatcher-3", a)
 	}
 	w.Fault("dispatcher-3", "boom")
 	if err := w.End(); err != nil {
--- a/internal/wire/writer.go
+++ b/internal/wire/writer.go
@@ -63,8 +63,8 @@
 	w.writeRaw(strconv.FormatInt(v, 10))
 }
 
-// Put writes one action of an instance. It panics on a type that has no frame.
-func (w *Writer) Put(instance string, a policy.Action) {
+// WriteAction writes one action of an instance. It panics on a type that has no frame.
+func (w *Writer) WriteAction(instance string, a policy.Action) {
 	switch a := a.(type) {
 	case policy.Send:
 		w.beginFrame("submitTo", instance)
--- a/server/admin.go
+++ b/server/admin.go
@@ -23,8 +23,8 @@
 	Effective  json.RawMessage `json:"effective"`
 }
 
-// OverrideMessage returns the message that an operator signs to exempt one version from the safety checks at one dispatcher.
-func OverrideMessage(dispatcher string, number uint64) []byte {
+// OverrideSigningMessage returns the message that an operator signs to exempt one version from the safety checks at one dispatcher.
+func OverrideSigningMessage(dispatcher string, number uint64) []byte {
 	return fmt.Appendf(nil, "embershunt override %s %d", dispatcher, number)
 }
 
@@ -83,7 +83,7 @@
 	return d.applyOperatorEvent(r.Context(), control.Pin{On: on})
 }
 
-// override handles POST /config/override: it exempts a version from the safety checks if an operator has signed OverrideMessage.
+// override handles POST /config/override: it exempts a version from the safety checks if an operator has signed OverrideSigningMessage.
 func (d *Dispatcher) override(r *http.Request) (any, error) {
 	n, err := formNumber(r)
 	if err != nil {
@@ -187,7 +187,7 @@
 	return d.controller.store.Get(number)
 }
 
-// checkSignature verifies an operator's hex-encoded Ed25519 signature of OverrideMessage with control.operator_key.
+// checkSignature verifies an operator's hex-encoded Ed25519 signature of OverrideSigningMessage with control.operator_key.
 func (d *Dispatcher) checkSignature(number uint64, signature string) error {
 	if d.controller == nil || d.cfg.File.Control == nil {
 		return errSettingsNotStreamed
@@ -197,7 +197,7 @@
 		return fmt.Errorf("override of set %d rejected: control.operator_key is not set", number)
 	}
 	sig, err := hex.DecodeString(signature)
-	if err != nil || !ed25519.Verify(key, OverrideMessage(d.cfg.File.Name, number), sig) {
+	if err != nil || !ed25519.Verify(key, OverrideSigningMessage(d.cfg.File.Name, number), sig) {
 		return fmt.Errorf("override of set %d rejected: the signature does not match control.operator_key for dispatcher %q",
 			number, d.cfg.File.Name)
 	}
--- a/server/dispatcher.go
+++ b/server/dispatcher.go
@@ -34,8 +34,8 @@
 	intake   *frontend.Intake
 	sessions *frontend.Sessions
 
-	flightFrontend *flightsql.Front
-	nativeFrontend *clickhouse.Front
+	flightFrontend *flightsql.Frontend
+	nativeFrontend *clickhouse.Frontend
 	grpcServer     *grpc.Server
 	listeners      listeners
 
@@ -127,8 +127,8 @@
 	return d.listeners.native.Addr().String()
 }
 
-// Native returns the frontend of the ClickHouse native protocol.
-func (d *Dispatcher) Native() *clickhouse.Front { return d.nativeFrontend }
+// NativeFrontend returns the frontend of the ClickHouse native protocol.
+func (d *Dispatcher) NativeFrontend() *clickhouse.Frontend { return d.nativeFrontend }
 
 // Sessions returns the sticky sessions: those whose state one node holds.
 func (d *Dispatcher) Sessions() *frontend.Sessions { return d.sessions }
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -356,10 +356,10 @@
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
-	if err := r.d.Native().AwaitConns(ctx, 0); err != nil {
-		r.t.Errorf("%d client connections are still open", r.d.Native().Conns())
+	if err := r.d.NativeFrontend().AwaitConns(ctx, 0); err != nil {
+		r.t.Errorf("%d client connections are still open", r.d.NativeFrontend().Conns())
 	}
-	b, _, _ := r.d.Native().BufferedInserts()
+	b, _, _ := r.d.NativeFrontend().BufferedInserts()
 	return b
 }
 
@@ -388,7 +388,7 @@
 		t.Fatal(err)
 	}
 	if s.Revision >= native.AddendumFrom {
-		c.send(native.PutText(nil, ""))
+		c.send(native.AppendString(nil, ""))
 	}
 	return c
 }
@@ -399,14 +399,14 @@
 // ask sends a query without external tables.
 func (c *rawNative) ask(statement string, settings ...native.Setting) {
 	q := native.Query{ID: "q", Info: []byte{0}, Stage: 2, Text: statement, Settings: settings}
-	c.send(append(q.Encode(native.NewestRevision), native.EndOfData()...))
+	c.send(append(q.Encode(native.NewestRevision), native.EmptyDataPacket()...))
 }
 
 // until reads packets up to the first with the code, Exception or EndOfStream, and returns it.
 func (c *rawNative) until(code uint64) native.Packet {
 	c.t.Helper()
 	for {
-		p, err := c.r.ReadServer(native.NewestRevision)
+		p, err := c.r.ReadServerPacket(native.NewestRevision)
 		if err != nil {
 			c.t.Fatal(err)
 		}
@@ -517,7 +517,7 @@
 	if p := second.until(native.ServerException); p.Exception == nil || p.Exception.Code != 202 || !strings.Contains(p.Exception.Message, "come back in") {
 		t.Errorf("the INSERT beyond the limit: %v", p.Exception)
 	}
-	first.send(native.EndOfData())
+	first.send(native.EmptyDataPacket())
 	if p := first.until(native.ServerEndOfStream); p.Code != native.ServerEndOfStream {
 		t.Errorf("the INSERT whose rows were buffered: %v", p.Exception)
 	}
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -70,13 +70,13 @@
 				if err != nil {
 					return
 				}
-				_, _ = conn.Write(native.Server{Name: "raw", Revision: revision, Timezone: "UTC"}.Encode())
+				_, _ = conn.Write(native.ServerInfo{Name: "raw", Revision: revision, Timezone: "UTC"}.Encode())
 				revision := min(revision, h.Revision)
 				if r.ReadAddendum(revision) != nil {
 					return
 				}
 				for {
-					code, err := r.ReadClient()
+					code, err := r.ReadClientPacketCode()
 					if err == nil && code == native.ClientPing {
 						_, _ = conn.Write([]byte{native.ServerPong})
 						continue
@@ -87,7 +87,7 @@
 					if _, err := r.ReadQuery(revision); err != nil {
 						return
 					}
-					_, _ = r.ReadClient() // the empty block that ends the query's data; not checked
+					_, _ = r.ReadClientPacketCode() // the empty block that ends the query's data; not checked
 					_, _, _ = r.ReadClientData(revision)
 					n.mu.Lock()
 					n.queryCount++
@@ -201,7 +201,7 @@
 			_, err = in.ReadServerHello()
 			if err == nil {
 				var p native.Packet
-				if p, err = in.ReadServer(native.NewestRevision); err == nil && p.Exception != nil {
+				if p, err = in.ReadServerPacket(native.NewestRevision); err == nil && p.Exception != nil {
 					err = p.Exception
 				}
 			}
@@ -317,7 +317,7 @@
 	if line != "all connected\n" {
 		t.Fatalf("the process of idle clients printed %q", line)
 	}
-	if got := r.d.Native().Conns(); got != n {
+	if got := r.d.NativeFrontend().Conns(); got != n {
 		t.Errorf("%d connections, want %d", got, n)
 	}
 	t.Logf("%d idle connections take %d bytes each", n, (heap()-before)/int64(n))
@@ -333,8 +333,8 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	if err := r.d.Native().AwaitConns(ctx, 1); err != nil {
-		t.Errorf("%d connections are left, want 1", r.d.Native().Conns())
+	if err := r.d.NativeFrontend().AwaitConns(ctx, 1); err != nil {
+		t.Errorf("%d connections are left, want 1", r.d.NativeFrontend().Conns())
 	}
 }
 
--- a/server/observer.go
+++ b/server/observer.go
@@ -133,7 +133,7 @@
 }
 
 // registerParts registers the metrics whose values the intake, the fleet and the native frontend maintain.
-func (o *observer) registerParts(intake *frontend.Intake, f *backend.Fleet, native *clickhouse.Front, maxInsertBytes int) {
+func (o *observer) registerParts(intake *frontend.Intake, f *backend.Fleet, native *clickhouse.Frontend, maxInsertBytes int) {
 	o.counterFunc("queries_unruled_total", "Queries that no rule and no hint gave a class.", nil,
 		func() float64 { return float64(intake.Unclassified()) })
 	o.counterFunc("node_list_failures_total", "Node lists that failed or could not be used.", nil,
--- a/server/parts.go
+++ b/server/parts.go
@@ -92,8 +92,8 @@
 		Log:                    d.log,
 		Auth:                   auth,
 		Seal:                   sealer,
-		SchemaTTL:              f.Frontend.SchemaTTL.D(),
-		MaxSchemas:             f.Frontend.MaxCachedAnswers,
+		AnswerTTL:              f.Frontend.SchemaTTL.D(),
+		MaxCachedAnswers:       f.Frontend.MaxCachedAnswers,
 		PassHeaders:            f.NodeOptions.PassHeaders,
 	}, d.intake)
 	d.nativeFrontend = clickhouse.New(clickhouse.Options{
@@ -121,11 +121,11 @@
 }
 
 // newGRPCServer returns the gRPC server of Flight SQL and of health checks.
-func newGRPCServer(front *flightsql.Front, h *health.Server) *grpc.Server {
-	server := grpc.NewServer(append(front.ServerOptions(),
+func newGRPCServer(flightFrontend *flightsql.Frontend, h *health.Server) *grpc.Server {
+	server := grpc.NewServer(append(flightFrontend.ServerOptions(),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveMinTime, PermitWithoutStream: true}))...)
-	front.Register(server)
+	flightFrontend.Register(server)
 	healthpb.RegisterHealthServer(server, h)
 	return server
 }
--- a/server/platform.go
+++ b/server/platform.go
@@ -30,7 +30,7 @@
 	clock    dispatch.Clock
 	loop     *dispatch.Loop
 	fleet    *backend.Fleet
-	frontend *postgres.Front
+	frontend *postgres.Frontend
 	listener *net.TCPListener
 	peers    *peers.Peers // nil: the settings do not allow gossip
 	resolver *resolver.Resolver
@@ -63,8 +63,8 @@
 // drainDelay is the time after the order to stop in which, by the platform's rules, clients may still send queries: they are served.
 const drainDelay = 700 * time.Millisecond
 
-// Limit sets the Go runtime's limits by the processors and the memory that the configuration allows.
-func Limit(cfg *config.Platform) {
+// SetRuntimeLimits sets the Go runtime's limits by the processors and the memory that the configuration allows.
+func SetRuntimeLimits(cfg *config.Platform) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Cores))))
 	debug.SetGCPercent(heapGrowthPercent)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB * memoryLimitShare * (1 << 20)))
--- a/simulated/native.go
+++ b/simulated/native.go
@@ -69,7 +69,7 @@
 		newest = native.NewestRevision
 	}
 	s.revision = min(hello.Revision, newest)
-	s.write(native.Server{Name: "standin", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: s.node.Name}.Encode())
+	s.write(native.ServerInfo{Name: "standin", Major: 1, Revision: newest, Timezone: "UTC", DisplayName: s.node.Name}.Encode())
 	if !s.flush() || r.ReadAddendum(s.revision) != nil {
 		return
 	}
@@ -103,7 +103,7 @@
 func (s *nativeServer) readPackets(r *native.Reader, packets chan<- clientPacket, done <-chan struct{}) {
 	defer close(packets)
 	for {
-		code, err := r.ReadClient()
+		code, err := r.ReadClientPacketCode()
 		if err != nil {
 			return
 		}
@@ -139,7 +139,7 @@
 	}
 	r.Compressed = q.Compression
 	for {
-		code, err := r.ReadClient()
+		code, err := r.ReadClientPacketCode()
 		if err != nil {
 			return q, err
 		}
@@ -147,7 +147,7 @@
 			return q, errNoTableData
 		}
 		table, block, err := r.ReadClientData(s.revision)
-		if err != nil || block.End() {
+		if err != nil || block.IsEnd() {
 			return q, err
 		}
 		q.Settings = append(q.Settings, native.Setting{Name: externalTablePrefix + table, Value: strconv.Itoa(block.Rows)})
@@ -211,7 +211,7 @@
 			return 0, false
 		}
 		rows += p.block.Rows
-		if p.block.End() {
+		if p.block.IsEnd() {
 			return rows, true
 		}
 	}
--- a/simulated/nativeresult.go
+++ b/simulated/nativeresult.go
@@ -127,8 +127,8 @@
 // writeProgress writes a Progress packet: the rows read since the last packet, and by how many rows the expected total grows. All other
 // counters are 0.
 func (s *nativeServer) writeProgress(rows, total int) {
-	s.write(native.PutUvarint([]byte{native.ServerProgress}, uint64(rows)))
-	s.write(native.PutUvarint([]byte{0}, uint64(total)))
+	s.write(native.AppendUvarint([]byte{native.ServerProgress}, uint64(rows)))
+	s.write(native.AppendUvarint([]byte{0}, uint64(total)))
 	s.write([]byte{0, 0})
 	if s.revision >= native.NewestRevision {
 		s.write([]byte{0})
