--- a/backend/native_attempt_test.go
+++ b/backend/native_attempt_test.go
@@ -77,20 +77,20 @@
 	}{
 		{"an answer", simulated.Faults{}, false, "SELECT 1 /* rows=10 */", nil, policy.OK, false},
 		{"no connection", simulated.Faults{}, true, "SELECT 1", nil, policy.ConnectionRefused, false},
-		{"rejected by a full node", simulated.Faults{Full: true}, false, "SELECT 1", nil, policy.Rejected, false},
-		{"failed", simulated.Faults{Fail: 1}, false, "SELECT 1", nil, policy.Failed, false},
+		{"rejected by a full node", simulated.Faults{RejectQueries: true}, false, "SELECT 1", nil, policy.Rejected, false},
+		{"failed", simulated.Faults{FailShare: 1}, false, "SELECT 1", nil, policy.Failed, false},
 		{"a rejected statement", simulated.Faults{}, false, "SELECT 1 /* fail=no */", nil, policy.Failed, true},
 		{"no answer", simulated.Faults{Hang: true}, false, "SELECT 1", nil, policy.TimedOut, false},
 		{"an update without an answer", simulated.Faults{LoseAnswers: true}, false, "CREATE TABLE t", nil, policy.TimedOut, false},
-		{"a truncated answer", simulated.Faults{CutRow: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
+		{"a truncated answer", simulated.Faults{CutAfterRows: 5}, false, "SELECT 1 /* rows=10 */", nil, policy.ConnectionReset, false},
 		{"an INSERT", simulated.Faults{}, false, insert, rows, policy.OK, false},
 		{"an INSERT without a sample block: never ran", simulated.Faults{Hang: true}, false, insert, rows, policy.ConnectionRefused, false},
 		{"an INSERT without an answer", simulated.Faults{LoseAnswers: true}, false, insert, rows, policy.TimedOut, false},
-		{"an INSERT that failed", simulated.Faults{Fail: 1}, false, insert, rows, policy.Failed, false},
+		{"an INSERT that failed", simulated.Faults{FailShare: 1}, false, insert, rows, policy.Failed, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := simulated.NewNode("n", simulated.Model{}, 1)
+			n := simulated.NewNode("n", simulated.MachineModel{}, 1)
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
@@ -99,9 +99,10 @@
 			if c.down {
 				n.Crash()
 			}
-			_, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 300*time.Millisecond)
+			_, end := runNativeAttempt(t, n.NativeAddress, native.Call{Query: native.Query{Text: c.text}, Data: c.data},
+				300*time.Millisecond)
 			if c.text == insert && c.fault.Hang { // must be reported well before the attempt's own timeout
-				_, end = runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
+				_, end = runNativeAttempt(t, n.NativeAddress, native.Call{Query: native.Query{Text: c.text}, Data: c.data}, 4*time.Second)
 				if end.Latency > 2e6 {
 					t.Errorf("the missing sample block was reported after %d us, want at most 2 s", end.Latency)
 				}
@@ -115,12 +116,13 @@
 
 // A node's reports of a query's progress and cost reach the policy.
 func TestNativeProgressAndCost(t *testing.T) {
-	n := simulated.NewNode("n", simulated.Model{}, 1)
+	n := simulated.NewNode("n", simulated.MachineModel{}, 1)
 	if err := n.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
 	defer n.Crash()
-	progress, end := runNativeAttempt(t, n.Native, native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
+	progress, end := runNativeAttempt(t, n.NativeAddress,
+		native.Call{Query: native.Query{Text: "SELECT 1 /* rows=10 work_ms=600 memory_mb=50 */"}}, 4*time.Second)
 	if end.Code != policy.OK || end.WorkMicros != 600000 || end.NeededMB != 50 {
 		t.Errorf("code %d, work %d us, memory %v MB, want 600000 and 50", end.Code, end.WorkMicros, end.NeededMB)
 	}
--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -39,7 +39,7 @@
 		case "GET":
 			reply(c, simulated.PlatformAnswer(cmd.ID, "data", "total=3,rep=busy:0.5;rif:7", "a\tb\tc\n"))
 		case "PAGE":
-			reply(c, answerPage(cmd.N))
+			reply(c, answerPage(cmd.Number))
 		}
 	}
 }
@@ -53,7 +53,7 @@
 func duplicatePages(c net.Conn, cmd simulated.PlatformCommand) {
 	if cmd.Verb == "GET" {
 		paging(nil)(c, cmd)
-	} else if cmd.Verb == "PAGE" && cmd.N == 2 {
+	} else if cmd.Verb == "PAGE" && cmd.Number == 2 {
 		reply(c, page(2)+page(2)+page(1)+page(1))
 	}
 }
--- a/backend/platform_late_answer_test.go
+++ b/backend/platform_late_answer_test.go
@@ -25,7 +25,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case cmd.Verb == "PAGE" && cmd.N == 1:
+	case cmd.Verb == "PAGE" && cmd.Number == 1:
 		reply(c, simulated.PlatformAnswer(cmd.ID, "failed", "", ""))
 	case cmd.Verb != "GET":
 	case l.attempts == 0:
--- a/cmd/controlserver/main.go
+++ b/cmd/controlserver/main.go
@@ -70,9 +70,9 @@
 	s := &service{control: simulated.NewControl(cli.Cluster), begin: time.Now(), sets: map[uint64]control.FileParts{},
 		printed: map[string]string{}, rollout: control.NewRollout(0, cli.Stages, cli.Hold.Microseconds(), cli.Refusal)}
 	s.rollout.MaxServiceDrop = cli.Fall
-	s.control.Stage(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.RecordReply(s.now(), d, n, refused) })
+	s.control.SetRollout(s.rollout.Offer, func(d string, n uint64, refused string) { s.rollout.RecordReply(s.now(), d, n, refused) })
 	s.readFolder()
-	s.control.At(cli.Listen)
+	s.control.SetAddress(cli.Listen)
 	if err := s.control.Start(); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 		}
 		s.readFolder()
 		s.recordService(ctx)
-		s.control.Locked(func() { s.rollout.Advance(s.now()) })
+		s.control.Update(func() { s.rollout.Advance(s.now()) })
 		s.addRollback()
 		if t := s.table(); t != printed {
 			fmt.Println(t)
@@ -108,7 +108,7 @@
 	for name, address := range cli.Metrics {
 		served, received, err := scrapeCounters(ctx, address)
 		if err == nil {
-			s.control.Locked(func() { s.rollout.RecordService(s.now(), name, served, received) })
+			s.control.Update(func() { s.rollout.RecordService(s.now(), name, served, received) })
 		}
 	}
 }
@@ -165,7 +165,7 @@
 		}
 	}
 	if newest > 0 {
-		s.control.Locked(func() { s.rollout.Begin(s.now(), newest) })
+		s.control.Update(func() { s.rollout.Begin(s.now(), newest) })
 	}
 }
 
@@ -201,7 +201,7 @@
 		all = append(all, a)
 	}
 	s.sets[n] = parts
-	s.control.Locked(func() { s.control.AddSet(n, all) })
+	s.control.Update(func() { s.control.AddSet(n, all) })
 	return nil
 }
 
@@ -232,7 +232,7 @@
 		rows = append(rows, row)
 	}
 	s.nodes = string(text)
-	s.control.Set(rows, "")
+	s.control.SetEndpoints(rows, "")
 	return nil
 }
 
@@ -258,7 +258,7 @@
 // table returns the state of the rollout and the last reply of each dispatcher.
 func (s *service) table() string {
 	var b strings.Builder
-	s.control.Locked(func() {
+	s.control.Update(func() {
 		fmt.Fprintln(&b, s.rollout.State())
 		w := tabwriter.NewWriter(&b, 0, 4, 2, ' ', 0) // writing to a strings.Builder never fails
 		_, _ = fmt.Fprintln(w, "dispatcher\tin force\trefused\treason")
--- a/cmd/dispatcher/demo.go
+++ b/cmd/dispatcher/demo.go
@@ -35,13 +35,13 @@
 		}
 	}
 	for i := range 3 {
-		n := simulated.NewNode(fmt.Sprintf("node-%d", i+1), simulated.Model{}, uint64(i))
+		n := simulated.NewNode(fmt.Sprintf("node-%d", i+1), simulated.MachineModel{}, uint64(i))
 		if err := n.Start("127.0.0.1:0", false); err != nil {
 			stop()
 			return nil, nil, err
 		}
 		nodes = append(nodes, n)
-		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.Native))
+		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.NativeAddress))
 	}
 	cfg, err := config.Parse("demo", fmt.Appendf(nil, demoConfig, strings.Join(rows, ", ")))
 	if err != nil {
--- a/cmd/querynode/main.go
+++ b/cmd/querynode/main.go
@@ -39,15 +39,16 @@
 func main() {
 	kong.Parse(&cli, kong.Name("querynode"), kong.Description("A simulated query node. Statements state their cost: "+
 		"/* work_ms=120 threads=1 rows=1000 row_bytes=0 memory_mb=0 */"))
-	node := simulated.NewNode(cli.Name, simulated.Model{Cores: cli.Cores, MemoryMB: cli.MemoryMB, ColdFor: cli.ColdFor}, cli.Seed)
-	node.SetFaults(simulated.Faults{Hang: cli.Hang, LoseAnswers: cli.Lose, Full: cli.Full, Fail: cli.Fail, Slow: cli.Slow,
-		StallRow: cli.Stall, CutRow: cli.Cut})
-	node.Native = cli.Native
+	node := simulated.NewNode(cli.Name, simulated.MachineModel{Cores: cli.Cores, MemoryMB: cli.MemoryMB, WarmUpTime: cli.ColdFor}, cli.Seed)
+	node.SetFaults(simulated.Faults{Hang: cli.Hang, LoseAnswers: cli.Lose, RejectQueries: cli.Full,
+		FailShare: cli.Fail, SlowFactor: cli.Slow,
+		StallAfterRows: cli.Stall, CutAfterRows: cli.Cut})
+	node.NativeAddress = cli.Native
 	if err := node.Start(cli.Listen, cli.Cold); err != nil {
 		fmt.Fprintln(os.Stderr, "querynode:", err)
 		os.Exit(1)
 	}
-	fmt.Println(cli.Name, "serves", node.Address, "and natively", node.Native)
+	fmt.Println(cli.Name, "serves", node.Address, "and natively", node.NativeAddress)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	<-ctx.Done()
--- a/cmd/scenario/main.go
+++ b/cmd/scenario/main.go
@@ -76,7 +76,7 @@
 			return 3
 		}
 	}
-	if r.Broken() || baseline != nil && baseline.Broken() {
+	if r.Violated() || baseline != nil && baseline.Violated() {
 		return 1
 	}
 	return 0
--- a/control/stream/stream_test.go
+++ b/control/stream/stream_test.go
@@ -99,14 +99,14 @@
 			c := startService(t)
 			h := startStream(t, Options{Address: c.Address(), Cluster: "nodes", Node: "d", Settings: true, Delta: delta,
 				MinBackoff: time.Millisecond, MaxBackoff: 20 * time.Millisecond})
-			await(t, c, "a stream", func() bool { return len(c.Streams()) == 1 })
+			await(t, c, "a stream", func() bool { return len(c.StreamStarts()) == 1 })
 			// The service sends nothing: nothing is received, and the stream stays open.
 			if o, l := h.count(); o != 0 || l != 0 {
 				t.Errorf("offered %d, lost %d", o, l)
 			}
-			c.Put("x", &anypb.Any{TypeUrl: "type.googleapis.com/nobody.asked.For", Value: []byte{1}})
+			c.SetResources("x", &anypb.Any{TypeUrl: "type.googleapis.com/nobody.asked.For", Value: []byte{1}})
 			for n := uint64(1); n <= 50; n++ {
-				c.Put(SettingsName, toAny(t, &configv1.Tenants{Set: n}))
+				c.SetResources(SettingsName, toAny(t, &configv1.Tenants{Set: n}))
 			}
 			await(t, c, "the newest version acknowledged", func() bool {
 				r := c.Replies()
@@ -124,8 +124,8 @@
 				if err := c.Start(); err != nil {
 					t.Fatal(err)
 				}
-				n := len(c.Streams())
-				await(t, c, "a new stream", func() bool { return len(c.Streams()) > n })
+				n := len(c.StreamStarts())
+				await(t, c, "a new stream", func() bool { return len(c.StreamStarts()) > n })
 			}
 			await(t, c, "the newest version offered again", func() bool { o, l := h.count(); return o > before && l >= 5 })
 		})
@@ -141,13 +141,13 @@
 			startStream(t, Options{Address: c.Address(), Cluster: "nodes", Node: fmt.Sprint(i), MinBackoff: 400 * time.Millisecond,
 				MaxBackoff: 400 * time.Millisecond, Random: random})
 		}
-		await(t, c, "all streams", func() bool { return len(c.Streams()) == n })
+		await(t, c, "all streams", func() bool { return len(c.StreamStarts()) == n })
 		c.Stop()
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		await(t, c, "all streams again", func() bool { return len(c.Streams()) >= 2*n })
-		reconnects := c.Streams()[n:]
+		await(t, c, "all streams again", func() bool { return len(c.StreamStarts()) >= 2*n })
+		reconnects := c.StreamStarts()[n:]
 		largest := 0
 		for i, at := range reconnects {
 			k, _ := slices.BinarySearchFunc(reconnects, at.Add(40*time.Millisecond), time.Time.Compare)
--- a/nodelist/resolver/resolver_test.go
+++ b/nodelist/resolver/resolver_test.go
@@ -138,7 +138,7 @@
 	r.SetAddress(b.Address())
 	b.Set(10, nodes("ten"))
 	expectApplied(t, applied, "ten")
-	b.Mute() // the current sockets receive no more responses
+	b.MuteClients() // the current sockets receive no more responses
 	b.Set(11, nodes("eleven"))
 	expectApplied(t, applied, "eleven")
 	b.Close() // nothing listens: polling continues, and recovers at the next address
@@ -234,7 +234,7 @@
 	done := make(chan struct{})
 	go func() { r.Run(ctx); close(done) }()
 	for number := uint32(2); number < 6; number++ {
-		s.Mute()
+		s.MuteClients()
 		s.Set(number, nodes("a", "b")[:2-number%2])
 		select {
 		case <-applied:
@@ -265,7 +265,7 @@
 	s.SetDelay(0)
 	responses := r.Stats().Responses
 	await(t, "fast responses", func() bool { return r.Stats().Responses >= responses+8 })
-	s.Mute() // delayed responses that are under way still arrive
+	s.MuteClients() // delayed responses that are under way still arrive
 	drained := nodes("a")
 	drained[0].State = policy.Draining
 	s.Set(2, drained)
--- a/scenario/environment.go
+++ b/scenario/environment.go
@@ -56,19 +56,19 @@
 	if err := e.startNodes(); err != nil { //nolint:contextcheck // nodes end with Crash
 		return err
 	}
-	e.control.Set(e.listedNodes(), "")
+	e.control.SetEndpoints(e.listedNodes(), "")
 	return e.startDispatchers(ctx)
 }
 
 // startNodes starts the nodes of all groups. The nodes of one zone share their deduplication tokens.
 func (e *environment) startNodes() error {
 	s := e.script
-	tokens := map[string]*simulated.Tokens{}
+	tokens := map[string]*simulated.DedupTokens{}
 	for _, g := range s.Nodes {
 		if tokens[g.Zone] == nil {
-			tokens[g.Zone] = simulated.NewTokens(s.longestDedupWindow())
+			tokens[g.Zone] = simulated.NewDedupTokens(s.longestDedupWindow())
 		}
-		model := simulated.Model{ColdFor: s.Config.Limits.SlowStartDuration.D(), ColdFrom: s.Config.Limits.SlowStartFloor}
+		model := simulated.MachineModel{WarmUpTime: s.Config.Limits.SlowStartDuration.D(), ColdCapacity: s.Config.Limits.SlowStartFloor}
 		for _, k := range s.Config.Kinds {
 			if k.Name == g.Kind || g.Kind == "" {
 				model.Cores, model.MemoryMB = k.Cores, k.MemoryMB
@@ -77,12 +77,13 @@
 		}
 		for range g.Count {
 			n := simulated.NewNode(fmt.Sprintf("node-%d", len(e.nodes)), model, e.rng.Uint64())
-			n.Share(tokens[g.Zone])
+			n.ShareTokens(tokens[g.Zone])
 			if err := n.Start("127.0.0.1:0", false); err != nil {
 				return err
 			}
 			e.nodes = append(e.nodes, n)
-			e.rows = append(e.rows, simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native, Zone: g.Zone, Kind: g.Kind})
+			e.rows = append(e.rows, simulated.ListedNode{Name: n.Name, Address: n.Address, NativeAddress: n.NativeAddress,
+				Zone: g.Zone, Kind: g.Kind})
 		}
 	}
 	return nil
@@ -147,7 +148,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rows = change(e.listedNodes())
-	e.control.Set(e.listedNodes(), e.listFault)
+	e.control.SetEndpoints(e.listedNodes(), e.listFault)
 }
 
 // placementOf returns the zone and the kind of node i.
@@ -190,7 +191,7 @@
 			return err
 		}
 		e.log.Info("streaming settings version", "number", v.Number)
-		e.control.Put("default", resources...)
+		e.control.SetResources("default", resources...)
 	}
 	return nil
 }
--- a/scenario/faults.go
+++ b/scenario/faults.go
@@ -39,7 +39,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listFault = fault
-	e.control.Set(e.listedNodes(), fault)
+	e.control.SetEndpoints(e.listedNodes(), fault)
 }
 
 // injectNodeFault injects a fault into node or dispatcher i and ends it.
@@ -76,10 +76,10 @@
 		n.Crash()
 		return e.restartNode(ctx, i)
 	}
-	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", Full: f.Kind == "full",
-		StallRow: valueForKind(f, "stall", f.Rows), CutRow: valueForKind(f, "cut", f.Rows),
-		Fail: valueForKind(f, "fail", f.Share), Slow: valueForKind(f, "slow", f.Times),
-		PauseFor: valueForKind(f, "pause", f.Pause.D()), PauseInterval: valueForKind(f, "pause", f.Each.D())})
+	n.SetFaults(simulated.Faults{Hang: f.Kind == "hang", LoseAnswers: f.Kind == "lose", RejectQueries: f.Kind == "full",
+		StallAfterRows: valueForKind(f, "stall", f.Rows), CutAfterRows: valueForKind(f, "cut", f.Rows),
+		FailShare: valueForKind(f, "fail", f.Share), SlowFactor: valueForKind(f, "slow", f.SlowFactor),
+		PauseFor: valueForKind(f, "pause", f.Pause.D()), PauseInterval: valueForKind(f, "pause", f.PauseInterval.D())})
 	clock.Sleep(ctx, f.For.D())
 	n.SetFaults(simulated.Faults{})
 	return nil
@@ -119,7 +119,7 @@
 	e.mu.Unlock()
 	zone, kind := e.placementOf(i)
 	e.updateList(ctx, func(rows []simulated.ListedNode) []simulated.ListedNode {
-		return append(removeNode(rows, n.Name), simulated.ListedNode{Name: n.Name, Address: n.Address, Native: n.Native,
+		return append(removeNode(rows, n.Name), simulated.ListedNode{Name: n.Name, Address: n.Address, NativeAddress: n.NativeAddress,
 			Zone: zone, Kind: kind, Started: n.Started()})
 	})
 	return nil
--- a/scenario/print.go
+++ b/scenario/print.go
@@ -16,13 +16,13 @@
 	var text bytes.Buffer // lines of cells separated by tabs
 	fmt.Fprintf(&text, "%s (simulated nodes on loopback)\n\nrule\tchecked\tbroken\tfirst case\n", r.Name)
 	for _, rule := range r.Rules {
-		fmt.Fprintf(&text, "%s\t%d\t%d\t%s\n", rule.Name, rule.Checked, rule.Broken, rule.First)
+		fmt.Fprintf(&text, "%s\t%d\t%d\t%s\n", rule.Name, rule.Checked, rule.Violations, rule.First)
 	}
 	r.printClients(&text)
 	r.printAttempts(&text)
-	r.Sessions.print(&text)
+	r.Transactions.print(&text)
 	r.printPauses(&text)
-	for _, set := range r.Sets {
+	for _, set := range r.SettingsInEffect {
 		fmt.Fprintf(&text, "settings in effect at the end\t%s\n", set)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Reasons)) {
@@ -41,7 +41,7 @@
 func (r *Report) printClients(text *bytes.Buffer) {
 	fmt.Fprintf(text, "\nclients\tsent\tserved\tin time\trejected\tfailed\tcancelled\tunanswered\tp50\tp99\tmax\n")
 	for _, c := range r.Clients {
-		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", c.Name, c.Sent, c.Served, c.InTime, c.Refused,
+		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\n", c.Name, c.Sent, c.Served, c.WithinObjective, c.Rejected,
 			c.Failed, c.Cancelled, c.Unanswered, rounded(c.P50), rounded(c.P99), rounded(c.Max))
 	}
 }
@@ -53,13 +53,13 @@
 	fmt.Fprintf(text, "latest attempt after a drain notice\t%s\ncontrol responses rejected (NACK)\t%d\n",
 		rounded(r.LatestAfterDrain), r.Nacks)
 	fmt.Fprintf(text, "queries over the native protocol\t%d\n", r.NativeQueries)
-	if r.RetriedWhenTold > 0 {
-		fmt.Fprintf(text, "retries after the stated retry-after\t%d, served %d (%.3f)\n", r.RetriedWhenTold, r.RetriedWhenToldServed,
-			float64(r.RetriedWhenToldServed)/float64(r.RetriedWhenTold))
+	if r.RetriesAfterDelay > 0 {
+		fmt.Fprintf(text, "retries after the stated retry-after\t%d, served %d (%.3f)\n", r.RetriesAfterDelay, r.RetriesAfterDelayServed,
+			float64(r.RetriesAfterDelayServed)/float64(r.RetriesAfterDelay))
 	}
 }
 
-func (s *Sessions) print(text *bytes.Buffer) {
+func (s *TransactionReport) print(text *bytes.Buffer) {
 	if s.Started == 0 {
 		return
 	}
@@ -94,7 +94,7 @@
 	for i, a := range without.Clients {
 		b := with.Clients[i]
 		fmt.Fprintf(&text, "%s\t%.3f\t%.3f\t%.3f\t%.3f\t%.2f\n", a.Name, share(a.Served, a.Sent), share(b.Served, b.Sent),
-			share(a.InTime, a.Sent), share(b.InTime, b.Sent), float64(b.P99)/float64(max(a.P99, 1)))
+			share(a.WithinObjective, a.Sent), share(b.WithinObjective, b.Sent), float64(b.P99)/float64(max(a.P99, 1)))
 	}
 	return writeAligned(out, &text)
 }
--- a/scenario/report.go
+++ b/scenario/report.go
@@ -12,17 +12,17 @@
 
 // RuleResult is the result of one rule: the number of checks, of violations, and a description of the first violation.
 type RuleResult struct {
-	Name    string `json:"rule"`
-	Checked int    `json:"checked"`
-	Broken  int    `json:"broken"`
-	First   string `json:"first_case,omitempty"`
+	Name       string `json:"rule"`
+	Checked    int    `json:"checked"`
+	Violations int    `json:"broken"`
+	First      string `json:"first_case,omitempty"`
 }
 
-// check counts a check, and a violation if broken is true; the text describes the violation.
-func (r *RuleResult) check(broken bool, format string, args ...any) {
+// check counts a check, and a violation if violated is true; the text describes the violation.
+func (r *RuleResult) check(violated bool, format string, args ...any) {
 	r.Checked++
-	if broken {
-		if r.Broken++; r.Broken == 1 {
+	if violated {
+		if r.Violations++; r.Violations == 1 {
 			r.First = fmt.Sprintf(format, args...)
 		}
 	}
@@ -30,34 +30,34 @@
 
 // ClientReport counts the outcomes of one client group's queries.
 type ClientReport struct {
-	Name                                  string
-	Sent, Served, Refused, Failed, InTime int
-	Unanswered, Cancelled                 int
-	P50, P99, Max                         time.Duration // from sending to the answer, of served queries
+	Name                                            string
+	Sent, Served, Rejected, Failed, WithinObjective int
+	Unanswered, Cancelled                           int
+	P50, P99, Max                                   time.Duration // from sending to the answer, of served queries
 }
 
 // Report holds the results of a day.
 type Report struct {
-	Name                  string
-	Rules                 []RuleResult
-	Clients               []ClientReport
-	Reasons               map[string]int
-	Samples               map[string]string // an error text for each reason
-	Sessions              Sessions
-	Attempts              int
-	Retries               int
-	Nacks                 int
-	Sets                  []string      // settings in effect at the end, by dispatcher; empty if the script has no versions
-	NativeQueries         int           // queries sent over the native protocol
-	RetriedWhenTold       int           // retries after the retry-after of a rejected query ...
-	RetriedWhenToldServed int           // ... that were served
-	Pauses                [][2]float64  // event loop pauses at settings changes: upper bound in seconds, count up to it
-	LatestAfterDrain      time.Duration // longest time from sending a drain notice for a node to an attempt there
+	Name                    string
+	Rules                   []RuleResult
+	Clients                 []ClientReport
+	Reasons                 map[string]int
+	Samples                 map[string]string // an error text for each reason
+	Transactions            TransactionReport
+	Attempts                int
+	Retries                 int
+	Nacks                   int
+	SettingsInEffect        []string      // settings in effect at the end, by dispatcher; empty if the script has no versions
+	NativeQueries           int           // queries sent over the native protocol
+	RetriesAfterDelay       int           // retries after the retry-after of a rejected query ...
+	RetriesAfterDelayServed int           // ... that were served
+	Pauses                  [][2]float64  // event loop pauses at settings changes: upper bound in seconds, count up to it
+	LatestAfterDrain        time.Duration // longest time from sending a drain notice for a node to an attempt there
 }
 
-// Broken reports whether any rule was violated.
-func (r *Report) Broken() bool {
-	return slices.ContainsFunc(r.Rules, func(r RuleResult) bool { return r.Broken > 0 })
+// Violated reports whether any rule was violated.
+func (r *Report) Violated() bool {
+	return slices.ContainsFunc(r.Rules, func(r RuleResult) bool { return r.Violations > 0 })
 }
 
 // check checks the rules by the records of the clients and the nodes, and fills in the report.
@@ -87,8 +87,8 @@
 			r.NativeQueries++
 		}
 		if q.HonoredRetryAfter && !e.duringOutage(q) {
-			if r.RetriedWhenTold++; q.Outcome == "served" {
-				r.RetriedWhenToldServed++
+			if r.RetriesAfterDelay++; q.Outcome == "served" {
+				r.RetriesAfterDelayServed++
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 			r.Pauses[i][1] += b[1]
 		}
 		if s, ok := p.dispatcher.ControlStatus(); ok && len(e.script.Versions) > 0 {
-			r.Sets = append(r.Sets, fmt.Sprintf("%s: set %d", p.config.File.Name, s.Number))
+			r.SettingsInEffect = append(r.SettingsInEffect, fmt.Sprintf("%s: set %d", p.config.File.Name, s.Number))
 		}
 	}
 	for g := range e.script.Clients {
@@ -130,7 +130,7 @@
 		case q.Outcome == "":
 			c.Unanswered++
 		case q.Outcome == "refused":
-			c.Refused++
+			c.Rejected++
 		case q.Outcome == "failed":
 			c.Failed++
 		default:
@@ -139,7 +139,7 @@
 			objective := time.Duration(class.LatencyObjective)*time.Microsecond +
 				time.Duration(class.ObjectiveStretch*float64(q.Work)/float64(max(class.Threads, 1)))
 			if took <= objective {
-				c.InTime++
+				c.WithinObjective++
 			}
 		}
 	}
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -46,7 +46,7 @@
 	if err := r.Print(&out); err != nil {
 		t.Fatal(err)
 	}
-	if r.Broken() || r.Clients[0].Served < r.Clients[0].Sent/2 {
+	if r.Violated() || r.Clients[0].Served < r.Clients[0].Sent/2 {
 		t.Errorf("%s", out.String())
 	}
 	for _, x := range r.Rules {
@@ -100,7 +100,8 @@
 	}
 	for i, c := range cases {
 		e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, control: simulated.NewControl("c"),
-			nodes: []*simulated.Node{simulated.NewNode("node-0", simulated.Model{}, 1), simulated.NewNode("node-1", simulated.Model{}, 1)}}
+			nodes: []*simulated.Node{simulated.NewNode("node-0", simulated.MachineModel{}, 1),
+				simulated.NewNode("node-1", simulated.MachineModel{}, 1)}}
 		q := served(0, c.group)
 		if c.change != nil {
 			c.change(e, q)
@@ -110,15 +111,15 @@
 		rules := []RuleResult{e.checkAnswers(all), e.checkEffects(all), e.checkDrains(nil, &Report{}), e.checkSlowStart(all),
 			e.checkOrder(all), e.checkPlacement(all), e.checkRetryBudget(all)}
 		for j, r := range rules {
-			if (r.Broken > 0) != (j == c.rule) {
-				t.Errorf("case %d: rule %s broken %d times", i, r.Name, r.Broken)
+			if (r.Violations > 0) != (j == c.rule) {
+				t.Errorf("case %d: rule %s violated %d times", i, r.Name, r.Violations)
 			}
 		}
 	}
 	// A violation of the order takes two queries.
 	e := &environment{script: script, dispatchers: []*dispatcherProcess{{config: cfg}}, queries: []*ClientQuery{served(0, 2), served(1, 2)}}
 	e.queries[0].Key, e.queries[1].Key = 0, 0
-	if r := e.checkOrder([][]simulated.AttemptRecord{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Broken != 1 {
-		t.Errorf("order broken %d times, want once", r.Broken)
+	if r := e.checkOrder([][]simulated.AttemptRecord{{seen("node-1", 0, 1)}, {seen("node-1", 0, 50)}}); r.Violations != 1 {
+		t.Errorf("order violated %d times, want once", r.Violations)
 	}
 }
--- a/scenario/script.go
+++ b/scenario/script.go
@@ -71,15 +71,15 @@
 
 // Fault is a fault that begins at the time At and lasts for the time For.
 type Fault struct {
-	At    config.Duration `json:"at"`
-	For   config.Duration `json:"for"`
-	Kind  string          `json:"do"`
-	Nodes []int           `json:"nodes"` // from 0; for kill these are dispatchers
-	Share float64         `json:"share"` // fail: share of queries that fail
-	Times float64         `json:"times"` // slow: factor by which the node slows down
-	Rows  int             `json:"rows"`  // stall, cut: rows sent before the fault
-	Pause config.Duration `json:"pause"` // pause: length of one pause
-	Each  config.Duration `json:"each"`  // pause: interval between pauses
+	At            config.Duration `json:"at"`
+	For           config.Duration `json:"for"`
+	Kind          string          `json:"do"`
+	Nodes         []int           `json:"nodes"` // from 0; for kill these are dispatchers
+	Share         float64         `json:"share"` // fail: share of queries that fail
+	SlowFactor    float64         `json:"times"` // slow: factor by which the node slows down
+	Rows          int             `json:"rows"`  // stall, cut: rows sent before the fault
+	Pause         config.Duration `json:"pause"` // pause: length of one pause
+	PauseInterval config.Duration `json:"each"`  // pause: interval between pauses
 }
 
 // faultKinds maps each kind of fault to whether it names nodes or dispatchers.
--- a/scenario/transaction_rule.go
+++ b/scenario/transaction_rule.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Sessions counts the transactions of a day by how they ended.
-type Sessions struct {
+// TransactionReport counts the transactions of a day by how they ended.
+type TransactionReport struct {
 	Started, NotStarted int
 	Ends                map[string]int // by End of Transaction
 	Reasons             map[string]int // by Reason of Transaction
@@ -21,8 +21,8 @@
 	r := RuleResult{Name: "8 transactions end once, as told"}
 	seen := map[int][]string{} // statements that became visible, by transaction
 	for _, n := range e.nodes {
-		t := n.Tally()
-		for s, k := range t.Commits {
+		t := n.SessionRecord()
+		for s, k := range t.CommitsBySession {
 			r.check(k > 1, "session %s was committed %d times at %s", s, k, n.Name)
 		}
 		for _, statement := range t.Committed {
@@ -32,19 +32,19 @@
 				seen[number] = append(seen[number], statement)
 			}
 		}
-		rep.Sessions.ByNode = append(rep.Sessions.ByNode, t.Begun)
-		rep.Sessions.Open += n.Transactions()
+		rep.Transactions.ByNode = append(rep.Transactions.ByNode, t.Begun)
+		rep.Transactions.Open += n.Transactions()
 	}
-	rep.Sessions.Ends, rep.Sessions.Reasons = map[string]int{}, map[string]int{}
+	rep.Transactions.Ends, rep.Transactions.Reasons = map[string]int{}, map[string]int{}
 	for _, t := range e.transactions {
 		if !t.Started {
-			rep.Sessions.NotStarted++
+			rep.Transactions.NotStarted++
 			continue
 		}
-		rep.Sessions.Started++
-		rep.Sessions.Ends[t.End]++
+		rep.Transactions.Started++
+		rep.Transactions.Ends[t.End]++
 		if t.Reason != "" {
-			rep.Sessions.Reasons[t.Reason]++
+			rep.Transactions.Reasons[t.Reason]++
 		}
 		list := seen[t.Number]
 		slices.Sort(list)
@@ -62,7 +62,7 @@
 		}
 		r.check(t.Failures > 1 && !down, "transaction %d: %d answers said that it is lost", t.Number, t.Failures)
 	}
-	r.check(rep.Sessions.Open > 0, "%d transactions are still open on nodes", rep.Sessions.Open)
+	r.check(rep.Transactions.Open > 0, "%d transactions are still open on nodes", rep.Transactions.Open)
 	return r
 }
 
--- a/server/control_service_test.go
+++ b/server/control_service_test.go
@@ -149,7 +149,7 @@
 		run  func(e env)
 	}{
 		{"a nonce is repeated", func(e env) {
-			whole := settings(e.T, 1, nil)
+			whole := settingsResources(e.T, 1, nil)
 			e.offerAll(whole)
 			e.awaitReplies(5, "")
 			e.offerWithNonce(whole[0].GetTypeUrl(), "v", "n2", whole[0])
@@ -170,29 +170,29 @@
 		{"a valid and a malformed resource in one response", func(e env) {
 			e.offer(url, "2", e.nodes("node-0"), &anypb.Any{TypeUrl: url, Value: []byte{0xff}})
 			e.awaitReplies(1, "resource 1")
-			good := settings(e.T, 1, nil)
+			good := settingsResources(e.T, 1, nil)
 			e.offer(good[0].GetTypeUrl(), "2", good[0], good[1])
 			e.awaitReplies(1, "2 resources")
 		}},
 		{"a resource of another type than the response", func(e env) {
-			e.offer(url, "2", settings(e.T, 1, nil)[0])
+			e.offer(url, "2", settingsResources(e.T, 1, nil)[0])
 			e.awaitReplies(1, "resource 0")
 		}},
 		{"a set number that is older or zero", func(e env) {
-			e.offerAll(settings(e.T, 5, nil))
+			e.offerAll(settingsResources(e.T, 5, nil))
 			e.awaitReplies(5, "")
-			e.offerAll(settings(e.T, 4, nil))
+			e.offerAll(settingsResources(e.T, 4, nil))
 			e.awaitReplies(5, "older than 5")
-			e.offer(stream.TypeURL(control.Tenants), "v", settings(e.T, 0, nil)[1])
+			e.offer(stream.TypeURL(control.Tenants), "v", settingsResources(e.T, 0, nil)[1])
 			e.awaitReplies(1, "set is 0")
 		}},
 		{"two services disagree on a set", func(e env) {
-			e.offerAll(settings(e.T, 1, nil))
+			e.offerAll(settingsResources(e.T, 1, nil))
 			e.awaitReplies(5, "")
 			other := newScriptedControl(e.T)
 			e.relay.Redirect(other.address)
 			other.awaitRequests()
-			other.offerAll(settings(e.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
+			other.offerAll(settingsResources(e.T, 1, func(s *control.Set) { s.Limits.Attempts = 3 }))
 			other.awaitReplies(2, "") // these two resources are the same in both sets
 			other.awaitReplies(1, "two services disagree")
 			other.awaitReplies(2, "")
@@ -224,19 +224,19 @@
 			}
 		}},
 		{"unpinned by an operator", func(e env) {
-			e.offerAll(settings(e.T, 1, nil))
+			e.offerAll(settingsResources(e.T, 1, nil))
 			e.awaitReplies(5, "")
 			e.r.postAdmin("/config/pin?on=true")
-			e.offerAll(settings(e.T, 2, nil))
+			e.offerAll(settingsResources(e.T, 2, nil))
 			e.awaitReplies(5, "pinned")
 			e.r.postAdmin("/config/pin?on=false")
 			e.awaitRequests() // a new stream is opened at once, so that the service sends set 2 again
-			e.offerAll(settings(e.T, 2, nil))
+			e.offerAll(settingsResources(e.T, 2, nil))
 			e.awaitReplies(5, "")
 		}},
 		{"the connection breaks in the middle of a response", func(e env) {
 			limitReached := e.relay.CutAfter(40 << 10)
-			set := settings(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
+			set := settingsResources(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
 			for _, a := range set[:4] { // the fourth, with the rules, is larger than 40 KiB
 				e.offer(a.GetTypeUrl(), "v", a)
 			}
@@ -250,7 +250,7 @@
 		}},
 		{"a response stalls in the middle", func(e env) {
 			limitReached := e.relay.HoldAfter(40 << 10)
-			set := settings(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
+			set := settingsResources(e.T, 1, func(s *control.Set) { addLargeRules(s, 200) })
 			sent := make(chan struct{})
 			go func() { e.offerAll(set); close(sent) }()
 			<-limitReached
@@ -278,7 +278,7 @@
 			r := newRigWith(t, 3, func(string) string { return "{}" }, fmt.Sprintf(`, "control": {"address": %q, "cluster": "nodes",
 				"reconnect_most": "20ms"}`, relay.Address()))
 			nodes := func(draining string) *anypb.Any {
-				rows := listed(r)
+				rows := listedNodes(r)
 				for i := range rows {
 					rows[i].Draining = rows[i].Name == draining
 				}
--- a/server/control_store_test.go
+++ b/server/control_store_test.go
@@ -23,7 +23,7 @@
 	t.Cleanup(c.Stop)
 	file = filepath.Join(t.TempDir(), "versions.db")
 	r = newControlledRig(t, c, 1, `, "store": "`+file+`"`)
-	c.Set(listed(r), "")
+	c.SetEndpoints(listedNodes(r), "")
 	return c, r, file
 }
 
@@ -31,12 +31,12 @@
 // and queries are still served.
 func TestStoreWriteFailure(t *testing.T) {
 	c, r, _ := newStoringRig(t)
-	c.Put(stream.SettingsName, settings(t, 1, nil)...)
-	r.until("set 1 in force", func(s control.Status) bool { return s.Number == 1 })
+	c.SetResources(stream.SettingsName, settingsResources(t, 1, nil)...)
+	r.awaitControlStatus("set 1 in force", func(s control.Status) bool { return s.Number == 1 })
 	if err := r.d.BreakStore(); err != nil {
 		t.Fatal(err)
 	}
-	c.Put(stream.SettingsName, settings(t, 2, nil)...)
+	c.SetResources(stream.SettingsName, settingsResources(t, 2, nil)...)
 	awaitService(t, c, "rejection of set 2", func() bool { return len(c.Nacks()) > 0 })
 	if n := c.Nacks()[0]; !strings.Contains(n, "store: ") {
 		t.Errorf("set 2 rejected with %q, want a store error", n)
@@ -56,8 +56,8 @@
 func TestDamagedStoreFile(t *testing.T) {
 	c, r, file := newStoringRig(t)
 	for n := uint64(1); n <= 2; n++ {
-		c.Put(stream.SettingsName, settings(t, n, nil)...)
-		r.until(fmt.Sprintf("set %d in force", n), func(s control.Status) bool { return s.Number == n })
+		c.SetResources(stream.SettingsName, settingsResources(t, n, nil)...)
+		r.awaitControlStatus(fmt.Sprintf("set %d in force", n), func(s control.Status) bool { return s.Number == n })
 	}
 	address := r.d.Address()
 	r.cancel()
@@ -76,5 +76,5 @@
 	if s, _ := r.d.ControlStatus(); s.Number != 1 && s.Number != 2 {
 		t.Errorf("started in set %d, want 1 or 2", s.Number)
 	}
-	r.until("set 2 in force again", func(s control.Status) bool { return s.Number == 2 })
+	r.awaitControlStatus("set 2 in force again", func(s control.Status) bool { return s.Number == 2 })
 }
--- a/server/control_test.go
+++ b/server/control_test.go
@@ -17,8 +17,9 @@
 	"embershunt/simulated"
 )
 
-// settings returns the resources of a complete set with number n; change, unless it is nil, may alter the set, also into an invalid one.
-func settings(t testing.TB, n uint64, change func(*control.Set)) []*anypb.Any {
+// settingsResources returns the resources of a complete set with number n; change, unless it is nil, may alter the set, also into an
+// invalid one.
+func settingsResources(t testing.TB, n uint64, change func(*control.Set)) []*anypb.Any {
 	t.Helper()
 	s := control.Set{Number: n, Classes: &configv1.Classes{Set: n, Classes: []*configv1.Class{
 		{Name: "lookup", AimUs: 750e3, AimStretch: 1.5, DeadlineUs: 4e6},
@@ -49,9 +50,9 @@
 	}
 }
 
-// until waits until a condition on the dispatcher's state of streamed versions holds. After 10 s it fails the test; what describes the
-// condition.
-func (r *rig) until(what string, condition func(control.Status) bool) {
+// awaitControlStatus waits until a condition on the dispatcher's state of streamed versions holds. After 10 s it fails the test; what
+// describes the condition.
+func (r *rig) awaitControlStatus(what string, condition func(control.Status) bool) {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
@@ -60,8 +61,8 @@
 	}
 }
 
-// seenBy waits until a node has received a statement, and returns that node. After 10 s it fails the test.
-func (r *rig) seenBy(statement string) *simulated.Node {
+// awaitNodeWith waits until a node has received a statement, and returns that node. After 10 s it fails the test.
+func (r *rig) awaitNodeWith(statement string) *simulated.Node {
 	r.t.Helper()
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
@@ -84,15 +85,15 @@
 	}
 }
 
-// newControlledRig is newRig with a dispatcher that streams node list and settings from c. more is appended to the control block of its
-// configuration.
-func newControlledRig(t testing.TB, c *simulated.Control, nodes int, more string) *rig {
+// newControlledRig is newRig with a dispatcher that streams node list and settings from c. extraControl is appended to the control block of
+// its configuration.
+func newControlledRig(t testing.TB, c *simulated.Control, nodes int, extraControl string) *rig {
 	return newRigWith(t, nodes, func(string) string { return "{}" }, fmt.Sprintf(`, "control": {"address": %q, "cluster": "nodes",
-		"reconnect_most": "300ms" %s}`, c.Address(), more))
+		"reconnect_most": "300ms" %s}`, c.Address(), extraControl))
 }
 
-// listed returns the rows of a node list with all nodes of a rig.
-func listed(r *rig) (rows []simulated.ListedNode) {
+// listedNodes returns the rows of a node list with all nodes of a rig.
+func listedNodes(r *rig) (rows []simulated.ListedNode) {
 	for _, n := range r.nodes {
 		rows = append(rows, simulated.ListedNode{Name: n.Name, Address: n.Address})
 	}
@@ -112,7 +113,7 @@
 			defer c.Stop()
 			file := filepath.Join(t.TempDir(), "versions.db")
 			r := newControlledRig(t, c, 2, fmt.Sprintf(`, "delta": %s, "store": %q`, variant, file))
-			c.Set(listed(r), "")
+			c.SetEndpoints(listedNodes(r), "")
 			served := func(statement string) {
 				t.Helper()
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
@@ -124,8 +125,8 @@
 			number := func() uint64 { s, _ := r.d.ControlStatus(); return s.Number }
 			replies := func() (acks int, nacks []string) {
 				for _, x := range c.Replies() {
-					if x.Refused != "" {
-						nacks = append(nacks, x.Refused)
+					if x.ErrorMessage != "" {
+						nacks = append(nacks, x.ErrorMessage)
 					} else {
 						acks++
 					}
@@ -135,7 +136,7 @@
 			awaitService(t, c, "the node list acknowledged", func() bool { a, _ := replies(); return a == 1 })
 			served("SELECT 1")
 
-			c.Put(stream.SettingsName, settings(t, 1, func(s *control.Set) {
+			c.SetResources(stream.SettingsName, settingsResources(t, 1, func(s *control.Set) {
 				s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
 			})...)
 			awaitService(t, c, "set 1 acknowledged", func() bool { a, _ := replies(); return a == 6 })
@@ -144,7 +145,7 @@
 			checkRejected := func(what, reason string, resources ...*anypb.Any) {
 				t.Helper()
 				_, before := replies()
-				c.Put(stream.SettingsName, resources...)
+				c.SetResources(stream.SettingsName, resources...)
 				// Each resource gets a NACK.
 				awaitService(t, c, "rejection of "+what, func() bool { _, n := replies(); return len(n) >= len(before)+len(resources) })
 				_, n := replies()
@@ -153,7 +154,7 @@
 				}
 			}
 			checkRejected("a malformed resource", "classes", &anypb.Any{TypeUrl: stream.TypeURL(control.Classes), Value: []byte{0xff}})
-			checkRejected("a rule that names an unknown class", "rules[0].class", settings(t, 2, func(s *control.Set) {
+			checkRejected("a rule that names an unknown class", "rules[0].class", settingsResources(t, 2, func(s *control.Set) {
 				s.Classification.Rules = []*configv1.Rule{{Name: "r", Class: "nobody"}}
 			})...)
 
@@ -163,21 +164,21 @@
 				_, err := r.query(t.Context(), "SELECT 1 /* class=audit work_ms=700 cost_ms=700 */")
 				done <- err
 			}()
-			r.seenBy("SELECT 1 /* class=audit work_ms=700 cost_ms=700 */")
-			checkRejected("the removal of a class with a query in flight", `class_ends: class "audit"`, settings(t, 3, nil)...)
+			r.awaitNodeWith("SELECT 1 /* class=audit work_ms=700 cost_ms=700 */")
+			checkRejected("the removal of a class with a query in flight", `class_ends: class "audit"`, settingsResources(t, 3, nil)...)
 			if err := <-done; err != nil {
 				t.Error(err)
 			}
 			// An incomplete set gets no reply until its other resources have been received.
-			whole := settings(t, 4, nil)
+			whole := settingsResources(t, 4, nil)
 			a, n := replies()
-			c.Put(stream.SettingsName, whole[:2]...)
+			c.SetResources(stream.SettingsName, whole[:2]...)
 			served("SELECT 1 /* class=audit */")
 			if a2, n2 := replies(); a2 != a || len(n2) != len(n) || number() != 1 {
 				t.Errorf("an incomplete set got %d ACKs and %d NACKs; set %d is in force, want 1", a2-a, len(n2)-len(n), number())
 			}
-			c.Put(stream.SettingsName, whole[2:]...)
-			r.until("set 4 in force", func(s control.Status) bool { return s.Number == 4 })
+			c.SetResources(stream.SettingsName, whole[2:]...)
+			r.awaitControlStatus("set 4 in force", func(s control.Status) bool { return s.Number == 4 })
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			if _, err := r.query(ctx, "SELECT 1 /* class=audit */"); err == nil || !strings.Contains(err.Error(), "lookup, report") {
@@ -197,8 +198,8 @@
 			if err := c.Start(); err != nil {
 				t.Fatal(err)
 			}
-			r.until("a node list after the restart", func(s control.Status) bool { return s.Versions["nodes"] != "" })
-			r.until("set 4 acknowledged as in force", func(s control.Status) bool { return s.Versions["limits"] != "" })
+			r.awaitControlStatus("a node list after the restart", func(s control.Status) bool { return s.Versions["nodes"] != "" })
+			r.awaitControlStatus("set 4 acknowledged as in force", func(s control.Status) bool { return s.Versions["limits"] != "" })
 			served("SELECT 1 /* class=report */")
 		})
 	}
--- a/server/flight_bench_test.go
+++ b/server/flight_bench_test.go
@@ -212,13 +212,14 @@
 	}
 	defer c.Stop()
 	r := newControlledRig(b, c, 2, "")
-	c.Set(listed(r), "")
-	r.until("the node list", func(s control.Status) bool { return s.Versions["nodes"] != "" })
+	c.SetEndpoints(listedNodes(r), "")
+	r.awaitControlStatus("the node list", func(s control.Status) bool { return s.Versions["nodes"] != "" })
 	number := uint64(0)
 	push := func() {
 		number++
-		c.Put(stream.SettingsName, settings(b, number, func(s *control.Set) { s.Limits.Attempts = int32(2 + number%2) })...)
-		r.until("a version in force", func(s control.Status) bool { return s.Number == number })
+		c.SetResources(stream.SettingsName, settingsResources(b, number,
+			func(s *control.Set) { s.Limits.Attempts = int32(2 + number%2) })...)
+		r.awaitControlStatus("a version in force", func(s control.Status) bool { return s.Number == number })
 	}
 	push()
 	load := func(versions int) (served, sent int, p99 time.Duration) {
--- a/server/insert_test.go
+++ b/server/insert_test.go
@@ -69,7 +69,7 @@
 				}
 			}
 			insertedRows, columnRequests := 0, 0
-			for _, s := range r.seen("INSERT INTO events (id, name) VALUES") {
+			for _, s := range r.attemptsOf("INSERT INTO events (id, name) VALUES") {
 				if insertedRows += s.Rows; !s.Ran {
 					columnRequests++
 				}
@@ -121,7 +121,7 @@
 	defer closeQuietly(db)
 	insertInTransaction(t, db)
 	insertedRows := 0
-	for _, s := range r.seen("INSERT INTO events (id, name) FORMAT Native") {
+	for _, s := range r.attemptsOf("INSERT INTO events (id, name) FORMAT Native") {
 		insertedRows += s.Rows
 	}
 	if insertedRows != 3*2500+100 {
@@ -214,7 +214,7 @@
 		Result: proto.Results{{Name: "node", Data: &node}, {Name: "row", Data: &row}}}); err != nil {
 		t.Fatal(err)
 	}
-	if got := r.seen(joined)[0].Tables; len(got) != 1 || got[0] != "wanted:30" {
+	if got := r.attemptsOf(joined)[0].Tables; len(got) != 1 || got[0] != "wanted:30" {
 		t.Errorf("the node received the external tables %q, want wanted:30", got)
 	}
 }
@@ -234,15 +234,15 @@
 		{"answer lost, with a token", simulated.Faults{LoseAnswers: true}, "t1", "", 2},
 		{"answer lost, without a token", simulated.Faults{LoseAnswers: true}, "", "ATTEMPT_FAILED", 1},
 		{"hangs before it receives a row", simulated.Faults{Hang: true}, "", "", 1},
-		{"rejected", simulated.Faults{Full: true}, "", "", 2},
+		{"rejected", simulated.Faults{RejectQueries: true}, "", "", 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRigWith(t, 2, func(rows string) string { return `{"list": [` + rows + `]}` },
 				`, "limits": {"attempts": 3}`)
-			tokens := simulated.NewTokens(time.Minute)
+			tokens := simulated.NewDedupTokens(time.Minute)
 			for _, n := range r.nodes {
-				n.Share(tokens)
+				n.ShareTokens(tokens)
 			}
 			client := r.native(t, "u")
 			defer closeQuietly(client)
@@ -310,10 +310,10 @@
 				return `{"list": [` + strings.Join(parts, "},") + `]}`
 			}, `, "halls": ["a", "b"], "limits": {"attempts": 3}`, fmt.Sprintf(`{"name": "load", "aim": "3s", "late_worth": 0.5,
 				"deadline": "4s", "updates": "keyed", "window": "1m", "group": %q},`, group))
-			sharedTokens := simulated.NewTokens(time.Minute)
+			sharedTokens := simulated.NewDedupTokens(time.Minute)
 			for _, n := range r.nodes {
-				if n.Share(sharedTokens); group == "hall" {
-					n.Share(simulated.NewTokens(time.Minute))
+				if n.ShareTokens(sharedTokens); group == "hall" {
+					n.ShareTokens(simulated.NewDedupTokens(time.Minute))
 				}
 				n.SetFaults(simulated.Faults{LoseAnswers: true})
 			}
@@ -325,7 +325,7 @@
 				_, err := r.client.ExecuteUpdate(ctx, statement)
 				done <- err
 			}()
-			first := r.seenBy(statement)
+			first := r.awaitNodeWith(statement)
 			for _, n := range r.nodes {
 				if n != first {
 					n.SetFaults(simulated.Faults{})
@@ -333,7 +333,7 @@
 			}
 			err := <-done
 			ran, deduplicated := 0, 0
-			for _, s := range r.seen(statement) {
+			for _, s := range r.attemptsOf(statement) {
 				if s.Ran {
 					ran++
 				}
@@ -485,7 +485,7 @@
 				t.Error("the next client: ", err)
 			}
 			ran := 0
-			for _, s := range r.seen(statement) {
+			for _, s := range r.attemptsOf(statement) {
 				if s.Ran {
 					ran++
 				}
--- a/server/learned_state_test.go
+++ b/server/learned_state_test.go
@@ -102,7 +102,7 @@
 				more = fmt.Sprintf(`, "log": {"learned": %q, "learned_every": "50ms"}`, filepath.Join(b.TempDir(), "learned"))
 			}
 			r := newRig(b, 3, more)
-			r.nodes[0].SetFaults(simulated.Faults{Slow: 4})
+			r.nodes[0].SetFaults(simulated.Faults{SlowFactor: 4})
 			load := func(length time.Duration) (inTime, all int) {
 				var mu sync.Mutex
 				var group sync.WaitGroup
--- a/server/many_dispatchers_test.go
+++ b/server/many_dispatchers_test.go
@@ -20,7 +20,7 @@
 	"embershunt/simulated"
 )
 
-var many = flag.Int("many", 8, "dispatchers in TestManyDispatchers; 140 is the documented size; above 100, "+
+var dispatcherCount = flag.Int("many", 8, "dispatchers in TestManyDispatchers; 140 is the documented size; above 100, "+
 	"TestIdleNativeConnections opens 10000 connections instead of 2000")
 
 // Many dispatchers share one control service, half of them with delta streams. After each version, with the service stopped and after
@@ -31,12 +31,12 @@
 		t.Fatal(err)
 	}
 	defer c.Stop()
-	node := simulated.NewNode("node-0", simulated.Model{}, 1)
+	node := simulated.NewNode("node-0", simulated.MachineModel{}, 1)
 	if err := node.Start("127.0.0.1:0", false); err != nil {
 		t.Fatal(err)
 	}
 	defer node.Crash()
-	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
+	c.SetEndpoints([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	all, ended := startDispatchers(ctx, t, c)
@@ -46,25 +46,27 @@
 			_ = awaitEnd(ended) // its context was cancelled
 		}
 	}()
-	awaitService(t, c, "a stream of each dispatcher", func() bool { return len(c.Streams()) == *many })
-	put := func(resources []*anypb.Any) func() { return func() { c.Put(stream.SettingsName, resources...) } }
-	all.pushAndAwait(t, "a valid version", 1, 5, 0, put(settings(t, 1, nil)))
+	awaitService(t, c, "a stream of each dispatcher", func() bool { return len(c.StreamStarts()) == *dispatcherCount })
+	put := func(resources []*anypb.Any) func() {
+		return func() { c.SetResources(stream.SettingsName, resources...) }
+	}
+	all.pushAndAwait(t, "a valid version", 1, 5, 0, put(settingsResources(t, 1, nil)))
 	all.pushAndAwait(t, "a malformed version", 1, 5, 1, put([]*anypb.Any{{TypeUrl: stream.TypeURL(control.Limits), Value: []byte{0xff}}}))
-	all.pushAndAwait(t, "a set number used twice", 1, 9, 2, put(settings(t, 1, func(s *control.Set) { s.Limits.Attempts = 2 })))
-	all.pushAndAwait(t, "a valid version after those", 2, 14, 2, put(settings(t, 2, nil)))
+	all.pushAndAwait(t, "a set number used twice", 1, 9, 2, put(settingsResources(t, 1, func(s *control.Set) { s.Limits.Attempts = 2 })))
+	all.pushAndAwait(t, "a valid version after those", 2, 14, 2, put(settingsResources(t, 2, nil)))
 	// Every dispatcher rejects a node list that would leave it without nodes, and keeps the one before.
-	c.Set(nil, "")
+	c.SetEndpoints(nil, "")
 	awaitService(t, c, "a rejection of the empty node list by each dispatcher", func() bool {
 		rejected := map[string]bool{}
 		for _, r := range c.Replies() {
-			if strings.Contains(r.Refused, "floor") {
+			if strings.Contains(r.ErrorMessage, "floor") {
 				rejected[r.Dispatcher] = true
 			}
 		}
-		return len(rejected) == *many
+		return len(rejected) == *dispatcherCount
 	})
-	c.Set([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
-	t.Logf("resources sent: %d bytes in total, %d bytes per dispatcher", c.Bytes(), c.Bytes() / *many)
+	c.SetEndpoints([]simulated.ListedNode{{Name: "node-0", Address: node.Address}}, "")
+	t.Logf("resources sent: %d bytes in total, %d bytes per dispatcher", c.BytesSent(), c.BytesSent() / *dispatcherCount)
 	c.Stop()
 	for _, d := range all.dispatchers {
 		if s, _ := d.ControlStatus(); s.Number != 2 {
@@ -72,13 +74,13 @@
 		}
 	}
 	<-time.After(1200 * time.Millisecond) // with reconnect_most 500ms, every backoff has reached its limit by then
-	begin, before := time.Now(), len(c.Streams())
+	begin, before := time.Now(), len(c.StreamStarts())
 	if err := c.Start(); err != nil {
 		t.Fatal(err)
 	}
 	all.pushAndAwait(t, "the service is back", 2, 19, 2, func() {})
 	var reconnects []time.Duration // after the service's return
-	for _, at := range c.Streams()[before:] {
+	for _, at := range c.StreamStarts()[before:] {
 		reconnects = append(reconnects, at.Sub(begin))
 	}
 	slices.Sort(reconnects)
@@ -102,14 +104,14 @@
 func startDispatchers(ctx context.Context, t *testing.T, c *simulated.Control) (*manyDispatchers, <-chan error) {
 	t.Helper()
 	all := &manyDispatchers{control: c}
-	ended := make(chan error, *many)
+	ended := make(chan error, *dispatcherCount)
 	dir := t.TempDir()
-	for i := range *many {
+	for i := range *dispatcherCount {
 		cfg, err := config.Parse("many", fmt.Appendf(nil, `{"name": "d%d", "any_user": true, "listen": {"flightsql": "127.0.0.1:0"},
 			"dispatchers": %d, "number": %d, "kinds": [{"name": "k", "cores": 8}],
 			"classes": [{"name": "lookup", "aim": "1s", "deadline": "2s"}],
-			"control": {"address": %q, "cluster": "nodes", "store": %q, "delta": %v, "reconnect_most": "500ms"}}`, i, *many, i, c.Address(),
-			filepath.Join(dir, fmt.Sprint(i)), i%2 == 1))
+			"control": {"address": %q, "cluster": "nodes", "store": %q, "delta": %v, "reconnect_most": "500ms"}}`, i, *dispatcherCount, i,
+			c.Address(), filepath.Join(dir, fmt.Sprint(i)), i%2 == 1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -127,7 +129,7 @@
 func (m *manyDispatchers) countReplies(nacks bool) map[string]int {
 	out := map[string]int{}
 	for _, r := range m.control.Replies() {
-		if (r.Refused != "") == nacks && r.Type != stream.TypeURL(control.Nodes) {
+		if (r.ErrorMessage != "") == nacks && r.Type != stream.TypeURL(control.Nodes) {
 			out[r.Dispatcher]++
 		}
 	}
--- a/server/native_bench_test.go
+++ b/server/native_bench_test.go
@@ -48,7 +48,7 @@
 func newNativePathClients(b *testing.B, compression ch.Compression) map[string][]*ch.Client {
 	r := newRig(b, 1, `, "name": "large"`)
 	out := map[string][]*ch.Client{}
-	for name, address := range map[string]string{"direct": r.nodes[0].Native, "proxy": byteRelay(b, r.nodes[0].Native),
+	for name, address := range map[string]string{"direct": r.nodes[0].NativeAddress, "proxy": byteRelay(b, r.nodes[0].NativeAddress),
 		"dispatcher": r.d.NativeAddress()} {
 		for range 8 {
 			c, err := ch.Dial(b.Context(), ch.Options{Address: address, User: "u", Compression: compression})
--- a/server/native_connections_test.go
+++ b/server/native_connections_test.go
@@ -140,13 +140,14 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			raw := startRawNode(t, native.NewestRevision, func(w io.Writer) { _, _ = w.Write(c.answer) }, c.keepOpen)
-			good := simulated.NewNode("good", simulated.Model{}, 1)
+			good := simulated.NewNode("good", simulated.MachineModel{}, 1)
 			if err := good.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(good.Crash)
 			r := newRigWith(t, 0, func(string) string {
-				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`, raw.address, good.Native)
+				return fmt.Sprintf(`{"list": [{"name": "raw", "native": %q}, {"name": "good", "native": %q}]}`,
+					raw.address, good.NativeAddress)
 			}, "")
 			for range 30 { // until the dispatcher has sent a query to the raw node
 				client := r.rawNative(t)
@@ -228,14 +229,14 @@
 		client, node int
 	}{{"an old client", native.OldestRevision, 0}, {"old nodes", 0, native.OldestRevision}, {"both old", 54453, 54450}} {
 		t.Run(c.name, func(t *testing.T) {
-			old := simulated.NewNode("old", simulated.Model{}, 1)
+			old := simulated.NewNode("old", simulated.MachineModel{}, 1)
 			old.Revision = c.node
 			if err := old.Start("127.0.0.1:0", false); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(old.Crash)
 			r := newRigWith(t, 0, func(string) string {
-				return fmt.Sprintf(`{"list": [{"name": "old", "native": %q}]}`, old.Native)
+				return fmt.Sprintf(`{"list": [{"name": "old", "native": %q}]}`, old.NativeAddress)
 			}, "")
 			var err error
 			for range 3 { // the first query may fail, as the node's revision is not known yet
@@ -290,7 +291,7 @@
 func TestIdleNativeConnections(t *testing.T) {
 	r := newRig(t, 1, "")
 	n := 2000
-	if *many > 100 {
+	if *dispatcherCount > 100 {
 		n = 10000
 	}
 	heap := func() int64 {
@@ -383,10 +384,10 @@
 		query()
 	}
 	setNodes := func(withDraining bool) {
-		rows := []nodelist.Node{{ID: "node-1", FlightSQLAddress: r.nodes[1].Address, NativeAddress: r.nodes[1].Native}}
+		rows := []nodelist.Node{{ID: "node-1", FlightSQLAddress: r.nodes[1].Address, NativeAddress: r.nodes[1].NativeAddress}}
 		if withDraining {
 			rows = append(rows, nodelist.Node{ID: "node-0", FlightSQLAddress: r.nodes[0].Address,
-				NativeAddress: r.nodes[0].Native, State: policy.Draining})
+				NativeAddress: r.nodes[0].NativeAddress, State: policy.Draining})
 		}
 		if err := r.d.Fleet().SetNodes(rows); err != nil {
 			t.Fatal(err)
--- a/server/native_test.go
+++ b/server/native_test.go
@@ -80,12 +80,12 @@
 		deadline string // max_execution_time, in seconds
 		want     string // part of the error; "": the query succeeds
 	}{
-		{"one rejects all queries", simulated.Faults{Full: true}, false, "4", ""},
-		{"one fails fast", simulated.Faults{Fail: 1}, false, "4", ""},
-		{"all break off within a block", simulated.Faults{CutRow: 100}, true, "4", "failed (ANSWER_BROKEN"},
-		{"all stall during the answer", simulated.Faults{StallRow: 100}, true, "0.8", "failed (DEADLINE"},
+		{"one rejects all queries", simulated.Faults{RejectQueries: true}, false, "4", ""},
+		{"one fails fast", simulated.Faults{FailShare: 1}, false, "4", ""},
+		{"all break off within a block", simulated.Faults{CutAfterRows: 100}, true, "4", "failed (ANSWER_BROKEN"},
+		{"all stall during the answer", simulated.Faults{StallAfterRows: 100}, true, "0.8", "failed (DEADLINE"},
 		{"all hang", simulated.Faults{Hang: true}, true, "0.8", "failed (ATTEMPT_FAILED"},
-		{"all reject", simulated.Faults{Full: true}, true, "0.8", "refused (OVERLOADED"},
+		{"all reject", simulated.Faults{RejectQueries: true}, true, "0.8", "refused (OVERLOADED"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/server/node_faults_test.go
+++ b/server/node_faults_test.go
@@ -15,8 +15,8 @@
 	"embershunt/simulated"
 )
 
-// seen returns the records of all attempts that the nodes received for a statement.
-func (r *rig) seen(statement string) (out []simulated.AttemptRecord) {
+// attemptsOf returns the records of all attempts that the nodes received for a statement.
+func (r *rig) attemptsOf(statement string) (out []simulated.AttemptRecord) {
 	for _, n := range r.nodes {
 		for _, a := range n.Attempts() {
 			if a.Statement == statement {
@@ -52,19 +52,19 @@
 			[]string{"failed ATTEMPT_FAILED", "refused OVERLOADED"}, 900 * time.Millisecond, 0},
 		{"one node hangs before its first frame", first(simulated.Faults{Hang: true}), read, 4 * time.Second,
 			[]string{"served"}, 4 * time.Second, 1},
-		{"all nodes stall after the first frame", all(simulated.Faults{StallRow: 100}), read, time.Second,
+		{"all nodes stall after the first frame", all(simulated.Faults{StallAfterRows: 100}), read, time.Second,
 			[]string{"failed DEADLINE"}, time.Second, 1},
-		{"all nodes break off the stream", all(simulated.Faults{CutRow: 100}), read, 4 * time.Second,
+		{"all nodes break off the stream", all(simulated.Faults{CutAfterRows: 100}), read, 4 * time.Second,
 			[]string{"failed ANSWER_BROKEN"}, 2 * time.Second, 1},
-		{"one node fails at once", first(simulated.Faults{Fail: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
-		{"one node rejects all queries", first(simulated.Faults{Full: true}), write, 4 * time.Second, []string{"served"},
+		{"one node fails at once", first(simulated.Faults{FailShare: 1}), read, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
+		{"one node rejects all queries", first(simulated.Faults{RejectQueries: true}), write, 4 * time.Second, []string{"served"},
 			4 * time.Second, 1},
 		{"one node has crashed", func(r *rig) { r.nodes[0].Crash() }, write, 4 * time.Second, []string{"served"}, 4 * time.Second, 1},
 		{"the answer to an update is lost", all(simulated.Faults{LoseAnswers: true}), write, 900 * time.Millisecond,
 			[]string{"failed ATTEMPT_FAILED"}, 900 * time.Millisecond, 1},
-		{"an update fails", all(simulated.Faults{Fail: 1}), write, 4 * time.Second,
+		{"an update fails", all(simulated.Faults{FailShare: 1}), write, 4 * time.Second,
 			[]string{"failed ATTEMPT_FAILED"}, time.Second, 0},
-		{"all nodes reject all queries", all(simulated.Faults{Full: true}), write, 900 * time.Millisecond,
+		{"all nodes reject all queries", all(simulated.Faults{RejectQueries: true}), write, 900 * time.Millisecond,
 			[]string{"refused OVERLOADED"}, 900 * time.Millisecond, 0},
 		{"a statement that is in error", nil, "SELECT /* fail=no_such_table */ 1", 4 * time.Second,
 			[]string{"failed STATEMENT"}, time.Second, 0},
@@ -103,7 +103,7 @@
 				}
 			}
 			runs := 0
-			for _, a := range r.seen(c.statement) {
+			for _, a := range r.attemptsOf(c.statement) {
 				if a.Ran {
 					runs++
 				}
@@ -183,7 +183,7 @@
 		longestStall := watchStalls(t)
 		r := newRigWith(t, 2, func(string) string { return `{"eds": {"address": "` + c.Address() + `", "cluster": "nodes"}}` }, "")
 		rows := []simulated.ListedNode{{Name: "node-0", Address: r.nodes[0].Address}}
-		c.Set(rows, "")
+		c.SetEndpoints(rows, "")
 		served := func(what string) {
 			t.Helper()
 			for {
@@ -203,7 +203,7 @@
 			}
 		}
 		served("with the first list")
-		c.Set(rows, "malformed")
+		c.SetEndpoints(rows, "malformed")
 		for len(c.Nacks()) == 0 { // until the dispatcher has rejected the list
 			served("after a malformed list was sent")
 		}
@@ -212,7 +212,7 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		c.Set([]simulated.ListedNode{{Name: "node-1", Address: r.nodes[1].Address}}, "")
+		c.SetEndpoints([]simulated.ListedNode{{Name: "node-1", Address: r.nodes[1].Address}}, "")
 		for begin := time.Now(); len(r.nodes[1].Attempts()) == 0; {
 			served("until the new list is in force")
 			if time.Since(begin) > 10*time.Second {
@@ -321,11 +321,11 @@
 				}
 				done <- outcomeOf(err)
 			}()
-			r.seenBy(c.statement).Crash()
+			r.awaitNodeWith(c.statement).Crash()
 			if got := <-done; got != c.want {
 				t.Errorf("outcome %q, want %q", got, c.want)
 			}
-			if n := len(r.seen(c.statement)); (n > 1) != (c.want == "served") {
+			if n := len(r.attemptsOf(c.statement)); (n > 1) != (c.want == "served") {
 				t.Errorf("nodes received %d attempts; only the read should be retried", n)
 			}
 		})
--- a/server/platform_test.go
+++ b/server/platform_test.go
@@ -351,7 +351,7 @@
 	p := newPlatformRig(t, row)
 	heap := func() uint64 {
 		var m runtime.MemStats
-		node.Forget() // the node's records are not the dispatcher's memory
+		node.ClearCommands() // the node's records are not the dispatcher's memory
 		runtime.GC()
 		runtime.GC()
 		runtime.ReadMemStats(&m)
--- a/server/recording_test.go
+++ b/server/recording_test.go
@@ -16,7 +16,7 @@
 func TestDecisionsAreRecordedAndReplayed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "decisions")
 	r := newRig(t, 3, fmt.Sprintf(`, "log": {"decisions": %q}`, file))
-	r.nodes[0].SetFaults(simulated.Faults{Fail: 0.5})
+	r.nodes[0].SetFaults(simulated.Faults{FailShare: 0.5})
 	var group sync.WaitGroup
 	for range 20 {
 		group.Add(1)
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -45,36 +45,36 @@
   "nodes": %s %s
 }`
 
-// newRig starts nodes, a dispatcher that lists them, and a client. more is appended to the configuration.
-func newRig(t testing.TB, nodes int, more string) *rig {
+// newRig starts nodes, a dispatcher that lists them, and a client. extraConfig is appended to the configuration.
+func newRig(t testing.TB, nodes int, extraConfig string) *rig {
 	t.Helper()
-	return newRigWith(t, nodes, func(rows string) string { return `{"list": [` + rows + `]}` }, more)
+	return newRigWith(t, nodes, func(rows string) string { return `{"list": [` + rows + `]}` }, extraConfig)
 }
 
-// newRigWith is newRig with a node list setting of the caller: source returns it, given the rows of all nodes as JSON. classes are put
-// in front of the classes of rigConfig. Nodes have 64 cores if more contains "large" as a JSON string, else 8.
-func newRigWith(t testing.TB, nodes int, source func(rows string) string, more string, classes ...string) *rig {
+// newRigWith is newRig with a node list setting of the caller: source returns it, given the rows of all nodes as JSON. classes are put in
+// front of the classes of rigConfig. Nodes have 64 cores if extraConfig contains "large" as a JSON string, else 8.
+func newRigWith(t testing.TB, nodes int, source func(rows string) string, extraConfig string, classes ...string) *rig {
 	t.Helper()
 	r := &rig{t: t, ended: make(chan error, 1)}
 	cores := 8
-	if strings.Contains(more, `"large"`) {
+	if strings.Contains(extraConfig, `"large"`) {
 		cores = 64
 	}
 	var rows []string
 	for i := range nodes {
-		n := simulated.NewNode(fmt.Sprintf("node-%d", i), simulated.Model{Cores: cores}, uint64(i))
+		n := simulated.NewNode(fmt.Sprintf("node-%d", i), simulated.MachineModel{Cores: cores}, uint64(i))
 		if err := n.Start("127.0.0.1:0", false); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Crash)
 		r.nodes = append(r.nodes, n)
-		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.Native))
+		rows = append(rows, fmt.Sprintf(`{"name": %q, "address": %q, "native": %q}`, n.Name, n.Address, n.NativeAddress))
 	}
-	more += fmt.Sprintf(`, "kinds": [{"name": "standin", "cores": %d, "memory_mb": 16384}]`, cores)
-	if !strings.Contains(more, `"users"`) {
-		more += `, "any_user": true`
+	extraConfig += fmt.Sprintf(`, "kinds": [{"name": "standin", "cores": %d, "memory_mb": 16384}]`, cores)
+	if !strings.Contains(extraConfig, `"users"`) {
+		extraConfig += `, "any_user": true`
 	}
-	cfg, err := config.Parse("rig", fmt.Appendf(nil, rigConfig, strings.Join(classes, ""), source(strings.Join(rows, ",")), more))
+	cfg, err := config.Parse("rig", fmt.Appendf(nil, rigConfig, strings.Join(classes, ""), source(strings.Join(rows, ",")), extraConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,8 +164,8 @@
 	return rows, reader.Err()
 }
 
-// outcomeOf describes the outcome of a query: "served", or else "FINAL REASON" from the error's ErrorInfo, its gRPC code if it has no
-// ErrorInfo, or its text if it is no gRPC error.
+// outcomeOf describes the outcome of a query: "served", or else the value of "final" and the reason of the error's ErrorInfo, joined by a
+// space. It returns the gRPC code of an error without an ErrorInfo, and the text of an error that is not a gRPC error.
 func outcomeOf(err error) string {
 	if err == nil {
 		return "served"
--- a/server/temporary_table_test.go
+++ b/server/temporary_table_test.go
@@ -27,8 +27,8 @@
 	ctx, cancel := context.WithTimeout(r.t.Context(), 10*time.Second)
 	defer cancel()
 	for _, n := range r.nodes {
-		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Temporary() == 0 }) != nil {
-			r.t.Errorf("%s still has %d temporary tables", n.Name, n.Temporary())
+		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.TemporaryTables() == 0 }) != nil {
+			r.t.Errorf("%s still has %d temporary tables", n.Name, n.TemporaryTables())
 		}
 	}
 }
@@ -106,7 +106,7 @@
 		{"the node drains", `, "limits": {"drain_grace": "150ms"}`, func(r *rig, node int) {
 			var rows []nodelist.Node
 			for i, n := range r.nodes {
-				row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.Native}
+				row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.NativeAddress}
 				if i == node {
 					row.State = policy.Draining
 				}
@@ -134,7 +134,7 @@
 			}
 			node := 0
 			for i, n := range r.nodes {
-				if n.Temporary() > 0 {
+				if n.TemporaryTables() > 0 {
 					node = i
 				}
 			}
@@ -146,7 +146,7 @@
 				t.Errorf("the next statement: %v", e)
 			}
 			for _, n := range r.nodes {
-				if m := n.Tally().Misplaced; len(m) > 0 {
+				if m := n.SessionRecord().Misplaced; len(m) > 0 {
 					t.Errorf("statements ran on a node that does not hold the tables: %q", m)
 				}
 			}
--- a/server/transaction_test.go
+++ b/server/transaction_test.go
@@ -65,7 +65,7 @@
 		if n.Await(ctx, func([]simulated.AttemptRecord) bool { return n.Transactions() == 0 }) != nil {
 			r.t.Errorf("%s still has %d open transactions", n.Name, n.Transactions())
 		}
-		for session, commits := range n.Tally().Commits {
+		for session, commits := range n.SessionRecord().CommitsBySession {
 			if commits > 1 {
 				r.t.Errorf("session %s was committed %d times", session, commits)
 			}
@@ -84,7 +84,7 @@
 // committedStatements returns the committed statements of all nodes.
 func (r *rig) committedStatements() (all []string) {
 	for _, n := range r.nodes {
-		all = append(all, n.Tally().Committed...)
+		all = append(all, n.SessionRecord().Committed...)
 	}
 	return all
 }
@@ -294,7 +294,7 @@
 // misplacedStatements returns the statements that reached a node without their session's state.
 func (r *rig) misplacedStatements() (all []string) {
 	for _, n := range r.nodes {
-		all = append(all, n.Tally().Misplaced...)
+		all = append(all, n.SessionRecord().Misplaced...)
 	}
 	return all
 }
@@ -313,7 +313,7 @@
 		_, err := tx.ExecuteUpdate(t.Context(), slowInsert)
 		done <- err
 	}()
-	r.seenBy(slowInsert)
+	r.awaitNodeWith(slowInsert)
 	_, err = tx.ExecuteUpdate(t.Context(), "INSERT INTO t VALUES (2)")
 	if reason, _ := sessionFailure(err); reason != "SESSION_BUSY" {
 		t.Errorf("the concurrent call: %v", err)
@@ -415,7 +415,7 @@
 	r.t.Helper()
 	var rows []nodelist.Node
 	for i, n := range r.nodes {
-		row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.Native}
+		row := nodelist.Node{ID: n.Name, FlightSQLAddress: n.Address, NativeAddress: n.NativeAddress}
 		if change(i, &row) {
 			rows = append(rows, row)
 		}
@@ -530,15 +530,15 @@
 	}
 	defer c.Stop()
 	r := newControlledRig(t, c, 2, "")
-	c.Set(listed(r), "")
+	c.SetEndpoints(listedNodes(r), "")
 	applySettings := func(n uint64, withAudit bool) {
 		t.Helper()
-		c.Put(stream.SettingsName, settings(t, n, func(s *control.Set) {
+		c.SetResources(stream.SettingsName, settingsResources(t, n, func(s *control.Set) {
 			if withAudit {
 				s.Classes.Classes = append(s.Classes.Classes, &configv1.Class{Name: "audit", AimUs: 8e6, DeadlineUs: 9e6})
 			}
 		})...)
-		r.until("the settings in effect", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
+		r.awaitControlStatus("the settings in effect", func(s control.Status) bool { return s.Number == n && s.Versions["nodes"] != "" })
 	}
 	applySettings(1, true)
 	ctx := metadata.AppendToOutgoingContext(t.Context(), "embershunt-class", "audit")
--- a/simulated/assignment.go
+++ b/simulated/assignment.go
@@ -13,7 +13,7 @@
 // ListedNode is one node of the control service's endpoint list.
 type ListedNode struct {
 	Name, Address, Zone, Kind string // Address is host:port of Flight SQL
-	Native                    string // host:port of the native protocol; "": none
+	NativeAddress             string // host:port of the native protocol; "": none
 	Draining                  bool
 	Started                   time.Time // zero: not listed
 }
@@ -39,8 +39,8 @@
 		state = corev3.HealthStatus_DRAINING
 	}
 	fields := map[string]*structpb.Value{"name": structpb.NewStringValue(n.Name), "kind": structpb.NewStringValue(n.Kind)}
-	if n.Native != "" {
-		fields["native"] = structpb.NewStringValue(n.Native)
+	if n.NativeAddress != "" {
+		fields["native"] = structpb.NewStringValue(n.NativeAddress)
 	}
 	if !n.Started.IsZero() {
 		fields["started"] = structpb.NewNumberValue(float64(n.Started.UnixMicro()) / 1e6)
--- a/simulated/control.go
+++ b/simulated/control.go
@@ -29,10 +29,10 @@
 	replies           []Reply
 	pushed            []Push
 	streamStarts      []time.Time             // when each stream had its first request
-	sets              map[uint64][]*anypb.Any // by number, for Stage
+	sets              map[uint64][]*anypb.Any // by number, for SetRollout
 	sentBytes         int                     // size of all resources sent
 	chooseSet         func(dispatcher string) uint64
-	onReply           func(dispatcher string, number uint64, refused string)
+	onReply           func(dispatcher string, number uint64, errorMessage string)
 }
 
 // resource is one resource and the version it was set with.
@@ -48,10 +48,10 @@
 		resources: map[string]resource{}}
 }
 
-// At sets the address that the next Start listens on, as host:port.
-func (c *Control) At(address string) { c.address = address }
+// SetAddress sets the address that the next Start listens on, as host:port.
+func (c *Control) SetAddress(address string) { c.address = address }
 
-// Start listens on the address of At or of the previous Start; without either, on any free port on loopback.
+// Start listens on the address of SetAddress or of the previous Start; without either, on any free port on loopback.
 func (c *Control) Start() error {
 	address := c.address
 	if address == "" {
@@ -89,9 +89,9 @@
 	}
 }
 
-// Set replaces the endpoint list and pushes it. fault is "", or "empty" or "malformed" to push such a list in place of nodes, which
-// dispatchers are expected to refuse.
-func (c *Control) Set(nodes []ListedNode, fault string) {
+// SetEndpoints replaces the endpoint list and pushes it. fault is "", or "empty" or "malformed" to push such a list in place of
+// nodes, which dispatchers are expected to reject.
+func (c *Control) SetEndpoints(nodes []ListedNode, fault string) {
 	if fault != "" {
 		nodes = nil
 	}
@@ -102,11 +102,11 @@
 	c.mu.Lock()
 	c.nodes = nodes
 	c.mu.Unlock()
-	c.Put(c.cluster, list)
+	c.SetResources(c.cluster, list)
 }
 
-// Put replaces the resource of each given resource's type and pushes it under name. All get one new version.
-func (c *Control) Put(name string, resources ...*anypb.Any) {
+// SetResources replaces the resource of each given resource's type and pushes it under name. All get one new version.
+func (c *Control) SetResources(name string, resources ...*anypb.Any) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
@@ -122,24 +122,25 @@
 	c.resourcesChanged = make(chan struct{})
 }
 
-// Stage offers each dispatcher a set of resources of its own, besides those of Put. chooseSet returns the number of the set to offer.
-// onReply is called for each reply to a response other than an endpoint list, with the response's nonce, which is the number of its
-// set, and the error message of a NACK, "" for an ACK. Both are called with the service's lock held.
-func (c *Control) Stage(chooseSet func(dispatcher string) uint64, onReply func(dispatcher string, number uint64, refused string)) {
+// SetRollout offers each dispatcher a set of resources of its own, besides those of SetResources. chooseSet returns the number of
+// the set to offer. onReply is called for each reply to a response other than an endpoint list, with the response's nonce, which is
+// the number of its set, and the error message of a NACK, "" for an ACK. Both are called with the service's lock held.
+func (c *Control) SetRollout(chooseSet func(dispatcher string) uint64,
+	onReply func(dispatcher string, number uint64, errorMessage string)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.chooseSet, c.onReply, c.sets = chooseSet, onReply, map[uint64][]*anypb.Any{}
 }
 
-// Locked calls change with the service's lock held, and pushes the changed resources.
-func (c *Control) Locked(change func()) {
+// Update calls change with the service's lock held, and pushes the changed resources.
+func (c *Control) Update(change func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	change()
 	c.push()
 }
 
-// AddSet adds a set of resources for Stage. Call it within Locked.
+// AddSet adds a set of resources for SetRollout. Call it within Update.
 func (c *Control) AddSet(number uint64, resources []*anypb.Any) { c.sets[number] = resources }
 
 // resourcesFor returns the resources to offer to a dispatcher, by type URL. The caller holds c.mu.
--- a/simulated/controlrecord.go
+++ b/simulated/controlrecord.go
@@ -21,7 +21,7 @@
 	Dispatcher     string
 	Type           string // type URL of the response
 	Version, Nonce string
-	Refused        string // the error message of a NACK; "" for an ACK
+	ErrorMessage   string // the error message of a NACK; "" for an ACK
 }
 
 // maxReplies is how many earlier replies are kept when a reply is recorded.
@@ -44,22 +44,22 @@
 // Nacks returns the error messages of the NACKs among Replies.
 func (c *Control) Nacks() (out []string) {
 	for _, r := range c.Replies() {
-		if r.Refused != "" {
-			out = append(out, r.Refused)
+		if r.ErrorMessage != "" {
+			out = append(out, r.ErrorMessage)
 		}
 	}
 	return out
 }
 
-// Streams returns when each stream had its first request, in order.
-func (c *Control) Streams() []time.Time {
+// StreamStarts returns when each stream had its first request, in order.
+func (c *Control) StreamStarts() []time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]time.Time(nil), c.streamStarts...)
 }
 
-// Bytes returns the encoded size of all resources sent, in bytes.
-func (c *Control) Bytes() int {
+// BytesSent returns the encoded size of all resources sent, in bytes.
+func (c *Control) BytesSent() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentBytes
--- a/simulated/controlstream.go
+++ b/simulated/controlstream.go
@@ -84,7 +84,7 @@
 		s.sentVersions[url] = r.version
 		c.sentBytes += proto.Size(r.content)
 		out = append(out, r)
-		if value := r.content.GetValue(); url == edsType && value != nil && value[0] != 0xff { // Set's malformed list begins with 0xff
+		if value := r.content.GetValue(); url == edsType && value != nil && value[0] != 0xff { // a malformed list begins with 0xff
 			c.recordPush(s.dispatcher, r.version)
 		}
 	}
--- a/simulated/faults.go
+++ b/simulated/faults.go
@@ -12,16 +12,16 @@
 
 // Faults are the faults that a node simulates. The zero value has none.
 type Faults struct {
-	Hang          bool          // queries and transaction actions are accepted and never answered
-	LoseAnswers   bool          // queries run, but their answers are never sent; health checks succeed
-	StallRow      int           // answers stall for ever after this many rows; 0: no stall
-	CutRow        int           // answers are cut off after this many rows; 0: no cut
-	Fail          float64       // share of queries, from 0 to 1, that fail immediately
-	Slow          float64       // the cores' speed is divided by this; at most 1: no effect
-	PauseFor      time.Duration // the machine pauses for this long ...
-	PauseInterval time.Duration // ... this long after the end of each pause
-	Full          bool          // queries are rejected before they run, as by a node that has too many
-	Broken        bool          // answers end with an exception after their first block of rows (native protocol only)
+	Hang           bool          // queries and transaction actions are accepted and never answered
+	LoseAnswers    bool          // queries run, but their answers are never sent; health checks succeed
+	StallAfterRows int           // answers stall for ever after this many rows; 0: no stall
+	CutAfterRows   int           // answers are cut off after this many rows; 0: no cut
+	FailShare      float64       // share of queries, from 0 to 1, that fail immediately
+	SlowFactor     float64       // the cores' speed is divided by this; at most 1: no effect
+	PauseFor       time.Duration // the machine pauses for this long ...
+	PauseInterval  time.Duration // ... this long after the end of each pause
+	RejectQueries  bool          // queries are rejected before they run, as by a node that has too many
+	FailMidAnswer  bool          // answers end with an exception after their first block of rows (native protocol only)
 }
 
 // SetFaults replaces the node's faults. They also apply to running queries.
@@ -42,13 +42,13 @@
 	return n.currentFaults
 }
 
-// applyFaults sets the machine's speed by the Slow fault, and ends a pause.
+// applyFaults sets the machine's speed by the SlowFactor fault, and ends a pause.
 func (n *Node) applyFaults(p *process) {
 	f := n.faults()
 	p.machine.update(func() {
 		p.machine.speed = 1
-		if f.Slow > 1 {
-			p.machine.speed = 1 / f.Slow
+		if f.SlowFactor > 1 {
+			p.machine.speed = 1 / f.SlowFactor
 		}
 		p.machine.paused = false
 	})
@@ -75,7 +75,7 @@
 	}
 }
 
-// failByFault applies the Hang and Fail faults to a transaction action, before the action has an effect.
+// failByFault applies the Hang and FailShare faults to a transaction action, before the action has an effect.
 func (n *Node) failByFault(ctx context.Context) error {
 	f := n.faults()
 	n.mu.Lock()
@@ -85,7 +85,7 @@
 	case f.Hang:
 		<-ctx.Done()
 		return ctx.Err()
-	case draw < f.Fail:
+	case draw < f.FailShare:
 		return status.Error(codes.Internal, "failed at once")
 	}
 	return nil
--- a/simulated/flightresult.go
+++ b/simulated/flightresult.go
@@ -33,19 +33,19 @@
 	batchBytes = 256 << 10
 )
 
-// streamRows sends the batches of a result to out, applies the StallRow and CutRow faults between them, and closes out.
+// streamRows sends the batches of a result to out, applies the StallAfterRows and CutAfterRows faults between them, and closes out.
 func (s *flightServer) streamRows(ctx context.Context, h hints, attempt *AttemptRecord, out chan<- flight.StreamChunk) {
 	defer close(out)
 	for sent := 0; sent < h.rows; {
 		f := s.node.faults()
-		if f.StallRow > 0 && sent >= f.StallRow {
+		if f.StallAfterRows > 0 && sent >= f.StallAfterRows {
 			select {
 			case <-ctx.Done():
 			case <-s.ctx.Done():
 			}
 			return
 		}
-		if f.CutRow > 0 && sent >= f.CutRow {
+		if f.CutAfterRows > 0 && sent >= f.CutAfterRows {
 			select {
 			case out <- flight.StreamChunk{Err: status.Error(codes.Unavailable, "cut off")}:
 			case <-ctx.Done():
@@ -63,14 +63,14 @@
 	}
 }
 
-// flightBatchRows returns the number of rows of the next batch, which ends at the row of a StallRow or CutRow fault.
+// flightBatchRows returns the number of rows of the next batch, which ends at the row of a StallAfterRows or CutAfterRows fault.
 func flightBatchRows(h hints, f Faults, sent int) int {
 	n := batchRows
 	if h.rowBytes > 0 {
 		n = max(1, min(n, batchBytes/h.rowBytes))
 	}
 	n = min(n, h.rows-sent)
-	for _, stop := range []int{f.StallRow, f.CutRow} {
+	for _, stop := range []int{f.StallAfterRows, f.CutAfterRows} {
 		if stop > sent {
 			n = min(n, stop-sent)
 		}
--- a/simulated/machine.go
+++ b/simulated/machine.go
@@ -7,28 +7,30 @@
 	"time"
 )
 
-// Model holds the parameters of the cost model of a node's machine. A field that is zero has its default.
-type Model struct {
-	Cores    int           // default 8
-	MemoryMB float64       // default 16384
-	ColdFor  time.Duration // how long a cold machine takes to warm up; default 5 s
-	ColdFrom float64       // share of its capacity that a cold machine starts with; default 0.34
-	Knee     float64       // threads per core above which the total throughput falls; default 2
-	Spill    float64       // a query's work is multiplied by 1 + Spill × the share of the memory it needs but is not granted; default 2
+// MachineModel holds the parameters of the cost model of a node's machine. A field that is zero has its default.
+type MachineModel struct {
+	Cores                  int           // default 8
+	MemoryMB               float64       // default 16384
+	WarmUpTime             time.Duration // how long a cold machine takes to warm up; default 5 s
+	ColdCapacity           float64       // share of its capacity that a cold machine starts with; default 0.34
+	OverloadThreadsPerCore float64       // threads per core above which the total throughput falls; default 2
+	// SpillFactor makes queries slower that need more memory than they are granted: their work is multiplied by 1 + SpillFactor ×
+	// the share of the needed memory that is not granted; default 2.
+	SpillFactor float64
 }
 
 // defaults sets each field that is zero to its default.
-func (m *Model) defaults() {
+func (m *MachineModel) defaults() {
 	if m.Cores == 0 {
 		m.Cores = 8
 	}
-	for p, v := range map[*float64]float64{&m.MemoryMB: 16384, &m.ColdFrom: 0.34, &m.Knee: 2, &m.Spill: 2} {
+	for p, v := range map[*float64]float64{&m.MemoryMB: 16384, &m.ColdCapacity: 0.34, &m.OverloadThreadsPerCore: 2, &m.SpillFactor: 2} {
 		if *p == 0 {
 			*p = v
 		}
 	}
-	if m.ColdFor == 0 {
-		m.ColdFor = 5 * time.Second
+	if m.WarmUpTime == 0 {
+		m.WarmUpTime = 5 * time.Second
 	}
 }
 
@@ -46,7 +48,7 @@
 
 // machine models a machine that shares its cores between jobs. Per thread, the priorities 0 to 3 have the weights 1 : 4 : 8 : 16.
 type machine struct {
-	model Model
+	model MachineModel
 
 	mu         sync.Mutex
 	jobs       []*job
@@ -59,7 +61,7 @@
 }
 
 // newMachine returns an idle machine. A cold machine warms up from now on.
-func newMachine(m Model, cold bool) *machine {
+func newMachine(m MachineModel, cold bool) *machine {
 	m.defaults()
 	now := time.Now()
 	return &machine{model: m, advancedTo: now, started: now, cold: cold, speed: 1}
@@ -71,14 +73,14 @@
 		return 0
 	}
 	c := float64(m.model.Cores) * m.speed
-	if age := now.Sub(m.started); m.cold && age < m.model.ColdFor {
-		c *= m.model.ColdFrom + (1-m.model.ColdFrom)*float64(age)/float64(m.model.ColdFor)
+	if age := now.Sub(m.started); m.cold && age < m.model.WarmUpTime {
+		c *= m.model.ColdCapacity + (1-m.model.ColdCapacity)*float64(age)/float64(m.model.WarmUpTime)
 	}
 	threads := 0.0
 	for _, j := range m.jobs {
 		threads += j.threads
 	}
-	if overload := threads / float64(m.model.Cores) / m.model.Knee; overload > 1 {
+	if overload := threads / float64(m.model.Cores) / m.model.OverloadThreadsPerCore; overload > 1 {
 		c /= math.Sqrt(overload)
 	}
 	return c
@@ -169,7 +171,7 @@
 		}
 		j.granted = max(0, min(grant, free))
 		if need > j.granted {
-			j.remaining *= 1 + m.model.Spill*(1-j.granted/need)
+			j.remaining *= 1 + m.model.SpillFactor*(1-j.granted/need)
 		}
 		j.totalWork = j.remaining
 		m.jobs = append(m.jobs, j)
--- a/simulated/nameservice.go
+++ b/simulated/nameservice.go
@@ -23,7 +23,7 @@
 	corrupt func(question, answer []byte) []byte // applied to each answer; nil: answers are sent as they are
 	delay   time.Duration                        // how much later each answer is sent
 	queries int
-	clients map[netip.AddrPort]bool // clients that have sent a query since the last Mute
+	clients map[netip.AddrPort]bool // clients that have sent a query since the last MuteClients
 	muted   map[netip.AddrPort]bool // clients that get no answer
 }
 
@@ -63,8 +63,8 @@
 	s.delay = d
 }
 
-// Mute stops answers to the clients that have sent a query since the last call. The clients of the last call get answers again.
-func (s *NameService) Mute() {
+// MuteClients stops answers to the clients that have sent a query since the last call. The clients of the last call get answers again.
+func (s *NameService) MuteClients() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.muted, s.clients = s.clients, map[netip.AddrPort]bool{}
--- a/simulated/nativeresult.go
+++ b/simulated/nativeresult.go
@@ -80,8 +80,8 @@
 	s.write((&native.Exception{Code: code, Name: "DB::Exception", Message: "DB::Exception: " + message}).Encode())
 }
 
-// writeResult writes a query's rows and applies the StallRow, CutRow and Broken faults between blocks. It returns false if the
-// connection must be closed.
+// writeResult writes a query's rows and applies the StallAfterRows, CutAfterRows and FailMidAnswer faults between blocks. It
+// returns false if the connection must be closed.
 func (s *nativeServer) writeResult(ctx context.Context, h hints, attempt *AttemptRecord) bool {
 	if s.writeRows(0, 0, h) != nil {
 		return false
@@ -89,15 +89,15 @@
 	for sent := 0; sent < h.rows; {
 		f := s.node.faults()
 		switch {
-		case f.StallRow > 0 && sent >= f.StallRow:
+		case f.StallAfterRows > 0 && sent >= f.StallAfterRows:
 			s.flush() // the connection is closed anyway
 			<-ctx.Done()
 			return false
-		case f.CutRow > 0 && sent >= f.CutRow: // in the middle of a block
+		case f.CutAfterRows > 0 && sent >= f.CutAfterRows: // in the middle of a block
 			s.write([]byte{native.ServerData, 0, 1})
 			s.flush() // the connection is closed anyway
 			return false
-		case f.Broken && sent > 0:
+		case f.FailMidAnswer && sent > 0:
 			s.writeException(codeMemoryLimit, "memory limit")
 			return true
 		}
@@ -112,13 +112,13 @@
 	return true
 }
 
-// nativeBlockRows returns the number of rows of the next block, which ends at the row of a StallRow or CutRow fault.
+// nativeBlockRows returns the number of rows of the next block, which ends at the row of a StallAfterRows or CutAfterRows fault.
 func nativeBlockRows(h hints, f Faults, sent int) int {
 	n := min(batchRows, h.rows-sent)
 	if h.rowBytes > 0 {
 		n = max(1, min(n, batchBytes/h.rowBytes))
 	}
-	if stop := f.StallRow + f.CutRow; stop > sent {
+	if stop := f.StallAfterRows + f.CutAfterRows; stop > sent {
 		n = min(n, stop-sent)
 	}
 	return n
--- a/simulated/node.go
+++ b/simulated/node.go
@@ -11,13 +11,13 @@
 
 // Node is a simulated query node that serves Flight SQL and the ClickHouse native protocol.
 type Node struct {
-	Name    string
-	Address string // host:port of Flight SQL, set by Start
-	Native  string // host:port of the native protocol, set by Start; if set before, Start listens there
+	Name          string
+	Address       string // host:port of Flight SQL, set by Start
+	NativeAddress string // host:port of the native protocol, set by Start; if set before, Start listens there
 	// Revision is the newest revision of the native protocol that the node speaks; 0: native.NewestRevision.
 	Revision int
 
-	model Model
+	model MachineModel
 
 	mu              sync.Mutex // guards the fields below
 	rng             *rand.Rand
@@ -25,17 +25,17 @@
 	currentFaults   Faults
 	attempts        []*AttemptRecord
 	changed         chan struct{} // closed and replaced at each call of change
-	tokens          *Tokens       // deduplication tokens of updates; nil: updates are not deduplicated
+	tokens          *DedupTokens  // deduplication tokens of updates; nil: updates are not deduplicated
 	nativeConns     int           // open connections of the native protocol
 	sessions        sessionState  // lost with the process
 	temporaryTables int           // on open native connections
 	sessionRecord   SessionRecord
 }
 
-// NewNode returns a node that is not started. seed is for the random choice of queries that the Fail fault strikes.
-func NewNode(name string, m Model, seed uint64) *Node {
+// NewNode returns a node that is not started. seed is for the random choice of queries that the FailShare fault strikes.
+func NewNode(name string, m MachineModel, seed uint64) *Node {
 	return &Node{Name: name, model: m, changed: make(chan struct{}),
-		sessionRecord: SessionRecord{Commits: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
+		sessionRecord: SessionRecord{CommitsBySession: map[string]int{}}, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
 // Started returns when the current process started; zero while the node is down.
@@ -55,8 +55,8 @@
 	return n.nativeConns
 }
 
-// Temporary returns the number of temporary tables on open native connections.
-func (n *Node) Temporary() int {
+// TemporaryTables returns the number of temporary tables on open native connections.
+func (n *Node) TemporaryTables() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.temporaryTables
--- a/simulated/platformnode.go
+++ b/simulated/platformnode.go
@@ -13,7 +13,7 @@
 // PlatformCommand is a command that a PlatformNode received.
 type PlatformCommand struct {
 	Verb, ID, Fields, Text string
-	N                      int // page number of PAGE, priority of RANK
+	Number                 int // page number of PAGE, priority of RANK
 }
 
 // PlatformNode is a query node of the platform's line protocol that a test scripts: it calls a function with every command, and the
@@ -55,8 +55,8 @@
 	return append([]PlatformCommand(nil), n.commands...)
 }
 
-// Forget clears the record of commands received so far.
-func (n *PlatformNode) Forget() {
+// ClearCommands clears the record of commands received so far.
+func (n *PlatformNode) ClearCommands() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.commands = nil
@@ -145,7 +145,7 @@
 		}
 		cmd.Fields, cmd.Text = words[2], string(text[:length])
 	case "PAGE", "RANK":
-		cmd.N, _ = strconv.Atoi(words[2]) // 0 if it is not a number
+		cmd.Number, _ = strconv.Atoi(words[2]) // 0 if it is not a number
 	}
 	return cmd, nil
 }
--- a/simulated/process.go
+++ b/simulated/process.go
@@ -28,7 +28,7 @@
 }
 
 // Start starts the node. It listens on the address of its previous incarnation, or else on the given one. A cold node starts at a part
-// of its capacity, see Model.
+// of its capacity, see MachineModel.
 func (n *Node) Start(address string, cold bool) error {
 	flightListener, nativeListener, err := n.listen(address)
 	if err != nil {
@@ -58,7 +58,7 @@
 	}()
 }
 
-// listen opens both listeners, and sets Address and Native to their addresses.
+// listen opens both listeners, and sets Address and NativeAddress to their addresses.
 func (n *Node) listen(address string) (flightListener, nativeListener net.Listener, err error) {
 	if n.Address != "" {
 		address = n.Address
@@ -68,7 +68,7 @@
 		return nil, nil, err
 	}
 	n.Address = flightListener.Addr().String()
-	nativeAddress := n.Native
+	nativeAddress := n.NativeAddress
 	if nativeAddress == "" {
 		nativeAddress = "127.0.0.1:0"
 	}
@@ -77,7 +77,7 @@
 		_ = flightListener.Close() // no client has connected yet
 		return nil, nil, err
 	}
-	n.Native = nativeListener.Addr().String()
+	n.NativeAddress = nativeListener.Addr().String()
 	return flightListener, nativeListener, nil
 }
 
--- a/simulated/tokens.go
+++ b/simulated/tokens.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Tokens is the set of deduplication tokens that a group of nodes shares.
-type Tokens struct {
+// DedupTokens is the set of deduplication tokens that a group of nodes shares.
+type DedupTokens struct {
 	mu      sync.Mutex
 	window  time.Duration        // dedup window
 	claimed map[string]time.Time // when each token was last claimed with success
 }
 
-// NewTokens returns an empty set that remembers each token for a dedup window.
-func NewTokens(window time.Duration) *Tokens {
-	return &Tokens{window: window, claimed: map[string]time.Time{}}
+// NewDedupTokens returns an empty set that remembers each token for a dedup window.
+func NewDedupTokens(window time.Duration) *DedupTokens {
+	return &DedupTokens{window: window, claimed: map[string]time.Time{}}
 }
 
 // claim records a token and returns true, or returns false if the token was claimed within the window.
-func (t *Tokens) claim(token string) bool {
+func (t *DedupTokens) claim(token string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Share makes the node deduplicate updates by these tokens, together with the other nodes that share them.
-func (n *Node) Share(t *Tokens) {
+// ShareTokens makes the node deduplicate updates by these tokens, together with the other nodes that share them.
+func (n *Node) ShareTokens(t *DedupTokens) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.tokens = t
--- a/simulated/transaction.go
+++ b/simulated/transaction.go
@@ -30,10 +30,10 @@
 
 // SessionRecord is the record of transactions and misplaced statements at a node, over all its incarnations.
 type SessionRecord struct {
-	Begun     int            // number of transactions begun
-	Committed []string       // statements of committed transactions, in order of commit
-	Commits   map[string]int // number of commits by session ID
-	Misplaced []string       // statements that reached the node without their transaction or temporary table being there
+	Begun            int            // number of transactions begun
+	Committed        []string       // statements of committed transactions, in order of commit
+	CommitsBySession map[string]int // number of commits by session ID
+	Misplaced        []string       // statements that reached the node without their transaction or temporary table being there
 }
 
 // Transactions returns the number of open transactions.
@@ -43,12 +43,12 @@
 	return len(n.sessions.transactions)
 }
 
-// Tally returns a copy of the node's session record.
-func (n *Node) Tally() SessionRecord {
+// SessionRecord returns a copy of the node's session record.
+func (n *Node) SessionRecord() SessionRecord {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return SessionRecord{Begun: n.sessionRecord.Begun, Committed: slices.Clone(n.sessionRecord.Committed),
-		Commits: maps.Clone(n.sessionRecord.Commits), Misplaced: slices.Clone(n.sessionRecord.Misplaced)}
+		CommitsBySession: maps.Clone(n.sessionRecord.CommitsBySession), Misplaced: slices.Clone(n.sessionRecord.Misplaced)}
 }
 
 // sessionOf returns the session ID in a call's headers; "" for none.
@@ -118,7 +118,7 @@
 		delete(n.sessions.bySession, tx.session)
 	}
 	if commit {
-		n.sessionRecord.Commits[tx.session]++
+		n.sessionRecord.CommitsBySession[tx.session]++
 		n.sessionRecord.Committed = append(n.sessionRecord.Committed, tx.writes...)
 	}
 }
--- a/simulated/work.go
+++ b/simulated/work.go
@@ -35,17 +35,17 @@
 	return n.loseAnswer(ctx)
 }
 
-// failBeforeWork applies the Full, Fail and Hang faults to a statement before it runs.
+// failBeforeWork applies the RejectQueries, FailShare and Hang faults to a statement before it runs.
 func (n *Node) failBeforeWork(ctx context.Context, attempt *AttemptRecord) error {
 	f := n.faults()
 	n.mu.Lock()
 	draw := n.rng.Float64()
 	n.mu.Unlock()
 	switch {
-	case f.Full:
+	case f.RejectQueries:
 		_ = grpc.SetTrailer(ctx, metadata.Pairs("embershunt-ran", "no")) // the native protocol has no trailers
 		return status.Error(codes.ResourceExhausted, "too many sessions")
-	case draw < f.Fail:
+	case draw < f.FailShare:
 		return status.Error(codes.Internal, "failed at once")
 	case f.Hang:
 		<-ctx.Done()
--- a/soak/checker.go
+++ b/soak/checker.go
@@ -109,7 +109,7 @@
 // checkAnswer checks the final answer to one request, and that a rejected non-idempotent request never ran.
 func (c *checker) checkAnswer(q *Request) {
 	switch q.Outcome {
-	case Unreadable:
+	case InvalidAnswer:
 		c.add(InvariantAnswer, q.Ended, "%s: %s", q, q.Detail)
 	case Closed:
 		if q.RacedClose && len(c.arrivals[q.ID]) > 0 && !c.excusedByKill(q) {
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -36,7 +36,7 @@
 		"valid":                              {func(*Record) {}, ""},
 		"no answer":                          {func(r *Record) { r.requests[lookup].Outcome = Pending }, InvariantAnswer},
 		"late answer":                        {func(r *Record) { r.requests[lookup].Ended = 7 * second }, InvariantAnswer},
-		"unreadable answer":                  {func(r *Record) { r.requests[lookup].Outcome = Unreadable }, InvariantAnswer},
+		"unreadable answer":                  {func(r *Record) { r.requests[lookup].Outcome = InvalidAnswer }, InvariantAnswer},
 		"connection ended without an answer": {func(r *Record) { r.requests[lookup].Outcome = Closed }, InvariantAnswer},
 		"connection ended by a kill": {func(r *Record) {
 			r.requests[lookup].Outcome = Closed
--- a/soak/dispatcher.go
+++ b/soak/dispatcher.go
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// SetNameFaults sets the faults of the dispatcher's name service.
-func (d *Dispatcher) SetNameFaults(f NameFaults) {
+// SetNameServiceFaults sets the faults of the dispatcher's name service.
+func (d *Dispatcher) SetNameServiceFaults(f NameServiceFaults) {
 	d.logf("name service faults: %+v", f)
 	d.nameService.SetFaults(f)
 }
--- a/soak/drain_test.go
+++ b/soak/drain_test.go
@@ -88,7 +88,7 @@
 				}
 			}
 			for _, d := range c.Dispatchers {
-				d.SetNameFaults(soak.NameFaults{Latency: latency})
+				d.SetNameServiceFaults(soak.NameServiceFaults{Latency: latency})
 			}
 			wait(t.Context(), time.Second)
 			c.DrainServer("s-1")
@@ -102,7 +102,7 @@
 // Guards against endpoint lists that hide a drain by their number. List numbers begin again when a dispatcher restarts, so a list from
 // before the restart may have a higher number than the current one. An answer may also have the current number with older rows.
 func TestDrainIsObservedAfterMisleadingNumber(t *testing.T) {
-	for name, faults := range map[string]soak.NameFaults{
+	for name, faults := range map[string]soak.NameServiceFaults{
 		"previous incarnation": {PreviousIncarnation: 0.1},
 		"stale rows":           {StaleRows: 0.3},
 	} {
@@ -121,7 +121,7 @@
 				if err := c.Restart(t.Context(), d); err != nil {
 					t.Fatal(err)
 				}
-				d.SetNameFaults(faults)
+				d.SetNameServiceFaults(faults)
 			}
 			for _, id := range []string{"s-1", "s-2", "s-3"} {
 				wait(t.Context(), 1500*time.Millisecond)
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -97,7 +97,7 @@
 // nameFaults injects faults into one dispatcher's name service now and then.
 func (p *faultRunner) nameFaults(ctx context.Context, rng *rand.Rand, d *Dispatcher) {
 	for p.sleep(ctx, uniform(rng, 100*time.Millisecond, 2*time.Second)) {
-		var f NameFaults
+		var f NameServiceFaults
 		hold := uniform(rng, 500*time.Millisecond, 4*time.Second)
 		switch rng.IntN(8) {
 		case 0:
@@ -109,7 +109,7 @@
 		case 3:
 			f.MuteClients = true
 		case 4:
-			f.BadRow, f.Duplicate = true, rng.Float64()
+			f.UnknownZoneRow, f.Duplicate = true, rng.Float64()
 		case 5:
 			f.PreviousIncarnation, f.Latency = 0.1, uniform(rng, 0, 300*time.Millisecond)
 		case 6:
@@ -117,9 +117,9 @@
 		default:
 			f.Latency, f.Loss, f.Duplicate = uniform(rng, 0, 500*time.Millisecond), 0.1, 0.3
 		}
-		d.SetNameFaults(f)
+		d.SetNameServiceFaults(f)
 		p.sleep(ctx, hold)
-		d.SetNameFaults(NameFaults{})
+		d.SetNameServiceFaults(NameServiceFaults{})
 	}
 }
 
--- a/soak/nameservice.go
+++ b/soak/nameservice.go
@@ -14,14 +14,14 @@
 	"embershunt/simulated"
 )
 
-// NameFaults are faults of a name service. Shares, from 0 to 1, are of its answers. The zero value has no faults.
-type NameFaults struct {
+// NameServiceFaults are faults of a name service. Shares, from 0 to 1, are of its answers. The zero value has no faults.
+type NameServiceFaults struct {
 	Down                bool          // no query is answered
 	Latency             time.Duration // of each answer
 	Loss                float64       // share that is lost on the way
 	Corrupt             float64       // share that is cut short, has the wrong ID, reports SERVFAIL, or holds the incarnation's first list
 	Duplicate           float64       // share that is sent twice
-	BadRow              bool          // each answer whose content no other fault changes has a row with an unknown zone
+	UnknownZoneRow      bool          // each answer whose content no other fault changes has a row with an unknown zone
 	PreviousIncarnation float64       // share that holds a list published before the dispatcher's last start, with that list's number
 	StaleRows           float64       // share that holds the rows of the list before the current one, with the current number
 	MuteClients         bool          // from now on the clients seen so far get no answer; it is an event, not a state
@@ -43,7 +43,7 @@
 	mu               sync.Mutex
 	conn             *net.UDPConn
 	rng              *rand.Rand
-	faults           NameFaults
+	faults           NameServiceFaults
 	versions         []version // of this incarnation; the last one is current
 	previousVersions []version // of earlier incarnations
 	incarnation      int
@@ -169,7 +169,7 @@
 
 // SetFaults replaces the faults. Muted clients stay muted until a move, or until the next MuteClients, which instead mutes the clients
 // seen since the last one.
-func (s *NameService) SetFaults(f NameFaults) {
+func (s *NameService) SetFaults(f NameServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if f.MuteClients {
@@ -262,7 +262,7 @@
 		return encode(current.number, s.versions[len(s.versions)-2].nodes), false
 	case corrupted:
 		return s.corrupt(encode(current.number, current.nodes), id), false
-	case f.BadRow:
+	case f.UnknownZoneRow:
 		return simulated.ListAnswer(id, uint32(current.number), append([]nodelist.Node{unusableNode}, current.nodes...), unusableNames), true
 	}
 	return encode(current.number, current.nodes), true
--- a/soak/record.go
+++ b/soak/record.go
@@ -16,13 +16,13 @@
 
 // The outcomes.
 const (
-	Pending    Outcome = iota // no answer yet
-	Served                    // all rows and CommandComplete
-	Rejected                  // SQLSTATE class 53 or 57P03: the request can be retried safely
-	Failed                    // any other error
-	Closed                    // the connection ended without a complete answer
-	Abandoned                 // the client cancelled or disconnected first
-	Unreadable                // the answer could not be read, or is not what a node made for the request
+	Pending       Outcome = iota // no answer yet
+	Served                       // all rows and CommandComplete
+	Rejected                     // SQLSTATE class 53 or 57P03: the request can be retried safely
+	Failed                       // any other error
+	Closed                       // the connection ended without a complete answer
+	Abandoned                    // the client cancelled or disconnected first
+	InvalidAnswer                // the answer could not be read, or is not what a node made for the request
 )
 
 // Request is one request as its client saw it. Times count from the start of the run.
--- a/soak/session.go
+++ b/soak/session.go
@@ -30,17 +30,17 @@
 		return Closed, a.err.Error()
 	case strings.HasPrefix(a.code, "53") || a.code == "57P03":
 		if len(a.rows) > 0 {
-			return Unreadable, "rows before a rejection"
+			return InvalidAnswer, "rows before a rejection"
 		}
 		return Rejected, a.code
 	case a.code != "":
 		return Failed, a.code
 	case !a.complete || len(a.rows) != 1 && len(a.rows) != 3:
-		return Unreadable, fmt.Sprintf("%d rows, complete %v", len(a.rows), a.complete)
+		return InvalidAnswer, fmt.Sprintf("%d rows, complete %v", len(a.rows), a.complete)
 	}
 	for i, row := range a.rows {
 		if want := fmt.Sprintf("%s\tpage\t%d", trace, i); row != want {
-			return Unreadable, fmt.Sprintf("row %q, want %q", row, want)
+			return InvalidAnswer, fmt.Sprintf("row %q, want %q", row, want)
 		}
 	}
 	return Served, ""
