--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -43,24 +43,24 @@
 // processBatch starts and ends instances, and steps each instance once with all its events of the batch since its last
 // start. Events of an instance that is not running are ignored.
 func processBatch(b *wire.Batch, gateways map[string]*policy.Gateway, w *wire.Writer) error {
-	var order []string // instances in the order of their items in the batch
+	var order []string // instances in the order of their events in the batch
 	events := map[string][]policy.Event{}
-	for _, item := range b.Events {
+	for _, event := range b.Events {
 		switch {
-		case item.Start != nil:
-			g, err := policy.New(item.Seed, *item.Start)
+		case event.Start != nil:
+			g, err := policy.New(event.Seed, *event.Start)
 			if err != nil {
-				return fmt.Errorf("instance %s: %w", item.Instance, err)
+				return fmt.Errorf("instance %s: %w", event.Instance, err)
 			}
-			gateways[item.Instance] = g
-			events[item.Instance] = nil
-		case item.Stop:
-			delete(gateways, item.Instance)
-			delete(events, item.Instance)
-		case gateways[item.Instance] != nil:
-			events[item.Instance] = append(events[item.Instance], item.Event)
+			gateways[event.Instance] = g
+			events[event.Instance] = nil
+		case event.Stop:
+			delete(gateways, event.Instance)
+			delete(events, event.Instance)
+		case gateways[event.Instance] != nil:
+			events[event.Instance] = append(events[event.Instance], event.Event)
 		}
-		order = append(order, item.Instance)
+		order = append(order, event.Instance)
 	}
 	for _, instance := range order {
 		if evs, ok := events[instance]; ok {
--- a/config/platform.go
+++ b/config/platform.go
@@ -15,19 +15,19 @@
 
 // Platform is the validated configuration that the platform supplies to a dispatcher.
 type Platform struct {
-	Name         string
-	Listen       string
-	Seed         uint64
-	Cores        float64 // processors, may be fractional
-	MemoryMB     float64
-	Sockets      int // number of file descriptors
-	PeerListen   string
-	Peers        []string
-	Resolver     string
-	Initial      nodelist.VersionedList
-	Names        nodelist.Names
-	Settings     policy.Settings
-	SocketLimits wire.ConnectionSettings
+	Name               string
+	Listen             string
+	Seed               uint64
+	Cores              float64 // processors, may be fractional
+	MemoryMB           float64
+	Sockets            int // number of file descriptors
+	PeerListen         string
+	Peers              []string
+	Resolver           string
+	Initial            nodelist.VersionedList
+	Names              nodelist.Names
+	Settings           policy.Settings
+	ConnectionSettings wire.ConnectionSettings
 }
 
 // platformFile is the JSON form of the platform's file. Unknown keys are ignored.
@@ -97,12 +97,12 @@
 	case p.Sockets < MinSockets:
 		return nil, fmt.Errorf("limits.sockets: found %d; allowed: %d and more", p.Sockets, MinSockets)
 	}
-	s, sockets, err := wire.DecodeSettings(f.Settings)
+	s, connections, err := wire.DecodeSettings(f.Settings)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	p.Settings, p.SocketLimits = *s, sockets
-	p.Names = nodelist.Names{Zones: sockets.Zones, Kinds: sockets.Models}
+	p.Settings, p.ConnectionSettings = *s, connections
+	p.Names = nodelist.Names{Zones: connections.Zones, Kinds: connections.Models}
 	if _, err := policy.New(p.Seed, *s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
--- a/config/platform_test.go
+++ b/config/platform_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Seed != 0x8c1f30d27a5be964 || p.Initial.Number != 1 || len(p.Initial.Nodes) != 1 || p.SocketLimits.StreamsPerConn != 100 ||
+	if p.Seed != 0x8c1f30d27a5be964 || p.Initial.Number != 1 || len(p.Initial.Nodes) != 1 || p.ConnectionSettings.StreamsPerConn != 100 ||
 		p.Settings.PeerIndex != 1 || p.Settings.DrainGrace != 1e6 || p.Settings.Classes[0].Name != "lookup" || p.Names.Kinds[0] != "std" {
 		t.Errorf("%+v", p)
 	}
--- a/control/events.go
+++ b/control/events.go
@@ -9,7 +9,7 @@
 
 // LiveState is the part of the dispatcher's current state that the safety checks compare a set with.
 type LiveState struct {
-	InFlight       map[string]int // queries without a final answer, by class
+	PendingByClass map[string]int // queries without a final answer, by class
 	Retries        int            // retries sent within the window of the retry budget
 	Received       int            // queries received within the same window
 	OrderKeyPaused bool           // an order key has an attempt in flight or is in its ordering gap
--- a/control/update_test.go
+++ b/control/update_test.go
@@ -160,9 +160,9 @@
 			s.Limits.Kinds = []*configv1.Kind{{Name: "new", Cores: 4}, {Name: "k", Cores: 8}}
 		}, LiveState{}, 0, "fixed: kinds", false},
 		{"a removed class with queries in flight", func(s *Set) { s.Classes.Classes = s.Classes.Classes[:1] },
-			LiveState{InFlight: map[string]int{"report": 3}}, 0, `class_ends: class "report" would be removed with 3 queries`, true},
+			LiveState{PendingByClass: map[string]int{"report": 3}}, 0, `class_ends: class "report" would be removed with 3 queries`, true},
 		{"a removed class with updates in flight", func(s *Set) { s.Classes.Classes = s.Classes.Classes[:1] },
-			LiveState{InFlight: map[string]int{"report (updates)": 1}}, 0, `class_ends`, true},
+			LiveState{PendingByClass: map[string]int{"report (updates)": 1}}, 0, `class_ends`, true},
 		{"a drain grace shortened while in use", func(s *Set) { s.Limits.DrainGraceUs = 5e5 }, LiveState{}, second,
 			"grace: drain_grace would fall", true},
 		{"an ordering gap shortened while in use", func(s *Set) { s.Limits.TurnRestUs = 1e5 }, LiveState{OrderKeyPaused: true}, 0,
--- a/control/validate.go
+++ b/control/validate.go
@@ -77,7 +77,7 @@
 func (m *Module) checkSafety(cfg *config.Config, live LiveState) (reasons []string) {
 	// ForbidShorter does not disable this check: the decision module does not remove such a class.
 	for _, name := range classNames(m.activeFile) {
-		if n := live.InFlight[name]; n > 0 && !slices.Contains(settingsClassNames(cfg), name) {
+		if n := live.PendingByClass[name]; n > 0 && !slices.Contains(settingsClassNames(cfg), name) {
 			reasons = append(reasons, fmt.Sprintf("class_ends: class %q would be removed with %d queries in flight", name, n))
 		}
 	}
--- a/frontend/cache.go
+++ b/frontend/cache.go
@@ -29,8 +29,8 @@
 // maxCachedBytes is the size of the largest answer that is cached.
 const maxCachedBytes = 64 << 10
 
-// NewCache returns an empty cache.
-func NewCache(maxEntries int, lifetime time.Duration) *AnswerCache {
+// NewAnswerCache returns an empty cache.
+func NewAnswerCache(maxEntries int, lifetime time.Duration) *AnswerCache {
 	return &AnswerCache{maxEntries: maxEntries, lifetime: lifetime, order: list.New(), entries: map[[32]byte]*list.Element{}}
 }
 
--- a/frontend/clickhouse/frontend.go
+++ b/frontend/clickhouse/frontend.go
@@ -75,7 +75,8 @@
 func New(o Options, intake *frontend.Intake) *Frontend {
 	o.setDefaults()
 	return &Frontend{options: o, intake: intake, conns: map[net.Conn]bool{}, connClosed: make(chan struct{}),
-		samples: frontend.NewCache(o.MaxSamples, o.SampleTTL), payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
+		samples:  frontend.NewAnswerCache(o.MaxSamples, o.SampleTTL),
+		payloads: newPayloadAccount(o.MaxInsertBytes, o.MaxBufferedInsertBytes)}
 }
 
 // Serve accepts connections until ctx ends or the listener fails, and returns when all connections are closed.
--- a/frontend/flightsql/frontend.go
+++ b/frontend/flightsql/frontend.go
@@ -63,7 +63,7 @@
 // New returns a frontend that submits its queries to an intake.
 func New(o Options, intake *frontend.Intake) *Frontend {
 	o.setDefaults()
-	return &Frontend{options: o, intake: intake, answerCache: frontend.NewCache(o.MaxCachedAnswers, o.AnswerTTL),
+	return &Frontend{options: o, intake: intake, answerCache: frontend.NewAnswerCache(o.MaxCachedAnswers, o.AnswerTTL),
 		running: newRunningQueries()}
 }
 
--- a/scenario/rules.go
+++ b/scenario/rules.go
@@ -97,7 +97,7 @@
 				continue
 			}
 			switch draining := slices.Contains(p.Draining, s.Node); {
-			case p.Refused && !draining: // a rejected list removes and restores no node, but a drain in it counts
+			case p.Rejected && !draining: // a rejected list removes and restores no node, but a drain in it counts
 			case slices.Contains(p.Healthy, s.Node):
 				noticeAt = time.Time{}
 			case noticeAt.IsZero():
--- a/server/controller.go
+++ b/server/controller.go
@@ -274,7 +274,7 @@
 func (d *Dispatcher) liveState(ctx context.Context) (control.LiveState, error) {
 	result := make(chan control.LiveState, 1)
 	d.loop.Post(dispatch.Inspect{Func: func(core *dispatch.Core) {
-		live := control.LiveState{InFlight: core.PendingByClass()}
+		live := control.LiveState{PendingByClass: core.PendingByClass()}
 		live.Retries, live.Received, live.OrderKeyPaused = core.Outstanding()
 		result <- live
 	}})
--- a/server/platform.go
+++ b/server/platform.go
@@ -86,7 +86,7 @@
 	p.loop = dispatch.NewLoop(core, p.clock)
 	p.fleet.Bind(p.loop)
 	p.frontend = postgres.New(postgres.Options{Log: p.log, Settings: cfg.Settings,
-		MaxSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, IdleTimeout: duration(cfg.SocketLimits.ConnIdle)},
+		MaxSessions: cfg.Sockets - reservedDescriptors - nodeDescriptors, IdleTimeout: duration(cfg.ConnectionSettings.ConnIdle)},
 		frontend.NewIntake(p.loop, p.clock, frontend.Settings{}))
 	p.resolver = resolver.New(resolver.Options{Log: p.log, Address: cfg.Resolver, Names: cfg.Names, Initial: cfg.Initial,
 		Interval: pollInterval(cfg), Apply: p.setNodes})
@@ -109,14 +109,14 @@
 }
 
 func newPlatformFleet(cfg *config.Platform, log *slog.Logger, clock dispatch.Clock, maxConnections int) *backend.Fleet {
-	limits := &cfg.SocketLimits
+	connections := &cfg.ConnectionSettings
 	return backend.New(backend.Options{
 		Log:                 log,
 		Clock:               clock,
-		ConnectTimeout:      duration(limits.ConnectTimeout),
+		ConnectTimeout:      duration(connections.ConnectTimeout),
 		MaxPlatformConns:    maxConnections,
-		MaxAttemptsPerConn:  limits.StreamsPerConn,
-		PlatformIdleTimeout: duration(limits.ConnIdle) / 2,
+		MaxAttemptsPerConn:  connections.StreamsPerConn,
+		PlatformIdleTimeout: duration(connections.ConnIdle) / 2,
 		DrainGrace:          duration(cfg.Settings.DrainGrace),
 	})
 }
--- a/simulated/controlrecord.go
+++ b/simulated/controlrecord.go
@@ -12,7 +12,7 @@
 	Draining   []string // node names
 	Healthy    []string // node names
 	Nonce      string
-	Refused    bool // the dispatcher replied with a NACK
+	Rejected   bool // the dispatcher replied with a NACK
 }
 
 // Reply is a dispatcher's ACK or NACK of one response.
@@ -27,7 +27,7 @@
 // maxReplies is how many earlier replies are kept when a reply is recorded.
 const maxReplies = 100000
 
-// Pushed returns the endpoint lists sent, including refused ones but not malformed ones.
+// Pushed returns the endpoint lists sent, including rejected ones but not malformed ones.
 func (c *Control) Pushed() []Push {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/simulated/controlstream.go
+++ b/simulated/controlstream.go
@@ -23,9 +23,9 @@
 
 // request is a message from a dispatcher on a stream: a subscription, a reply to a response, or both.
 type request struct {
-	dispatcher, typeURL     string
-	version, nonce, refused string
-	subscribes              bool
+	dispatcher, typeURL          string
+	version, nonce, errorMessage string
+	subscribes                   bool
 }
 
 // recordRequest records a request's reply, if it has one, and adds its subscription to the stream.
@@ -52,17 +52,18 @@
 	}
 }
 
-// recordReply records the reply to a response, calls onReply unless the response had an endpoint list, and marks a refused endpoint
+// recordReply records the reply to a response, calls onReply unless the response had an endpoint list, and marks a rejected endpoint
 // list. The caller holds c.mu.
 func (c *Control) recordReply(dispatcher string, r request) {
 	if n, err := strconv.ParseUint(r.nonce, 10, 64); err == nil && c.onReply != nil && r.typeURL != edsType {
-		c.onReply(dispatcher, n, r.refused)
+		c.onReply(dispatcher, n, r.errorMessage)
 		c.push()
 	}
-	c.replies = append(c.replies[max(0, len(c.replies)-maxReplies):], Reply{time.Now(), dispatcher, r.typeURL, r.version, r.nonce, r.refused})
+	c.replies = append(c.replies[max(0, len(c.replies)-maxReplies):], Reply{time.Now(), dispatcher,
+		r.typeURL, r.version, r.nonce, r.errorMessage})
 	for i := range c.pushed {
-		if p := &c.pushed[i]; r.refused != "" && r.typeURL == edsType && p.Dispatcher == dispatcher && p.Nonce == r.nonce {
-			p.Refused = true
+		if p := &c.pushed[i]; r.errorMessage != "" && r.typeURL == edsType && p.Dispatcher == dispatcher && p.Nonce == r.nonce {
+			p.Rejected = true
 		}
 	}
 }
@@ -140,7 +141,7 @@
 		r, err := s.Recv()
 		if err == nil {
 			c.recordRequest(state, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), version: r.GetVersionInfo(),
-				nonce: r.GetResponseNonce(), refused: r.GetErrorDetail().GetMessage(), subscribes: true})
+				nonce: r.GetResponseNonce(), errorMessage: r.GetErrorDetail().GetMessage(), subscribes: true})
 		}
 		return err
 	}, func(r resource) error {
@@ -156,7 +157,7 @@
 		r, err := s.Recv()
 		if err == nil {
 			c.recordRequest(state, request{dispatcher: r.GetNode().GetId(), typeURL: r.GetTypeUrl(), nonce: r.GetResponseNonce(),
-				refused: r.GetErrorDetail().GetMessage(), subscribes: len(r.GetResourceNamesSubscribe()) > 0})
+				errorMessage: r.GetErrorDetail().GetMessage(), subscribes: len(r.GetResourceNamesSubscribe()) > 0})
 		}
 		return err
 	}, func(r resource) error {
