--- a/internal/native/native_test.go
+++ b/internal/native/native_test.go
@@ -80,7 +80,8 @@
 		}
 		// A packet cut at any byte is reported as cut.
 		at := rapid.IntRange(1, len(packet)-1).Draw(r, "cut")
-		if _, err := NewReader(bytes.NewReader(packet[:at]), maxPacketBytes).ReadServerPacket(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
+		if _, err := NewReader(bytes.NewReader(packet[:at]), maxPacketBytes).
+			ReadServerPacket(revision); !errors.Is(err, io.ErrUnexpectedEOF) {
 			r.Fatalf("cut at %d: %v", at, err)
 		}
 	})
--- a/policy/estimates_test.go
+++ b/policy/estimates_test.go
@@ -53,6 +53,7 @@
 		b.step(q)
 	}
 	if c := &b.g.classes[0]; c.unshrunkWork.value < 0.9*sum/100 {
-		t.Fatalf("unshrunk work is %.2f s, the mean of the estimates is %.2f s", c.unshrunkWork.value, sum/100)
+		t.Fatalf("unshrunk work is %.2f s, the mean of the estimates is %.2f s",
+			c.unshrunkWork.value, sum/100)
 	}
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -65,10 +65,12 @@
 // Conversions of running estimates to their stored form and back.
 func (m runningMean) stored() StoredEstimate   { return StoredEstimate{m.value, m.count} }
 func (m runningMedian) stored() StoredEstimate { return StoredEstimate{m.value, m.count} }
-func (r StoredEstimate) mean() runningMean     { return runningMean{r.Value, r.Count} }
-func (r StoredEstimate) median() runningMedian { return runningMedian{r.Value, r.Count} }
-func (f *powerFit) stored() [5]float64         { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
-func restoredFit(v [5]float64) powerFit        { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
+func (e StoredEstimate) mean() runningMean     { return runningMean{e.Value, e.Count} }
+func (e StoredEstimate) median() runningMedian { return runningMedian{e.Value, e.Count} }
+
+// Conversions of a fit to its stored form and back.
+func (f *powerFit) stored() [5]float64  { return [5]float64{f.count, f.meanX, f.meanY, f.varX, f.covXY} }
+func restoredFit(v [5]float64) powerFit { return powerFit{v[0], v[1], v[2], v[3], v[4]} }
 
 // Learned returns the gateway's learned state.
 func (g *Gateway) Learned() Learned {
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -86,7 +86,8 @@
 		t.Fatalf("%d retries, want %d", len(again), wanted)
 	}
 	for _, a := range again {
-		if until := a.StartBefore; stays && until != b.g.ledger.requests[q.ID].firstMayHaveRun.sentAt+b.g.classes[0].DedupWindow ||
+		if until := a.StartBefore; stays &&
+			until != b.g.ledger.requests[q.ID].firstMayHaveRun.sentAt+b.g.classes[0].DedupWindow ||
 			!stays && until != 0 && b.g.classes[0].Effect != IdempotentByKey {
 			t.Fatalf("StartBefore of the retry is %d", until)
 		}
--- a/policy/stored_test.go
+++ b/policy/stored_test.go
@@ -30,11 +30,14 @@
 func storedLearned() Learned {
 	return Learned{
 		Version: 1,
-		Classes: []LearnedClass{{Name: "class", MeanWork: StoredEstimate{1, 2}, UnshrunkWork: StoredEstimate{3, 4}, EstimateMedian: StoredEstimate{5, 6},
+		Classes: []LearnedClass{{Name: "class", MeanWork: StoredEstimate{1, 2},
+			UnshrunkWork: StoredEstimate{3, 4}, EstimateMedian: StoredEstimate{5, 6},
 			LatencyRatio: StoredEstimate{7, 8}, MemoryMedian: StoredEstimate{9, 10},
-			Received: 11, Dispersion: 12, DispersionCount: 13, GrantMargin: 14, Fit: [5]float64{15, 16, 17, 18, 19},
+			Received: 11, Dispersion: 12, DispersionCount: 13, GrantMargin: 14,
+			Fit:   [5]float64{15, 16, 17, 18, 19},
 			Price: [priorityLevels]float64{20, 21, 22, 23}, QueueWait: [priorityLevels]float64{24, 25, 26, 27}}},
-		Fleet: LearnedFleet{CacheInflation: [2]float64{28, 29}, QueryThreads: 30, Rate: 31, MeanRate: 32, GrantMB: 33,
+		Fleet: LearnedFleet{CacheInflation: [2]float64{28, 29}, QueryThreads: 30, Rate: 31,
+			MeanRate: 32, GrantMB: 33,
 			SentThreads: StoredEstimate{34, 35}, Latency: StoredEstimate{36, 37},
 			Work: StoredEstimate{38, 39}, Inflation: StoredEstimate{40, 41}, Capacity: 42, InFlight: 43},
 		Endpoints: []LearnedEndpoint{{ID: "node", Started: 44, Inflation: 45, FaultShare: 46}},
