--- a/backend/platform_attempt_test.go
+++ b/backend/platform_attempt_test.go
@@ -362,7 +362,8 @@
 	}
 }
 
-// A priority command that waits for the write of another command reaches the node neither before its request nor after the request's end.
+// A priority command may have to wait until another command is written to the connection. It must then reach the node neither before the
+// request whose priority it changes nor after the end of that request, where it would apply to a later attempt of the same ID.
 func TestPriorityOnlyWhileTheRequestRuns(t *testing.T) {
 	answer := make(chan struct{})
 	node, err := simulated.NewPlatformNode("", func(c net.Conn, cmd simulated.PlatformCommand) {
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -143,7 +143,8 @@
 	if core.Unanswered() != 0 {
 		t.Errorf("%d queries still unanswered", core.Unanswered())
 	}
-	// Query d follows the change whose step panics, and has no entry in the ledger yet: it must be answered too.
+	// The core steps the gateway with query c before it applies the settings change, and the gateway panics in that step. The core has not
+	// yet handled query d, which follows the change, so d has no entry in the ledger: it must be answered too.
 	calls, s = &callRecorder{}, &scriptedGateway{decide: func(Micros, []policy.Event) []policy.Action { panic("no such class") }}
 	core = newTestCore(s, calls)
 	if err := core.Step(0, []Event{QueryReceived{calls.query("c", 9*ms)}, SettingsChange{Version: 1, Done: func(error) {}},
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -38,7 +38,7 @@
 	Instance string // dispatcher ID
 	Event    policy.Event
 	Start    *policy.Settings // not nil: the instance starts with these settings
-	Seed     uint64           // with Start
+	Seed     uint64           // seed of the instance's random numbers; set together with Start
 	Stop     bool             // the instance has ended
 }
 
--- a/membership/view.go
+++ b/membership/view.go
@@ -205,8 +205,11 @@
 	v.dropReplaced()
 }
 
-// applyRow applies one row. A row that gives its node work, or whose node is not in force, is applied once
-// it is confirmed, any other row at once. A healthy node whose row has another address drains until then.
+// applyRow applies one row of a response. Two kinds of rows are applied only once confirm has counted enough
+// responses with exactly that row: the row of a node that is not in v.nodes, and a row by which a known node
+// would receive work that it does not receive now (a healthy row of a node that is not healthy, or that has
+// another address). Any other row is applied at once. A healthy node whose row has another address drains
+// until the row is confirmed.
 func (v *View) applyRow(query uint64, row nodelist.Node) {
 	i := v.index(row.ID)
 	if i < 0 {
--- a/policy/admission_queue.go
+++ b/policy/admission_queue.go
@@ -8,7 +8,9 @@
 // queueInterval is the maximum number of seconds between two attempts to send queued requests.
 const queueInterval = 0.05
 
-// Parameters of the price of a place in the admission queue, see admissionQueuePrice.
+// Parameters of the price of a place: the priority weight that each open request is charged a second while
+// more than freeQueueShare of MaxInFlight is in use. A request without an attempt in flight that is expected
+// to earn less than its place costs is answered at once.
 const (
 	freeQueueShare   = 0.7 // share of MaxInFlight in use up to which a place is free
 	residualAgeShare = 0.5 // remaining time of a request past its expected end, as a share of its age
@@ -18,7 +20,7 @@
 // capacity, a health check, their order key or the retry budget.
 type admissionQueue struct {
 	requests []*request // in the order queued
-	price    float64    // of an open request's place, in weight a second, see admissionQueuePrice
+	price    float64    // of an open request's place, in priority weight a second; 0: a place costs nothing
 }
 
 // add appends a request unless it is queued already.
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -23,7 +23,7 @@
 func TestFreeCoresAdmitWhateverThePrice(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		own   float64 // own threads in flight; this gateway's share is 8
+		own   float64 // threads of this gateway's attempts in flight; its share of the cores is 8
 		util  float64 // utilization that the endpoint reports
 		class int
 		cost  Micros
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -19,15 +19,15 @@
 	longCapacityFactor  = 0.6  // factor for a very long query: it would keep out many others
 	veryLongWorkFactor  = 4.0  // multiple of the class's typical work above which a query is very long
 	staleReportReserve  = 0.3  // maximum share of the capacity reserved for what an old report does not show
-	claimExponent       = 3.0  // exponent by which claims grow as the fleet falls below one thread a core
+	claimExponent       = 3.0  // exponent by which mayClaim's limit grows below one thread a core (fleet)
 	maxMemoryShare      = 0.95 // maximum share of an endpoint's memory in use or granted after a send
 )
 
 // congestion is the state of the control loop that sets the capacity of all endpoints. The loop compares the
 // latency inflation of answers with the inflation that the latency objectives allow.
 type congestion struct {
-	inflation  runningMedian // log latency inflation of answers, own or gossiped
-	slack      float64       // log latency inflation that the objectives allow, see objectiveSlack
+	inflation  runningMedian // log latency inflation of answers to this gateway and, by gossip, to peers
+	slack      float64       // least log latency inflation that the latency objective of any class allows
 	capacity   float64       // threads a core that an endpoint may hold, of all gateways
 	adjustedAt Micros
 }
@@ -96,8 +96,8 @@
 	return e.threads == 0 && threads < capacity || e.threads+threads+q.class.threads <= capacity
 }
 
-// capacityFor returns the threads that an endpoint may hold, including the request's own, if the request is
-// sent there.
+// capacityFor returns the threads of all gateways that an endpoint may hold if the request is sent there, the
+// request's threads included.
 func (g *Gateway) capacityFor(q *request, e *endpoint) float64 {
 	capacity := g.congestion.capacity * e.cores * g.relativeSpeed(e)
 	switch {
@@ -112,11 +112,13 @@
 	return capacity
 }
 
-// mayClaim reports whether this gateway may use free threads of an endpoint for a request, where free is the
-// number at the last report and peerThreads is what peers have in flight there. The limit is the gateway's
-// share, among itself and the peers that do not gossip, of the threads that the report leaves free and of
-// those that queries have released since. claimDraw rounds the limit to whole queries at random. Without
-// the limit, all gateways that gossip would see the same free capacity and fill it several times over.
+// mayClaim reports whether the limit of this gateway's claims on an endpoint lets it send a request there.
+// The claims are the threads of all attempts that it has sent to the endpoint since renewClaims last reset
+// them, as it does at each load report. free is the number of threads that were free at the last report, and
+// peerThreads the number that peers have in flight there. The limit is the gateway's share, among itself and
+// the peers that do not gossip, of the threads that the report leaves free and of those that queries have
+// released since. claimDraw rounds the limit to whole queries at random. Without the limit, all gateways that
+// gossip would see the same free capacity and fill it several times over.
 func (g *Gateway) mayClaim(q *request, e *endpoint, peerThreads, free float64) bool {
 	if g.queries.latency.value > 0 {
 		queries := (peerThreads + e.threads) / g.queries.threads
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -22,20 +22,23 @@
 	wireID          uint32 // ID in gossip
 	cores, memoryMB float64
 
-	attempts  []*attempt // own attempts in flight
-	threads   float64    // threads of own attempts in flight
-	grantedMB float64    // memory grants of own attempts in flight
+	attempts  []*attempt // this gateway's attempts in flight on the endpoint
+	threads   float64    // threads of these attempts
+	grantedMB float64    // memory granted to these attempts
 
 	load              Load    // last load report, received here or by a peer
-	loadAt            Micros  // time of load; 0: there was no report
-	unreportedThreads float64 // threads of own attempts in flight that were sent after loadAt
-	unreportedMB      float64 // memory grants of those attempts
+	loadAt            Micros  // time of that report; 0: there was none
+	unreportedThreads float64 // threads of the attempts in flight that this gateway sent after loadAt
+	unreportedMB      float64 // memory granted to those attempts
 	gossipedThreads   float64 // threads of peers' attempts, by gossip
 	gossipedMB        float64 // memory grants of peers' attempts, by gossip
 
-	reportArrivedAt Micros  // arrival of the last load report, or later renewal of claims, see mayClaim
-	claimedThreads  float64 // own threads sent since reportArrivedAt
-	claimDraw       float64 // random number from 0 to 1, drawn at reportArrivedAt
+	// This gateway's claims are the threads of all attempts that it has sent to the endpoint since the last
+	// reset, ended attempts included. mayClaim limits them to a share of the threads that the last report
+	// left free: gateways that see the same load report would otherwise fill the endpoint several times over.
+	reportArrivedAt Micros  // last reset of the claims: arrival of a report, or priceInterval without one
+	claimedThreads  float64 // the claims
+	claimDraw       float64 // random number from 0 to 1, drawn at each reset; mayClaim rounds its limit by it
 
 	lastResponse        Micros  // last response to this gateway or to a peer; at first the time of listing
 	lastInflation       float64 // log latency inflation of the last answer or cancelled attempt
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -6,11 +6,11 @@
 type fleetSummary struct {
 	cores                float64             // of all healthy endpoints
 	threads              float64             // on all; endpoints without a valid report count as the mean
-	threadsPerCore       float64             // over the endpoints with a valid report, see summarizeFleet
+	threadsPerCore       float64             // of endpoints with a valid report; fades while there are none
 	threadsPerCoreByKind map[int]runningMean // mean by kind of machine; looked up only
 	reported             bool                // an endpoint has a valid report
 	everReported         bool                // an endpoint has had a valid report at any time
-	occupancyExcess      float64             // own attempts in flight over those expected, at least 1
+	occupancyExcess      float64             // this gateway's attempts in flight ÷ those expected, at least 1
 	responseAge          float64             // mean seconds since a response, each at most reportLifetime
 	usableEndpoints      int                 // healthy endpoints that are not ejected
 	medianFaultShare     float64             // median of the endpoints' fault shares
@@ -49,7 +49,7 @@
 		f.threadsPerCore, f.reported, f.everReported = f.threads/reportedCores, true, true
 	} else { // the load fades: a long time without reports must not keep the gateway from sending
 		f.threadsPerCore *= retention
-		if !f.everReported { // no endpoint reports: own threads over this gateway's share of cores, smoothed
+		if !f.everReported { // no reports: this gateway's threads over its share of the cores, smoothed
 			f.threadsPerCore += (1 - retention) * g.threadsInFlight() / g.coreShare()
 		}
 	}
@@ -70,7 +70,7 @@
 	return f.threadsPerCore
 }
 
-// threadsInFlight counts own threads in flight at all priority levels.
+// threadsInFlight counts the threads of this gateway's attempts in flight, at all priority levels.
 func (g *Gateway) threadsInFlight() (n float64) {
 	for _, t := range g.threads {
 		n += t
@@ -78,7 +78,7 @@
 	return n
 }
 
-// grantsInFlightMB sums own memory grants in flight.
+// grantsInFlightMB sums the memory granted to this gateway's attempts in flight.
 func (g *Gateway) grantsInFlightMB() (n float64) {
 	for _, e := range g.endpoints.list {
 		n += e.grantedMB
@@ -86,7 +86,7 @@
 	return n
 }
 
-// attemptsInFlight counts own attempts in flight.
+// attemptsInFlight counts this gateway's attempts in flight.
 func (g *Gateway) attemptsInFlight() (n float64) {
 	for _, e := range g.endpoints.list {
 		n += float64(len(e.attempts))
--- a/policy/gateway.go
+++ b/policy/gateway.go
@@ -31,7 +31,7 @@
 	ledger    ledger
 	queue     admissionQueue
 	keyOrders keyOrders
-	threads   [priorityLevels]float64 // own threads in flight at each level
+	threads   [priorityLevels]float64 // threads of this gateway's attempts in flight at each level
 
 	retryBudget  retryBudget
 	healthChecks healthCheckCredit
--- a/policy/gossip.go
+++ b/policy/gossip.go
@@ -16,7 +16,7 @@
 	reports  map[int]*peerReport // by index of the peer; never ranged over
 	arrivals []gossipArrival     // in the order received
 	nextAt   Micros              // next message to send
-	lastPeer int                 // peer that the last one was sent to; 0 is the one after this gateway
+	lastPeer int                 // peer that the last message went to, counted from this gateway's index + 1
 }
 
 // gossipArrival records the arrival of a message.
@@ -42,9 +42,10 @@
 	return min(covered, 1)
 }
 
-// sendGossip sends one peer the freshest load reports of endpoints, own or gossiped, and this gateway's
-// attempts there. The rate of messages is bounded by this gateway's traffic. The peers take turns, counted
-// from this gateway's own index and from a random start, so that not all gateways send to the same peer.
+// sendGossip sends one peer the freshest load reports of endpoints, whether this gateway or a peer received
+// them, and the attempts that this gateway has there. The rate of messages is bounded by this gateway's
+// traffic. The peers take turns, counted from this gateway's own index and from a random start, so that not
+// all gateways send to the same peer.
 func (g *Gateway) sendGossip() {
 	s, peers := &g.gossip, g.settings.Peers-1
 	pause := max(gossipInterval/float64(peers), 1/max(gossipPerRequest*g.traffic.rate, minGossipRate))
--- a/policy/load.go
+++ b/policy/load.go
@@ -9,11 +9,11 @@
 	saturatedUtilization = 0.85 // utilization at which an endpoint counts as at capacity
 	saturatedThreadSlope = 5.0  // threads a core for each unit above that: near 1, utilization hides load
 	recentOccupancyPrior = 0.6  // attempts by which a mean over seconds may exceed the expected by chance
-	localAttemptsPrior   = 4.0  // expected own attempts that weigh as much as the mean of the fleet
+	localAttemptsPrior   = 4.0  // this gateway's expected attempts that weigh as much as the fleet's mean
 )
 
-// recordLoad stores an endpoint's load report, received by this gateway or by a peer, and its time. Own
-// attempts sent after that time count as unreported.
+// recordLoad stores an endpoint's load report, received by this gateway or by a peer, and its time. The
+// attempts that this gateway sent to the endpoint after that time count as unreported.
 func (g *Gateway) recordLoad(e *endpoint, l Load, at Micros) {
 	e.load, e.loadAt, e.unreportedThreads, e.unreportedMB = l, at, 0, 0
 	g.renewClaims(e)
@@ -25,7 +25,8 @@
 	}
 }
 
-// renewClaims resets the claims on an endpoint's free capacity, see mayClaim.
+// renewClaims resets this gateway's claims on an endpoint, which are the threads of the attempts that it has
+// sent there since the last reset. mayClaim limits the claims.
 func (g *Gateway) renewClaims(e *endpoint) {
 	e.reportArrivedAt, e.claimedThreads, e.claimDraw = g.now, 0, g.rng.Float64()
 }
@@ -40,9 +41,10 @@
 }
 
 // utilization returns an endpoint's estimated utilization. Reported utilization fades into the fleet's mean
-// of threads a core as the report ages, and own threads sent since are added. Without reported utilization
-// the estimate comes from the threads that all gateways have there; without a valid report or a known load of
-// the fleet, it comes from own threads and this gateway's share of the traffic.
+// of threads a core as the report ages, and the threads that this gateway has sent since the report are
+// added. Without reported utilization the estimate comes from the threads that all gateways have on the
+// endpoint. Without a valid report or a known load of the fleet, it comes from the threads that this gateway
+// has there and its share of the traffic.
 func (g *Gateway) utilization(e *endpoint) float64 {
 	confidence := g.reportConfidence(e)
 	switch {
@@ -56,10 +58,10 @@
 }
 
 // peerLoad estimates the threads and the granted MB that other gateways have on an endpoint: the maximum of
-// what they gossip and of what the endpoint's report leaves after subtracting own attempts. Without a report
-// the estimate is the mean of endpoints of its kind, corrected by own attempts there as far as this gateway's
-// share of the traffic makes them significant. Reported queries in flight include attempts that timed out and
-// still run.
+// what they gossip and of what the endpoint's report leaves after subtracting this gateway's attempts.
+// Without a report the estimate is the mean of the endpoints of the same machine kind. It is corrected by the
+// attempts that this gateway has on the endpoint, as far as its share of the traffic makes them significant.
+// Reported queries in flight include attempts that timed out and still run.
 func (g *Gateway) peerLoad(e *endpoint) (threads, grantedMB float64) {
 	confidence, reportedOwn, share := g.reportConfidence(e), e.threads-e.unreportedThreads, g.trafficShare()
 	expected := g.fleet.threadsPerCoreOf(e.Kind) * e.cores * (1 - share)
@@ -74,14 +76,15 @@
 		estimate = (confidence*(threadsPerCore*e.cores-reportedOwn) + (1-confidence)*estimate) *
 			(1 - g.fleet.peerCoverage)
 	}
-	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage) // assumes grants like ours
+	// Assumes that peers grant as much memory per thread as this gateway.
+	estimateMB := estimate * g.queries.grantMB * (1 - g.fleet.peerCoverage)
 	return max(e.gossipedThreads, estimate), max(e.gossipedMB, estimateMB)
 }
 
-// occupancyExcess returns the factor, at least 1, by which own attempts in flight, now or in the mean of the
-// last seconds, exceed the number expected at this load of the fleet. Gateways that do not gossip are assumed
-// to exceed it as well. The factor reveals congestion that utilization does not show: queries that wait for
-// disks leave cores idle.
+// occupancyExcess returns the factor, at least 1, by which this gateway's attempts in flight, now or in the
+// mean of the last seconds, exceed the number expected at this load of the fleet. Gateways that do not gossip
+// are assumed to exceed their expected number by as much. The factor reveals congestion that utilization does
+// not show: queries that wait for disks leave cores idle.
 func (g *Gateway) occupancyExcess(threadsPerCore float64) float64 {
 	expected := threadsPerCore * g.coreShare() / g.queries.threads
 	now := (localAttemptsPrior + g.attemptsInFlight()) / (localAttemptsPrior + expected)
--- a/policy/maintenance.go
+++ b/policy/maintenance.go
@@ -56,7 +56,9 @@
 // that nothing has refreshed.
 func (g *Gateway) updateEstimates() {
 	interval := max(g.secondsSince(g.schedule.pricedAt), 1e-3)
-	g.withinRetryBudget() // expires old entries: the budget grows with each request, retried or not
+	// Only the side effect is needed: the call drops the times that have left the window of the retry budget.
+	// Each request adds a time, so the list would grow for as long as no retry is considered.
+	g.withinRetryBudget()
 	g.traffic.updateRates(interval)
 	g.updateShare()
 	g.updateQueryMeans()
@@ -67,8 +69,9 @@
 
 // decayUnreported moves estimates without recent reports back to their defaults: the capacity to its initial
 // value if no attempt is in flight (a small capacity could keep this gateway from sending, so that no answer
-// would ever raise it), and an endpoint's latency inflation to the fleet's. It also resets the claims on an
-// endpoint's free capacity.
+// would ever raise it), and an endpoint's latency inflation to the fleet's. It also resets the claims of this
+// gateway on an endpoint (the threads sent there, which mayClaim limits) after priceInterval without a load
+// report.
 func (g *Gateway) decayUnreported() {
 	if g.secondsSince(g.congestion.adjustedAt) > priceInterval && g.attemptsInFlight() == 0 {
 		g.congestion.relax()
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -26,9 +26,9 @@
 	minSpeed               = 0.1  // minimum relative speed of a slow endpoint, so that its recovery is seen
 )
 
-// updateOutlier ejects or readmits an endpoint by how far its fault share, from own results and from gossip,
-// exceeds the fleet's median. Faults that all endpoints show come from elsewhere, such as a bad network, and
-// leave no better endpoint to send to.
+// updateOutlier ejects or readmits an endpoint by how far its fault share exceeds the fleet's median. The
+// share comes from the results of this gateway's attempts and from those that peers gossip. Faults that all
+// endpoints show come from elsewhere, such as a bad network, and leave no better endpoint to send to.
 func (g *Gateway) updateOutlier(e *endpoint) {
 	if !e.ejected && e.faultShare > ejectionMargin+g.fleet.medianFaultShare {
 		g.eject(e, "faults")
--- a/policy/pricing.go
+++ b/policy/pricing.go
@@ -13,7 +13,7 @@
 
 // levelPrices holds a class's price, wait and admission rate at each priority level.
 type levelPrices struct {
-	price         [priorityLevels]float64 // toll of a query of the class's typical work, in weight
+	price         [priorityLevels]float64 // toll of a query of typical work, in units of Class.PriorityWeight
 	queueWait     [priorityLevels]float64 // mean seconds from receipt to answer beyond the service time
 	admittedRate  [priorityLevels]float64 // requests admitted a second
 	admitted      [priorityLevels]float64 // requests admitted since the last interval
--- a/policy/pricing_test.go
+++ b/policy/pricing_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // The expected prices are calculated by hand: one class of mean work 2 s and weight 10 over 15 s, 3 requests
-// a second admitted at level 1 in the last interval, waits of 0.5 s at level 1 and 2 s at level 3, 4 own
-// threads in flight at level 1, 16 cores shared by two gateways.
+// a second admitted at level 1 in the last interval, waits of 0.5 s at level 1 and 2 s at level 3, 4 threads
+// of this gateway's attempts in flight at level 1, 16 cores shared by two gateways.
 func TestPricesMatchManualCalculation(t *testing.T) {
 	s := testSettings()
 	s.Classes = s.Classes[1:]
--- a/policy/requests.go
+++ b/policy/requests.go
@@ -24,9 +24,9 @@
 	queued          bool        // in the admission queue
 	streamed        bool        // its answer has begun
 	admitted        bool        // admit has decided to serve it
-	candidates      []*endpoint // drawn for it; their health checks decide between them
+	candidates      []*endpoint // endpoints drawn for the request; their health checks decide between them
 	restarting      bool        // an overdue attempt was cancelled to be sent again
-	observedTime    float64     // seconds it is expected to take at least, by an attempt that was cancelled
+	observedTime    float64     // minimum expected seconds of the next attempt, from a cancelled attempt
 }
 
 // class holds the settings of one class and the estimates learned of it.
--- a/policy/traffic.go
+++ b/policy/traffic.go
@@ -103,8 +103,8 @@
 	g.queries.grantMB += (g.grantsInFlightMB()/g.threadsInFlight() - g.queries.grantMB) * weight
 }
 
-// trafficShare returns this gateway's share of the traffic, at least an equal one: gateways with little
-// traffic seldom use theirs. When gateways are lost, the others take over their share.
+// trafficShare returns this gateway's share of the traffic, at least 1/Peers: gateways with little traffic
+// seldom use their share. When gateways are lost, the others take over the share of the lost ones.
 func (g *Gateway) trafficShare() float64 { return max(g.traffic.share, 1/float64(g.settings.Peers)) }
 
 // coreShare returns this gateway's share of the healthy endpoints' cores, at least one core.
--- a/scenario/scenario_test.go
+++ b/scenario/scenario_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// Each rule finds a violation in records that contain one, and no other rule does. Rules 3 and 8 are not tested here.
+// Each rule finds a violation in records that contain one, and no other rule does. The rules of drains (checkDrains) and of
+// transactions (checkTransactions) have no case here.
 func TestRulesFindViolations(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	script := &Script{Dispatchers: 1, Config: config.File{
--- a/server/platform.go
+++ b/server/platform.go
@@ -43,7 +43,7 @@
 const (
 	reservedDescriptors = 24  // for listeners, peers, name service, files and the like
 	nodeDescriptorShare = 0.4 // share of the others for connections to nodes; the rest is for connections of clients
-	// descriptorsPerQuery limits the queries in flight to one for each descriptorsPerQuery descriptors.
+	// descriptorsPerQuery is the number of file descriptors for each query in flight: MaxInFlight is at most limits.sockets divided by it.
 	descriptorsPerQuery = 3
 )
 
--- a/server/rig_test.go
+++ b/server/rig_test.go
@@ -84,7 +84,7 @@
 	t.Cleanup(func() {
 		closeQuietly(r.client)
 		r.cancel()
-		_ = awaitEnd(r.ended) // its context was cancelled
+		_ = awaitEnd(r.ended) // r.cancel has stopped the dispatcher, so its error does not matter
 	})
 	return r
 }
--- a/session/event.go
+++ b/session/event.go
@@ -48,14 +48,16 @@
 type (
 	// StatementReceived is a statement to run. Exactly one Run or Reject answers it.
 	StatementReceived struct {
-		ID            string // of the session
-		Serial        uint64 // of the statement, never used twice
-		Tenant        string // by name, because the indexes of tenants change with the settings
-		Kind          Kind
-		Name          string // of the table or option, for CreateState and DropState
-		ReadOnly      bool   // the statement changes nothing, not even within a transaction
-		HasToken      bool   // the client presented a token: the statement must run on the node that holds the state or not at all
-		OutlivesState bool   // the session goes on when its state is dropped, as that of a connection does
+		ID       string // of the session
+		Serial   uint64 // of the statement, never used twice
+		Tenant   string // by name, because the indexes of tenants change with the settings
+		Kind     Kind
+		Name     string // of the table or option, for CreateState and DropState
+		ReadOnly bool   // the statement changes nothing, not even within a transaction
+		HasToken bool   // the client presented a token: the statement must run on the node that holds the state or not at all
+		// OutlivesState says that the session's client may go on after the session's last state is dropped, as a client does whose
+		// session is its connection. Without it, the session then expires, and its later statements are rejected.
+		OutlivesState bool
 	}
 	// StatementEnded reports the end of a statement for which the machine emitted a Run.
 	StatementEnded struct {
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -38,7 +38,7 @@
 	mu           sync.Mutex
 	servers      map[string]*Server // by ID, removed ones too
 	endpoints    []nodelist.Node    // the current endpoint list
-	serversAdded int                // the last server's number
+	serversAdded int                // servers added so far; the last of them has this number in its ID
 }
 
 // NewCluster starts servers and dispatchers, waits until all dispatchers are ready, and then starts the clients. The cluster is not nil
--- a/soak/serverconn.go
+++ b/soak/serverconn.go
@@ -17,7 +17,7 @@
 type serverConn struct {
 	server *Server
 	conn   net.Conn
-	number int // counts the connections of the server from 1
+	number int // 1 for the first connection that the server accepted, 2 for the next; recorded in Arrival.Conn
 
 	opened        time.Duration // when the connection was accepted, since the start of the run
 	input         countingReader
