--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -14,15 +14,15 @@
 	expectedTime float64 // run time, seconds
 	level        int     // priority level
 	grantMB      float64
-	uncontended  bool // the endpoint had a free core when it was sent
-	cached       bool // the endpoint had its table group cached when it was sent
+	uncontended  bool // the endpoint had a free core when the attempt was sent
+	cached       bool // the endpoint had the request's table group cached when the attempt was sent
 	closed       bool
 	cancelled    bool // a Cancel was emitted
 
 	progressAt       Micros  // last progress report; 0: none
 	reportedProgress bool    // a report carried the share done
 	projectedTime    float64 // total seconds projected from the share done; 0: unknown
-	spilled          bool    // a report said that it spilled for lack of memory
+	spilled          bool    // a report said that the attempt spilled for lack of memory
 	waiting          bool    // reported as blocked on memory or a table lock
 }
 
--- a/policy/estimates.go
+++ b/policy/estimates.go
@@ -4,7 +4,7 @@
 
 // Running estimates.
 const (
-	medianStep    = 0.03 // minimum step of a learned median, in log units, see runningMedian
+	medianStep    = 0.03 // minimum step of a learned median, in log units; each value moves it by half a step
 	fitSmoothing  = 0.01 // minimum weight of one answer in a fit: about the last hundred count
 	initialSlope  = 0.5  // initial slope of a fit: estimates are rough, so half of what they say is believed
 	minFitAnswers = 20   // answers in a class's fit up to which contended ones count as well
--- a/policy/events.go
+++ b/policy/events.go
@@ -17,7 +17,7 @@
 	State                      EndpointState
 	Weight                     float64
 	Started                    Micros // time of the last start; 0: long ago
-	Protocols                  uint8  // bit set of the protocols it speaks; see Request.Protocol
+	Protocols                  uint8  // bit set of the protocols that the endpoint speaks
 }
 
 // EndpointState is the state of an endpoint according to the endpoint list.
@@ -37,8 +37,8 @@
 	Tenant      int     // index into Settings.Tenants; out of range: no known tenant
 	Cost        Micros  // estimated work, summed over all threads; 0: unknown
 	MemoryMB    float64 // estimated memory; 0: unknown
-	TableGroup  int64   // group of tables it reads or writes
-	OrderKey    int64   // used if HasOrderKey, in classes with Ordered
+	TableGroup  int64   // group of tables that the request reads or writes
+	OrderKey    int64   // requests of one key run one at a time; used if HasOrderKey and Class.Ordered
 	HasOrderKey bool
 	ClientRetry bool   // a retry by the client, where clients mark retries
 	Protocol    uint8  // bit of the protocol that an endpoint must speak; 0: any
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -21,37 +21,37 @@
 	Count float64 `json:"N"`
 }
 
-// LearnedClass is the learned state of one class; class and levelPrices describe its fields.
+// LearnedClass is the learned state of one class. Work is in seconds, a price in units of
+// Class.PriorityWeight. Fit is the regression of log(work) on log(estimated cost).
 type LearnedClass struct {
 	Name            string                  `json:"Name"`
-	MeanWork        StoredEstimate          `json:"Mean"`
-	UnshrunkWork    StoredEstimate          `json:"Heft"`
-	EstimateMedian  StoredEstimate          `json:"Asked"`
-	LatencyRatio    StoredEstimate          `json:"Ratio"`
-	MemoryMedian    StoredEstimate          `json:"Memory"`
-	Received        float64                 `json:"Taken"`
-	Dispersion      float64                 `json:"Stray"`
-	DispersionCount float64                 `json:"StrayN"`
-	GrantMargin     float64                 `json:"Margin"`
-	Fit             [5]float64              `json:"Fit"`
-	Price           [priorityLevels]float64 `json:"Price"`
-	QueueWait       [priorityLevels]float64 `json:"Wait"`
+	MeanWork        StoredEstimate          `json:"Mean"`   // mean estimated work
+	UnshrunkWork    StoredEstimate          `json:"Heft"`   // mean of max(work, work not shrunk by the fit)
+	EstimateMedian  StoredEstimate          `json:"Asked"`  // median log(estimated cost, seconds)
+	LatencyRatio    StoredEstimate          `json:"Ratio"`  // median log(latency · threads ÷ estimated work)
+	MemoryMedian    StoredEstimate          `json:"Memory"` // median log(estimated memory, MB)
+	Received        float64                 `json:"Taken"`  // number of requests received
+	Dispersion      float64                 `json:"Stray"`  // mean distance of log ratios from LatencyRatio
+	DispersionCount float64                 `json:"StrayN"` // number of values in Dispersion
+	GrantMargin     float64                 `json:"Margin"` // log(memory grant ÷ fitted memory estimate)
+	Fit             [5]float64              `json:"Fit"`    // count, meanX, meanY, varX, covXY of powerFit
+	Price           [priorityLevels]float64 `json:"Price"`  // toll of typical work at each priority level
+	QueueWait       [priorityLevels]float64 `json:"Wait"`   // mean seconds beyond service time, per level
 }
 
-// LearnedFleet is the learned state of all endpoints together and of this gateway's queries and traffic;
-// cacheEffect, queryMeans, traffic and congestion describe its fields.
+// LearnedFleet is the learned state of all endpoints together and of this gateway's queries and traffic.
 type LearnedFleet struct {
-	CacheInflation [2]float64     `json:"Stretch"`
-	QueryThreads   float64        `json:"Threads"`
-	Rate           float64        `json:"Rate"`
-	MeanRate       float64        `json:"MeanRate"`
-	GrantMB        float64        `json:"MB"`
-	SentThreads    StoredEstimate `json:"Sent"`
-	Latency        StoredEstimate `json:"Took"`
-	Work           StoredEstimate `json:"Cost"`
-	Inflation      StoredEstimate `json:"Crowd"`
-	Capacity       float64        `json:"Room"`
-	InFlight       float64        `json:"Open"`
+	CacheInflation [2]float64     `json:"Stretch"`  // mean log inflation, table group not cached and cached
+	QueryThreads   float64        `json:"Threads"`  // mean threads of a query in flight, long ones weigh more
+	Rate           float64        `json:"Rate"`     // requests per second of this gateway
+	MeanRate       float64        `json:"MeanRate"` // requests per second of the mean gateway
+	GrantMB        float64        `json:"MB"`       // MB granted per thread in flight
+	SentThreads    StoredEstimate `json:"Sent"`     // mean threads of a query when sent
+	Latency        StoredEstimate `json:"Took"`     // mean seconds from send to answer
+	Work           StoredEstimate `json:"Cost"`     // mean estimated work, seconds
+	Inflation      StoredEstimate `json:"Crowd"`    // median log latency inflation, with peers' answers
+	Capacity       float64        `json:"Room"`     // limit of threads per core, over all gateways
+	InFlight       float64        `json:"Open"`     // attempts in flight, averaged over about 5 seconds
 }
 
 // LearnedEndpoint is the learned state of one endpoint since its last start.
@@ -170,7 +170,8 @@
 // sameStartTolerance is the largest difference that two clocks may show for the same start of an endpoint.
 const sameStartTolerance = Micros(microsPerSecond)
 
-// restoreEndpoint restores the learned state of a newly listed endpoint, if it has not restarted since.
+// restoreEndpoint restores the learned state of a newly listed endpoint, unless the endpoint has restarted
+// since the state was stored.
 func (g *Gateway) restoreEndpoint(e *endpoint) {
 	if l, ok := g.restored[e.ID]; ok {
 		delete(g.restored, e.ID)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -19,7 +19,7 @@
 // Latency inflation: the log of an answer's latency over the time that its work takes on free cores.
 const (
 	inflationSmoothing     = 0.15 // weight of one answer in an endpoint's inflation
-	rareInflationSmoothing = 0.5  // its weight after reportLifetime without a response of the endpoint
+	rareInflationSmoothing = 0.5  // weight of an answer after reportLifetime without a response
 	fleetInflationStep     = 0.2  // minimum step of the fleet's median: some seconds of a small gateway
 	inflationTolerance     = 0.4  // log inflation over the fleet's that counts as noise
 	maxLogInflation        = 2.5  // limit of one log inflation: bad plans are not the endpoint's fault
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -4,13 +4,16 @@
 
 // Detection and restart of overdue attempts.
 const (
-	// An attempt is overdue (bad plan, or lost) past the larger of two multiples of its expected time:
-	// overdueFactor, and overdueDispersions mean deviations of the class's log times from its estimates.
+	// An attempt is overdue (bad plan, or lost) once its age exceeds its expected time by the larger of two
+	// factors: overdueFactor and exp(overdueDispersions · class.dispersion). Where a progress report projects
+	// the attempt's total time, that total, overdueFactor and minRestartGain decide instead.
 	overdueFactor      = 3.0
 	overdueDispersions = 2.0
 
-	// minRestartGain is the minimum projected time that an attempt still has to run: in expected times to be
-	// overdue, since a restart must save as much, and in multiples of the time left to be hopeless.
+	// minRestartGain sets limits to the time that an attempt still has to run, projected from its progress.
+	// The attempt is overdue only if that rest exceeds minRestartGain times its expected time, since a
+	// restart must save as much. An attempt that is not overdue is hopeless if the rest exceeds
+	// minRestartGain times the time left until the final answer has to be given.
 	minRestartGain = 1.5
 
 	observedTimeShare = 0.5 // minimum share of a cancelled attempt's time that the next is expected to take
@@ -24,8 +27,8 @@
 	retriedAt  []Micros // retries sent, oldest first
 }
 
-// expire drops the times before the window. Requests are dropped a timer interval early and retries one late,
-// so that the budget holds whether or not the window is taken to include its ends.
+// expire drops the times before the window. Requests are dropped a timer interval early and retries a timer
+// interval late, so that the budget holds whether or not the window is taken to include its ends.
 func (b *retryBudget) expire(now, window Micros) {
 	start := now - window
 	b.receivedAt = dropUntil(b.receivedAt, start+timerMicros)
@@ -77,11 +80,12 @@
 	duration  float64 // age, or the total time projected from its progress
 	remaining float64 // until the final answer has to be given
 	overdue   bool
-	hopeless  bool // at its pace it ends too late
+	hopeless  bool // at the pace that it reports, the attempt would end too late
 }
 
-// compareWithExpected compares an attempt of an age in seconds with its expected time. The time projected by
-// a progress report is ignored once the age exceeds overdueFactor times it: the report was wrong.
+// compareWithExpected compares an attempt of an age in seconds with its expected time. The total time
+// that a progress report projects is ignored once the age exceeds overdueFactor times that total: the
+// report was wrong.
 func (g *Gateway) compareWithExpected(a *attempt, age float64) overdueCheck {
 	q, c := a.request, a.request.class
 	inflation := max(a.endpoint.inflation, g.congestion.inflation.value, c.latencyRatio.value, 0)
